--- a/topazbank/balancer.py
+++ b/topazbank/balancer.py
@@ -21,6 +21,7 @@
 from topazbank.policy.selection import Selector
 from topazbank.policy.slow_start import SlowStart
 from topazbank.policy.sparsity import sparsity
+from topazbank.policy.start_times import StartTimes
 from topazbank.settings import Idempotency, Settings
 from topazbank.state import Attempt, Context, LinearFit, Request, Server, timers
 
@@ -41,6 +42,7 @@
         self._key_order = KeyOrder(context)
         self._retry_budget = retries.RetryBudget()
         self._latency = latency = LatencyTracker(context)
+        self._start_times = StartTimes(context)
         self._slow_start = slow_start = SlowStart(context)
         self._limit = limit = ConcurrencyLimit(context)
         arrivals, fit = slow_start.arrivals, LinearFit(probing.FIT_DECAY, probing.FIT_MIN_SAMPLES)
@@ -108,8 +110,12 @@
             return
         if update.kind is not RegistryUpdateKind.CACHED:
             self._refresh.succeeded()
-        if update.is_empty():
-            return  # most watches end so: going through all servers each time would grow with their number
+        if not update.is_empty():  # most watches end so: all servers each time would grow with their number
+            self._take_over(self._start_times.on_own_clock(update))
+        self._start_times.heard(update)
+
+    def _take_over(self, update: interface.RegistryUpdated) -> None:
+        """Go by a list or changes of it from now on."""
         self._slow_start.warm_capacity()  # all that are warm may be leaving
         for server in self._context.registry.apply(update):
             self._slow_start.begin(server, server.started_at or 0)
