--- a/topazbank/policy/slow_start.py
+++ b/topazbank/policy/slow_start.py
@@ -7,6 +7,7 @@
 
 BUDGET_FILL = 0.15  # part of the overloading rate at which a cold budget fills: its true size is not known
 BUDGET_BURST = 0.18  # part of what overloads a server that may be sent at once
+REST_SHARE = 0.25  # of the arrivals: while all are cold it counts, however little warm servers served before
 RATE_SPANS = 2.0  # rates are averaged over this many overload windows
 
 
@@ -19,6 +20,7 @@
         self._capacity = 0.0  # what a warm server of mean size serves for this balancer, as of _capacity_at
         self._capacity_at = -1
         self._last_warm_capacity = math.inf  # the same, when any were warm last; all may be cold by now
+        self._last_warm_peers = 1  # how many warm servers shared the traffic then
         self._mean_nominal = 1.0
 
     def _span_us(self) -> float:
@@ -68,9 +70,20 @@
             self._capacity_at = now
             warm = [each for each in self._context.registry.ready if not self.is_cold(each)]
             peers = warm or self._context.registry.ready  # ejected too: they served part of what is counted
-            served = self._served_warm if warm else self.arrivals
-            share = served.per_us(now) / max(min(len(peers), subset_size(self._context.load)), 1)
-            self._last_warm_capacity = share if warm else self._last_warm_capacity
-            self._capacity = min(share, self._last_warm_capacity)  # of the few left more may be asked
+            used = max(min(len(peers), subset_size(self._context.load)), 1)
+            if warm:
+                self._capacity = self._last_warm_capacity = self._served_warm.per_us(now) / used
+                self._last_warm_peers = used
+            else:
+                self._capacity = self._cold_capacity(used)
             self._mean_nominal = sum(each.nominal for each in peers) / max(len(peers), 1)
         return self._capacity
+
+    def _cold_capacity(self, used: int) -> float:
+        """The same while all are cold: their part of what arrives, and no more than warm ones served.
+
+        Warm ones that were at rest tell nothing: by their rate alone all requests would be refused.
+        """
+        arriving = self.arrivals.per_us(self._context.now)
+        at_rest = REST_SHARE * arriving / max(used, self._last_warm_peers)
+        return min(arriving / used, max(self._last_warm_capacity, at_rest))
