--- /dev/null
+++ b/tests/test_selection_cost.py
@@ -0,0 +1,53 @@
+"""What the selection of a server costs does not grow with the list: counted, not timed."""
+
+from __future__ import annotations
+
+from unittest.mock import patch
+
+import pytest
+from helpers import MS, Stage, settings
+
+from topazbank.interface import Endpoint, RegistryUpdateKind
+from topazbank.policy.selection import Selector
+from topazbank.state import Server
+
+REQUESTS = 320
+
+
+def two_zones(count: int) -> list[Endpoint]:
+    zones = ("east", "west")
+    return [Endpoint(f"10.1.{number // 250}.{number % 250}:80", zones[number % 2]) for number in range(count)]
+
+
+def servers_weighed(count: int, changes: int = 0) -> int:
+    """How many servers are gone through for the weight of other zones over some requests."""
+    weighed = []
+    weigh = Selector._weigh_by_latency
+
+    def counted(ready: list[Server]) -> float:
+        weighed.append(len(ready))
+        return weigh(ready)
+
+    stage = Stage(settings(prices={"cross_zone": 0.05}))
+    listed = two_zones(count)
+    stage.servers(listed)
+    with patch.object(Selector, "_weigh_by_latency", staticmethod(counted)):
+        for _ in range(max(changes, 1)):
+            if changes:
+                stage.servers(listed[:1], RegistryUpdateKind.DELTA)
+            stage.serve(REQUESTS // max(changes, 1), every_us=20 * MS)
+    return sum(weighed)
+
+
+@pytest.mark.parametrize("count", [20, 200, 399])
+def test_in_a_list_of_usual_size_the_zones_are_weighed_at_each_instant(count: int) -> None:
+    assert servers_weighed(count) == REQUESTS * count
+
+
+@pytest.mark.parametrize("count", [400, 800, 3_200])
+def test_in_a_long_list_no_more_servers_are_weighed_for_each_request(count: int) -> None:
+    assert servers_weighed(count) <= REQUESTS * 200 + count
+
+
+def test_each_change_of_a_long_list_has_the_zones_weighed_anew() -> None:
+    assert servers_weighed(3_200, changes=REQUESTS) == REQUESTS * 3_200
--- a/topazbank/policy/selection.py
+++ b/topazbank/policy/selection.py
@@ -13,6 +13,7 @@
 CANDIDATES = 4  # k: counts are mostly small here, where two looks find too little
 MAX_WEIGHT_POWER = 3.0  # of the latency weight, for a request of four times the mean cost or more
 LEAST_REMOTE_WEIGHT = 0.25  # of a server in another zone while the local zone is as quick
+WEIGHED_PER_INSTANT = 200  # servers whose latency weights are summed up, on average over instants
 REMOTE_EVEN = 0.3  # the local zone this far behind the others' latency, all zones are drawn alike
 
 
@@ -26,6 +27,9 @@
     local_first: bool = False  # servers of other zones are candidates only where the local ones are crowded
     _remote_weight: float = 1.0  # as of _remote_weight_at
     _remote_weight_at: int = -1
+    _zone_weight: float = 1.0  # that of other zones by latency alone, of the servers in _zone_weight_of
+    _zone_weight_of: list[Server] | None = None
+    _zone_weight_kept: int = 0  # for so many further instants
 
     def candidates(self, request: Request) -> list[Server]:
         """Distinct servers drawn by weight; twice as many after each full answer."""
@@ -97,7 +101,18 @@
         late = self.limit.late_share >= LATE_ALLOWED
         if self.context.settings.prices.cross_zone <= 0.0 or late or self.limit.fill() > FREE_FILL:
             return 1.0  # room anywhere is worth more than a crossing
-        active = [each for each in self.context.registry.ready if each.ejected_until is None]
+        ready = self.context.registry.ready
+        if self._zone_weight_of is not ready or self._zone_weight_kept <= 0:
+            self._zone_weight = self._weigh_by_latency(ready)
+            self._zone_weight_of = ready
+            self._zone_weight_kept = len(ready) // WEIGHED_PER_INSTANT
+        self._zone_weight_kept -= 1
+        return self._zone_weight
+
+    @staticmethod
+    def _weigh_by_latency(ready: list[Server]) -> float:
+        """Weight of servers in other zones by how far the local ones are behind in latency."""
+        active = [each for each in ready if each.ejected_until is None]
         local = [each.latency_weight for each in active if each.is_local]
         remote = [each.latency_weight for each in active if not each.is_local]
         if not local or sum(remote) <= 0.0:
