--- a/tests/test_selection_cost.py
+++ b/tests/test_selection_cost.py
@@ -2,13 +2,15 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
 from unittest.mock import patch
 
 import pytest
-from helpers import MS, Stage, settings
+from helpers import MS, S, Stage, settings
 
-from topazbank.interface import Endpoint, RegistryUpdateKind
+from topazbank.interface import Endpoint, RegistryUpdated, RegistryUpdateKind
 from topazbank.policy.selection import Selector
+from topazbank.policy.slow_start import SlowStart
 from topazbank.state import Server
 
 REQUESTS = 320
@@ -51,3 +53,44 @@
 
 def test_each_change_of_a_long_list_has_the_zones_weighed_anew() -> None:
     assert servers_weighed(3_200, changes=REQUESTS) == REQUESTS * 3_200
+
+
+def test_cold_servers_have_the_list_gone_through_once_for_each_change_not_for_each_request() -> None:
+    stage = Stage(settings())
+    stage.servers(two_zones(1_000))
+    stage.serve(20)
+    slow_start = stage.balancer._slow_start
+    started = [replace(each, started_at=stage.now) for each in two_zones(1_000)[:500]]
+    stage.servers(started, RegistryUpdateKind.DELTA)
+    looked_at = 0
+    is_cold = SlowStart.is_cold
+
+    def counted(self: SlowStart, server: Server) -> bool:
+        nonlocal looked_at
+        looked_at += 1
+        return is_cold(self, server)
+
+    with patch.object(SlowStart, "is_cold", counted):
+        for _ in range(50):
+            stage.wait(20 * MS)
+            stage.request()
+            slow_start.warm_capacity()
+    assert looked_at < 4 * 1_000
+
+
+def test_peers_follow_each_server_that_becomes_cold_or_warm() -> None:
+    stage = Stage(settings())
+    stage.servers(two_zones(6))
+    slow_start, servers = stage.balancer._slow_start, stage.balancer._context.registry.ready
+    warm_counts = []
+    for number in range(4):
+        stage.wait(4 * S)
+        stage.play(RegistryUpdated(RegistryUpdateKind.DELTA))
+        slow_start.begin(servers[number], stage.now)
+        slow_start.warm_capacity()
+        warm_counts.append(slow_start._current_peers().count)
+    assert warm_counts == [5, 4, 3, 3]  # slow start takes 10 s: the first is warm again by the fourth
+    stage.wait(2 * S)
+    stage.play(RegistryUpdated(RegistryUpdateKind.DELTA))
+    slow_start.warm_capacity()
+    assert slow_start._current_peers().count == 4
--- a/topazbank/policy/slow_start.py
+++ b/topazbank/policy/slow_start.py
@@ -1,6 +1,7 @@
 """Slow start: a cold server gets no more than a budget that grows as it warms up."""
 
 import math
+from dataclasses import dataclass
 
 from topazbank.policy.sparsity import subset_size
 from topazbank.state import Context, Server
@@ -11,6 +12,18 @@
 RATE_SPANS = 2.0  # rates are averaged over this many overload windows
 
 
+@dataclass(slots=True)
+class Peers:
+    """The ready servers by whose work a cold one is judged: the warm ones, or all where all are cold."""
+
+    ready: list[Server]  # of which they are
+    slow_start_us: int
+    warm: bool
+    count: int
+    mean_nominal: float
+    valid_until: float  # when the next cold server is warm
+
+
 class SlowStart:
     """Cold servers and their budgets, judged by what warm servers serve for this balancer."""
 
@@ -21,13 +34,15 @@
         self._capacity_at = -1
         self._last_warm_capacity = math.inf  # the same, when any were warm last; all may be cold by now
         self._last_warm_peers = 1  # how many warm servers shared the traffic then
-        self._mean_nominal = 1.0
+        self._mean_nominal = 1.0  # as of _capacity_at
+        self._peers: Peers | None = None  # None: to be gone through anew
 
     def _span_us(self) -> float:
         return RATE_SPANS * self._context.settings.rules.overload_window_us
 
     def begin(self, server: Server, since: int) -> None:
         """The server is cold since then, and its budget empty."""
+        self._peers = None
         server.cold_since = since
         server.cold_budget = 0.0
         server.cold_budget_at = self._context.now
@@ -68,15 +83,14 @@
         now = self._context.now
         if self._capacity_at != now:
             self._capacity_at = now
-            warm = [each for each in self._context.registry.ready if not self.is_cold(each)]
-            peers = warm or self._context.registry.ready  # ejected too: they served part of what is counted
-            used = max(min(len(peers), subset_size(self._context.load)), 1)
-            if warm:
+            self._peers = peers = self._current_peers()
+            used = max(min(peers.count, subset_size(self._context.load)), 1)
+            if peers.warm:
                 self._capacity = self._last_warm_capacity = self._served_warm.per_us(now) / used
                 self._last_warm_peers = used
             else:
                 self._capacity = self._cold_capacity(used)
-            self._mean_nominal = sum(each.nominal for each in peers) / max(len(peers), 1)
+            self._mean_nominal = peers.mean_nominal
         return self._capacity
 
     def _cold_capacity(self, used: int) -> float:
@@ -87,3 +101,17 @@
         arriving = self.arrivals.per_us(self._context.now)
         at_rest = REST_SHARE * arriving / max(used, self._last_warm_peers)
         return min(arriving / used, max(self._last_warm_capacity, at_rest))
+
+    def _current_peers(self) -> Peers:
+        """The peers as of now; gone through anew where the list changed, or a server became cold or warm."""
+        ready, slow_start_us = self._context.registry.ready, self._context.settings.rules.slow_start_us
+        known = self._peers
+        if known is not None and known.ready is ready and known.slow_start_us == slow_start_us:
+            if self._context.now < known.valid_until:
+                return known
+        cold = [each for each in ready if self.is_cold(each)]
+        warm = [each for each in ready if not self.is_cold(each)] if cold else ready
+        peers = warm or ready  # ejected too: they served part of what is counted
+        mean_nominal = sum(each.nominal for each in peers) / max(len(peers), 1)
+        ends = [each.cold_since + slow_start_us for each in cold if each.cold_since is not None]
+        return Peers(ready, slow_start_us, bool(warm), len(peers), mean_nominal, min(ends, default=math.inf))
