--- a/topazbank/policy/slow_start.py
+++ b/topazbank/policy/slow_start.py
@@ -109,8 +109,10 @@
         if known is not None and known.ready is ready and known.slow_start_us == slow_start_us:
             if self._context.now < known.valid_until:
                 return known
-        cold = [each for each in ready if self.is_cold(each)]
-        warm = [each for each in ready if not self.is_cold(each)] if cold else ready
+        cold = [each for each in ready if each.cold_since is not None and self.is_cold(each)]
+        warm = (
+            [each for each in ready if each.cold_since is None or not self.is_cold(each)] if cold else ready
+        )
         peers = warm or ready  # ejected too: they served part of what is counted
         mean_nominal = sum(each.nominal for each in peers) / max(len(peers), 1)
         ends = [each.cold_since + slow_start_us for each in cold if each.cold_since is not None]
--- a/topazbank/state/registry.py
+++ b/topazbank/state/registry.py
@@ -11,6 +11,7 @@
 
     def __init__(self, rng: random.Random) -> None:
         self.servers: dict[str, Server] = {}  # by name
+        self._by_rank: list[Server] = []  # the same; kept so, as sorting all is costly
         self.ready: list[Server] = []  # by rank
         self.ready_local: list[Server] = []  # of these, the ones in the local zone
         self._local_zone = ""
@@ -29,8 +30,9 @@
                 if server.name not in listed:
                     server.state = ServerState.GONE
         restarted = [each for each in map(self._apply, update.servers) if each is not None]
-        self.ready = [each for each in self.servers.values() if each.state is ServerState.READY]
-        self.ready.sort(key=lambda each: each.rank)
+        if len(self._by_rank) < len(self.servers):
+            self._by_rank = sorted(self.servers.values(), key=lambda each: each.rank)
+        self.ready = [each for each in self._by_rank if each.state is ServerState.READY]
         self.ready_local = [each for each in self.ready if each.is_local]
         return restarted
 
@@ -59,6 +61,7 @@
     def forget(self, server: Server) -> None:
         """Drop the record of a server that is gone."""
         del self.servers[server.name]
+        self._by_rank.remove(server)
 
     def knows(self, server: Server) -> bool:
         """Whether this very record is still in use; a server listed again later has a new one."""
