--- /dev/null
+++ b/tests/test_selection_cost.py
@@ -0,0 +1,96 @@
+"""What the selection of a server costs does not grow with the list: counted, not timed."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from unittest.mock import patch
+
+import pytest
+from helpers import MS, S, Stage, settings
+
+from topazbank.interface import Endpoint, RegistryUpdated, RegistryUpdateKind
+from topazbank.policy.selection import Selector
+from topazbank.policy.slow_start import SlowStart
+from topazbank.state import Server
+
+REQUESTS = 320
+
+
+def two_zones(count: int) -> list[Endpoint]:
+    zones = ("east", "west")
+    return [Endpoint(f"10.1.{number // 250}.{number % 250}:80", zones[number % 2]) for number in range(count)]
+
+
+def servers_weighed(count: int, changes: int = 0) -> int:
+    """How many servers are gone through for the weight of other zones over some requests."""
+    weighed = []
+    weigh = Selector._weigh_by_latency
+
+    def counted(ready: list[Server]) -> float:
+        weighed.append(len(ready))
+        return weigh(ready)
+
+    stage = Stage(settings(prices={"cross_zone": 0.05}))
+    listed = two_zones(count)
+    stage.servers(listed)
+    with patch.object(Selector, "_weigh_by_latency", staticmethod(counted)):
+        for _ in range(max(changes, 1)):
+            if changes:
+                stage.servers(listed[:1], RegistryUpdateKind.DELTA)
+            stage.serve(REQUESTS // max(changes, 1), every_us=20 * MS)
+    return sum(weighed)
+
+
+@pytest.mark.parametrize("count", [20, 200, 399])
+def test_in_a_list_of_usual_size_the_zones_are_weighed_at_each_instant(count: int) -> None:
+    assert servers_weighed(count) == REQUESTS * count
+
+
+@pytest.mark.parametrize("count", [400, 800, 3_200])
+def test_in_a_long_list_no_more_servers_are_weighed_for_each_request(count: int) -> None:
+    assert servers_weighed(count) <= REQUESTS * 200 + count
+
+
+def test_each_change_of_a_long_list_has_the_zones_weighed_anew() -> None:
+    assert servers_weighed(3_200, changes=REQUESTS) == REQUESTS * 3_200
+
+
+def test_cold_servers_have_the_list_gone_through_once_for_each_change_not_for_each_request() -> None:
+    stage = Stage(settings())
+    stage.servers(two_zones(1_000))
+    stage.serve(20)
+    slow_start = stage.balancer._slow_start
+    started = [replace(each, started_at=stage.now) for each in two_zones(1_000)[:500]]
+    stage.servers(started, RegistryUpdateKind.DELTA)
+    looked_at = 0
+    is_cold = SlowStart.is_cold
+
+    def counted(self: SlowStart, server: Server) -> bool:
+        nonlocal looked_at
+        looked_at += 1
+        return is_cold(self, server)
+
+    with patch.object(SlowStart, "is_cold", counted):
+        for _ in range(50):
+            stage.wait(20 * MS)
+            stage.request()
+            slow_start.warm_capacity()
+    assert looked_at < 4 * 1_000
+
+
+def test_peers_follow_each_server_that_becomes_cold_or_warm() -> None:
+    stage = Stage(settings())
+    stage.servers(two_zones(6))
+    slow_start, servers = stage.balancer._slow_start, stage.balancer._context.registry.ready
+    warm_counts = []
+    for number in range(4):
+        stage.wait(4 * S)
+        stage.play(RegistryUpdated(RegistryUpdateKind.DELTA))
+        slow_start.begin(servers[number], stage.now)
+        slow_start.warm_capacity()
+        warm_counts.append(slow_start._current_peers().count)
+    assert warm_counts == [5, 4, 3, 3]  # slow start takes 10 s: the first is warm again by the fourth
+    stage.wait(2 * S)
+    stage.play(RegistryUpdated(RegistryUpdateKind.DELTA))
+    slow_start.warm_capacity()
+    assert slow_start._current_peers().count == 4
