--- /dev/null
+++ b/tests/test_answers_without_length.py
@@ -0,0 +1,198 @@
+"""Answers that announce no length: an orderly end of the connection completes them, a reset does not."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import struct
+
+import pytest
+from loopback import PATIENCE_S, FakeServer, hung, play, reset, until, world
+
+from topazbank.interface import Outcome, ServerState
+from topazbank.net.upstream import BODY_MOST, Response, Upstream, message
+
+_HEAD = b"HTTP/1.1 200 X\r\n\r\n"
+_HEADS = {
+    "with Connection: close": b"HTTP/1.1 200 X\r\nConnection: close\r\n\r\n",
+    "without it": _HEAD,
+    "HTTP/1.0": b"HTTP/1.0 200 X\r\n\r\n",
+    "HTTP/1.0 that would keep it": b"HTTP/1.0 200 X\r\nConnection: keep-alive\r\n\r\n",
+}
+_BODIES = {"empty": b"", "short": b"served", "the longest": bytes(BODY_MOST)}
+
+
+async def send_one(upstream: Upstream) -> tuple[Outcome, Response | None]:
+    """Send one short request to server s; give its outcome."""
+    loop = asyncio.get_running_loop()
+    ended: asyncio.Future[tuple[Outcome, Response | None]] = loop.create_future()
+    data = message(b"POST / HTTP/1.1", [(b"Host", b"x"), (b"Content-Length", b"0")])
+    upstream.send("s", lambda _: data, loop.time() + PATIENCE_S, lambda *end: ended.set_result(end))
+    return await ended
+
+
+@pytest.mark.parametrize("body", _BODIES.values(), ids=_BODIES)
+@pytest.mark.parametrize("head", _HEADS.values(), ids=_HEADS)
+def test_an_orderly_end_completes_an_answer(head: bytes, body: bytes) -> None:
+    async def scene() -> None:
+        async with world(hung) as w:
+            asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
+            await until(w.sent)
+            (writer,) = w.servers[0].writers
+            writer.write(head + body)
+            writer.close()
+            status, _, got = await asking
+            assert (status, got) == (200, body) and len(w.sent()) == 1
+
+    play(scene())
+
+
+def test_an_orderly_end_completes_an_answer_that_came_in_pieces_and_its_connection_is_not_reused() -> None:
+    async def scene() -> None:
+        server = FakeServer("s", hung)
+        await server.start()
+        upstream = Upstream(PATIENCE_S, 60.0, 10)
+        upstream._rest_s = 0.0
+        upstream.update("s", server.address, None, ServerState.READY)
+        sending = asyncio.create_task(send_one(upstream))
+        await until(lambda: server.requests)
+        for piece in (_HEAD[:9], _HEAD[9:] + b"ser", b"ved"):
+            server.writers[0].write(piece)
+            await asyncio.sleep(0)
+            assert not sending.done()  # no end, no answer
+        server.writers[0].close()
+        outcome, response = await sending
+        assert outcome is Outcome.DELIVERED and response is not None and response.body == b"served"
+        assert not upstream._endpoints["s"].idle
+        await until(lambda: upstream._open == 0)
+        server.stop()
+
+    play(scene())
+
+
+@pytest.mark.parametrize("body", [b"", b"part of it or all", bytes(BODY_MOST)], ids=_BODIES)
+def test_a_reset_breaks_an_answer_however_much_of_it_came(body: bytes) -> None:
+    # Read by the sidecar or not: the reset is in its kernel behind the bytes, or comes after they were read.
+    async def scene(is_read_before: bool) -> None:
+        async with world(hung) as w:
+            asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
+            await until(w.sent)
+            (writer,) = w.servers[0].writers
+            writer.write(_HEAD + body)
+            await writer.drain()
+            if is_read_before:
+                (live,) = w.sidecar._live.values()
+                (exchange,) = live.out.values()
+                assert exchange is not None and exchange.connection is not None
+                connection = exchange.connection
+                await until(lambda: connection._head is not None and len(connection._body) == len(body))
+            reset(writer)
+            assert (await asking)[0] == 500 and len(w.sent()) == 1
+
+    play(scene(True))
+    play(scene(False))
+
+
+def test_a_close_over_unread_bytes_is_a_reset() -> None:
+    # The kernel resets a connection that is closed over bytes that nobody has read.
+    async def scene() -> None:
+        loop = asyncio.get_running_loop()
+        listener = socket.create_server(("127.0.0.1", 0))
+        listener.setblocking(False)
+        upstream = Upstream(PATIENCE_S, 60.0, 10)
+        upstream.update("s", listener.getsockname()[:2], None, ServerState.READY)
+        sending = asyncio.create_task(send_one(upstream))
+        accepted, _ = await loop.sock_accept(listener)
+        assert await loop.sock_recv(accepted, 1)  # the rest of the request stays unread
+        await loop.sock_sendall(accepted, _HEAD + b"all of it")
+        accepted.close()
+        assert await sending == (Outcome.DROPPED, None)
+        listener.close()
+
+    play(scene())
+
+
+def test_a_process_that_dies_breaks_its_answers() -> None:
+    async def scene() -> None:
+        async with world(hung) as w:
+            asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
+            await until(w.sent)
+            w.servers[0].writers[0].write(_HEAD + b"all of it")
+            w.servers[0].stop()
+            assert (await asking)[0] == 500 and len(w.sent()) == 1
+
+    play(scene())
+
+
+@pytest.mark.parametrize("ends", [True, False])
+def test_an_answer_over_the_limit_is_not_forwarded(ends: bool) -> None:
+    async def scene() -> None:
+        async with world(hung) as w:
+            asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
+            await until(w.sent)
+            (writer,) = w.servers[0].writers
+            writer.write(_HEAD + bytes(BODY_MOST + 1))
+            if ends:
+                writer.close()
+            assert (await asking)[0] == 500 and len(w.sent()) == 1
+
+    play(scene())
+
+
+@pytest.mark.parametrize(
+    "cut",
+    [
+        b"HTTP/1.1 200 X\r\n",
+        b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\n",
+        b"HTTP/1.1 200 X\r\nContent-Length: 9\r\nConnection: close\r\n\r\nnot all",
+        b"HTTP/1.0 200 X\r\nContent-Length: 9\r\n\r\nnot all",
+        b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n",
+        b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nnot\r\n",
+        b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nnot\r\n0\r\n",
+    ],
+)
+def test_an_orderly_end_does_not_complete_an_answer_that_announces_more(cut: bytes) -> None:
+    async def scene() -> None:
+        async with world(hung) as w:
+            asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
+            await until(w.sent)
+            (writer,) = w.servers[0].writers
+            writer.write(cut)
+            writer.close()
+            assert (await asking)[0] == 500 and len(w.sent()) == 1
+
+    play(scene())
+
+
+def test_an_answer_that_never_ends_is_given_up() -> None:
+    async def scene() -> None:
+        server = FakeServer("s", lambda *_: _HEAD + b"and no end")
+        await server.start()
+        upstream = Upstream(0.1, 60.0, 10)  # the dial limit bounds an answer that has begun
+        upstream.update("s", server.address, None, ServerState.READY)
+        assert await send_one(upstream) == (Outcome.ERROR, None)
+        await until(lambda: server.closed == 1 and upstream._open == 0)
+        server.stop()
+
+    play(scene())
+
+
+def test_a_rejection_without_length_is_a_rejection_once_it_has_ended() -> None:
+    async def scene(resets: bool) -> None:
+        server = FakeServer("s", hung)
+        await server.start()
+        upstream = Upstream(PATIENCE_S, 60.0, 10)
+        upstream.update("s", server.address, None, ServerState.READY)
+        sending = asyncio.create_task(send_one(upstream))
+        await until(lambda: server.requests)
+        (writer,) = server.writers
+        writer.write(b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\n\r\n")
+        if resets:
+            linger = struct.pack("ii", 1, 0)
+            writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
+        writer.close()
+        assert (await sending)[0] is (Outcome.DROPPED if resets else Outcome.FULL)
+        server.stop()
+
+    play(scene(False))
+    play(scene(True))
--- a/topazbank/net/upstream.py
+++ b/topazbank/net/upstream.py
@@ -217,6 +217,7 @@
             self._stall = asyncio.get_running_loop().call_later(self._stall_s, self._spoil, "it stalled")
 
     def eof_received(self) -> bool:
+        self.reusable = False
         if self._ended is not None:
             self._feed(b"")
         return False
@@ -282,13 +283,12 @@
         return True
 
     def _response(self) -> Response | None:
+        """The answer, whole: its length is reached or, where it announces none, its connection has ended.
+
+        Only an orderly end gets here for that; a reset is a loss of the connection.
+        """
         head = self._head
-        if head is None:
-            return None
-        response = Response(head.status_code, list(head.headers), bytes(self._body))
-        framed = response.header(b"content-length") or response.header(b"transfer-encoding")
-        # An answer that ends with its connection can't be told from one cut short.
-        return response if framed is not None or head.status_code in _BODILESS else None
+        return None if head is None else Response(head.status_code, list(head.headers), bytes(self._body))
 
     def _finish(self, response: Response | None, reusable: bool = False) -> None:
         ended, self._ended = self._ended, None
