--- /dev/null
+++ b/tests/test_dialing.py
@@ -0,0 +1,247 @@
+"""Dials that fail for causes on this machine, and those that fail for the server's."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import os
+import socket
+from collections.abc import Callable, Iterator
+from typing import Any
+
+import pytest
+from helpers import S
+from loopback import LIMITS, PATIENCE_S, FakeServer, deaf, play, served, until, world
+
+from topazbank.interface import Outcome, ServerState
+from topazbank.net import upstream
+from topazbank.net.upstream import Upstream, connect, message
+
+_LOCAL = (
+    errno.EADDRNOTAVAIL,
+    errno.EADDRINUSE,
+    errno.EAGAIN,
+    errno.EINTR,
+    errno.ENETUNREACH,
+    errno.ENETDOWN,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+    errno.EPERM,
+)
+_OF_THE_SERVER = (errno.ECONNREFUSED, errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH)
+_NO_SOCKET = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+
+Failures = Iterator[int | None]  # what a system call fails with, call by call; None: it works
+
+
+def named(code: object) -> str:
+    return errno.errorcode[code] if isinstance(code, int) else str(code)
+
+
+def failing(code: int, times: int) -> Failures:
+    for _ in range(times):
+        yield code
+    while True:
+        yield None
+
+
+def fail(failures: Failures) -> None:
+    code = next(failures)
+    if code is not None:
+        raise OSError(code, os.strerror(code))
+
+
+class FaultySocket(socket.socket):
+    """A socket whose system calls fail as a script says."""
+
+    connects: Failures = failing(0, 0)
+    options: Failures = failing(0, 0)
+    closes: Failures = failing(0, 0)
+    shutdowns: Failures = failing(0, 0)
+
+    def connect(self, address: Any) -> None:
+        fail(self.connects)
+        super().connect(address)
+
+    def setsockopt(self, *given: Any) -> None:
+        fail(self.options)
+        super().setsockopt(*given)
+
+    def shutdown(self, how: int) -> None:
+        fail(self.shutdowns)
+        super().shutdown(how)
+
+    def close(self) -> None:
+        is_open = self.fileno() >= 0
+        super().close()
+        if is_open:
+            fail(self.closes)
+
+
+def use_faulty(monkeypatch: pytest.MonkeyPatch, sockets: Failures | None = None, **calls: Failures) -> None:
+    """Let dials use sockets whose calls fail so, all together by one script for each call."""
+    faulty = type("Faulty", (FaultySocket,), calls)
+
+    def new_socket(_: object) -> socket.socket:
+        if sockets is not None:
+            fail(sockets)
+        made: socket.socket = faulty(socket.AF_INET, socket.SOCK_STREAM)
+        return made
+
+    monkeypatch.setattr(upstream, "new_socket", new_socket)
+
+
+async def outcome_of(servers: Upstream, seconds: float = PATIENCE_S) -> Outcome:
+    loop = asyncio.get_running_loop()
+    ended: asyncio.Future[Outcome] = loop.create_future()
+    data = message(b"POST / HTTP/1.1", [(b"Host", b"x"), (b"Content-Length", b"0")])
+    servers.send("s", lambda _: data, loop.time() + seconds, lambda outcome, _: ended.set_result(outcome))
+    return await asyncio.wait_for(ended, PATIENCE_S)
+
+
+def descriptors() -> int:
+    return len(os.listdir("/proc/self/fd"))
+
+
+def dial(
+    expected: Outcome, dial_limit_s: float = PATIENCE_S, address: upstream.Address | None = None
+) -> None:
+    """Send one request; check its outcome, and that neither a descriptor nor a count of one is left."""
+
+    async def scene() -> None:
+        server = FakeServer("s", served)
+        await server.start()
+        servers = Upstream(dial_limit_s, 60.0, 10)
+        servers.update("s", address or server.address, None, ServerState.READY)
+        before = descriptors()
+        assert await outcome_of(servers) is expected
+        assert len(server.requests) == (expected is Outcome.DELIVERED)
+        servers.close_idle("s")
+        await until(lambda: servers._open == 0)
+        server.stop()
+        await until(lambda: descriptors() <= before)
+
+    play(scene())
+
+
+@pytest.mark.parametrize("code", _LOCAL, ids=named)
+def test_a_dial_that_fails_for_a_local_cause_is_tried_again(
+    code: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    use_faulty(monkeypatch, connects=failing(code, 3))
+    dial(Outcome.DELIVERED)
+
+
+@pytest.mark.parametrize("code", _LOCAL, ids=named)
+def test_a_server_is_not_blamed_for_a_local_cause_that_lasts(
+    code: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    use_faulty(monkeypatch, connects=failing(code, 10**9))
+    dial(Outcome.UNSENT, dial_limit_s=0.1)
+
+
+@pytest.mark.parametrize("code", _NO_SOCKET, ids=named)
+@pytest.mark.parametrize(("times", "expected"), [(3, Outcome.DELIVERED), (10**9, Outcome.UNSENT)])
+def test_a_lack_of_sockets_says_nothing_of_a_server(
+    code: int, times: int, expected: Outcome, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    use_faulty(monkeypatch, sockets=failing(code, times))
+    dial(expected, dial_limit_s=PATIENCE_S if expected is Outcome.DELIVERED else 0.1)
+
+
+@pytest.mark.parametrize("code", _OF_THE_SERVER, ids=named)
+def test_a_dial_that_fails_for_the_servers_cause_is_not_tried_again(
+    code: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    use_faulty(monkeypatch, connects=failing(code, 1))
+    dial(Outcome.DIAL_FAILED)
+
+
+@pytest.mark.parametrize("code", [errno.ENOBUFS, errno.ENOMEM, errno.EINVAL], ids=named)
+def test_a_socket_that_takes_no_option_is_given_up_for_another(
+    code: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    use_faulty(monkeypatch, options=failing(code, 2))
+    dial(Outcome.DELIVERED)
+
+
+@pytest.mark.parametrize("code", [errno.EIO, errno.EINTR], ids=named)
+def test_a_close_that_fails_changes_no_outcome(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    use_faulty(monkeypatch, connects=failing(errno.EADDRNOTAVAIL, 2), closes=failing(code, 10**9))
+    dial(Outcome.DELIVERED)
+    use_faulty(monkeypatch, connects=failing(errno.ECONNREFUSED, 1), closes=failing(code, 10**9))
+    dial(Outcome.DIAL_FAILED)
+
+
+def test_a_dial_that_only_a_silent_server_held_up_is_the_servers() -> None:
+    with deaf() as address:
+        dial(Outcome.DIAL_FAILED, dial_limit_s=0.1, address=address)
+
+
+def test_a_dial_held_up_by_a_local_cause_is_never_written_and_ends_with_its_attempt(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    use_faulty(monkeypatch, connects=failing(errno.EADDRNOTAVAIL, 10**9))
+
+    async def scene(end: Callable[[Upstream], None], expected: Outcome, seconds: float) -> None:
+        servers = Upstream(PATIENCE_S, 60.0, 10)
+        servers.update("s", ("127.0.0.1", 1), None, ServerState.READY)
+        sending = asyncio.create_task(outcome_of(servers, seconds))
+        await until(lambda: servers._open == 1)
+        end(servers)
+        assert await sending is expected
+        await until(lambda: servers._open == 0)
+
+    def leave(servers: Upstream) -> None:
+        servers.update("s", None, None, ServerState.GONE)
+
+    play(scene(lambda _: None, Outcome.UNSENT, 0.1))
+    play(scene(leave, Outcome.DIAL_FAILED, PATIENCE_S))
+
+
+def test_dials_wait_between_tries(monkeypatch: pytest.MonkeyPatch) -> None:
+    tries: list[None] = []
+
+    def counted() -> Failures:
+        while True:
+            tries.append(None)
+            yield errno.EADDRNOTAVAIL
+
+    use_faulty(monkeypatch, connects=counted())
+    dial(Outcome.UNSENT, dial_limit_s=0.3)
+    assert 2 <= len(tries) <= 6  # at 0, 10, 30, 70, 150 and 310 ms at the earliest
+
+
+def test_local_causes_eject_no_server_and_each_request_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
+    limits = LIMITS | {"dial_timeout_us": S // 10}
+
+    async def scene() -> None:
+        async with world(served, served, limits=limits) as w:
+            with monkeypatch.context() as patched:
+                use_faulty(patched, connects=failing(errno.EADDRNOTAVAIL, 10**9))
+                for _ in range(8):
+                    assert (await w.ask(kind="pay", body=b"x"))[0] == 503  # it never ran
+            known = w.sidecar._balancer._context.registry.servers.values()
+            assert [(each.consecutive_failures, each.ejected_until) for each in known] == [(0, None)] * 2
+            assert not w.sent() and not w.sidecar._live
+            assert (await w.ask(kind="pay", body=b"x"))[0] == 200
+
+    play(scene())
+
+
+# Guards discovery's calls, which have retries of their own.
+@pytest.mark.parametrize("code", [*_LOCAL, *_OF_THE_SERVER], ids=named)
+def test_a_connection_of_its_own_fails_with_an_os_error(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    use_faulty(monkeypatch, connects=failing(code, 1))
+
+    async def scene() -> None:
+        server = FakeServer("s", served)
+        await server.start()
+        before = descriptors()
+        with pytest.raises(OSError) as caught:
+            await connect(server.address, 1024)
+        assert caught.value.errno in (code, errno.EAGAIN)
+        assert descriptors() == before
+        server.stop()
+
+    play(scene())
--- a/topazbank/net/upstream.py
+++ b/topazbank/net/upstream.py
@@ -21,6 +21,7 @@
 import h11
 
 from topazbank.interface import Outcome, ServerState
+from topazbank.net.dialing import LocalDialError, close_quietly, connect_socket, open_socket, retry_pauses
 
 log = logging.getLogger(__name__)
 
@@ -335,16 +336,14 @@
 async def connect(
     address: Address, body_most: int, stall_s: float | None = None, sock: socket.socket | None = None
 ) -> Connection:
-    """Dial; raise OSError where no connection comes up."""
+    """Dial; raise OSError where no connection comes up, LocalDialError where this machine is the cause."""
     loop = asyncio.get_running_loop()
-    sock = sock or new_socket(address)
+    sock = sock or open_socket(partial(new_socket, address))
     try:
-        sock.setblocking(False)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        await loop.sock_connect(sock, address)
+        await connect_socket(sock, address)
         _, connection = await loop.create_connection(partial(Connection, sock, body_most, stall_s), sock=sock)
     except BaseException:
-        sock.close()
+        close_quietly(sock)
         raise
     return connection
 
@@ -446,12 +445,20 @@
         self.written_at = 0.0
         self.idle_s: float | None = None  # how long its connection was idle before; None: it was new
         self.dial: asyncio.Task[bool] | None = None
+        self.dialled: socket.socket | None = None  # what the dial tries at present
+        self.held_up = False  # whether its dial has failed for a cause on this machine, and is tried again
         self.timers: list[asyncio.TimerHandle] = []
 
     def is_written(self) -> bool:
         """Whether the last byte of its request has gone to the kernel."""
         return self.connection is not None and self.connection.written
 
+    def not_written(self) -> Outcome:
+        """What it proves that the request was not written in time."""
+        if self.connection is None and self.held_up:
+            return Outcome.UNSENT
+        return Outcome.DIAL_FAILED
+
     def end(self, outcome: Outcome, response: Response | None = None) -> None:
         """Tell the outcome, once; what comes later is nobody's."""
         ended, self.ended = self.ended, None
@@ -607,16 +614,17 @@
 
     @staticmethod
     def _time_up(exchange: Exchange) -> None:
-        exchange.end(Outcome.EXPIRED if exchange.is_written() else Outcome.DIAL_FAILED)
+        exchange.end(Outcome.EXPIRED if exchange.is_written() else exchange.not_written())
 
     @staticmethod
-    def _dial_time_up(exchange: Exchange, sock: socket.socket) -> None:
+    def _dial_time_up(exchange: Exchange) -> None:
         """End a dial, unless its connection is up and only this program has not come to look.
 
         Guards a busy sidecar against taking its own lag for dead servers.  The attempt's end bounds it still.
         """
-        if exchange.connection is None and not is_up(sock):
-            exchange.end(Outcome.DIAL_FAILED)
+        dialled = exchange.dialled
+        if exchange.connection is None and (dialled is None or not is_up(dialled)):
+            exchange.end(exchange.not_written())
 
     def _take_idle(self, exchange: Exchange) -> Connection | None:
         """The last used of those that have rested, unless it has been idle for longer than such ones last.
@@ -655,14 +663,12 @@
 
     async def _dial(self, exchange: Exchange) -> bool:
         """Dial and write; say whether there is a connection now."""
-        endpoint = exchange.endpoint
+        loop = asyncio.get_running_loop()
+        exchange.timers.append(loop.call_later(self._dial_limit, self._dial_time_up, exchange))
         try:
-            sock = new_socket(endpoint.address)
-            loop = asyncio.get_running_loop()
-            exchange.timers.append(loop.call_later(self._dial_limit, self._dial_time_up, exchange, sock))
-            connection = await connect(endpoint.address, BODY_MOST, self._dial_limit, sock)
+            connection = await self._connect(exchange)
         except OSError as fault:
-            log.debug("no connection to %s: %r", endpoint.name, fault)
+            log.debug("no connection to %s: %r", exchange.endpoint.name, fault)
             exchange.end(Outcome.DIAL_FAILED)
             return False
         connection.on_lost = self._lost
@@ -672,6 +678,19 @@
             self._write(exchange, connection)
         return True
 
+    async def _connect(self, exchange: Exchange) -> Connection:
+        """Dial, again after each failure of this machine, until the exchange's timers end it."""
+        address = exchange.endpoint.address
+        pauses = retry_pauses()
+        while True:
+            try:
+                exchange.dialled = open_socket(partial(new_socket, address))
+                return await connect(address, BODY_MOST, self._dial_limit, exchange.dialled)
+            except LocalDialError as fault:
+                log.debug("dial of %s held up: %r", exchange.endpoint.name, fault)
+                exchange.held_up, exchange.dialled = True, None
+                await asyncio.sleep(next(pauses))
+
     def _dialled(self, dial: asyncio.Task[bool]) -> None:
         if dial.cancelled() or not dial.result():
             self._lost()
