--- a/tests/test_dialing.py
+++ b/tests/test_dialing.py
@@ -173,6 +173,10 @@
     dial(Outcome.DIAL_FAILED)
 
 
+def test_an_address_that_cannot_be_looked_up_is_a_failed_dial() -> None:
+    dial(Outcome.DIAL_FAILED, address=("a..b", 80))
+
+
 def test_a_dial_that_only_a_silent_server_held_up_is_the_servers() -> None:
     with deaf() as address:
         dial(Outcome.DIAL_FAILED, dial_limit_s=0.1, address=address)
--- a/topazbank/net/upstream.py
+++ b/topazbank/net/upstream.py
@@ -667,7 +667,7 @@
         exchange.timers.append(loop.call_later(self._dial_limit, self._dial_time_up, exchange))
         try:
             connection = await self._connect(exchange)
-        except OSError as fault:
+        except (OSError, UnicodeError) as fault:  # the latter of a host's name that is none
             log.debug("no connection to %s: %r", exchange.endpoint.name, fault)
             exchange.end(Outcome.DIAL_FAILED)
             return False
