--- a/tests/test_dialing.py
+++ b/tests/test_dialing.py
@@ -5,17 +5,16 @@
 import asyncio
 import errno
 import os
-import socket
-from collections.abc import Callable, Iterator
-from typing import Any
+from collections.abc import Callable
 
 import pytest
+from faulty_sockets import Failures, failing, named, outcome_of, use_faulty
 from helpers import S
 from loopback import LIMITS, PATIENCE_S, FakeServer, deaf, play, served, until, world
 
 from topazbank.interface import Outcome, ServerState
 from topazbank.net import upstream
-from topazbank.net.upstream import Upstream, connect, message
+from topazbank.net.upstream import Upstream, connect
 
 _LOCAL = (
     errno.EADDRNOTAVAIL,
@@ -31,73 +30,6 @@
 _OF_THE_SERVER = (errno.ECONNREFUSED, errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH)
 _NO_SOCKET = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
-Failures = Iterator[int | None]  # what a system call fails with, call by call; None: it works
-
-
-def named(code: object) -> str:
-    return errno.errorcode[code] if isinstance(code, int) else str(code)
-
-
-def failing(code: int, times: int) -> Failures:
-    for _ in range(times):
-        yield code
-    while True:
-        yield None
-
-
-def fail(failures: Failures) -> None:
-    code = next(failures)
-    if code is not None:
-        raise OSError(code, os.strerror(code))
-
-
-class FaultySocket(socket.socket):
-    """A socket whose system calls fail as a script says."""
-
-    connects: Failures = failing(0, 0)
-    options: Failures = failing(0, 0)
-    closes: Failures = failing(0, 0)
-    shutdowns: Failures = failing(0, 0)
-
-    def connect(self, address: Any) -> None:
-        fail(self.connects)
-        super().connect(address)
-
-    def setsockopt(self, *given: Any) -> None:
-        fail(self.options)
-        super().setsockopt(*given)
-
-    def shutdown(self, how: int) -> None:
-        fail(self.shutdowns)
-        super().shutdown(how)
-
-    def close(self) -> None:
-        is_open = self.fileno() >= 0
-        super().close()
-        if is_open:
-            fail(self.closes)
-
-
-def use_faulty(monkeypatch: pytest.MonkeyPatch, sockets: Failures | None = None, **calls: Failures) -> None:
-    """Let dials use sockets whose calls fail so, all together by one script for each call."""
-    faulty = type("Faulty", (FaultySocket,), calls)
-
-    def new_socket(_: object) -> socket.socket:
-        if sockets is not None:
-            fail(sockets)
-        made: socket.socket = faulty(socket.AF_INET, socket.SOCK_STREAM)
-        return made
-
-    monkeypatch.setattr(upstream, "new_socket", new_socket)
-
-
-async def outcome_of(servers: Upstream, seconds: float = PATIENCE_S) -> Outcome:
-    loop = asyncio.get_running_loop()
-    ended: asyncio.Future[Outcome] = loop.create_future()
-    data = message(b"POST / HTTP/1.1", [(b"Host", b"x"), (b"Content-Length", b"0")])
-    servers.send("s", lambda _: data, loop.time() + seconds, lambda outcome, _: ended.set_result(outcome))
-    return await asyncio.wait_for(ended, PATIENCE_S)
-
 
 def descriptors() -> int:
     return len(os.listdir("/proc/self/fd"))
--- /dev/null
+++ b/tests/test_socket_errors.py
@@ -0,0 +1,110 @@
+"""Reads and writes that fail, are interrupted or short: what became of a request is judged exactly."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import itertools
+
+import pytest
+from faulty_sockets import Failures, failing, named, outcome_of, use_faulty
+from loopback import PATIENCE_S, FakeServer, answer, hung, play, served, until
+
+from topazbank.interface import Outcome, ServerState
+from topazbank.net.upstream import Exchange, Upstream, message
+
+_BROKEN = (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH)
+_LONG = bytes(20_000)  # a request that is written in two parts, the last byte alone
+
+
+def working_then(code: int, times: int) -> Failures:
+    """Work so many times, then fail for good."""
+    return itertools.chain(itertools.repeat(None, times), itertools.repeat(code))
+
+
+def attempt(expected: Outcome, received: int, body: bytes = b"", reply: bytes = served()) -> None:
+    """Send one request; check its outcome, how often it came whole, and that its connection is given back."""
+
+    async def scene() -> None:
+        server = FakeServer("s", lambda *_: reply)
+        await server.start()
+        servers = Upstream(PATIENCE_S, 60.0, 10)
+        servers.update("s", server.address, None, ServerState.READY)
+        assert await outcome_of(servers, body=body) is expected
+        servers.close_idle("s")
+        await until(lambda: servers._open == 0)
+        if expected is not Outcome.DROPPED:
+            await until(lambda: server.closed == 1)  # all that was sent has been read
+            assert len(server.requests) == received
+        server.stop()
+
+    play(scene())
+
+
+@pytest.mark.parametrize("code", _BROKEN, ids=named)
+@pytest.mark.parametrize(("body", "sends"), [(b"", 0), (_LONG, 0), (_LONG, 1)])
+def test_a_write_that_fails_before_the_last_byte_proves_that_it_never_ran(
+    body: bytes, sends: int, code: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    use_faulty(monkeypatch, sends=working_then(code, sends))
+    attempt(Outcome.DIAL_FAILED, 0, body)
+
+
+@pytest.mark.parametrize("code", _BROKEN, ids=named)
+def test_a_short_write_does_not_count_as_the_last_byte(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    use_faulty(monkeypatch, sends=working_then(code, 3), send_most=9)
+    attempt(Outcome.DIAL_FAILED, 0)
+
+
+@pytest.mark.parametrize("code", _BROKEN, ids=named)
+def test_a_read_that_fails_after_the_last_byte_is_a_reset(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    use_faulty(monkeypatch, reads=working_then(code, 0))
+    attempt(Outcome.DROPPED, 1)
+    use_faulty(monkeypatch, reads=working_then(code, 1), read_most=30)  # in the middle of the answer
+    attempt(Outcome.DROPPED, 1)
+
+
+@pytest.mark.parametrize("code", [errno.EINTR, errno.EAGAIN], ids=named)
+@pytest.mark.parametrize("body", [b"", _LONG])
+def test_interrupted_calls_are_made_again(body: bytes, code: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    use_faulty(monkeypatch, sends=failing(code, 2), reads=failing(code, 2))
+    attempt(Outcome.DELIVERED, 1, body)
+
+
+@pytest.mark.parametrize("body", [b"", _LONG])
+def test_short_reads_and_writes_lose_nothing(body: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+    use_faulty(monkeypatch, send_most=19, read_most=3)
+    attempt(Outcome.DELIVERED, 1, body, answer(200, bytes(999)))
+
+
+@pytest.mark.parametrize("code", [errno.ENOBUFS, errno.ENOMEM], ids=named)
+@pytest.mark.parametrize(("body", "sends"), [(b"", 0), (_LONG, 0), (_LONG, 1)])
+def test_a_write_that_fails_for_a_local_cause_says_nothing_of_the_server(
+    body: bytes, sends: int, code: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    use_faulty(monkeypatch, sends=working_then(code, sends))
+    attempt(Outcome.UNSENT, 0, body)
+
+
+@pytest.mark.parametrize("code", [errno.ENOTCONN, errno.EIO], ids=named)
+def test_an_attempt_is_given_up_though_shutdown_and_close_fail(
+    code: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    use_faulty(monkeypatch, shutdowns=working_then(code, 0), closes=working_then(code, 0))
+
+    async def scene() -> None:
+        server = FakeServer("s", hung)
+        await server.start()
+        servers = Upstream(PATIENCE_S, 60.0, 10)
+        servers.update("s", server.address, None, ServerState.READY)
+        outcomes: list[Outcome] = []
+        data = message(b"GET / HTTP/1.1", [(b"Host", b"x")])
+        until_at = asyncio.get_running_loop().time() + PATIENCE_S
+        exchange: Exchange = servers.send("s", lambda _: data, until_at, lambda end, _: outcomes.append(end))
+        await until(lambda: server.requests)
+        servers.cancel(exchange)
+        await until(lambda: server.closed == 1 and servers._open == 0)
+        assert outcomes == [Outcome.CANCELLED]
+        server.stop()
+
+    play(scene())
--- a/topazbank/net/upstream.py
+++ b/topazbank/net/upstream.py
@@ -21,7 +21,14 @@
 import h11
 
 from topazbank.interface import Outcome, ServerState
-from topazbank.net.dialing import LocalDialError, close_quietly, connect_socket, open_socket, retry_pauses
+from topazbank.net.dialing import (
+    LOCAL_ERRNOS,
+    LocalDialError,
+    close_quietly,
+    connect_socket,
+    open_socket,
+    retry_pauses,
+)
 
 log = logging.getLogger(__name__)
 
@@ -147,6 +154,7 @@
         self.sock = sock
         self.reusable = True
         self.spoilt = False  # whether it has answered with what is no answer, or with more than one
+        self.failed_locally = False  # whether it broke for a cause on this machine
         self._body_most = body_most
         self._stall_s = stall_s  # what an answer that has begun may take; None: bounded elsewhere
         self._stall: asyncio.TimerHandle | None = None
@@ -302,6 +310,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.reusable = False
+        self.failed_locally = isinstance(exc, OSError) and exc.errno in LOCAL_ERRNOS
         self._end_stall()
         ended, self._ended = self._ended, None
         if ended is not None:
@@ -726,6 +735,8 @@
     def _answered(self, exchange: Exchange, connection: Connection, response: Response | None) -> None:
         self._put_back(exchange, connection)
         outcome = judge(response, connection.written, connection.spoilt)
+        if outcome is Outcome.DIAL_FAILED and connection.failed_locally:
+            outcome = Outcome.UNSENT  # the server has no part in it
         if exchange.ended is not None:  # else it was given up on, which says nothing of its connection
             now = asyncio.get_running_loop().time()
             # A connection forgotten while idle breaks at once; later it is the server that broke.
