--- /dev/null
+++ b/tests/test_wall_clock_steps.py
@@ -0,0 +1,67 @@
+"""The machine's wall clock is stepped: spans of time stay as they are."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import time
+from collections.abc import Callable
+
+import pytest
+from loopback import hung, play, served, until, world
+
+from topazbank.__main__ import Flood
+from topazbank.net.sidecar import Clock
+
+HOUR_S = 3600.0
+STEPS_S = [-HOUR_S, -3.0, 3.0, HOUR_S]
+Step = Callable[[float], None]
+
+
+@pytest.fixture
+def step(monkeypatch: pytest.MonkeyPatch) -> Step:
+    """Steps the wall clock; the monotonic clock runs on."""
+    real_s, real_ns = time.time, time.time_ns
+
+    def by(span_s: float) -> None:
+        monkeypatch.setattr(time, "time", lambda: real_s() + span_s)
+        monkeypatch.setattr(time, "time_ns", lambda: real_ns() + int(span_s * 1e9))
+
+    return by
+
+
+@pytest.mark.parametrize("span_s", STEPS_S)
+def test_the_clock_of_the_driver_runs_on_through_a_step(span_s: float, step: Step) -> None:
+    clock = Clock()
+    before_us, began_us = clock.now(), time.monotonic_ns() // 1000
+    step(span_s)
+    after_us, ended_us = clock.now(), time.monotonic_ns() // 1000
+    assert 0 <= after_us - before_us <= ended_us - began_us + 1
+    assert clock.on_loop(after_us) == pytest.approx(time.monotonic(), abs=1.0)
+
+
+@pytest.mark.parametrize("before", [True, False])
+@pytest.mark.parametrize("span_s", STEPS_S)
+def test_a_deadline_is_kept_through_a_step(span_s: float, before: bool, step: Step) -> None:
+    async def scene() -> None:
+        if before:
+            step(span_s)
+        async with world(served) as w:
+            assert (await w.ask())[0] == 200
+            w.servers[0].script = hung
+            asked = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="0.4"))
+            await until(lambda: len(w.sent()) == 2)
+            if not before:
+                step(span_s)
+            assert (await asked)[0] == 500
+            assert float(w.sent()[1][1]["x-budget"]) <= 0.4
+
+    play(scene())
+
+
+@pytest.mark.parametrize("span_s", STEPS_S)
+def test_a_bound_on_log_lines_holds_and_ends_in_time_after_a_step(span_s: float) -> None:
+    flood = Flood(2)
+    lines = [7.0, 7.1, 7.2, 7.3 + span_s, 7.4 + span_s, 7.5 + span_s, 8.4 + span_s]
+    passed = [flood.filter(logging.makeLogRecord({"created": at})) for at in lines]
+    assert passed == [True, True, False, True, True, False, True]
