--- /dev/null
+++ b/tests/test_discovery_faults.py
@@ -0,0 +1,165 @@
+"""Whatever fails in a call to discovery, the watch is opened anew and changes are applied in time."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import os
+import socket
+from typing import Any
+
+import pytest
+from helpers import S
+from loopback import answer, served, until, world
+from virtual_time import Service, now_s, play_in_virtual_time, told_within
+
+from topazbank.net import discovery, upstream
+from topazbank.net.upstream import Address, Connection, Upstream
+
+TOLD_S = 6.0  # after discovery has a change and can be reached
+RULES = {"ask_within_us": 60 * S}
+MODES = ("on_request", "pushed")
+DIAL_FAULTS = [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EINTR]
+BREAKS = [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ECONNRESET, errno.EPIPE]
+DEFECTS = [RecursionError("deep"), MemoryError(), KeyError("x"), OverflowError("large"), AssertionError()]
+
+
+@pytest.mark.parametrize("mode", MODES)
+@pytest.mark.parametrize("times", [1, 3])
+@pytest.mark.parametrize("code", DIAL_FAULTS)
+@pytest.mark.parametrize("in_socket", [True, False])
+def test_a_change_is_applied_in_time_though_dials_to_discovery_fail(
+    in_socket: bool, code: int, times: int, mode: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def scene() -> None:
+        there = Service()
+        async with world(served, served, service=there, rules=RULES, discovery=mode) as w:
+            await until(lambda: there.targets)
+            faults = iter([code] * times)
+            failed_at: list[float] = []
+
+            def fail_first() -> None:
+                fault = next(faults, None)
+                if fault is not None:
+                    failed_at.append(now_s())
+                    raise OSError(fault, os.strerror(fault))
+
+            new_socket, sock_connect = upstream.new_socket, asyncio.get_running_loop().sock_connect
+
+            def make(address: Address) -> socket.socket:
+                if in_socket and address == there.address:
+                    fail_first()
+                return new_socket(address)
+
+            async def dial(sock: socket.socket, address: Any) -> None:
+                if not in_socket and address == there.address:
+                    fail_first()
+                await sock_connect(sock, address)
+
+            monkeypatch.setattr(upstream, "new_socket", make)
+            monkeypatch.setattr(asyncio.get_running_loop(), "sock_connect", dial)
+            there.fail("reset")
+            there.fault = None
+            await until(lambda: len(failed_at) == times)
+            began = failed_at[-1]
+            await there.change(w.servers[0].entry(status="leaving"))
+            await told_within(w, TOLD_S, began)
+
+    play_in_virtual_time(scene())
+
+
+@pytest.mark.parametrize("mode", MODES)
+@pytest.mark.parametrize("code", BREAKS)
+def test_a_change_is_applied_in_time_though_the_watch_breaks(code: int, mode: str) -> None:
+    async def scene() -> None:
+        there = Service()
+        dialled: list[Connection] = []
+        connect = upstream.connect
+
+        async def dial(address: Address, body_most: int) -> Connection:
+            dialled.append(await connect(address, body_most))
+            return dialled[-1]
+
+        with pytest.MonkeyPatch.context() as patch:
+            patch.setattr(discovery, "connect", dial)
+            async with world(served, served, service=there, rules=RULES, discovery=mode) as w:
+                await until(lambda: there.targets)
+                transport: Any = dialled[-1]._transport
+                transport._fatal_error(OSError(code, os.strerror(code)))  # as reading it would
+                began = now_s()
+                await there.change(w.servers[0].entry(status="leaving"))
+                await told_within(w, TOLD_S, began)
+
+    play_in_virtual_time(scene())
+
+
+@pytest.mark.parametrize("mode", MODES)
+@pytest.mark.parametrize("defect", DEFECTS, ids=lambda each: type(each).__name__)
+@pytest.mark.parametrize("where", ["parse_registry", "displace"])
+def test_a_change_is_applied_in_time_though_a_list_can_not_be_handled_once(
+    where: str, defect: Exception, mode: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    place: Any = discovery if where == "parse_registry" else Upstream
+    handle = getattr(place, where)
+    failures = [defect]
+
+    def fail_once(*given: Any) -> Any:
+        if failures:
+            raise failures.pop()
+        return handle(*given)
+
+    async def scene() -> None:
+        there = Service()
+        async with world(served, served, service=there, rules=RULES, discovery=mode) as w:
+            await until(lambda: there.targets)
+            monkeypatch.setattr(place, where, fail_once)
+            began = now_s()
+            await there.change(w.servers[0].entry(status="leaving"))
+            await told_within(w, TOLD_S, began)
+            assert not failures
+
+    play_in_virtual_time(scene())
+
+
+DEEP = b'{"index":42,"endpoints":' + b"[" * 20_000 + b"]" * 20_000 + b"}"
+JUNK = {
+    "deep": answer(200, DEEP),
+    "not utf-8": answer(200, b"\xff\xfe\xfa"),
+    "large": answer(
+        200, b'{"index":41,"endpoints":[{"name":"s-0","status":"active","weight":1%b}]}' % (b"0" * 400)
+    ),
+    "many digits": answer(200, b'{"index":%b,"endpoints":[]}' % (b"1" * 5000)),
+    "no http": b"\x00\x01\x02\r\n\r\n",
+    "two lengths": b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n{}",
+    "header without end": b"HTTP/1.1 200 OK\r\nX: " + b"x" * 200_000,
+    "bad chunk": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+    "status": b"HTTP/1.1 999 X\r\nContent-Length: 0\r\n\r\n",
+    "hints": b"HTTP/1.1 100 Go on\r\n\r\n" * 50,
+}
+
+
+class JunkService(Service):
+    """Answers the call that is out with junk, and the next ones as it should."""
+
+    junk: bytes | None = None
+
+    async def _answer(self, target: str) -> bytes:
+        told = await super()._answer(target)
+        junk, self.junk = self.junk, None
+        return told if junk is None else junk
+
+
+@pytest.mark.parametrize("mode", MODES)
+@pytest.mark.parametrize("what", JUNK)
+def test_a_change_is_applied_in_time_though_junk_came_in_its_place(what: str, mode: str) -> None:
+    async def scene() -> None:
+        there = JunkService()
+        async with world(served, served, service=there, rules=RULES, discovery=mode) as w:
+            await until(lambda: there.targets)
+            there.junk = JUNK[what]
+            began = now_s()
+            await there.change(w.servers[0].entry(status="leaving"))
+            await told_within(w, TOLD_S, began)
+            assert there.junk is None
+
+    play_in_virtual_time(scene())
--- a/topazbank/net/discovery.py
+++ b/topazbank/net/discovery.py
@@ -174,10 +174,26 @@
                 self._version = told.version
         except (OSError, ValueError, TimeoutError) as fault:
             log.warning("discovery: %s", fault or type(fault).__name__)
+        except Exception:
+            log.exception(
+                "discovery: a call could not be handled"
+            )  # a defect or junk: the watch is opened anew
+        told = self._notify(told)
         self._in_doubt = told is None
-        self._told(told)
         return told is not None or limit.expired()
 
+    def _notify(self, told: RegistryResponse | None) -> RegistryResponse | None:
+        """Hand over what a call came to; give None where it failed, or could not be put into force."""
+        if told is not None:
+            try:
+                self._told(told)
+                return told
+            except Exception:
+                log.exception("discovery: version %d could not be put into force", told.version)
+                self._version = None  # a part of it may be missing: the whole list is needed
+        self._told(None)
+        return None
+
     @staticmethod
     def _read(response: Response | None) -> RegistryResponse:
         if response is None:
