--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -10,7 +10,7 @@
 
 import pytest
 from helpers import S
-from loopback import answer, served, until, world
+from loopback import answer, reset, served, until, world
 from virtual_time import Service, now_s, play_in_virtual_time, told_within
 
 from topazbank.net import discovery, upstream
@@ -93,6 +93,51 @@
     play_in_virtual_time(scene())
 
 
+class ResettingService(Service):
+    """Resets connections as they come up, for a while."""
+
+    left = 0
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if self.left:
+            self.left -= 1
+            reset(writer)
+            return
+        await super()._serve(reader, writer)
+
+
+def test_a_connection_that_breaks_as_it_comes_up_is_no_call_that_waits(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    connect = upstream.connect
+
+    async def scene() -> None:
+        there = ResettingService()
+
+        async def dial(address: Address, body_most: int) -> Connection:
+            is_reset = there.left > 0
+            connection = await connect(address, body_most)
+            if is_reset:
+                await until(lambda: connection._transport is None or connection._transport.is_closing())
+                await asyncio.sleep(0)  # and its end has been told by now
+            return connection
+
+        monkeypatch.setattr(discovery, "connect", dial)
+        async with world(served, served, service=there, rules=RULES) as w:
+            await until(lambda: there.targets)
+            there.left = 3
+            there.fail("reset")
+            there.fault = None
+            await until(lambda: not there.left)
+            began = now_s()
+            await there.change(w.servers[0].entry(status="leaving"))
+            await told_within(
+                w, 2.0, began
+            )  # a wait before the next call; given up on, the last would take 2.5 s
+
+    play_in_virtual_time(scene())
+
+
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("defect", DEFECTS, ids=lambda each: type(each).__name__)
 @pytest.mark.parametrize("where", ["parse_registry", "displace"])
--- a/topazbank/net/discovery.py
+++ b/topazbank/net/discovery.py
@@ -224,6 +224,8 @@
             if not answer.done():
                 answer.set_result(response)
 
+        if not connection.is_idle():  # it broke as it came up, and would never tell that it has ended
+            raise ConnectionResetError("the connection broke as it came up")
         connection.request(call, ended)
         self._hang_up()
         return await answer
