--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -208,3 +208,9 @@
             assert there.junk is None
 
     play_in_virtual_time(scene())
+
+
+def test_an_entry_with_a_number_too_large_spoils_no_other() -> None:
+    large = {"name": "s-0", "address": "127.0.0.1:9", "status": "active", "weight": 10**400}
+    told = discovery.parse_registry({"index": 1, "endpoints": [large, large | {"name": "s-1", "weight": 1}]})
+    assert [line.server.server for line in told.lines] == ["s-1"]
--- a/topazbank/net/discovery.py
+++ b/topazbank/net/discovery.py
@@ -56,7 +56,7 @@
     for entry in given["endpoints"]:
         try:
             lines.append(_listed(entry))
-        except (ValueError, TypeError, KeyError, AttributeError) as junk:
+        except (ValueError, TypeError, KeyError, AttributeError, OverflowError) as junk:
             log.warning("list entry skipped: %r: %.120r", junk, entry)
     return RegistryResponse(version, given.get("snapshot") is True, lines)
 
