--- /dev/null
+++ b/tests/test_reload_succession.py
@@ -0,0 +1,142 @@
+"""Configurations in quick succession, and files that can't be read for a moment."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import os
+from collections.abc import Callable
+from dataclasses import replace
+
+import pytest
+from helpers import S
+from loopback import hung, served, until, world
+from virtual_time import Service, now_s, pass_s, play_in_virtual_time, told_within
+
+from topazbank import reload
+from topazbank.net.sidecar import Config
+from topazbank.reload import Applied, Rejected, Reloader, ReloadSignal
+
+RELOADED_S = 4.0  # after SIGHUP, what discovery's new place has counts as told
+RULES = {"ask_within_us": 60 * S}
+MODES = ("on_request", "pushed")
+FAULTS = [errno.ENFILE, errno.EMFILE, errno.EIO, errno.EINTR, errno.ENOENT]
+
+
+class File:
+    """Stands for the file: cannot be read some times, then gives what was put last."""
+
+    def __init__(self, content: Config, code: int, failures: int) -> None:
+        self.content = content
+        self.code = code
+        self.failures = failures
+        self.reads = 0
+
+    def read(self) -> Config:
+        self.reads += 1
+        if self.failures:
+            self.failures -= 1
+            raise OSError(self.code, os.strerror(self.code))
+        return self.content
+
+
+@pytest.mark.parametrize("failures", [1, 4])
+@pytest.mark.parametrize("code", FAULTS)
+def test_a_drain_is_applied_in_time_though_the_file_of_a_reload_can_not_be_read_at_first(
+    code: int, failures: int
+) -> None:
+    async def scene() -> None:
+        former, latter = Service(), Service()
+        await latter.start()
+        async with world(served, served, service=former, rules=RULES) as w:
+            file = File(replace(w.config, discovery=latter.address), code, failures)
+            signal = ReloadSignal(Reloader(w.config, w.sidecar.reconfigure), file.read)
+            await latter.change(w.servers[0].entry(status="leaving"))
+            began = now_s()
+            signal.received()
+            await told_within(w, RELOADED_S, began)
+        latter.stop()
+
+    play_in_virtual_time(scene())
+
+
+def test_a_file_that_is_never_readable_leaves_the_configuration_and_is_given_up_on() -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            reloader = Reloader(w.config, w.sidecar.reconfigure)
+            file = File(w.config, errno.EIO, failures=1_000)
+            ReloadSignal(reloader, file.read).received()
+            await pass_s(10.0)
+            assert file.reads == 1 + len(reload._RETRIES_S)
+            assert reloader.active is w.config
+
+    play_in_virtual_time(scene())
+
+
+def test_a_signal_takes_the_place_of_the_retries_of_an_earlier_one() -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            reloader = Reloader(w.config, w.sidecar.reconfigure)
+            file = File(w.config, errno.EIO, failures=1)
+            signal = ReloadSignal(reloader, file.read)
+            signal.received()
+            file.content = replace(w.config, version=5)
+            signal.received()
+            await pass_s(5.0)
+            assert file.reads == 2 and reloader.active.version == 5
+
+    play_in_virtual_time(scene())
+
+
+def read_from(given: Config) -> Callable[[], Config]:
+    return lambda: given
+
+
+def bad() -> Config:
+    raise ValueError("not json")
+
+
+BETWEEN = ("nothing", "a bad file", "the same file", "a drain")
+
+
+@pytest.mark.parametrize("mode", MODES)
+@pytest.mark.parametrize("between", BETWEEN)
+@pytest.mark.parametrize("apart_s", [0.0, 0.01, 1.0])
+@pytest.mark.parametrize("fault", [None, "silent", "cut off", "503", "reset", "refused"])
+def test_of_reloads_in_a_row_the_last_is_in_force_and_its_changes_are_applied_in_time(
+    fault: str | None, apart_s: float, between: str, mode: str, service: Callable[[], Service]
+) -> None:
+    async def scene() -> None:
+        first, middle, last = service(), service(), service()
+        for each in (middle, last):
+            await each.start()
+        if fault is not None:
+            middle.fail(fault)
+        async with world(hung, served, service=first, rules=RULES, discovery=mode) as w:
+            await until(lambda: first.targets)
+            held = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="500"))
+            await until(w.sent)
+            reloader = Reloader(w.config, w.sidecar.reconfigure)
+            configs = [replace(w.config, discovery=each.address) for each in (middle, first, middle, last)]
+            for number, given in enumerate(configs, start=1):
+                await pass_s(apart_s)
+                began = now_s()
+                result = reloader.reload(read_from(replace(given, version=number)))
+                assert isinstance(result, Applied)
+                if between == "a bad file":
+                    assert isinstance(reloader.reload(bad), Rejected)
+                elif between == "the same file":
+                    reloader.reload(lambda: reloader.active)
+                elif between == "a drain" and number == 2:
+                    w.stop.set()
+            await last.change(w.servers[1].entry(weight=2.0))
+            await last.change(w.servers[0].entry(status="leaving"))
+            await told_within(w, RELOADED_S, began)
+            assert last.targets[0] == "/registry/instances"
+            assert w.sidecar._discovery._address == last.address
+            await until(lambda: len(last.targets) > 1)  # the watch goes on there
+            held.cancel()
+        for each in (middle, last):
+            each.stop()
+
+    play_in_virtual_time(scene())
--- a/topazbank/__main__.py
+++ b/topazbank/__main__.py
@@ -15,7 +15,7 @@
 
 from topazbank.configuration import read_config
 from topazbank.net.sidecar import Config, Sidecar
-from topazbank.reload import UNUSABLE, Reloader
+from topazbank.reload import UNUSABLE, Reloader, ReloadSignal
 
 # An asyncio transport refers to itself, so what a closed connection leaves is freed by full collections
 # alone.  They are cheap here, and by the defaults come once in a minute and 2 MB or so.
@@ -53,7 +53,8 @@
         loop.add_signal_handler(each, stop.set)
     sidecar = Sidecar(config)
     reloader = Reloader(config, sidecar.reconfigure)
-    loop.add_signal_handler(signal.SIGHUP, reloader.reload, lambda: read_config(os.environ, with_known=False))
+    reload_signal = ReloadSignal(reloader, lambda: read_config(os.environ, with_known=False))
+    loop.add_signal_handler(signal.SIGHUP, reload_signal.received)
     await sidecar.run(stop)
 
 
--- a/topazbank/reload.py
+++ b/topazbank/reload.py
@@ -6,9 +6,10 @@
 
 from __future__ import annotations
 
+import asyncio
 import logging
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass, fields
 
 from topazbank.net.sidecar import Config
@@ -17,6 +18,9 @@
 log = logging.getLogger(__name__)
 
 UNUSABLE = (OSError, ValueError, RecursionError)  # what reading a bad configuration raises
+# Waits before a file that could not be read is read again: of the 4 s until changes at a new address of
+# discovery count as notified, most are left to the call there.
+_RETRIES_S = (0.1, 0.2, 0.4, 0.8)
 _RESTART_ONLY = ("listen", "seed", "sockets")  # fields of Config that are set at the start for good
 
 
@@ -42,6 +46,7 @@
     """The configuration in force stays."""
 
     reason: str
+    unread: bool = False  # whether the system failed to read the file, which may work a moment later
 
 
 Reload = Applied | Unchanged | Rejected
@@ -63,6 +68,8 @@
         began = time.monotonic()
         try:
             result = self._replace(read(), began)
+        except OSError as fault:
+            result = Rejected(str(fault), unread=True)
         except UNUSABLE as bad:
             result = Rejected(str(bad))
         _log(result)
@@ -88,6 +95,33 @@
         return Applied(given.version, _changed(former, given), needs_restart, time.monotonic() - began)
 
 
+class ReloadSignal:
+    """Reloads whenever a signal asks for it, and again where the file could not be read.
+
+    Guards against a moment without descriptors or a fault of the disk: nobody signals again, and the former
+    address of discovery may tell of no more changes.  A file that was read and is bad is not read again, as
+    whoever completes it signals anew.
+    """
+
+    def __init__(self, reloader: Reloader, read: Callable[[], Config]) -> None:
+        self._reloader = reloader
+        self._read = read
+        self._retry: asyncio.TimerHandle | None = None
+
+    def received(self) -> None:
+        """Reload now; this takes the place of a retry that is still to come."""
+        if self._retry is not None:
+            self._retry.cancel()
+        self._attempt(_RETRIES_S)
+
+    def _attempt(self, retries_s: Sequence[float]) -> None:
+        self._retry = None
+        result = self._reloader.reload(self._read)
+        if retries_s and isinstance(result, Rejected) and result.unread:
+            wait_s, *later_s = retries_s
+            self._retry = asyncio.get_running_loop().call_later(wait_s, self._attempt, later_s)
+
+
 def _conflict(active: int | None, given: int | None) -> str | None:
     """Why a version may not follow the active one: a file that comes late must not undo a newer one."""
     if active is None or given is None or given > active:
