--- /dev/null
+++ b/tests/test_request_wait.py
@@ -0,0 +1,233 @@
+"""What a request waited before it was read counts as time of its client, on a clock that tests move on."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import selectors
+import socket
+import time
+from collections.abc import AsyncIterator, Callable, Coroutine
+from typing import Any
+
+import pytest
+from loopback import (
+    World,
+    answer,
+    hung,
+    read_answer,
+    request,
+    served,
+    until,
+    world,
+)
+
+from topazbank.net import sidecar
+from topazbank.net.event_loop import EventLoop, PollTimingSelector
+from topazbank.net.upstream import Address
+
+STALL_S = 0.4
+BUDGET_S = 1.0
+ALLOWED_S = 0.15  # what a server may be told beyond what is left to the client
+
+
+class Clock:
+    """The machine's clock, moved on by as long as a process was held up."""
+
+    def __init__(self) -> None:
+        self._skipped_s = 0.0
+
+    def __call__(self) -> float:
+        return time.monotonic() + self._skipped_s
+
+    def skip(self, seconds: float) -> None:
+        self._skipped_s += seconds
+
+
+def play_with_stalls(scene: Callable[[Clock], Coroutine[Any, Any, None]]) -> None:
+    """Run a test on an event loop whose clock it can move on; the sidecar reads that clock too."""
+    clock = Clock()
+
+    async def bounded() -> None:
+        async with asyncio.timeout(60.0):
+            await scene(clock)
+
+    def now(own: sidecar.Clock) -> int:
+        return int(clock() * 1e6) + own._offset_us
+
+    with pytest.MonkeyPatch.context() as patch:
+        patch.setattr(sidecar.Clock, "now", now)
+        with asyncio.Runner(loop_factory=lambda: EventLoop(clock)) as runner:
+            runner.run(bounded())
+
+
+def told_s(head: dict[str, str]) -> float:
+    return float(head["x-budget"])
+
+
+class Client:
+    """A client whose bytes are in the sidecar's kernel once sent, with no turn of the event loop."""
+
+    def __init__(self, address: Address) -> None:
+        self.sock = socket.create_connection(address)
+
+    def send(self, data: bytes) -> None:
+        self.sock.sendall(data)
+
+    async def read_status(self) -> int:
+        self.sock.setblocking(False)
+        reader, _ = await asyncio.open_connection(sock=self.sock)
+        return (await read_answer(reader))[0]
+
+
+@contextlib.asynccontextmanager
+async def connected(w: World) -> AsyncIterator[Client]:
+    """A client whose connection the sidecar has accepted and polled without finding anything."""
+    client = Client(w.sidecar.frontend.address)
+    await until(lambda: w.sidecar.frontend.connections)
+    await asyncio.sleep(0.01)
+    try:
+        yield client
+    finally:
+        client.sock.close()
+
+
+def test_the_time_told_leaves_out_what_a_request_waited_for_a_busy_loop() -> None:
+    async def scene(clock: Clock) -> None:
+        async with world(served) as w, connected(w) as client:
+            client.send(request(budget=f"{BUDGET_S}"))
+            clock.skip(STALL_S)
+            assert await client.read_status() == 200
+            assert told_s(w.sent()[0][1]) <= BUDGET_S - STALL_S
+
+    play_with_stalls(scene)
+
+
+def test_the_time_told_leaves_out_what_a_connection_waited_to_be_accepted() -> None:
+    async def scene(clock: Clock) -> None:
+        async with world(served) as w:
+            await until(lambda: w.sidecar.frontend._accepting)
+            w.sidecar.frontend._pause()
+            client = Client(w.sidecar.frontend.address)
+            client.send(request(budget=f"{BUDGET_S}"))
+            clock.skip(STALL_S)
+            await asyncio.sleep(0.01)  # the loop polls meanwhile, but not for new connections
+            w.sidecar.frontend._accept_again()
+            assert await client.read_status() == 200
+            assert told_s(w.sent()[0][1]) <= BUDGET_S - STALL_S
+
+    play_with_stalls(scene)
+
+
+def test_the_time_told_leaves_out_what_a_new_connection_waited_for_a_busy_loop() -> None:
+    async def scene(clock: Clock) -> None:
+        async with world(served) as w:
+            await until(lambda: w.sidecar.frontend._accepting)
+            await asyncio.sleep(0.01)
+            client = Client(w.sidecar.frontend.address)
+            client.send(request(budget=f"{BUDGET_S}"))
+            clock.skip(STALL_S)
+            assert await client.read_status() == 200
+            assert told_s(w.sent()[0][1]) <= BUDGET_S - STALL_S
+
+    play_with_stalls(scene)
+
+
+def test_the_time_told_leaves_out_what_a_request_waited_behind_another() -> None:
+    async def scene(clock: Clock) -> None:
+        async with world(hung) as w, connected(w) as client:
+            client.send(request(X_Call_Id="first"))
+            await until(w.sent)
+            client.send(request(X_Call_Id="second", budget=f"{BUDGET_S}"))
+            (connection,) = w.sidecar.frontend.connections
+            await until(connection.has_begun)
+            clock.skip(STALL_S)
+            w.servers[0].script = served
+            w.servers[0].writers[0].write(answer(200, b"late"))
+            await until(lambda: len(w.sent()) == 2)
+            assert told_s(w.sent()[1][1]) <= BUDGET_S - STALL_S
+
+    play_with_stalls(scene)
+
+
+@pytest.mark.parametrize("kind", ["look", "pay"])
+def test_a_request_read_after_its_time_is_refused_and_not_forwarded(kind: str) -> None:
+    async def scene(clock: Clock) -> None:
+        async with world(served) as w, connected(w) as client:
+            client.send(request(kind, budget=f"{STALL_S / 2}"))
+            clock.skip(STALL_S)
+            assert await client.read_status() == 503
+            assert not w.sent()
+
+    play_with_stalls(scene)
+
+
+def test_the_answer_is_due_when_the_client_s_time_is_over_not_when_that_of_reading_is() -> None:
+    async def scene(clock: Clock) -> None:
+        async with world(hung) as w, connected(w) as client:
+            sent_at = clock()
+            client.send(request(budget=f"{BUDGET_S}"))
+            clock.skip(STALL_S)
+            await until(w.sent)
+            (live,) = w.sidecar._live.values()
+            due = w.sidecar._clock.on_loop(live.answer_by)
+            assert due <= sent_at + BUDGET_S + ALLOWED_S
+
+    play_with_stalls(scene)
+
+
+def test_a_request_that_comes_after_a_stall_keeps_its_time() -> None:
+    async def scene(clock: Clock) -> None:
+        async with world(served) as w, connected(w) as client:
+            clock.skip(STALL_S)
+            await asyncio.sleep(0.01)
+            client.send(request(budget=f"{BUDGET_S}"))
+            assert await client.read_status() == 200
+            assert told_s(w.sent()[0][1]) > BUDGET_S - STALL_S / 2
+            # And on a connection that is new after the stall.
+            assert (await w.ask(budget=f"{BUDGET_S}"))[0] == 200
+            assert told_s(w.sent()[1][1]) > BUDGET_S - STALL_S / 2
+
+    play_with_stalls(scene)
+
+
+class SleepClock:
+    """A clock that a poll moves on: by a time for each poll that is about to return."""
+
+    def __init__(self) -> None:
+        self.now = 100.0
+
+    def __call__(self) -> float:
+        return self.now
+
+
+@pytest.mark.parametrize(
+    ("busy_s", "slept_s", "timeout_s", "waited_s"),
+    [
+        (0.0, 0.05, 0.1, 0.0),  # woken from its sleep
+        (0.0, 0.1, 0.1, 0.0),
+        (0.0, 0.4, 0.1, 0.4),  # stopped in its sleep: it may have come at any time of it
+        (0.4, 0.0, 0.1, 0.4),  # it came while callbacks ran
+        (0.4, 0.0, 0.0, 0.4),
+        (0.004, 0.0, 0.1, 0.0),  # as short as any turn
+    ],
+)
+def test_a_poll_bounds_how_long_what_it_reports_has_waited(
+    monkeypatch: pytest.MonkeyPatch, busy_s: float, slept_s: float, timeout_s: float, waited_s: float
+) -> None:
+    clock = SleepClock()
+    with PollTimingSelector(clock) as selector, contextlib.ExitStack() as stack:
+        reading, writing = (stack.enter_context(each) for each in socket.socketpair())
+        selector.register(reading, selectors.EVENT_READ)
+        select = selectors.DefaultSelector.select
+
+        def timed(self: selectors.DefaultSelector, timeout: float | None = None) -> object:
+            if timeout:
+                clock.now += slept_s
+            return select(self, timeout)
+
+        monkeypatch.setattr(selectors.DefaultSelector, "select", timed)
+        writing.send(b"x")
+        clock.now += busy_s
+        assert selector.select(timeout_s)
+        assert clock.now - selector.arrived_after == pytest.approx(waited_s)
--- a/topazbank/__main__.py
+++ b/topazbank/__main__.py
@@ -14,6 +14,7 @@
 import sys
 
 from topazbank.configuration import read_config
+from topazbank.net.event_loop import EventLoop
 from topazbank.net.sidecar import Config, Sidecar
 from topazbank.reload import UNUSABLE, Reloader
 
@@ -68,7 +69,8 @@
     gc.freeze()  # what is loaded by now stays; collections look at requests alone
     gc.set_threshold(*_COLLECTED)
     try:
-        asyncio.run(serve(config))
+        with asyncio.Runner(loop_factory=EventLoop) as runner:
+            runner.run(serve(config))
     except OSError as fault:
         print(f"can't serve: {fault}", file=sys.stderr)
         return 1
--- a/topazbank/net/frontend.py
+++ b/topazbank/net/frontend.py
@@ -13,6 +13,7 @@
 
 import h11
 
+from topazbank.net.event_loop import NEGLIGIBLE_WAIT_S, arrived_after
 from topazbank.net.upstream import Address, Headers, Reader, end_to_end, has_ended, is_quiet, message
 from topazbank.settings import Idempotency, ServiceClass, Settings
 
@@ -72,7 +73,7 @@
     service_class: ServiceClass  # as it was when the request came
     tenant: str | None
     key: int | None
-    budget_us: int
+    budget_us: int  # what is left of its client's patience
     cost_us: int | None
     again: bool
     answer: Callable[[int, Headers, bytes], None]
@@ -189,8 +190,12 @@
 class ClientConnection(Reader):
     """One connection of the application; it carries one request at a time."""
 
-    def __init__(self, frontend: Frontend, sock: socket.socket, turned_away: bool = False) -> None:
+    def __init__(
+        self, frontend: Frontend, sock: socket.socket, connected_after: float, turned_away: bool = False
+    ) -> None:
         self._frontend = frontend
+        self._arrived_after = connected_after  # no byte that is read now can have come before
+        self._was_queued_with_data = False  # what is read first waited in the accept queue
         self._sock = sock
         self._turned_away = turned_away  # its first request is refused unseen
         self._h11 = h11.Connection(h11.SERVER)
@@ -207,6 +212,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
+        self._was_queued_with_data = not self.is_quiet()
         transport.set_write_buffer_limits(high=0)
         self._frontend.made(self, self._sock)
 
@@ -226,6 +232,7 @@
             # that gave up: done for all, it would keep the next ones waiting until they give up too.
             self.abort()
             return
+        self._note_arrival()
         self._h11.receive_data(data)
         if self._call is not None:
             self._look_ahead()
@@ -234,6 +241,19 @@
         else:
             self._bound_ahead()
 
+    def _note_arrival(self) -> None:
+        """Note since when the data may have waited; behind a held request, since its first part."""
+        if (self._call is not None or self._stuck) and self._h11.trailing_data[0]:
+            return
+        if not self._was_queued_with_data:
+            self._arrived_after = arrived_after()
+        self._was_queued_with_data = False
+
+    def _waited_us(self) -> int:
+        """How long the request that is read now may have waited; its client's time has run meanwhile."""
+        waited_s = asyncio.get_running_loop().time() - self._arrived_after
+        return int(waited_s * 1e6) if waited_s > NEGLIGIBLE_WAIT_S else 0
+
     def pause_writing(self) -> None:
         self._stuck = True
 
@@ -362,9 +382,18 @@
         else:
             call = parse_call(head, body, self._frontend.settings, self._answer, self._has_left)
             self._check_id(call.ident)
-            self._call = call
-            self._frontend.move(self, Phase.OPEN)
-            self._frontend.hooks.taken(call)
+            self._take(call)
+
+    def _take(self, call: Call) -> None:
+        """Hand a request to the driver, unless its client's time was over before it was read."""
+        waited_us = self._waited_us()
+        if waited_us and call.budget_us <= waited_us:
+            self._answer(503, [], b"")
+            return
+        call.budget_us -= waited_us
+        self._call = call
+        self._frontend.move(self, Phase.OPEN)
+        self._frontend.hooks.taken(call)
 
     def _check_id(self, ident: str) -> None:
         """Neither send on nor call harmless to repeat what may be running already."""
@@ -448,6 +477,7 @@
         self._silent: set[ClientConnection] = set()  # of those WAITING, as of the last late sweeps
         self._sweep_due = 0.0
         self._accepting = False
+        self._queue_empty_at: float | None = None  # when last seen so; None: whenever the loop last polled
         self._accepted: set[socket.socket] = set()  # whose connections are not made yet
         self._starting: set[asyncio.Task[None]] = set()
         self._sock = socket.create_server(address, backlog=_BACKLOG)
@@ -470,10 +500,20 @@
     def _pause(self) -> None:
         """Leave new connections to the kernel's queue for now."""
         self._accepting = False
+        if self._queue_empty_at is None:
+            self._queue_empty_at = arrived_after()
         asyncio.get_running_loop().remove_reader(self._sock)
 
     def _accept(self, at_once: int = _ACCEPTED_AT_ONCE) -> bool:
         """Take the connections that wait; say whether none is left."""
+        if self._queue_empty_at is None:
+            self._queue_empty_at = arrived_after()
+        is_drained = self._accept_some(at_once, self._queue_empty_at)
+        if is_drained:
+            self._queue_empty_at = None if self._accepting else asyncio.get_running_loop().time()
+        return is_drained
+
+    def _accept_some(self, at_once: int, connected_after: float) -> bool:
         for _ in range(at_once):
             if self._count() >= self._most:
                 if not self._is_one_waiting():
@@ -498,7 +538,9 @@
                 continue
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            task = asyncio.get_running_loop().create_task(self._begin(sock, self._is_swamped()))
+            task = asyncio.get_running_loop().create_task(
+                self._begin(sock, connected_after, self._is_swamped())
+            )
             self._accepted.add(sock)
             self._starting.add(task)
             task.add_done_callback(self._starting.discard)
@@ -509,10 +551,11 @@
         look.register(self._sock, select.POLLIN)
         return bool(look.poll(0))
 
-    async def _begin(self, sock: socket.socket, turned_away: bool) -> None:
+    async def _begin(self, sock: socket.socket, connected_after: float, turned_away: bool) -> None:
         try:
             loop = asyncio.get_running_loop()
-            await loop.connect_accepted_socket(lambda: ClientConnection(self, sock, turned_away), sock)
+            connection = ClientConnection(self, sock, connected_after, turned_away)
+            await loop.connect_accepted_socket(lambda: connection, sock)
         except OSError:
             self._accepted.discard(sock)
 
