--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -293,12 +293,16 @@
     play(scene())
 
 
-def test_a_client_that_never_ends_behind_a_held_request_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_never_ends_behind_a_held_request_gets_its_answer_and_an_end(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr("topazbank.net.frontend._DROPPED_MOST", 1024 * 1024)
 
     async def scene() -> None:
         async with world(hung) as w:
             reader, writer = await flood(w, request("pay", body=b"held", budget="500"))
+            status, headers, _ = await read_answer(reader)
+            assert (status, headers["connection"]) == (500, "close")
             assert await is_closed(reader)
             await until(lambda: w.servers[0].closed == 1)
             writer.close()
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -20,6 +20,7 @@
     PATIENCE_S,
     answer,
     ask,
+    hung,
     is_closed,
     play,
     read_answer,
@@ -28,12 +29,14 @@
     until,
     world,
 )
+from virtual_time import now_s, play_in_virtual_time
 
 import topazbank
 from topazbank.interface import Action, Event, Refuse, RequestArrived, ServerState
 from topazbank.net.frontend import _LIMITS_S, ClientConnection, Frontend, Hooks, Phase
 
 BIG = bytes(64 * 1024 + 1)
+BAD_PEER_S = 3.0  # by when a client that breaks the protocol gets its error or a close
 
 
 # Guards servers against what this sidecar could not account for: none of these may be sent on.
@@ -401,20 +404,49 @@
     play(scene())
 
 
-@pytest.mark.parametrize("behind", [b"\x00\x01 junk\r\n\r\n", b"GET /half"], ids=["junk", "half a request"])
-def test_what_can_t_be_read_behind_a_held_request_ends_both(behind: bytes) -> None:
+BEHIND = {"junk": b"\x00\x01 junk\r\n\r\n", "half a request": b"GET /half"}
+
+
+@pytest.mark.parametrize("behind", BEHIND.values(), ids=BEHIND)
+def test_a_held_request_gets_its_answer_whatever_came_behind_it(behind: bytes) -> None:
     async def scene() -> None:
-        async with world(lambda *_: None) as w:
+        async with world(hung) as w:
             reader, writer = await w.connect()
             writer.write(request("pay", body=b"held"))
             await until(w.sent)
             writer.write(behind)
+            (connection,) = w.sidecar.frontend.connections
+            await until(lambda: connection.phase is Phase.BEHIND)
+            w.servers[0].writers[0].write(served())
+            status, _, body = await read_answer(reader)
+            assert (status, body) == (200, b"served")
+            ending = await asyncio.wait_for(reader.read(), PATIENCE_S)
+            assert ending.partition(b"\r\n")[0] in (b"HTTP/1.1 408 ", b"")
+            assert bool(ending) is (behind == BEHIND["half a request"])
+            assert len(w.sent()) == 1
+            writer.close()
+
+    play_in_virtual_time(scene())
+
+
+@pytest.mark.parametrize("behind", BEHIND.values(), ids=BEHIND)
+def test_a_request_still_held_when_what_came_behind_it_is_ended_fails(behind: bytes) -> None:
+    async def scene() -> None:
+        async with world(hung) as w:
+            reader, writer = await w.connect()
+            writer.write(request("pay", body=b"held"))
+            await until(w.sent)
+            began = now_s()
+            writer.write(behind)
+            status, headers, _ = await read_answer(reader)
+            assert (status, headers["connection"]) == (500, "close")
             assert await is_closed(reader)
+            assert now_s() < began + BAD_PEER_S
             await until(lambda: w.servers[0].closed == 1)  # nothing waits for the attempt
             assert (await w.ask(kind="look", path="/health/ready"))[0] == 200
             writer.close()
 
-    play(scene())
+    play_in_virtual_time(scene())
 
 
 def test_an_answer_to_a_client_that_has_just_closed_ends_its_connection_and_nothing_else() -> None:
--- a/topazbank/net/frontend.py
+++ b/topazbank/net/frontend.py
@@ -95,7 +95,7 @@
 
     WAITING = auto()  # it is new, or a request has begun to come
     OPEN = auto()  # a request is held; the driver answers it in its time
-    BEHIND = auto()  # the same, and half a request waits behind it
+    BEHIND = auto()  # the same, and half a request or junk came behind it
     RESTING = auto()  # it has carried requests, and nothing comes
     LEAVING = auto()  # its last answer is still being taken
 
@@ -294,23 +294,32 @@
 
     def time_up(self) -> None:
         """Its phase has lasted for as long as it may."""
-        if self.phase in (Phase.BEHIND, Phase.LEAVING):
+        if self.phase is Phase.BEHIND:
+            self._fail_held()
+        elif self.phase is Phase.LEAVING:
             self.abort()
         elif self.is_idle():
             self.close()
         elif self.phase is Phase.WAITING and self.is_quiet():
             self._reject(BadRequest(408, "the request took too long to come"))
 
+    def _fail_held(self) -> None:
+        """Answer the request that is held as failed, and end the connection of a client that sends junk."""
+        log.info("connection ended: no whole request behind the one that is held")
+        self._client_gone()
+        self._answer(500, [], b"", ends=True)
+
     def _look_ahead(self) -> None:
-        """See what came behind the request that is held: what can't be read ends the connection at once."""
+        """See what came behind the request that is held: what can't be read ends the connection after it."""
         behind = self._h11.trailing_data[0]
         ahead = h11.Connection(h11.SERVER)
         ahead.receive_data(behind)
         try:
             whole = ahead.next_event() is not h11.NEED_DATA
         except h11.RemoteProtocolError as bad:
-            log.info("connection ended: %s", bad)
-            self.abort()
+            log.info("connection ends with its answer: %s", bad)
+            self._dropped = 0
+            self._frontend.move(self, Phase.BEHIND)
             return
         self._frontend.move(self, Phase.OPEN if whole else Phase.BEHIND)
         self._bound_ahead()
@@ -335,7 +344,7 @@
         except Exception:
             log.exception("a request could not be handled")  # a defect: its request fails, no other
             if self._head is None:
-                self.abort()  # it was answered already
+                self.close()  # it was answered already, maybe not yet to the last byte
             else:
                 self._reject(BadRequest(500, "internal error"))
         if self.phase is Phase.RESTING and self.has_begun():
@@ -445,7 +454,7 @@
     def _drop(self, count: int) -> None:
         self._dropped = (self._dropped or 0) + count
         if self._dropped > _DROPPED_MOST and self._call is not None:
-            self.abort()  # there is no end to it, and its client's end could not be heard of
+            self._fail_held()  # there is no end to it, and its client's end could not be heard of
         elif self._dropped > _DROPPED_MOST and self._transport is not None:
             self._transport.pause_reading()
 
