--- a/topazbank/net/frontend.py
+++ b/topazbank/net/frontend.py
@@ -420,8 +420,9 @@
         self._call = None
         if self._transport is None or self._transport.is_closing():
             return
-        ends = ends or self._frontend.draining or self._h11.their_state is not h11.DONE
-        ends = ends or self._dropped is not None
+        behind = self._h11.trailing_data[0]
+        ends = ends or self._dropped is not None or self._h11.their_state is not h11.DONE
+        ends = ends or (self._frontend.draining and not behind)  # what was read is answered too
         headers = [*headers, (b"Content-Length", str(len(body)).encode())]
         if ends:
             headers.append((b"Connection", b"close"))
@@ -433,7 +434,6 @@
         if ends:
             self._linger()
             return
-        behind = self._h11.trailing_data[0]
         self._h11 = h11.Connection(h11.SERVER)  # each reads one request; it never hears of answers
         if behind:
             self._h11.receive_data(behind)
