--- /dev/null
+++ b/tests/test_accept_faults.py
@@ -0,0 +1,168 @@
+"""System calls round the listening socket fail in the ways that Linux documents."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import os
+import socket
+from collections.abc import Callable
+from typing import Any
+
+import pytest
+from loopback import World, play, served, until, world
+
+from topazbank.net import listener
+
+CONNECTION_ERRORS = [
+    errno.EINTR,
+    errno.ECONNABORTED,
+    errno.ENETDOWN,
+    errno.EPROTO,
+    errno.ENOPROTOOPT,
+    errno.EHOSTDOWN,
+    errno.ENONET,
+    errno.EHOSTUNREACH,
+    errno.EOPNOTSUPP,
+    errno.ENETUNREACH,
+]
+RESOURCE_ERRORS = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
+
+
+class FailingListener:
+    """A listener of which accepts fail so many times."""
+
+    def __init__(self, real: socket.socket, code: int, failures: int) -> None:
+        self._real, self._code, self.failures = real, code, failures
+        self.accepts = 0
+
+    def accept(self) -> Any:
+        self.accepts += 1
+        if self.failures:
+            self.failures -= 1
+            raise OSError(self._code, os.strerror(self._code))
+        return self._real.accept()
+
+    def __getattr__(self, name: str) -> Any:
+        return getattr(self._real, name)
+
+
+def name_of(code: object) -> str:
+    return errno.errorcode[code] if isinstance(code, int) else str(code)
+
+
+def failing(w: World, code: int, failures: int) -> FailingListener:
+    """Let the next accepts of a sidecar fail."""
+    frontend = w.sidecar.frontend
+    frontend._sock = made = FailingListener(frontend._sock, code, failures)  # type: ignore[assignment]
+    return made
+
+
+def note_loop_faults() -> list[dict[str, Any]]:
+    """What escapes into the event loop from now on."""
+    faults: list[dict[str, Any]] = []
+    asyncio.get_running_loop().set_exception_handler(lambda _, context: faults.append(context))
+    return faults
+
+
+def descriptors() -> int:
+    return len(os.listdir("/proc/self/fd"))
+
+
+@pytest.mark.parametrize("code", CONNECTION_ERRORS, ids=name_of)
+def test_a_fault_of_one_connection_in_the_queue_does_not_delay_the_next(
+    monkeypatch: pytest.MonkeyPatch, code: int
+) -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            faults = note_loop_faults()
+            pauses: list[None] = []
+            monkeypatch.setattr(w.sidecar.frontend, "_pause", lambda: pauses.append(None))
+            await until(lambda: w.sidecar.frontend._accepting)
+            failing(w, code, 3)
+            assert (await w.ask())[0] == 200
+            assert not faults and not pauses
+
+    play(scene())
+
+
+@pytest.mark.parametrize("code", [*CONNECTION_ERRORS, *RESOURCE_ERRORS], ids=name_of)
+def test_accepts_that_fail_for_a_while_do_not_spin_and_end_nothing(code: int) -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            faults = note_loop_faults()
+            sock = failing(w, code, 40)
+            began = asyncio.get_running_loop().time()
+            assert (await w.ask())[0] == 200
+            elapsed = asyncio.get_running_loop().time() - began
+            assert not faults
+            assert elapsed >= 40 / listener._ACCEPT_TRIES * 0.05 * 0.9  # it left the queue alone meanwhile
+            assert sock.accepts < 50
+
+    play(scene())
+
+
+def breaking(method: str) -> Callable[[pytest.MonkeyPatch, World], None]:
+    """Let a method of the next accepted socket fail, as after a reset."""
+
+    class Broken(socket.socket):
+        pass
+
+    def fail(*_: object) -> None:
+        raise OSError(errno.EINVAL, os.strerror(errno.EINVAL))
+
+    setattr(Broken, method, fail)
+
+    def apply(monkeypatch: pytest.MonkeyPatch, w: World) -> None:
+        real = w.sidecar.frontend._sock
+
+        class Breaking(FailingListener):
+            def accept(self) -> Any:
+                sock, address = real.accept()
+                w.sidecar.frontend._sock = real
+                return Broken(fileno=sock.detach()), address
+
+        w.sidecar.frontend._sock = Breaking(real, 0, 0)  # type: ignore[assignment]
+
+    return apply
+
+
+def break_making(monkeypatch: pytest.MonkeyPatch, w: World) -> None:
+    """Let the next accepted socket fail as its transport is made."""
+    loop = asyncio.get_running_loop()
+    connect = loop.connect_accepted_socket
+
+    async def fail(*_: object) -> None:
+        monkeypatch.setattr(loop, "connect_accepted_socket", connect)
+        raise OSError(errno.ENOTCONN, os.strerror(errno.ENOTCONN))
+
+    monkeypatch.setattr(loop, "connect_accepted_socket", fail)
+
+
+BREAKS = {
+    "setsockopt": breaking("setsockopt"),
+    "setblocking": breaking("setblocking"),
+    "making": break_making,
+}
+
+
+@pytest.mark.parametrize("apply", BREAKS.values(), ids=BREAKS)
+def test_an_accepted_socket_that_fails_is_closed_and_counts_no_longer(
+    monkeypatch: pytest.MonkeyPatch, apply: Callable[[pytest.MonkeyPatch, World], None]
+) -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            faults = note_loop_faults()
+            await until(lambda: w.sidecar.frontend._accepting)
+            before = descriptors()
+            apply(monkeypatch, w)
+            client = socket.create_connection(w.sidecar.frontend.address)
+            client.setblocking(False)
+            reader, writer = await asyncio.open_connection(sock=client)
+            assert await asyncio.wait_for(reader.read(), 20.0) == b""
+            writer.close()
+            await until(lambda: w.sidecar.frontend.is_empty() and descriptors() == before)
+            assert not faults
+            assert (await w.ask())[0] == 200
+
+    play(scene())
--- a/topazbank/net/frontend.py
+++ b/topazbank/net/frontend.py
@@ -14,6 +14,7 @@
 import h11
 
 from topazbank.net.event_loop import NEGLIGIBLE_WAIT_S, arrived_after
+from topazbank.net.listener import accept_connection
 from topazbank.net.upstream import Address, Headers, Reader, end_to_end, has_ended, is_quiet, message
 from topazbank.settings import Idempotency, ServiceClass, Settings
 
@@ -513,6 +514,10 @@
             self._queue_empty_at = arrived_after()
         asyncio.get_running_loop().remove_reader(self._sock)
 
+    def _pause_briefly(self) -> None:
+        self._pause()
+        asyncio.get_running_loop().call_later(_ACCEPT_PAUSE_S, self._accept_again)
+
     def _accept(self, at_once: int = _ACCEPTED_AT_ONCE) -> bool:
         """Take the connections that wait; say whether none is left."""
         if self._queue_empty_at is None:
@@ -528,25 +533,18 @@
                 if not self._is_one_waiting():
                     return True
                 if not self._make_room():
-                    self._pause()
-                    asyncio.get_running_loop().call_later(_ACCEPT_PAUSE_S, self._accept_again)
+                    self._pause_briefly()
                 return False  # what made room holds its descriptor until the next turn of the loop
             try:
-                sock, _ = self._sock.accept()
+                sock = accept_connection(self._sock)
             except BlockingIOError:
                 return True
-            except (InterruptedError, ConnectionAbortedError):
-                continue
             except OSError as fault:
                 log.error("accept: %s", fault)
-                self._pause()
-                asyncio.get_running_loop().call_later(_ACCEPT_PAUSE_S, self._accept_again)
+                self._pause_briefly()
                 return False
-            if has_ended(sock):  # it waited for longer than its client did
-                sock.close()
+            if sock is None:
                 continue
-            sock.setblocking(False)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             task = asyncio.get_running_loop().create_task(
                 self._begin(sock, connected_after, self._is_swamped())
             )
@@ -558,15 +556,22 @@
     def _is_one_waiting(self) -> bool:
         look = select.poll()
         look.register(self._sock, select.POLLIN)
-        return bool(look.poll(0))
+        try:
+            return bool(look.poll(0))
+        except OSError:  # memory is lacking: nobody knows
+            return True
 
     async def _begin(self, sock: socket.socket, connected_after: float, turned_away: bool) -> None:
         try:
             loop = asyncio.get_running_loop()
             connection = ClientConnection(self, sock, connected_after, turned_away)
             await loop.connect_accepted_socket(lambda: connection, sock)
-        except OSError:
-            self._accepted.discard(sock)
+        except OSError as fault:
+            log.info("accepted connection has broken: %s", fault)
+        finally:
+            if sock in self._accepted:  # no transport owns it
+                self._accepted.discard(sock)
+                sock.close()
 
     def made(self, connection: ClientConnection, sock: socket.socket) -> None:
         """An accepted connection counts by its phase from now on."""
