--- a/tests/test_accept_faults.py
+++ b/tests/test_accept_faults.py
@@ -166,3 +166,55 @@
             assert (await w.ask())[0] == 200
 
     play(scene())
+
+
+def let_opening_fail(monkeypatch: pytest.MonkeyPatch, code: int, failures: int) -> list[int]:
+    """Let the next calls that open a listening socket fail; give the calls."""
+    create_server = socket.create_server
+    calls: list[int] = []
+
+    def fail(*given: Any, **named: Any) -> socket.socket:
+        calls.append(code)
+        if len(calls) <= failures:
+            raise OSError(code, os.strerror(code))
+        return create_server(*given, **named)
+
+    monkeypatch.setattr(socket, "create_server", fail)
+    monkeypatch.setattr("topazbank.net.listener._OPEN_RETRY_S", 0.001)
+    return calls
+
+
+@pytest.mark.parametrize(
+    "code",
+    [
+        errno.EADDRINUSE,
+        errno.EADDRNOTAVAIL,
+        errno.EMFILE,
+        errno.ENFILE,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+    ],
+    ids=name_of,
+)
+def test_a_listening_socket_that_fails_for_a_moment_is_tried_again(
+    monkeypatch: pytest.MonkeyPatch, code: int
+) -> None:
+    async def scene() -> None:
+        calls = let_opening_fail(monkeypatch, code, 3)
+        async with world(served) as w:
+            assert (await w.ask())[0] == 200
+            assert len(calls) == 4
+
+    play(scene())
+
+
+@pytest.mark.parametrize("patience_s", [10.0, 0.0])
+def test_a_listening_socket_that_can_t_be_had_ends_the_start(
+    monkeypatch: pytest.MonkeyPatch, patience_s: float
+) -> None:
+    monkeypatch.setattr("topazbank.net.listener._OPEN_PATIENCE_S", patience_s)
+    code = errno.EACCES if patience_s else errno.EADDRINUSE
+    calls = let_opening_fail(monkeypatch, code, 1000)
+    with pytest.raises(OSError) as raised:
+        listener.open_listener(("127.0.0.1", 0))
+    assert raised.value.errno == code and len(calls) == 1
--- a/topazbank/net/frontend.py
+++ b/topazbank/net/frontend.py
@@ -14,7 +14,7 @@
 import h11
 
 from topazbank.net.event_loop import NEGLIGIBLE_WAIT_S, arrived_after
-from topazbank.net.listener import accept_connection
+from topazbank.net.listener import BACKLOG, accept_connection, open_listener
 from topazbank.net.upstream import Address, Headers, Reader, end_to_end, has_ended, is_quiet, message
 from topazbank.settings import Idempotency, ServiceClass, Settings
 
@@ -23,7 +23,6 @@
 BODY_MOST = 64 * 1024
 _READY_PATH = b"/health/ready"
 _API_PATH = b"/api"
-_BACKLOG = 512
 _ACCEPTED_AT_ONCE = 64  # connections, before others are looked at again
 _ACCEPT_PAUSE_S = 0.05  # after a failed accept, descriptors lacking: no spinning
 _SWEEP_S = 0.1  # how often connections are looked at for their limits
@@ -490,8 +489,7 @@
         self._queue_empty_at: float | None = None  # when last seen so; None: whenever the loop last polled
         self._accepted: set[socket.socket] = set()  # whose connections are not made yet
         self._starting: set[asyncio.Task[None]] = set()
-        self._sock = socket.create_server(address, backlog=_BACKLOG)
-        self._sock.setblocking(False)
+        self._sock = open_listener(address)
         self.address: Address = self._sock.getsockname()[:2]
 
     @property
@@ -676,7 +674,7 @@
 
     def stop(self) -> bool:
         """Take what waits, then listen no more; say whether that is done: there may be no room yet."""
-        if self._sock.fileno() >= 0 and self._accept(_BACKLOG):
+        if self._sock.fileno() >= 0 and self._accept(BACKLOG):
             if self._accepting:
                 self._pause()
             self._sock.close()
--- a/topazbank/net/listener.py
+++ b/topazbank/net/listener.py
@@ -1,16 +1,33 @@
-"""Accepting connections, as system calls fail on Linux."""
+"""The listening socket: opened, and accepted from, as system calls fail on Linux."""
 
 from __future__ import annotations
 
 import errno
 import logging
 import socket
+import time
 
-from topazbank.net.upstream import has_ended
+from topazbank.net.upstream import Address, has_ended
 
 log = logging.getLogger(__name__)
 
+BACKLOG = 512
+_OPEN_RETRY_S = 0.1
+_OPEN_PATIENCE_S = 10.0  # a former process and its connections have gone by then
 _ACCEPT_TRIES = 8  # before faults that do not end are left alone for a while
+# What passes while a former process ends or the machine lacks something for a moment.
+_TRANSIENT_OPEN_ERRORS = frozenset(
+    (
+        errno.EADDRINUSE,
+        errno.EADDRNOTAVAIL,
+        errno.EINTR,
+        errno.EAGAIN,
+        errno.EMFILE,
+        errno.ENFILE,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+    )
+)
 # Faults of one connection in the queue, which is gone with it; accept(2) wants these retried like EAGAIN.
 _CONNECTION_ACCEPT_ERRORS = frozenset(
     (
@@ -30,6 +47,22 @@
 )
 
 
+def open_listener(address: Address) -> socket.socket:
+    """Listen at an address; raise OSError where that is not possible, within some seconds."""
+    deadline = time.monotonic() + _OPEN_PATIENCE_S
+    while True:
+        try:
+            listener = socket.create_server(address, backlog=BACKLOG)
+        except OSError as fault:
+            if fault.errno not in _TRANSIENT_OPEN_ERRORS or time.monotonic() >= deadline:
+                raise
+            log.warning("can't listen yet: %s", fault)
+            time.sleep(_OPEN_RETRY_S)
+        else:
+            listener.setblocking(False)
+            return listener
+
+
 def accept_connection(listener: socket.socket) -> socket.socket | None:
     """Take a connection that is ready for use; None: the one in turn has ended or broken, try the next.
 
