--- /dev/null
+++ b/tests/test_stalled_clients.py
@@ -0,0 +1,114 @@
+"""Clients that stop in the middle of a request and stay get their error or a close in time."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+from loopback import PATIENCE_S, hung, is_closed, read_answer, request, served, until, world
+from virtual_time import now_s, pass_s, play_in_virtual_time
+
+BAD_PEER_S = 3.0  # by when a client that breaks the protocol gets its error or a close
+
+WHOLE = request("pay", body=b"whole")
+EXPECTING = request("pay", body=b"whole", Expect="100-continue")
+CHUNKED = request("pay", Content_Length=None, Transfer_Encoding="chunked")
+STOPS = {
+    "a byte": b"P",
+    "half a first line": WHOLE[:12],
+    "half a head": WHOLE[:-20],
+    "a head": WHOLE[:-5],
+    "half a body": WHOLE[:-2],
+    "a head that expects to go on": EXPECTING[:-5],
+    "half a body after going on": EXPECTING[:-2],
+    "a chunked head": CHUNKED,
+    "half a chunk": CHUNKED + b"5\r\nwho",
+    "no last chunk": CHUNKED + b"5\r\nwhole\r\n",
+}
+
+
+@pytest.mark.parametrize("earlier", [0, 3], ids=["first", "after others"])
+@pytest.mark.parametrize("stop", STOPS.values(), ids=STOPS)
+def test_a_client_that_stops_in_a_request_gets_its_error_in_time(stop: bytes, earlier: int) -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            reader, writer = await w.connect()
+            for number in range(earlier):
+                writer.write(request(X_Call_Id=f"{number}"))
+                assert (await read_answer(reader))[0] == 200
+                await pass_s(0.5)
+            began = now_s()
+            writer.write(stop)
+            got = await asyncio.wait_for(reader.read(), PATIENCE_S)
+            assert now_s() < began + BAD_PEER_S
+            assert b"HTTP/1.1 408 " in got
+            assert (b"HTTP/1.1 100 " in got) is (b"Expect" in stop and b"\r\n\r\n" in stop)
+            await until(w.sidecar.frontend.is_empty)
+            assert len(w.sent()) == earlier
+            writer.close()
+
+    play_in_virtual_time(scene())
+
+
+@pytest.mark.parametrize("pieces_s", [0.2, 0.9])
+def test_a_client_that_trickles_a_request_and_stops_gains_no_time(pieces_s: float) -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            reader, writer = await w.connect()
+            began = now_s()
+            for piece in (WHOLE[:10], WHOLE[10:20]):
+                writer.write(piece)
+                await pass_s(pieces_s)
+            assert b"HTTP/1.1 408 " in await asyncio.wait_for(reader.read(), PATIENCE_S)
+            assert now_s() < began + BAD_PEER_S
+            writer.close()
+
+    play_in_virtual_time(scene())
+
+
+@pytest.mark.parametrize("answered_after_s", [0.0, 0.5, 1.8])
+@pytest.mark.parametrize("stop", STOPS.values(), ids=STOPS)
+def test_a_client_that_stops_behind_a_held_request_gets_answer_and_error_in_time(
+    stop: bytes, answered_after_s: float
+) -> None:
+    async def scene() -> None:
+        async with world(hung) as w:
+            reader, writer = await w.connect()
+            writer.write(request("pay", body=b"held"))
+            await until(w.sent)
+            began = now_s()
+            writer.write(stop)
+            (connection,) = w.sidecar.frontend.connections
+            await until(connection.has_begun)
+            await pass_s(answered_after_s)
+            w.servers[0].writers[0].write(served())
+            status, _, body = await read_answer(reader)
+            assert (status, body) == (200, b"served")
+            assert b"HTTP/1.1 408 " in await asyncio.wait_for(reader.read(), PATIENCE_S)
+            assert now_s() < began + BAD_PEER_S
+            assert len(w.sent()) == 1
+            writer.close()
+
+    play_in_virtual_time(scene())
+
+
+def test_a_request_that_comes_whole_behind_a_held_one_is_served_after_it() -> None:
+    async def scene() -> None:
+        async with world(hung) as w:
+            reader, writer = await w.connect()
+            writer.write(request("pay", body=b"held", X_Call_Id="held"))
+            await until(w.sent)
+            writer.write(WHOLE[:30])
+            (connection,) = w.sidecar.frontend.connections
+            await until(connection.has_begun)
+            w.servers[0].script = served
+            w.servers[0].writers[0].write(served())
+            assert (await read_answer(reader))[0] == 200
+            await pass_s(1.0)
+            writer.write(WHOLE[30:])
+            assert (await read_answer(reader))[0] == 200
+            assert await is_closed(reader)  # it rested for long enough
+            assert len(w.sent()) == 2
+            writer.close()
+
+    play_in_virtual_time(scene())
--- a/topazbank/net/frontend.py
+++ b/topazbank/net/frontend.py
@@ -95,7 +95,7 @@
 
     WAITING = auto()  # it is new, or a request has begun to come
     OPEN = auto()  # a request is held; the driver answers it in its time
-    BEHIND = auto()  # the same, and half a request or junk came behind it
+    BEHIND = auto()  # half a request or junk came while one was held, which may be answered by now
     RESTING = auto()  # it has carried requests, and nothing comes
     LEAVING = auto()  # its last answer is still being taken
 
@@ -187,6 +187,16 @@
         return int.from_bytes(last, "big")
 
 
+def _is_whole(data: bytes) -> bool:
+    """Whether data begins with a whole request; raise RemoteProtocolError where it can't be read as one."""
+    reader = h11.Connection(h11.SERVER)
+    reader.receive_data(data)
+    event = reader.next_event()
+    while isinstance(event, h11.Request | h11.Data):
+        event = reader.next_event()
+    return event is not h11.NEED_DATA
+
+
 class ClientConnection(Reader):
     """One connection of the application; it carries one request at a time."""
 
@@ -294,13 +304,13 @@
 
     def time_up(self) -> None:
         """Its phase has lasted for as long as it may."""
-        if self.phase is Phase.BEHIND:
-            self._fail_held()
-        elif self.phase is Phase.LEAVING:
+        if self.phase is Phase.LEAVING:
             self.abort()
+        elif self._call is not None:
+            self._fail_held()
         elif self.is_idle():
             self.close()
-        elif self.phase is Phase.WAITING and self.is_quiet():
+        elif self.phase is not Phase.RESTING and self.is_quiet():
             self._reject(BadRequest(408, "the request took too long to come"))
 
     def _fail_held(self) -> None:
@@ -311,11 +321,8 @@
 
     def _look_ahead(self) -> None:
         """See what came behind the request that is held: what can't be read ends the connection after it."""
-        behind = self._h11.trailing_data[0]
-        ahead = h11.Connection(h11.SERVER)
-        ahead.receive_data(behind)
         try:
-            whole = ahead.next_event() is not h11.NEED_DATA
+            whole = _is_whole(self._h11.trailing_data[0])
         except h11.RemoteProtocolError as bad:
             log.info("connection ends with its answer: %s", bad)
             self._dropped = 0
@@ -344,7 +351,7 @@
         except Exception:
             log.exception("a request could not be handled")  # a defect: its request fails, no other
             if self._head is None:
-                self.close()  # it was answered already, maybe not yet to the last byte
+                self._linger()  # it was answered already, maybe not yet to the last byte
             else:
                 self._reject(BadRequest(500, "internal error"))
         if self.phase is Phase.RESTING and self.has_begun():
@@ -378,6 +385,7 @@
         """A request has come whole."""
         head, body = self._head, bytes(self._body)
         assert head is not None
+        self._frontend.move(self, Phase.OPEN)
         path = head.target.partition(b"?")[0]
         if path == _READY_PATH:
             self._answer(200 if self._frontend.hooks.ready() else 503, [], b"")
@@ -401,7 +409,6 @@
             return
         call.budget_us -= waited_us
         self._call = call
-        self._frontend.move(self, Phase.OPEN)
         self._frontend.hooks.taken(call)
 
     def _check_id(self, ident: str) -> None:
@@ -437,8 +444,11 @@
         self._h11 = h11.Connection(h11.SERVER)  # each reads one request; it never hears of answers
         if behind:
             self._h11.receive_data(behind)
-        self._frontend.move(self, Phase.LEAVING if self._stuck else Phase.RESTING)
-        if not self._stuck and behind:
+        if self._stuck:
+            self._frontend.move(self, Phase.LEAVING)
+            return
+        self._rest()
+        if behind:
             asyncio.get_running_loop().call_soon(self._next_request)
 
     def _linger(self) -> None:
@@ -462,9 +472,14 @@
         """Turn to what came behind the answered request."""
         if self._transport is None or self._transport.is_closing() or self._call is not None or self._stuck:
             return
-        self._frontend.move(self, Phase.RESTING)
+        self._rest()
         self._read()
 
+    def _rest(self) -> None:
+        """Note that no request is held; the time of one that has begun to come runs on."""
+        if self.phase is not Phase.BEHIND or not self.has_begun():
+            self._frontend.move(self, Phase.RESTING)
+
     def _client_gone(self) -> None:
         call, self._call = self._call, None
         if call is not None:
