--- /dev/null
+++ b/tests/test_new_connection_answers.py
@@ -0,0 +1,95 @@
+"""A request on a new connection gets an answer, also while the CPU falls behind or in a drain."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+import pytest
+from loopback import hung, is_closed, read_answer, request, served, until, world
+from virtual_time import now_s, pass_s, play_in_virtual_time
+
+from topazbank.net.frontend import Frontend
+from topazbank.net.sidecar import _ACCEPT_S
+
+SIZES = {"small": request("pay", body=b"new"), "large": request("pay", body=bytes(64 * 1024))}
+
+
+@pytest.mark.parametrize("in_pieces", [False, True], ids=["at once", "in pieces"])
+@pytest.mark.parametrize("data", SIZES.values(), ids=SIZES)
+def test_a_new_connection_is_refused_with_an_answer_while_the_cpu_falls_behind(
+    monkeypatch: pytest.MonkeyPatch, data: bytes, in_pieces: bool
+) -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            monkeypatch.setattr(Frontend, "_is_swamped", lambda _: True)
+            reader, writer = await w.connect()
+            if in_pieces:
+                writer.write(data[:30])
+                await pass_s(0.3)
+                writer.write(data[30:])
+            else:
+                writer.write(data)
+            status, headers, _ = await read_answer(reader)
+            assert (status, headers["connection"]) == (503, "close")
+            assert await is_closed(reader)
+            assert not w.sent()
+            writer.close()
+
+    play_in_virtual_time(scene())
+
+
+# New connections come for 0.4 s after SIGTERM; the listener stays open for longer.
+@pytest.mark.parametrize("after_s", [0.0, 0.1, 0.3, 0.4, _ACCEPT_S - 0.01])
+@pytest.mark.parametrize("later_s", [0.0, 0.005, 0.1], ids=["at once", "a moment later", "later"])
+def test_a_request_on_a_new_connection_in_a_drain_gets_an_answer(after_s: float, later_s: float) -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            w.stop.set()
+            await until(lambda: w.sidecar.frontend.draining)
+            await pass_s(after_s)
+            reader, writer = await w.connect()
+            await pass_s(later_s)
+            writer.write(SIZES["small"])
+            status, headers, _ = await read_answer(reader)
+            assert (status, headers["connection"]) == (200, "close")
+            assert await is_closed(reader)
+            writer.close()
+
+    play_in_virtual_time(scene())
+
+
+def test_a_connection_that_waits_to_be_accepted_as_the_listener_closes_gets_an_answer() -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            frontend = w.sidecar.frontend
+            await until(lambda: frontend._accepting)
+            client = socket.create_connection(frontend.address)
+            client.sendall(SIZES["small"])
+            frontend.drain()
+            assert frontend.stop()  # within one step of the event loop: nothing has been accepted before
+            client.setblocking(False)
+            reader, writer = await asyncio.open_connection(sock=client)
+            status, headers, _ = await read_answer(reader)
+            assert (status, headers["connection"]) == (200, "close")
+            writer.close()
+
+    play_in_virtual_time(scene())
+
+
+def test_a_request_held_to_the_end_of_a_drain_gets_an_answer_before_the_kill() -> None:
+    async def scene() -> None:
+        # It came late, and hangs at its server for longer than the drain may last.
+        async with world(hung) as w:
+            w.stop.set()
+            await until(lambda: w.sidecar.frontend.draining)
+            began = now_s()
+            await pass_s(0.4)
+            reader, writer = await w.connect()
+            writer.write(request("pay", body=b"held", budget="500"))
+            status, headers, _ = await read_answer(reader)
+            assert (status, headers["connection"]) == (500, "close")
+            assert now_s() < began + 3.0 + 0.7  # SIGKILL may come then
+            writer.close()
+
+    play_in_virtual_time(scene())
