--- a/tests/test_new_connection_answers.py
+++ b/tests/test_new_connection_answers.py
@@ -9,7 +9,7 @@
 from loopback import hung, is_closed, read_answer, request, served, until, world
 from virtual_time import now_s, pass_s, play_in_virtual_time
 
-from topazbank.net.frontend import Frontend
+from topazbank.net.frontend import Frontend, Phase
 from topazbank.net.sidecar import _ACCEPT_S
 
 SIZES = {"small": request("pay", body=b"new"), "large": request("pay", body=bytes(64 * 1024))}
@@ -93,3 +93,23 @@
             writer.close()
 
     play_in_virtual_time(scene())
+
+
+def test_no_room_is_made_at_the_cost_of_an_answer_on_its_way() -> None:
+    # A close over unread bytes resets the connection, and with it an answer that its client has yet to read.
+    async def scene() -> None:
+        async with world(served, sockets=66) as w:  # room for one client
+            frontend = w.sidecar.frontend
+            too_large = request("pay", body=bytes(64 * 1024 + 1))
+            client = socket.create_connection(frontend.address)
+            client.sendall(too_large[:-1])
+            await until(lambda: frontend._phases[Phase.LEAVING])
+            client.sendall(too_large[-1:])  # within one step of the event loop
+            assert not frontend._make_room()
+            client.setblocking(False)
+            reader, writer = await asyncio.open_connection(sock=client)
+            assert (await read_answer(reader))[0] == 413
+            await until(frontend._make_room)
+            writer.close()
+
+    play_in_virtual_time(scene())
--- a/topazbank/net/frontend.py
+++ b/topazbank/net/frontend.py
@@ -282,9 +282,9 @@
         """Whether nothing has come that is not read yet."""
         return is_quiet(self._sock)
 
-    def is_stuck(self) -> bool:
-        """Whether a part of its last answer is still to be written: closed now, it would be cut short."""
-        return self._stuck
+    def can_close_safely(self) -> bool:
+        """Whether a close cuts no answer short: what is not written yet, or by a reset over unread bytes."""
+        return not self._stuck and self.is_quiet()
 
     def is_idle(self) -> bool:
         """Whether it may be closed: no request is held, begun or waiting unread."""
@@ -602,7 +602,7 @@
         """
         grown = asyncio.get_running_loop().time() - _YOUNG_S
         chosen = (
-            next((each for each in self._phases[Phase.LEAVING] if not each.is_stuck()), None)
+            next((each for each in self._phases[Phase.LEAVING] if each.can_close_safely()), None)
             or self._quiet(Phase.WAITING, grown)
             or self._quiet(Phase.RESTING)
             or self._quiet(Phase.WAITING)
