--- /dev/null
+++ b/tests/balancer/policy_context.py
@@ -0,0 +1,45 @@
+"""A context of its own for the tests of single policies."""
+
+from __future__ import annotations
+
+import random
+
+from helpers import MS, START, S, settings
+
+from topazbank.interface import (
+    Endpoint,
+    RegistryUpdated,
+    RegistryUpdateKind,
+    TimerFired,
+)
+from topazbank.state import Attempt, Context, Request, Server
+
+TARGET_US = 500 * MS
+
+
+def make_context(servers: int = 10, **changes: object) -> Context:
+    """A context at START that knows so many ready servers."""
+    context = Context(settings(**changes), random.Random(7), stall_check_targets=0.1)
+    context.begin(START, TimerFired(""))
+    endpoints = [Endpoint(f"s{number}", zone="east") for number in range(servers)]
+    context.registry.apply(RegistryUpdated(RegistryUpdateKind.SNAPSHOT, endpoints))
+    context.load.mean = 16.0  # busy enough to know all of them
+    return context
+
+
+def make_request(context: Context, class_name: str = "look") -> Request:
+    service_class = next(each for each in context.settings.classes if each.name == class_name)
+    return Request(1, service_class, START + 2 * S, 1.0, (class_name, None), all_zones=True, size=1)
+
+
+def send(context: Context, request: Request, server: Server) -> Attempt:
+    attempt = Attempt(len(request.attempts), server, context.now, 0, 0)
+    request.attempts.append(attempt)
+    context.load.change(server, 1)
+    return attempt
+
+
+def crowd(context: Context, attempts: int) -> None:
+    server = context.registry.ready[0]
+    for _ in range(attempts):
+        context.load.change(server, 1)
--- /dev/null
+++ b/tests/balancer/test_connections.py
@@ -0,0 +1,62 @@
+"""Connections: where they are priced, few are opened and idle ones are closed."""
+
+from __future__ import annotations
+
+from helpers import MS, S, Stage, names, settings
+from policy_context import make_context
+from traffic import PROBED, answer_probes
+
+from topazbank.interface import (
+    CloseIdle,
+    Endpoint,
+    RegistryUpdated,
+    RegistryUpdateKind,
+)
+from topazbank.policy.connections import IdleConnections
+from topazbank.state import DecayingRate, LinearFit
+
+
+def test_an_idle_connection_is_closed_once_holding_it_cost_as_much_as_opening_one() -> None:
+    stage = Stage(settings(group_size=100, prices={"connection": 0.08, "handshake": 0.08}))
+    stage.servers(names(4))
+    stage.serve(100)  # 50 a second here: 1250 a server from all, a hundredth of the price each
+    stage.wait(1 * S)
+    closed = {each.server for each in stage.said(CloseIdle)}
+    assert closed == {each.server for _, each in stage.sends()}
+
+
+def test_a_connection_in_use_is_not_closed_and_none_is_where_connections_cost_nothing() -> None:
+    for prices, every_us in (
+        ({"connection": 0.08, "handshake": 0.08}, 2 * MS),
+        ({"handshake": 0.08}, 90 * MS),
+    ):
+        stage = Stage(settings(group_size=2, prices=prices))
+        stage.servers(names(2))
+        stage.serve(300, every_us=every_us)
+        assert stage.said(CloseIdle) == []
+
+
+def test_of_servers_alike_the_one_with_a_connection_is_chosen() -> None:
+    stage = Stage(settings(**PROBED, prices={"handshake": 0.08}))
+    stage.servers(names(4))
+    targets = set()
+    for _ in range(12):
+        request = stage.request()
+        answer_probes(stage, dict.fromkeys(names(4), 1.0))
+        targets.add(stage.target(request))
+        stage.wait(30 * MS)
+        stage.end(request)
+    assert len(targets) == 1
+
+
+def test_idle_connections_are_not_closed_for_a_record_that_was_replaced() -> None:
+    context = make_context(prices={"connection": 0.08, "handshake": 0.08})
+    connections = IdleConnections(context, DecayingRate(S), LinearFit(0.03, 5.0))
+    server = context.registry.ready[0]
+    connections.add(server)
+    assert connections.close_due(server) == server.idle_close_due
+    context.registry.forget(server)
+    context.registry.apply(RegistryUpdated(RegistryUpdateKind.DELTA, [Endpoint(server.name)]))
+    assert connections.close_due(server) is None
+    connections.close(server)
+    assert context.actions == [CloseIdle(server.name)] and connections.close_due(server) is None
--- /dev/null
+++ b/tests/balancer/test_deadlines.py
@@ -0,0 +1,72 @@
+"""Deadlines: each request gets one final answer in time."""
+
+from __future__ import annotations
+
+from helpers import MS, START, S, Stage, names
+
+from topazbank.interface import (
+    AttemptEnded,
+    Cancel,
+    Fail,
+    Outcome,
+    Refuse,
+    RequestGone,
+)
+
+
+def test_an_unanswered_request_gets_its_final_answer_before_its_time_is_up() -> None:
+    stage = Stage()
+    stage.servers(names(5))
+    request = stage.request("pay", remaining_us=900 * MS)
+    stage.wait(899 * MS)
+    assert [each.request for each in stage.said(Fail)] == [request]
+
+
+def test_nothing_is_sent_or_answered_after_the_final_answer() -> None:
+    stage = Stage()
+    stage.servers(names(5))
+    request = stage.request("look", remaining_us=300 * MS)
+    stage.wait(300 * MS)
+    answers = len(stage.said(Refuse))
+    stage.end(request, Outcome.CANCELLED, answered=True)
+    stage.wait(5 * S)
+    assert answers == 1
+    assert len(stage.said(Refuse)) == 1
+    assert len([1 for at, _ in stage.sends(request) if at > START + 300 * MS]) == 0
+
+
+def test_a_request_whose_time_is_up_on_arrival_is_refused_unsent() -> None:
+    stage = Stage()
+    stage.servers(names(3))
+    request = stage.request("pay", remaining_us=0)
+    assert stage.sends(request) == []
+    assert [each.request for each in stage.said(Refuse)] == [request]
+
+
+def test_no_server_at_all_means_a_refusal_at_once() -> None:
+    stage = Stage()
+    request = stage.request("pay")
+    assert [each.request for each in stage.said(Refuse)] == [request]
+
+
+def test_late_and_unknown_events_are_ignored() -> None:
+    stage = Stage()
+    stage.servers(names(3))
+    request = stage.request()
+    stage.end(request)
+    before = len(stage.log)
+    stage.play(RequestGone(request))
+    stage.play(RequestGone(99))
+    stage.play(AttemptEnded(99, 0, "10.0.0.1:80", Outcome.DELIVERED, 1, True))
+    stage.play(AttemptEnded(request, 7, "10.0.0.1:80", Outcome.DELIVERED, 1, True))
+    assert len(stage.log) == before
+
+
+def test_a_client_that_left_gets_no_answer_and_its_attempt_is_cancelled() -> None:
+    stage = Stage()
+    stage.servers(names(3))
+    request = stage.request("pay")
+    stage.play(RequestGone(request))
+    stage.wait(3 * S)
+    assert [each.request for each in stage.said(Cancel)] == [request]
+    assert stage.said(Fail) == [] and stage.said(Refuse) == []
--- /dev/null
+++ b/tests/balancer/test_draining.py
@@ -0,0 +1,67 @@
+"""Draining: servers that are draining or gone get no requests."""
+
+from __future__ import annotations
+
+from helpers import Stage, names
+
+from topazbank.interface import (
+    AttemptEnded,
+    Outcome,
+    RegistryUpdateKind,
+    ServerState,
+)
+
+
+def test_a_drained_or_vanished_server_gets_nothing_from_the_moment_of_hearing() -> None:
+    stage = Stage()
+    stage.servers(names(4))
+    stage.drain("10.0.0.1:80")
+    stage.servers([*names(3)[1:], "10.0.0.9:80"])
+    for _ in range(100):
+        stage.request()
+    targets = {each.server for _, each in stage.sends()}
+    assert targets == {"10.0.0.2:80", "10.0.0.3:80", "10.0.0.9:80"}
+
+
+def test_a_list_that_brings_a_server_back_makes_it_ready_again() -> None:
+    stage = Stage()
+    stage.servers(["10.0.0.1:80"])
+    stage.drain("10.0.0.1:80", ServerState.GONE)
+    assert stage.sends(stage.request()) == []
+    stage.servers(["10.0.0.1:80"], RegistryUpdateKind.DELTA)
+    assert len(stage.sends(stage.request())) == 1
+
+
+def test_the_gate_lets_nothing_out_to_a_draining_or_gone_server() -> None:
+    stage = Stage()
+    stage.servers(names(3))
+    request = stage.balancer._requests[stage.request()]
+    server = next(
+        each
+        for each in stage.balancer._context.registry.servers.values()
+        if each is not request.attempts[0].server
+    )
+    for state in (ServerState.DRAINING, ServerState.GONE):
+        stage.drain(server.name, state)
+        assert not stage.balancer._send(request, server)
+    stage.servers([server.name], RegistryUpdateKind.DELTA)
+    assert stage.balancer._send(request, stage.balancer._context.registry.servers[server.name])
+
+
+def test_what_has_gone_is_forgotten_once_nothing_of_it_is_out() -> None:
+    # Guards memory where servers are replaced all day, and the share of the list that may be ejected.
+    stage = Stage()
+    stage.servers(names(3))
+    request = stage.request("pay")
+    taken = stage.balancer._requests[request].attempts[0].server
+    stage.balancer._outliers.eject(taken, "test")
+    others = [each for each in names(3) if each != taken.name]
+    stage.servers(others)
+    assert (
+        set(stage.balancer._context.registry.servers) == set(names(3))
+        and not stage.balancer._outliers.ejected
+    )
+    stage.play(AttemptEnded(request, 0, taken.name, Outcome.DROPPED, 1, False))
+    stage.servers(others)
+    assert set(stage.balancer._context.registry.servers) == set(others)
+    assert stage.balancer._context.load.total() == stage.balancer._context.load.at_ejected == 0
--- /dev/null
+++ b/tests/balancer/test_hedging.py
@@ -0,0 +1,40 @@
+"""Hedging: a hedged request goes out only where that is allowed."""
+
+from __future__ import annotations
+
+from helpers import MS, Stage, names, settings
+
+from topazbank.interface import (
+    Cancel,
+    Outcome,
+)
+
+
+def test_a_second_copy_waits_for_the_first_where_only_one_may_be_out() -> None:
+    stage = Stage(settings(limits={"allow_hedging": False}))
+    stage.servers(names(6))
+    stage.serve(100)
+    request = stage.request("look")
+    hung = stage.target(request)
+    for _ in range(60):
+        stage.wait(10 * MS)
+        other = stage.request("look")
+        if stage.target(other) != hung:
+            stage.end(other)
+    assert [each.request for each in stage.said(Cancel)][:1] == [request]
+    assert len(stage.sends(request)) == 1
+    stage.end(request, Outcome.CANCELLED, answered=False)
+    assert len(stage.sends(request)) == 2
+
+
+def test_the_gate_lets_no_second_copy_out_where_only_one_is_allowed() -> None:
+    for allowed in (False, True):
+        stage = Stage(settings(limits={"allow_hedging": allowed}))
+        stage.servers(names(3))
+        request = stage.balancer._requests[stage.request()]
+        server = next(
+            each
+            for each in stage.balancer._context.registry.servers.values()
+            if each is not request.attempts[0].server
+        )
+        assert stage.balancer._send(request, server) is allowed
--- /dev/null
+++ b/tests/balancer/test_key_order.py
@@ -0,0 +1,106 @@
+"""Key order: requests with one key run one at a time, as they came."""
+
+from __future__ import annotations
+
+import pytest
+from helpers import MS, S, Stage, names, settings
+
+from topazbank.interface import (
+    Outcome,
+    Refuse,
+    RequestGone,
+)
+
+ORDERED = {
+    "classes": [
+        {"name": "save", "deadline_us": 2 * S, "idempotency": "safe", "ordered_by_key": True},
+        {"name": "mark", "deadline_us": 2 * S, "idempotency": "safe", "ordered_by_key": True},
+        {"name": "look", "deadline_us": 2 * S, "idempotency": "safe"},
+    ],
+    "rules": {"key_rest_us": 100 * MS},
+}
+
+
+def ordered_stage() -> Stage:
+    stage = Stage(settings(**ORDERED))
+    stage.servers(names(6))
+    return stage
+
+
+def test_requests_with_one_key_go_one_at_a_time_as_taken_across_classes() -> None:
+    stage = ordered_stage()
+    line = [stage.request(name, key=5) for name in ("save", "mark", "save")]
+    for at, request in enumerate(line):
+        assert [len(stage.sends(each)) for each in line] == [1] * (at + 1) + [0] * (2 - at)
+        stage.wait(10 * MS)
+        stage.end(request)
+
+
+def test_requests_without_a_key_or_with_another_or_of_other_classes_are_free() -> None:
+    stage = ordered_stage()
+    stage.request("save", key=5)
+    free = [stage.request("save"), stage.request("save", key=6), stage.request("look", key=5)]
+    assert all(len(stage.sends(each)) == 1 for each in free)
+
+
+@pytest.mark.parametrize("outcome", [Outcome.EXPIRED, Outcome.DROPPED, Outcome.CANCELLED])
+def test_a_key_rests_after_an_attempt_that_may_still_run(outcome: Outcome) -> None:
+    stage = ordered_stage()
+    first, second = stage.request("save", key=5), stage.request("mark", key=5)
+    stage.play(RequestGone(first))
+    stage.wait(10 * MS)
+    assert stage.sends(second) == []  # the first is over for the client, yet its attempt is still out
+    stage.end(first, outcome, answered=True)
+    ended = stage.now
+    assert stage.sends(second) == []
+    third = stage.request("mark", key=5)
+    stage.wait(99 * MS)
+    assert stage.sends(second) == [] and stage.sends(third) == []
+    stage.wait(5 * MS)
+    assert stage.sends(second)[0][0] >= ended + 100 * MS
+    assert stage.sends(third) == []
+
+
+def test_a_request_of_an_ordered_key_may_itself_be_sent_again_at_once() -> None:
+    stage = ordered_stage()
+    first = stage.request("save", key=5)
+    stage.wait(10 * MS)
+    stage.end(first, Outcome.DROPPED)
+    assert len(stage.sends(first)) == 2
+
+
+def test_a_held_request_is_answered_in_time_and_one_that_left_is_passed_over() -> None:
+    stage = ordered_stage()
+    first = stage.request("save", key=5)
+    held, left = (stage.request("mark", remaining_us=300 * MS, key=5) for _ in range(2))
+    last = stage.request("save", key=5)
+    stage.play(RequestGone(left))
+    stage.wait(300 * MS)
+    assert [each.request for each in stage.said(Refuse)] == [held]
+    stage.end(first)
+    assert stage.sends(held) == [] and stage.sends(left) == []
+    assert len(stage.sends(last)) == 1
+
+
+def test_keys_that_are_not_in_use_cost_no_memory() -> None:
+    stage = ordered_stage()
+    for key in range(50):
+        request = stage.request("save", key=key)
+        stage.wait(10 * MS)
+        stage.end(request, Outcome.DELIVERED if key % 2 else Outcome.CANCELLED, answered=True)
+    stage.wait(200 * MS)
+    assert not stage.balancer._key_order.queues
+
+
+def test_the_gate_lets_nothing_out_of_turn() -> None:
+    stage = ordered_stage()
+    first, second = stage.request("save", key=5), stage.request("mark", key=5)
+    waiting = stage.balancer._requests[second]
+    server = next(iter(stage.balancer._context.registry.servers.values()))
+    assert not stage.balancer._send(waiting, server)
+    stage.play(RequestGone(first))
+    assert not stage.balancer._send(waiting, server)
+    stage.end(first, Outcome.CANCELLED, answered=True)
+    assert not stage.balancer._send(waiting, server)
+    stage.balancer._context.now += 100 * MS
+    assert stage.balancer._send(waiting, server)
--- /dev/null
+++ b/tests/balancer/test_outliers.py
@@ -0,0 +1,174 @@
+"""Outlier ejection: failing and silent servers, and their half-open attempts."""
+
+from __future__ import annotations
+
+import pytest
+from helpers import MS, S, Stage, names
+from policy_context import TARGET_US, crowd, make_context, make_request, send
+
+from topazbank.interface import (
+    Endpoint,
+    Log,
+    Outcome,
+    RegistryUpdateKind,
+)
+from topazbank.policy.outliers import FAILURES_TO_EJECT, OutlierDetector
+from topazbank.policy.slow_start import SlowStart
+from topazbank.state import Context, Server
+
+
+def _with_one_hung(stage: Stage, rounds: int) -> tuple[str, list[int]]:
+    """Good traffic, except that one server answers nothing from some moment on."""
+    stage.servers(names(6))
+    stage.serve(120)
+    first = stage.request()
+    hung = stage.target(first)
+    stuck = [first]
+    for _ in range(rounds):
+        stage.wait(10 * MS)
+        request = stage.request()
+        if stage.target(request) == hung:
+            stuck.append(request)
+        else:
+            stage.wait(30 * MS)
+            stage.end(request)
+    return hung, stuck
+
+
+def test_a_silent_server_is_ejected_while_its_peers_answer_and_its_repeatable_requests_are_saved() -> None:
+    stage = Stage()
+    hung, stuck = _with_one_hung(stage, 20)
+    assert any(each.text.startswith(f"ejected {hung}") for each in stage.said(Log))
+    copies = [each.server for _, each in stage.sends(stuck[0])]
+    assert len(copies) > 1 and hung not in copies[1:]
+
+
+def test_an_ejected_server_gets_one_half_open_attempt_at_a_time() -> None:
+    stage = Stage()
+    hung, stuck = _with_one_hung(stage, 20)
+    before = len([1 for _, each in stage.sends() if each.server == hung])
+    for request in stuck:
+        stage.end(request, Outcome.EXPIRED, attempt=0, answered=False)
+    for _ in range(60):
+        stage.wait(60 * MS)
+        request = stage.request()
+        if stage.target(request) != hung:
+            stage.end(request)
+    trials = len([1 for _, each in stage.sends() if each.server == hung]) - before
+    assert trials == 1
+    trial = next(each.request for _, each in reversed(stage.sends()) if each.server == hung)
+    stage.end(trial, attempt=0)
+    assert stage.said(Log)[-1].text == f"readmitted {hung}"
+
+
+@pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CANCELLED])
+def test_a_half_open_attempt_without_an_answer_keeps_the_server_ejected(outcome: Outcome) -> None:
+    stage = Stage()
+    hung, stuck = _with_one_hung(stage, 20)
+    for request in stuck:
+        stage.end(request, Outcome.EXPIRED, attempt=0, answered=False)
+    stage.wait(10 * S)  # the ejection has run out
+    trial = stage.request()
+    assert stage.target(trial) == hung
+    stage.end(trial, outcome)
+    stage.end(trial)  # drawn again, it is served elsewhere
+    sent = len(stage.sends())
+    stage.serve(20)
+    targets = [each.server for _, each in stage.sends()[sent:]]
+    assert targets and hung not in targets
+
+
+def test_servers_that_are_all_silent_are_not_all_ejected() -> None:
+    stage = Stage()
+    stage.servers(names(6))
+    stage.serve(120)
+    for _ in range(200):
+        stage.request("pay")
+        stage.wait(15 * MS)
+    ejected = [
+        each for each in stage.balancer._context.registry.servers.values() if each.ejected_until is not None
+    ]
+    assert len(ejected) <= 2
+
+
+def test_a_timeout_of_a_server_that_answers_others_counts_as_no_failure() -> None:
+    stage = Stage()
+    stage.servers(names(1))
+    for _ in range(6):
+        stage.serve(60)
+        old = stage.request("pay", remaining_us=S)
+        stage.wait(900 * MS)
+        new = stage.request("pay")
+        stage.wait(50 * MS)
+        stage.end(new)
+        stage.wait(30 * MS)
+        stage.end(old, Outcome.EXPIRED, answered=False)
+    assert not any("ejected" in each.text for each in stage.said(Log))
+
+
+def test_a_restarted_process_is_readmitted_as_a_cold_server() -> None:
+    stage = Stage()
+    hung, _ = _with_one_hung(stage, 20)
+    stage.servers([Endpoint(hung, "east", started_at=stage.now)], RegistryUpdateKind.DELTA)
+    server = stage.balancer._context.registry.servers[hung]
+    assert server.ejected_until is None and stage.balancer._slow_start.is_cold(server)
+
+
+def fail(context: Context, outliers: OutlierDetector, server: Server, times: int) -> None:
+    for _ in range(times):
+        request = make_request(context)
+        attempt = send(context, request, server)
+        context.load.change(server, -1)
+        outliers.attempt_ended(request, attempt, Outcome.ERROR)
+
+
+def test_failures_in_a_row_eject_a_server_and_an_answer_between_prevents_it() -> None:
+    context = make_context()
+    outliers = OutlierDetector(context, SlowStart(context))
+    first, second = context.registry.ready[:2]
+    fail(context, outliers, first, FAILURES_TO_EJECT)
+    fail(context, outliers, second, FAILURES_TO_EJECT - 1)
+    request = make_request(context)
+    outliers.attempt_ended(request, send(context, request, second), Outcome.DELIVERED)
+    fail(context, outliers, second, FAILURES_TO_EJECT - 1)
+    assert outliers.ejected == [first] and second.ejected_until is None
+    assert context.actions == [Log(f"ejected {first.name}: error")]
+
+
+def test_each_failed_half_open_attempt_doubles_the_ejection_up_to_a_bound() -> None:
+    context = make_context()
+    outliers = OutlierDetector(context, SlowStart(context))
+    server = context.registry.ready[0]
+    fail(context, outliers, server, FAILURES_TO_EJECT)
+    waits = []
+    for _ in range(6):
+        assert server.ejected_until is not None
+        waits.append((server.ejected_until - context.now) / TARGET_US)
+        context.now = server.ejected_until
+        request = make_request(context)
+        assert outliers.half_open_candidate(request) is server
+        server.half_open_attempt = send(context, request, server)
+        assert outliers.half_open_candidate(make_request(context)) is None
+        context.load.change(server, -1)
+        outliers.attempt_ended(request, server.half_open_attempt, Outcome.ERROR)
+    for wait, targets in zip(waits, [2, 4, 8, 16, 16, 16], strict=True):
+        assert 0.75 * targets <= wait <= 1.25 * targets
+
+
+def test_no_more_than_a_share_of_the_servers_is_ejected() -> None:
+    context = make_context(servers=10)
+    outliers = OutlierDetector(context, SlowStart(context))
+    for server in context.registry.ready:
+        fail(context, outliers, server, FAILURES_TO_EJECT)
+    assert len(outliers.ejected) == 6
+
+
+def test_load_at_ejected_servers_is_left_out_until_they_are_readmitted() -> None:
+    context = make_context()
+    outliers = OutlierDetector(context, SlowStart(context))
+    server = context.registry.ready[0]
+    crowd(context, 5)
+    outliers.eject(server, "test")
+    assert context.load.total() == 0 and context.load.at(server) == 5
+    outliers.readmit(server)
+    assert context.load.total() == 5
--- /dev/null
+++ b/tests/balancer/test_registry_refresh.py
@@ -0,0 +1,66 @@
+"""Registry refresh: when the registry is watched, and when a call is made again."""
+
+from __future__ import annotations
+
+import itertools
+
+import pytest
+from helpers import MS, S, Stage, names, settings
+
+from topazbank.interface import (
+    FetchRegistry,
+    RegistryUpdated,
+    RegistryUpdateKind,
+    WatchRegistry,
+)
+
+
+def test_the_registry_is_watched_from_the_first_event() -> None:
+    stage = Stage()
+    stage.servers(names(2), RegistryUpdateKind.CACHED)
+    assert stage.said(WatchRegistry) == [WatchRegistry(True)]
+
+
+def test_nothing_is_asked_where_changes_come_unasked() -> None:
+    stage = Stage(settings(discovery="pushed"))
+    stage.servers(names(2), RegistryUpdateKind.CACHED)
+    stage.wait(60 * S)
+    assert stage.said(WatchRegistry) == [] and stage.said(FetchRegistry) == []
+
+
+@pytest.mark.parametrize("ask_within_us", [10 * S, 600 * S])
+def test_failed_calls_are_repeated_with_growing_waits_and_never_given_up(ask_within_us: int) -> None:
+    stage = Stage(settings(rules={"ask_within_us": ask_within_us}))
+    asked = []
+    stage.servers(names(2), RegistryUpdateKind.CACHED)
+    for _ in range(12):
+        asked.append(stage.now)
+        count = len(stage.said(WatchRegistry))
+        stage.play(RegistryUpdated(RegistryUpdateKind.FAILED))
+        while len(stage.said(WatchRegistry)) == count:
+            stage.wait(5 * MS)
+    waits = [later - earlier for earlier, later in itertools.pairwise(asked)]
+    assert max(waits) <= 6 * S / 4  # a change counts as told 6 s after it could be heard, whatever is allowed
+    assert waits[-1] > 2 * waits[0]
+
+
+def test_a_call_that_is_never_answered_is_made_again_in_time() -> None:
+    stage = Stage()
+    stage.servers(names(2), RegistryUpdateKind.CACHED)
+    stage.wait(10 * S)
+    times = [at for at, each in stage.log if isinstance(each, WatchRegistry)]
+    assert len(times) > 1
+    assert all(later - earlier < 10 * S for earlier, later in itertools.pairwise(times))
+
+
+def test_an_empty_registry_answer_ends_the_wait_for_it_and_goes_through_no_server() -> None:
+    stage = Stage()
+    stage.servers(names(3))
+    stage.play(RegistryUpdated(RegistryUpdateKind.FAILED))
+    context = stage.balancer._context
+    ready = context.registry.ready
+    stage.play(RegistryUpdated(RegistryUpdateKind.DELTA, [], 1))
+    assert context.registry.ready is ready  # not built anew
+    assert stage.balancer._refresh.due is None and not stage.balancer._refresh.failed_calls
+    stage.play(RegistryUpdated(RegistryUpdateKind.SNAPSHOT, [], 1))  # that is another matter: all have gone
+    assert not context.registry.ready
--- /dev/null
+++ b/tests/balancer/test_retries.py
@@ -0,0 +1,78 @@
+"""Retries: the limit on attempts and the retry budget."""
+
+from __future__ import annotations
+
+import math
+
+import pytest
+from helpers import MS, Stage, names, settings
+
+from topazbank.interface import (
+    Outcome,
+    Refuse,
+)
+from topazbank.policy.retries import (
+    MAX_BALANCE,
+    RETRIES_PER_ANSWER,
+    RetryBudget,
+)
+
+
+def test_repeats_after_failures_are_bounded() -> None:
+    stage = Stage()
+    stage.servers(names(40))
+    for _ in range(400):
+        stage.wait(MS)
+        request = stage.request()
+        while stage.balancer._requests.get(request) is not None:
+            stage.end(request, Outcome.DROPPED)
+    assert len(stage.sends()) <= 400 * 1.25 + 10
+
+
+def test_no_attempts_allowed_means_a_refusal() -> None:
+    stage = Stage(settings(limits={"max_attempts": 0}))
+    stage.servers(names(3))
+    request = stage.request("look")
+    assert stage.sends(request) == []
+    assert [each.request for each in stage.said(Refuse)] == [request]
+
+
+def test_the_retry_budget_earns_a_part_of_each_answer_and_saves_up_to_its_bound() -> None:
+    budget = RetryBudget()
+    while budget.spend():
+        pass
+    for _ in range(math.ceil(1 / RETRIES_PER_ANSWER) - 1):
+        budget.attempt_ended(Outcome.DELIVERED)
+        assert not budget.has_room()
+    budget.attempt_ended(Outcome.DELIVERED)
+    assert budget.spend() and not budget.spend()
+    for _ in range(1_000):
+        budget.attempt_ended(Outcome.DELIVERED)
+    spent = 0
+    while budget.spend():
+        spent += 1
+    assert spent == MAX_BALANCE
+
+
+@pytest.mark.parametrize("failure", [Outcome.ERROR, Outcome.EXPIRED, Outcome.DROPPED, Outcome.DIAL_FAILED])
+def test_the_retry_budget_runs_dry_while_more_than_two_attempts_in_five_fail(failure: Outcome) -> None:
+    budget = RetryBudget()
+    for _ in range(100):  # half fail
+        budget.attempt_ended(Outcome.DELIVERED)
+        budget.attempt_ended(failure)
+    assert not budget.has_room()
+    for _ in range(100):  # a quarter fails
+        budget.attempt_ended(failure)
+        for _ in range(3):
+            budget.attempt_ended(Outcome.DELIVERED)
+    assert budget.has_room()
+
+
+@pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CANCELLED, Outcome.UNSENT])
+def test_the_retry_budget_is_left_alone_by_what_is_neither_answer_nor_failure(outcome: Outcome) -> None:
+    budget, untouched = RetryBudget(), RetryBudget()
+    for _ in range(100):
+        budget.attempt_ended(outcome)
+    while untouched.spend():
+        assert budget.spend()
+    assert not budget.has_room()
--- /dev/null
+++ b/tests/balancer/test_selection.py
@@ -0,0 +1,163 @@
+"""Selection: best of k, by load and latency weight."""
+
+from __future__ import annotations
+
+from collections import Counter
+
+import pytest
+from helpers import MS, S, Stage, names, settings
+
+from topazbank.interface import (
+    Endpoint,
+    Outcome,
+    Refuse,
+)
+from topazbank.policy.selection import Selector
+from topazbank.state import Server
+
+
+def test_the_least_busy_of_the_drawn_wins() -> None:
+    stage = Stage()
+    stage.servers(names(4))  # all are drawn
+    for _ in range(40):
+        stage.request()
+    assert set(Counter(each.server for _, each in stage.sends()).values()) == {10}
+
+
+def test_a_server_that_answered_full_is_left_out_and_the_last_redraw_sees_all_servers() -> None:
+    stage = Stage()
+    stage.servers(names(5))
+    request = stage.request("pay")
+    for _ in range(4):
+        stage.end(request, Outcome.FULL)
+    targets = [each.server for _, each in stage.sends(request)]
+    assert sorted(targets) == names(5)
+    stage.end(request, Outcome.FULL)
+    assert [each.request for each in stage.said(Refuse)] == [request]
+
+
+def test_the_only_server_left_is_used() -> None:
+    stage = Stage()
+    stage.servers(names(1))
+    assert stage.target(stage.request()) == names(1)[0]
+
+
+def test_slower_servers_are_drawn_less() -> None:
+    stage = Stage()
+    stage.servers(names(12))
+    slow = names(12)[0]
+    for _ in range(1_500):
+        request = stage.request()
+        stage.wait(90 * MS if stage.target(request) == slow else 30 * MS)
+        stage.end(request)
+    late = Counter(each.server for _, each in stage.sends()[500:])
+    assert late[slow] < 0.6 * sum(late.values()) / 12
+
+
+def test_nominal_capacity_gives_the_latency_weight_until_the_first_answers() -> None:
+    stage = Stage()
+    stage.servers([Endpoint(name, "east", nominal=4.0 if name == names(8)[0] else 1.0) for name in names(8)])
+    for _ in range(200):
+        request = stage.request()
+        stage.end(request)
+    first = Counter(each.server for _, each in stage.sends()[:40])
+    assert first[names(8)[0]] > 40 / 8
+
+
+def test_an_attempt_given_up_on_still_counts_for_a_while() -> None:
+    stage = Stage()
+    stage.servers(names(2))
+    request = stage.request("pay", remaining_us=400 * MS)
+    hung = stage.target(request)
+    stage.wait(395 * MS)  # answered by then, and called off
+    stage.end(request, Outcome.CANCELLED, answered=True)
+    other = stage.request("pay")
+    assert stage.target(other) != hung
+    again = stage.request("pay")
+    assert stage.target(again) in names(2)
+    stage.wait(S)
+    assert stage.balancer._context.load.at(stage.balancer._context.registry.servers[hung]) <= 1
+
+
+def test_quick_errors_do_not_draw_more_work() -> None:
+    stage = Stage()
+    stage.servers(names(6))
+    bad = names(6)[2]
+    for _ in range(300):
+        stage.wait(10 * MS)
+        request = stage.request("pay")
+        if stage.target(request) == bad:
+            stage.end(request, Outcome.ERROR)
+        else:
+            stage.wait(40 * MS)
+            stage.end(request)
+    assert sum(1 for _, each in stage.sends() if each.server == bad) < 300 / 6
+
+
+def test_heavy_requests_draw_slow_servers_less_than_light_ones_do(monkeypatch: pytest.MonkeyPatch) -> None:
+    stage = Stage()
+    stage.servers([Endpoint(name, "east", nominal=0.5 if name == names(5)[0] else 1.0) for name in names(5)])
+    seen: list[float] = []
+    draw = Selector.draw
+
+    def watch(selector: Selector, subset: list[Server], weights: list[float], count: int) -> list[Server]:
+        seen.append(weights[0] / weights[1])
+        return draw(selector, subset, weights, count)
+
+    monkeypatch.setattr(Selector, "draw", watch)
+    for cost in (20 * MS, 20 * MS, 100 * MS):
+        stage.end(stage.request(cost_us=cost))
+    assert seen[2] < 0.5 * seen[0]
+
+
+def test_a_server_that_answers_every_other_request_with_a_quick_error_is_drawn_less() -> None:
+    stage = Stage()
+    stage.servers(names(12))
+    bad = names(12)[3]
+    errors = 0
+    for _ in range(1_200):
+        request = stage.request("pay")
+        target = stage.target(request)
+        stage.wait(5 * MS if target == bad else 40 * MS)
+        errors += target == bad
+        stage.end(request, Outcome.ERROR if target == bad and errors % 2 else Outcome.DELIVERED)
+    assert sum(1 for _, each in stage.sends()[400:] if each.server == bad) < 0.5 * 800 / 12
+
+
+def test_a_full_answer_keeps_requests_of_that_class_away_and_no_others() -> None:
+    stage = Stage(settings(rules={"late_shedding": True}))
+    stage.servers(names(5))  # four without it: a full draw
+    lost = stage.request("pay")
+    full = stage.target(lost)
+    stage.end(lost, Outcome.FULL, report={"util": 0.3})
+    for _ in range(24):
+        stage.request("pay")
+        stage.request("look")
+    pays = {each.server for _, each in stage.sends() if each.request % 2 == 0}
+    looks = {each.server for _, each in stage.sends() if each.request % 2 == 1 and each.request != lost}
+    assert full in looks and full not in pays
+
+
+def test_a_server_that_was_full_long_ago_is_drawn_again() -> None:
+    stage = Stage()
+    stage.servers(names(5))  # four without it: a full draw
+    request = stage.request("amend")
+    full = stage.target(request)
+    stage.end(request, Outcome.FULL, report={"util": 0.3})
+    stage.end(request)
+    for wait, drawn in ((100 * MS, False), (20 * S, True)):
+        stage.wait(wait)
+        targets = {stage.target(stage.request("amend")) for _ in range(4)}  # each to the least busy
+        assert (full in targets) is drawn
+        for number in range(stage.sends()[-1][1].request - 3, stage.sends()[-1][1].request + 1):
+            stage.end(number)
+
+
+def test_where_all_are_full_of_a_class_its_requests_are_tried_all_the_same() -> None:
+    stage = Stage()
+    stage.servers(names(3))
+    request = stage.request("pay")
+    for _ in range(3):
+        stage.end(request, Outcome.FULL, report={"util": 0.3})
+    assert [each.request for each in stage.said(Refuse)] == [request]
+    assert len(stage.sends(stage.request("pay"))) == 1
--- /dev/null
+++ b/tests/balancer/test_slow_start.py
@@ -0,0 +1,102 @@
+"""Slow start: a server that is warming up gets no more than its part."""
+
+from __future__ import annotations
+
+import pytest
+from helpers import MS, S, Stage, names
+from policy_context import make_context
+
+from topazbank.interface import (
+    AttemptEnded,
+    Endpoint,
+    Outcome,
+    RegistryUpdateKind,
+)
+from topazbank.policy.slow_start import SlowStart
+
+
+@pytest.mark.parametrize(("every_us", "burst"), [(10 * MS, 1), (200 * MS, 20), (500 * MS, 1)])
+def test_a_cold_server_gets_no_more_than_its_part(every_us: int, burst: int) -> None:
+    stage = Stage()
+    stage.servers(names(6))
+    stage.serve(300, every_us=10 * MS)
+    warm_per_s = 100 / 6
+    began = stage.now
+    cold = Endpoint("10.0.0.6:80", zone="east", started_at=began)
+    stage.servers([cold], RegistryUpdateKind.DELTA)
+    while stage.now < began + 10 * S:
+        requests = [stage.request() for _ in range(burst)]
+        stage.wait(every_us)
+        for each in requests:
+            if stage.sends(each):
+                stage.end(each)
+    times = [at for at, each in stage.sends() if each.server == "10.0.0.6:80" and at >= began]
+    for end in times:
+        warmth = 0.2 + 0.8 * max(end - 2 * S - began, 0) / (10 * S)
+        inside = sum(1 for at in times if end - 2 * S < at <= end)
+        assert inside <= max(1.0, 3 * warmth * warm_per_s * 2)
+    assert times or burst == 1  # singly, the quickest known server takes all
+
+
+def test_what_warm_peers_serve_is_counted_by_work_not_by_number() -> None:
+    rates = []
+    for served_us in (100_000, 20_000):  # overload refuses the heavy ones, and the rest is light
+        stage = Stage()
+        stage.servers(names(4))
+        for _ in range(60):
+            stage.wait(20 * MS)
+            stage.end(stage.request(cost_us=served_us))
+            stage.request(remaining_us=0, cost_us=200_000 - served_us)  # too late to be sent
+        rates.append(stage.balancer._slow_start.warm_capacity())
+    assert 0.0 < rates[1] < 0.5 * rates[0]
+
+
+def test_a_warm_server_is_not_held_back() -> None:
+    stage = Stage()
+    stage.servers(names(2))
+    for _ in range(50):
+        stage.request()
+    assert len({each.server for _, each in stage.sends()}) == 2
+
+
+def test_broken_connections_alone_do_not_make_a_server_cold_and_failed_dials_do() -> None:
+    # Guards against a network that breaks connections by chance: in a while every server would be cold.
+    for outcome, cold in ((Outcome.DROPPED, False), (Outcome.DIAL_FAILED, True)):
+        stage = Stage()
+        stage.servers(names(1))
+        server = stage.balancer._context.registry.servers[names(1)[0]]
+        for _ in range(3):
+            request = stage.request("pay")
+            stage.play(AttemptEnded(request, 0, server.name, outcome, 1, False))
+        assert server.consecutive_failures == 3 and stage.balancer._slow_start.is_cold(server) is cold
+
+
+def test_a_cold_server_has_room_only_as_its_budget_fills_and_any_room_once_it_is_warm() -> None:
+    context = make_context()
+    slow_start = SlowStart(context)
+    for server in context.registry.ready:
+        slow_start.answered(server, 40.0)
+    cold = context.registry.ready[0]
+    slow_start.begin(cold, context.now)
+    assert slow_start.is_cold(cold) and not slow_start.has_room(cold, 1.0)
+    context.now += 2 * S
+    sent = 0
+    while slow_start.has_room(cold, 1.0) and sent < 100:
+        cold.cold_budget -= 1.0
+        sent += 1
+    overload = 3 * 0.36 * slow_start.warm_capacity() * 2 * S  # multiple x warmth by now x capacity x window
+    assert 1 <= sent <= 0.2 * overload
+    context.now += context.settings.rules.slow_start_us
+    assert not slow_start.is_cold(cold) and slow_start.has_room(cold, 1_000.0)
+
+
+def test_warmth_rises_evenly_from_the_least_share_to_the_whole() -> None:
+    context = make_context()
+    slow_start = SlowStart(context)
+    cold = context.registry.ready[0]
+    slow_start.begin(cold, context.now)
+    seen = []
+    for _ in range(3):
+        seen.append(slow_start.warmth(cold))
+        context.now += context.settings.rules.slow_start_us // 2
+    assert seen == pytest.approx([0.2, 0.6, 1.0])
--- /dev/null
+++ b/tests/balancer/test_stalls.py
@@ -0,0 +1,87 @@
+"""Stalls: a balancer that itself stood still blames no server for the delay."""
+
+from __future__ import annotations
+
+from helpers import MS, S, Stage, names, settings
+from traffic import PROBED, answer_probes, zoned
+
+from topazbank.interface import (
+    Log,
+    Outcome,
+)
+
+
+def stalled(stage: Stage, span_us: int) -> None:
+    """Time passes unseen; then the timers that fell due meanwhile fire at once."""
+    stage.now += span_us
+    stage.wait(0)
+
+
+def test_an_own_stall_is_not_taken_for_slow_or_silent_servers() -> None:
+    stage = Stage(settings())
+    stage.servers(names(4))
+    stage.serve(200)
+    paces = {each.name: each.latency_weight for each in stage.balancer._context.registry.ready}
+    requests = [stage.request() for _ in range(8)]
+    stalled(stage, 900 * MS)
+    for each in requests:
+        stage.end(each)
+    stage.wait(100 * MS)
+    assert {each.name: each.latency_weight for each in stage.balancer._context.registry.ready} == paces
+    assert [each for each in stage.said(Log) if "ejected" in each.text] == []
+
+
+def test_a_stall_is_seen_among_many_events_and_pardons_all_that_it_held_up() -> None:
+    stage = Stage(settings())
+    stage.servers(names(4))
+    stage.serve(200)
+    paces = {each.name: each.latency_weight for each in stage.balancer._context.registry.ready}
+    held = [stage.request() for _ in range(16)]
+    for _ in held:  # a long queue of events: each comes soon after the one before, and no timer between
+        stage.now += 40 * MS
+        stage.request()
+    for each in held:
+        stage.now += 5 * MS
+        stage.end(each, Outcome.DIAL_FAILED)
+    assert {each.name: each.latency_weight for each in stage.balancer._context.registry.ready} == paces
+    assert [each for each in stage.said(Log) if "ejected" in each.text] == []
+
+
+def test_servers_that_are_slow_while_the_balancer_is_awake_are_noticed() -> None:
+    stage = Stage(settings())
+    stage.servers(names(4))
+    stage.serve(200)
+    paces = {each.name: each.latency_weight for each in stage.balancer._context.registry.ready}
+    requests = [stage.request() for _ in range(8)]
+    stage.wait(900 * MS)
+    for each in requests:
+        stage.end(each)
+    assert all(each.latency_weight > paces[each.name] for each in stage.balancer._context.registry.ready)
+
+
+def test_back_from_a_stall_the_draw_spreads_over_all_zones_unprobed() -> None:
+    stage = Stage(settings(**PROBED, prices={"cross_zone": 0.1}))
+    stage.servers(zoned())
+    first = stage.request()
+    answer_probes(stage, {})
+    stage.now += 1 * S
+    burst = [stage.request() for _ in range(6)]  # found at once on return
+    assert all(len(stage.sends(each)) == 1 for each in (first, *burst))
+    assert {stage.target(each) for each in burst} & set(names(6)[3:])
+
+
+def test_what_waited_out_its_aim_in_a_stall_is_refused_where_late_is_worth_nothing() -> None:
+    for worth, sent in ((0.0, 0), (0.5, 1)):
+        stage = Stage(
+            settings(
+                classes=[
+                    {"name": "look", "deadline_us": 2 * S, "latency_target_us": 500 * MS}
+                    | {"late_worth": worth}
+                ]
+            )
+        )
+        stage.servers(names(4))
+        stage.request("look", 1 * S)
+        stage.now += 900 * MS
+        stale, fresh = stage.request("look", 200 * MS), stage.request("look", 900 * MS)
+        assert len(stage.sends(stale)) == sent and len(stage.sends(fresh)) == 1
--- /dev/null
+++ b/tests/balancer/test_timers.py
@@ -0,0 +1,35 @@
+"""The queue of timers."""
+
+from __future__ import annotations
+
+from topazbank.state.timers import KeyRested, Timer, TimerQueue
+
+
+def test_timers_are_taken_by_due_time_and_among_equals_as_added() -> None:
+    queue = TimerQueue()
+    for due, key in ((30, 1), (10, 2), (10, 3), (99, 4)):
+        queue.add(due, KeyRested(key))
+    assert list(queue.take_due(30)) == [(10, KeyRested(2)), (10, KeyRested(3)), (30, KeyRested(1))]
+
+
+def test_the_host_is_asked_for_a_timer_only_where_the_one_that_is_set_fires_too_late() -> None:
+    queue = TimerQueue()
+
+    def always(due: int, _: Timer) -> int:
+        return due
+
+    queue.add(50, KeyRested(1))
+    timer = queue.arm(20, always)
+    assert timer is not None and timer.in_us == 30
+    queue.add(70, KeyRested(2))
+    assert queue.arm(20, always) is None
+    queue.add(40, KeyRested(3))
+    timer = queue.arm(20, always)
+    assert timer is not None and timer.in_us == 20
+
+
+def test_a_timer_that_nothing_waits_for_any_more_is_dropped_unset() -> None:
+    queue = TimerQueue()
+    queue.add(50, KeyRested(1))
+    assert queue.arm(20, lambda due, timer: None) is None
+    assert list(queue.take_due(99)) == []
