--- a/tests/test_decision_digest.py
+++ b/tests/test_decision_digest.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from decision_digest import SCENARIOS, Recorder, Scenario
+from decision_digest import Recorder
+from decision_scenarios import SCENARIOS, Scenario
 
 EVENTS = 300
 
