--- a/tests/balancer/policy_context.py
+++ b/tests/balancer/policy_context.py
@@ -32,14 +32,14 @@
     return Request(1, service_class, START + 2 * S, 1.0, (class_name, None), all_zones=True, size=1)
 
 
-def send(context: Context, request: Request, server: Server) -> Attempt:
+def start_attempt(context: Context, request: Request, server: Server) -> Attempt:
     attempt = Attempt(len(request.attempts), server, context.now, 0, 0)
     request.attempts.append(attempt)
     context.load.change(server, 1)
     return attempt
 
 
-def crowd(context: Context, attempts: int) -> None:
+def add_load(context: Context, attempts: int) -> None:
     server = context.registry.ready[0]
     for _ in range(attempts):
         context.load.change(server, 1)
--- a/tests/balancer/test_admission.py
+++ b/tests/balancer/test_admission.py
@@ -6,7 +6,7 @@
 
 import pytest
 from helpers import MS, S, Stage, names, settings
-from traffic import _serve_singly
+from traffic import serve_one_at_a_time
 
 from topazbank.interface import (
     Cancel,
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(("at_once", "counted"), [(1, False), (8, False), (0, True)])
-def test_overdue_tells_of_overload_only_where_it_is_no_lost_attempt_nor_silent_server(
+def test_an_overdue_attempt_indicates_overload_unless_it_was_lost_or_its_server_hangs(
     at_once: int, counted: bool
 ) -> None:
     stage = Stage()
@@ -32,7 +32,7 @@
     assert stage.balancer._requests[lost].attempts[0].counted_late is counted
 
 
-def _overload(stage: Stage, spans: int) -> None:
+def overload_servers(stage: Stage, spans: int) -> None:
     """Servers that answer ever later as more is in flight, asked for far more than they can do."""
     stage.servers(names(4))
     out: list[int] = []
@@ -48,11 +48,11 @@
                 stage.end(request, attempt=0)
 
 
-def test_a_surge_is_refused_early_and_the_less_worthy_more() -> None:
+def test_a_surge_is_shed_early_and_by_priority() -> None:
     stage = Stage()
     stage.servers(names(4))
     stage.serve(200)
-    _overload(stage, 600)
+    overload_servers(stage, 600)
     asked = {each.request for each in stage.said(Refuse)}
     looks = sum(1 for each in asked if each % 2)  # asked for in turn, so half of them would be even-handed
     assert len(asked) > 300 and looks > 0.5 * len(asked)
@@ -60,10 +60,10 @@
     assert len(unsent) > 0.5 * len(stage.said(Refuse))
 
 
-def test_the_concurrency_limit_admits_all_again_once_the_load_falls() -> None:
+def test_all_requests_are_admitted_again_once_the_load_falls() -> None:
     stage = Stage()
     stage.serve(1)
-    _overload(stage, 400)
+    overload_servers(stage, 400)
     stage.wait(10 * S)
     for request in list(stage.balancer._requests.values()):
         for attempt in request.attempts:
@@ -76,7 +76,7 @@
     assert len(stage.said(Refuse)) == refused
 
 
-def test_late_answers_do_not_take_the_limit_below_what_is_answered_in_time() -> None:
+def test_late_responses_do_not_reduce_the_limit_below_the_timely_throughput() -> None:
     stage = Stage()
     stage.servers(names(8))
     stage.serve(400, every_us=10 * MS, taking_us=100 * MS)  # ten in flight, a fifth of the aim each
@@ -90,14 +90,14 @@
     assert len(stage.said(Refuse)) < 60
 
 
-def test_a_quiet_fleet_is_never_refused() -> None:
+def test_nothing_is_shed_at_moderate_load() -> None:
     stage = Stage()
     stage.servers(names(4))
     stage.serve(800)
     assert stage.said(Refuse) == [] and stage.said(Cancel) == []
 
 
-def test_a_small_balancer_refuses_a_part_of_what_comes_while_every_answer_is_late() -> None:
+def test_low_traffic_is_partly_shed_while_every_response_is_late() -> None:
     stage = Stage()
     stage.servers(names(8))
     for _ in range(120):  # hardly ever two in flight, so a window of two would never refuse
@@ -109,13 +109,13 @@
     refused = len(stage.said(Refuse))
     assert 20 <= refused < 120
     stage.wait(10 * S)
-    _serve_singly(stage, 60)
+    serve_one_at_a_time(stage, 60)
     refused = len(stage.said(Refuse))
-    _serve_singly(stage, 60)
+    serve_one_at_a_time(stage, 60)
     assert len(stage.said(Refuse)) == refused
 
 
-def test_two_at_once_are_no_overload_for_a_small_balancer() -> None:
+def test_two_concurrent_requests_at_low_traffic_are_not_overload() -> None:
     stage = Stage()
     stage.servers(names(8))
     stage.balancer._limit.limit = 1.0
@@ -129,7 +129,7 @@
     assert not stage.said(Refuse)
 
 
-def _late_with_reports(cores: float) -> int:
+def count_shed_with_late_responses(cores: float) -> int:
     stage = Stage()
     stage.servers(names(8))
     refused = 0
@@ -144,12 +144,12 @@
     return refused
 
 
-def test_late_answers_from_servers_with_idle_cores_are_not_taken_for_overload() -> None:
-    assert _late_with_reports(0.4) < 5  # the first comes with no report yet
-    assert _late_with_reports(1.0) > 30
+def test_late_responses_from_servers_with_idle_cores_are_not_overload() -> None:
+    assert count_shed_with_late_responses(0.4) < 5  # the first comes with no report yet
+    assert count_shed_with_late_responses(1.0) > 30
 
 
-def test_reported_cores_do_not_keep_the_limit_high_where_many_are_in_flight() -> None:
+def test_reported_idle_cores_do_not_keep_the_limit_high_with_many_in_flight() -> None:
     stage = Stage()
     stage.servers(names(8))
     out: list[tuple[int, int]] = []
@@ -163,7 +163,7 @@
     assert len(stage.said(Refuse)) > 50
 
 
-def test_silence_is_not_flattered_by_the_last_report() -> None:
+def test_a_stale_load_report_does_not_hide_hung_servers() -> None:
     stage = Stage()
     stage.servers(names(8))
     for _ in range(20):
@@ -177,7 +177,7 @@
     assert len(stage.said(Refuse)) > 100
 
 
-def test_late_answers_refuse_nobody_while_servers_report_idle_cores() -> None:
+def test_late_responses_shed_nothing_while_load_reports_show_idle_cores() -> None:
     # Guards against own lag, silent connections and a few slow servers, all of which look like overload.
     stage = Stage(settings())
     stage.servers(names(4))
@@ -191,7 +191,7 @@
     assert stage.said(Refuse) == []
 
 
-def test_few_late_answers_mean_refusals_and_time_alone_brings_relief() -> None:
+def test_late_responses_at_low_traffic_shed_load_until_time_passes() -> None:
     stage = Stage()
     stage.servers(names(4))
     for _ in range(30):
@@ -205,7 +205,7 @@
     assert all(stage.sends(stage.request("look")) for _ in range(2))
 
 
-def test_few_requests_that_find_servers_dead_are_no_overload() -> None:
+def test_connection_failures_at_low_traffic_are_not_overload() -> None:
     stage = Stage()
     stage.servers(names(6))
     for _ in range(12):
@@ -215,7 +215,7 @@
     assert stage.said(Refuse) == [] and len(stage.said(Fail)) == 12
 
 
-def test_a_refusal_says_when_to_come_back_where_the_settings_allow_it() -> None:
+def test_rejections_carry_a_jittered_retry_after_where_enabled() -> None:
     for limits, most in (({}, 0), ({"retry_after": True, "max_retry_after_us": 30 * MS}, 30 * MS)):
         stage = Stage(settings(limits=limits))
         for _ in range(20):
--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -5,12 +5,12 @@
 import math
 
 from helpers import MS, Stage
-from policy_context import crowd, make_context
+from policy_context import add_load, make_context
 
 from topazbank.policy.concurrency_limit import LEAST_LIMIT, ConcurrencyLimit
 
 
-def test_a_new_balancer_does_not_set_its_limit_by_its_first_answers() -> None:
+def test_the_first_responses_after_a_restart_do_not_set_the_limit() -> None:
     # Guards against refusals after each restart: all connections are new, and the rates not full yet.
     balancer = Stage().balancer
     for latency_ratio in [0.5] * 8:
@@ -24,27 +24,27 @@
     assert balancer._limit.limit < float("inf")
 
 
-def test_late_answers_shrink_the_limit_but_never_below_the_least() -> None:
+def test_late_responses_decrease_the_limit_down_to_its_minimum() -> None:
     context = make_context()
     limit = ConcurrencyLimit(context)
-    crowd(context, 16)
+    add_load(context, 16)
     for _ in range(2_000):
         context.now += 20 * MS
         limit.observe(2.0)
     assert LEAST_LIMIT <= limit.limit < 1.0
 
 
-def test_slower_answers_that_are_still_in_time_leave_the_limit_alone() -> None:
+def test_slower_but_timely_responses_leave_the_limit_unchanged() -> None:
     context = make_context()
     limit = ConcurrencyLimit(context)
-    crowd(context, 16)
+    add_load(context, 16)
     for _ in range(500):
         context.now += 20 * MS
         limit.observe(0.9)
     assert limit.limit == math.inf
 
 
-def test_quick_answers_let_the_limit_grow_only_after_a_refusal() -> None:
+def test_fast_responses_increase_the_limit_only_after_a_rejection() -> None:
     context = make_context()
     limit = ConcurrencyLimit(context)
     limit.limit = 4.0
--- a/tests/balancer/test_connections.py
+++ b/tests/balancer/test_connections.py
@@ -4,7 +4,7 @@
 
 from helpers import MS, S, Stage, names, settings
 from policy_context import make_context
-from traffic import PROBED, answer_probes
+from traffic import LOAD_PROBING, answer_probes
 
 from topazbank.interface import (
     CloseIdle,
@@ -16,7 +16,7 @@
 from topazbank.state import DecayingRate, LinearFit
 
 
-def test_an_idle_connection_is_closed_once_holding_it_cost_as_much_as_opening_one() -> None:
+def test_an_idle_connection_is_closed_once_it_has_cost_as_much_as_a_handshake() -> None:
     stage = Stage(settings(group_size=100, prices={"connection": 0.08, "handshake": 0.08}))
     stage.servers(names(4))
     stage.serve(100)  # 50 a second here: 1250 a server from all, a hundredth of the price each
@@ -25,7 +25,7 @@
     assert closed == {each.server for _, each in stage.sends()}
 
 
-def test_a_connection_in_use_is_not_closed_and_none_is_where_connections_cost_nothing() -> None:
+def test_connections_are_not_closed_while_in_use_or_free_of_cost() -> None:
     for prices, every_us in (
         ({"connection": 0.08, "handshake": 0.08}, 2 * MS),
         ({"handshake": 0.08}, 90 * MS),
@@ -36,8 +36,8 @@
         assert stage.said(CloseIdle) == []
 
 
-def test_of_servers_alike_the_one_with_a_connection_is_chosen() -> None:
-    stage = Stage(settings(**PROBED, prices={"handshake": 0.08}))
+def test_a_server_with_an_open_connection_is_preferred_among_equals() -> None:
+    stage = Stage(settings(**LOAD_PROBING, prices={"handshake": 0.08}))
     stage.servers(names(4))
     targets = set()
     for _ in range(12):
@@ -49,7 +49,7 @@
     assert len(targets) == 1
 
 
-def test_idle_connections_are_not_closed_for_a_record_that_was_replaced() -> None:
+def test_idle_connections_are_not_closed_for_a_replaced_server_record() -> None:
     context = make_context(prices={"connection": 0.08, "handshake": 0.08})
     connections = IdleConnections(context, DecayingRate(S), LinearFit(0.03, 5.0))
     server = context.registry.ready[0]
--- a/tests/balancer/test_deadlines.py
+++ b/tests/balancer/test_deadlines.py
@@ -14,7 +14,7 @@
 )
 
 
-def test_an_unanswered_request_gets_its_final_answer_before_its_time_is_up() -> None:
+def test_an_unanswered_request_fails_before_its_deadline() -> None:
     stage = Stage()
     stage.servers(names(5))
     request = stage.request("pay", remaining_us=900 * MS)
@@ -22,7 +22,7 @@
     assert [each.request for each in stage.said(Fail)] == [request]
 
 
-def test_nothing_is_sent_or_answered_after_the_final_answer() -> None:
+def test_nothing_is_sent_or_answered_after_the_final_response() -> None:
     stage = Stage()
     stage.servers(names(5))
     request = stage.request("look", remaining_us=300 * MS)
@@ -35,7 +35,7 @@
     assert len([1 for at, _ in stage.sends(request) if at > START + 300 * MS]) == 0
 
 
-def test_a_request_whose_time_is_up_on_arrival_is_refused_unsent() -> None:
+def test_a_request_past_its_deadline_on_arrival_is_rejected() -> None:
     stage = Stage()
     stage.servers(names(3))
     request = stage.request("pay", remaining_us=0)
@@ -43,7 +43,7 @@
     assert [each.request for each in stage.said(Refuse)] == [request]
 
 
-def test_no_server_at_all_means_a_refusal_at_once() -> None:
+def test_a_request_is_rejected_at_once_where_there_is_no_server() -> None:
     stage = Stage()
     request = stage.request("pay")
     assert [each.request for each in stage.said(Refuse)] == [request]
@@ -62,7 +62,7 @@
     assert len(stage.log) == before
 
 
-def test_a_client_that_left_gets_no_answer_and_its_attempt_is_cancelled() -> None:
+def test_a_client_disconnect_cancels_the_attempt_without_a_response() -> None:
     stage = Stage()
     stage.servers(names(3))
     request = stage.request("pay")
--- a/tests/balancer/test_draining.py
+++ b/tests/balancer/test_draining.py
@@ -12,7 +12,7 @@
 )
 
 
-def test_a_drained_or_vanished_server_gets_nothing_from_the_moment_of_hearing() -> None:
+def test_draining_and_removed_servers_get_no_requests() -> None:
     stage = Stage()
     stage.servers(names(4))
     stage.drain("10.0.0.1:80")
@@ -23,7 +23,7 @@
     assert targets == {"10.0.0.2:80", "10.0.0.3:80", "10.0.0.9:80"}
 
 
-def test_a_list_that_brings_a_server_back_makes_it_ready_again() -> None:
+def test_a_server_is_ready_again_once_it_is_listed_again() -> None:
     stage = Stage()
     stage.servers(["10.0.0.1:80"])
     stage.drain("10.0.0.1:80", ServerState.GONE)
@@ -32,7 +32,7 @@
     assert len(stage.sends(stage.request())) == 1
 
 
-def test_the_gate_lets_nothing_out_to_a_draining_or_gone_server() -> None:
+def test_sending_to_a_draining_or_removed_server_is_blocked() -> None:
     stage = Stage()
     stage.servers(names(3))
     request = stage.balancer._requests[stage.request()]
@@ -48,7 +48,7 @@
     assert stage.balancer._send(request, stage.balancer._context.registry.servers[server.name])
 
 
-def test_what_has_gone_is_forgotten_once_nothing_of_it_is_out() -> None:
+def test_a_removed_server_is_forgotten_once_its_attempts_have_ended() -> None:
     # Guards memory where servers are replaced all day, and the share of the list that may be ejected.
     stage = Stage()
     stage.servers(names(3))
--- a/tests/balancer/test_hedging.py
+++ b/tests/balancer/test_hedging.py
@@ -10,7 +10,7 @@
 )
 
 
-def test_a_second_copy_waits_for_the_first_where_only_one_may_be_out() -> None:
+def test_a_hung_attempt_is_cancelled_before_its_retry_where_hedging_is_disabled() -> None:
     stage = Stage(settings(limits={"allow_hedging": False}))
     stage.servers(names(6))
     stage.serve(100)
@@ -27,7 +27,7 @@
     assert len(stage.sends(request)) == 2
 
 
-def test_the_gate_lets_no_second_copy_out_where_only_one_is_allowed() -> None:
+def test_a_hedged_request_is_sent_only_where_hedging_is_enabled() -> None:
     for allowed in (False, True):
         stage = Stage(settings(limits={"allow_hedging": allowed}))
         stage.servers(names(3))
--- a/tests/balancer/test_idempotency.py
+++ b/tests/balancer/test_idempotency.py
@@ -4,7 +4,7 @@
 
 import pytest
 from helpers import MS, START, S, Stage, names, settings
-from policy_context import make_context, make_request, send
+from policy_context import make_context, make_request, start_attempt
 
 from topazbank.interface import (
     Endpoint,
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.DROPPED, Outcome.EXPIRED, Outcome.CANCELLED])
-def test_an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again(outcome: Outcome) -> None:
+def test_a_non_idempotent_request_that_may_have_run_is_not_retried(outcome: Outcome) -> None:
     stage = Stage()
     stage.servers(names(5))
     request = stage.request("pay")
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.DIAL_FAILED, Outcome.UNSENT])
-def test_an_unsafe_request_that_never_ran_goes_to_another_server(outcome: Outcome) -> None:
+def test_a_non_idempotent_request_that_never_ran_is_retried_at_another_server(outcome: Outcome) -> None:
     stage = Stage()
     stage.servers(names(5))
     request = stage.request("pay")
@@ -41,15 +41,15 @@
     assert len(targets) == 2 and targets[0] != targets[1]
 
 
-def cells() -> list[Endpoint]:
+def two_cells() -> list[Endpoint]:
     return [Endpoint(name, zone="east", cell=index % 2) for index, name in enumerate(names(8))]
 
 
-def test_a_keyed_request_that_may_have_run_stays_in_its_cell() -> None:
+def test_retries_with_an_idempotency_key_stay_in_the_cell() -> None:
     for seed in range(20):
         stage = Stage(seed=seed)
-        stage.servers(cells())
-        cell_of = {each.server: each.cell for each in cells()}
+        stage.servers(two_cells())
+        cell_of = {each.server: each.cell for each in two_cells()}
         request = stage.request("amend")
         for _ in range(3):
             stage.wait(10 * MS)
@@ -59,9 +59,9 @@
         assert len({cell_of[each] for each in targets}) == 1
 
 
-def test_a_keyed_request_is_not_sent_again_once_servers_forget() -> None:
+def test_a_request_is_not_retried_after_its_deduplication_window() -> None:
     stage = Stage()
-    stage.servers(cells())
+    stage.servers(two_cells())
     request = stage.request("amend", remaining_us=4 * S)
     stage.wait(2 * S)
     stage.end(request, Outcome.DROPPED)
@@ -69,10 +69,10 @@
     assert [each.request for each in stage.said(Fail)] == [request]
 
 
-def test_all_attempts_of_a_keyed_request_are_to_be_written_before_servers_forget_the_first() -> None:
+def test_every_attempt_must_be_written_within_the_deduplication_window() -> None:
     # A connection may come up long after the decision: whoever carries it out has to know the end.
     stage = Stage()
-    stage.servers(cells())
+    stage.servers(two_cells())
     request = stage.request("amend", remaining_us=4 * S)
     stage.end(request, Outcome.FULL)  # it never ran
     stage.wait(100 * MS)
@@ -85,7 +85,7 @@
     assert [send.write_by for _, send in stage.sends(stage.request("pay"))] == [None]
 
 
-def test_where_full_is_no_proof_an_unsafe_request_fails_after_it_and_is_not_sent_again() -> None:
+def test_a_non_idempotent_request_is_not_retried_after_late_shedding() -> None:
     stage = Stage(settings(rules={"late_shedding": True}))
     stage.servers(names(5))
     request = stage.request("pay")
@@ -96,11 +96,11 @@
     assert stage.said(Refuse) == []
 
 
-def test_where_full_is_no_proof_a_keyed_request_stays_in_its_cell_and_time_after_it() -> None:
+def test_retries_after_late_shedding_stay_in_the_cell_and_the_deduplication_window() -> None:
     for seed in range(20):
         stage = Stage(settings(rules={"late_shedding": True}), seed=seed)
-        stage.servers(cells())
-        cell_of = {each.server: each.cell for each in cells()}
+        stage.servers(two_cells())
+        cell_of = {each.server: each.cell for each in two_cells()}
         request = stage.request("amend", remaining_us=4 * S)
         for _ in range(2):
             stage.wait(10 * MS)
@@ -114,24 +114,24 @@
 
 
 @pytest.mark.parametrize(("class_name", "repeatable"), [("look", True), ("pay", False), ("amend", True)])
-def test_what_may_have_run_is_sent_again_only_where_its_class_allows_it(
+def test_an_attempt_that_may_have_run_is_retried_only_for_idempotent_classes(
     class_name: str, repeatable: bool
 ) -> None:
     context = make_context()
     request = make_request(context, class_name)
     assert may_run_again(request, context.now, 5 * MS)
-    attempt = send(context, request, context.registry.ready[0])
+    attempt = start_attempt(context, request, context.registry.ready[0])
     assert may_run_again(request, context.now, 5 * MS) is repeatable
     attempt.may_have_run = False
     assert may_run_again(request, context.now, 5 * MS)
 
 
-def test_a_keyed_request_is_repeated_in_the_cell_of_its_first_attempt_and_not_once_servers_forget() -> None:
+def test_deduplication_is_bounded_by_the_cell_and_the_window() -> None:
     context = make_context()
     request = make_request(context, "amend")
     first, other = context.registry.ready[:2]
     other.cell = first.cell + 1
-    send(context, request, first)
+    start_attempt(context, request, first)
     assert is_deduplicated_at(request, first) and not is_deduplicated_at(request, other)
     forgotten_at = context.now + request.service_class.dedup_window_us
     assert may_run_again(request, forgotten_at - 6 * MS, 5 * MS)
--- a/tests/balancer/test_invariants.py
+++ b/tests/balancer/test_invariants.py
@@ -285,7 +285,7 @@
     st.integers(0, 1_000),
     st.lists(steps, min_size=5, max_size=60),
 )
-def test_no_sequence_breaks_a_rule(
+def test_no_event_sequence_breaks_an_invariant(
     copies: bool,
     attempts: int,
     late_shedding: bool,
--- a/tests/balancer/test_key_order.py
+++ b/tests/balancer/test_key_order.py
@@ -11,7 +11,7 @@
     RequestGone,
 )
 
-ORDERED = {
+ORDERED_CLASSES = {
     "classes": [
         {"name": "save", "deadline_us": 2 * S, "idempotency": "safe", "ordered_by_key": True},
         {"name": "mark", "deadline_us": 2 * S, "idempotency": "safe", "ordered_by_key": True},
@@ -21,14 +21,14 @@
 }
 
 
-def ordered_stage() -> Stage:
-    stage = Stage(settings(**ORDERED))
+def stage_with_ordered_keys() -> Stage:
+    stage = Stage(settings(**ORDERED_CLASSES))
     stage.servers(names(6))
     return stage
 
 
-def test_requests_with_one_key_go_one_at_a_time_as_taken_across_classes() -> None:
-    stage = ordered_stage()
+def test_requests_with_one_key_are_sent_in_order_one_at_a_time_across_classes() -> None:
+    stage = stage_with_ordered_keys()
     line = [stage.request(name, key=5) for name in ("save", "mark", "save")]
     for at, request in enumerate(line):
         assert [len(stage.sends(each)) for each in line] == [1] * (at + 1) + [0] * (2 - at)
@@ -36,16 +36,16 @@
         stage.end(request)
 
 
-def test_requests_without_a_key_or_with_another_or_of_other_classes_are_free() -> None:
-    stage = ordered_stage()
+def test_requests_without_a_shared_ordered_key_are_concurrent() -> None:
+    stage = stage_with_ordered_keys()
     stage.request("save", key=5)
     free = [stage.request("save"), stage.request("save", key=6), stage.request("look", key=5)]
     assert all(len(stage.sends(each)) == 1 for each in free)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.EXPIRED, Outcome.DROPPED, Outcome.CANCELLED])
-def test_a_key_rests_after_an_attempt_that_may_still_run(outcome: Outcome) -> None:
-    stage = ordered_stage()
+def test_a_key_is_blocked_for_a_while_after_an_attempt_that_may_still_run(outcome: Outcome) -> None:
+    stage = stage_with_ordered_keys()
     first, second = stage.request("save", key=5), stage.request("mark", key=5)
     stage.play(RequestGone(first))
     stage.wait(10 * MS)
@@ -61,16 +61,16 @@
     assert stage.sends(third) == []
 
 
-def test_a_request_of_an_ordered_key_may_itself_be_sent_again_at_once() -> None:
-    stage = ordered_stage()
+def test_a_request_with_an_ordered_key_is_retried_without_delay() -> None:
+    stage = stage_with_ordered_keys()
     first = stage.request("save", key=5)
     stage.wait(10 * MS)
     stage.end(first, Outcome.DROPPED)
     assert len(stage.sends(first)) == 2
 
 
-def test_a_held_request_is_answered_in_time_and_one_that_left_is_passed_over() -> None:
-    stage = ordered_stage()
+def test_a_queued_request_expires_in_time_and_an_abandoned_one_is_skipped() -> None:
+    stage = stage_with_ordered_keys()
     first = stage.request("save", key=5)
     held, left = (stage.request("mark", remaining_us=300 * MS, key=5) for _ in range(2))
     last = stage.request("save", key=5)
@@ -82,8 +82,8 @@
     assert len(stage.sends(last)) == 1
 
 
-def test_keys_that_are_not_in_use_cost_no_memory() -> None:
-    stage = ordered_stage()
+def test_unused_keys_are_released() -> None:
+    stage = stage_with_ordered_keys()
     for key in range(50):
         request = stage.request("save", key=key)
         stage.wait(10 * MS)
@@ -92,8 +92,8 @@
     assert not stage.balancer._key_order.queues
 
 
-def test_the_gate_lets_nothing_out_of_turn() -> None:
-    stage = ordered_stage()
+def test_sending_out_of_key_order_is_blocked() -> None:
+    stage = stage_with_ordered_keys()
     first, second = stage.request("save", key=5), stage.request("mark", key=5)
     waiting = stage.balancer._requests[second]
     server = next(iter(stage.balancer._context.registry.servers.values()))
--- a/tests/balancer/test_load_probing.py
+++ b/tests/balancer/test_load_probing.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from helpers import MS, Stage, names, settings
-from traffic import PROBED, answer_probes, zoned
+from traffic import LOAD_PROBING, answer_probes, two_zones_of_three
 
 from topazbank.interface import (
     Probe,
@@ -11,8 +11,8 @@
 )
 
 
-def test_of_tied_servers_the_one_that_holds_least_is_chosen() -> None:
-    stage = Stage(settings(**PROBED))
+def test_a_tie_is_broken_by_the_lowest_probed_load() -> None:
+    stage = Stage(settings(**LOAD_PROBING))
     stage.servers(names(4))
     for idle in names(4):
         request = stage.request()
@@ -22,8 +22,8 @@
         stage.end(request)
 
 
-def test_own_requests_in_flight_come_before_what_probes_say() -> None:
-    stage = Stage(settings(**PROBED))
+def test_own_requests_in_flight_take_precedence_over_probed_load() -> None:
+    stage = Stage(settings(**LOAD_PROBING))
     stage.servers(names(2))
     first = stage.request()
     answer_probes(stage, {})
@@ -32,8 +32,8 @@
     assert stage.target(second) != stage.target(first)
 
 
-def test_a_server_that_leaves_its_probe_unanswered_is_passed_over() -> None:
-    stage = Stage(settings(**PROBED))
+def test_a_server_that_does_not_answer_its_probe_is_not_selected() -> None:
+    stage = Stage(settings(**LOAD_PROBING))
     stage.servers(names(4))
     for _ in range(10):
         request = stage.request()
@@ -43,28 +43,28 @@
         stage.end(request)
 
 
-def test_where_no_probe_is_answered_the_request_is_sent_all_the_same() -> None:
-    stage = Stage(settings(**PROBED))
+def test_a_request_is_sent_where_no_probe_is_answered() -> None:
+    stage = Stage(settings(**LOAD_PROBING))
     stage.servers(names(4))
     request = stage.request()
     stage.wait(50 * MS)
     assert len(stage.sends(request)) == 1
 
 
-def test_nothing_is_probed_where_a_probe_costs_much_or_answers_carry_the_load() -> None:
+def test_no_probe_is_sent_where_it_is_disabled_expensive_or_redundant() -> None:
     for changes in (
         {"prices": {"probe": 0.05}},
         {"report": {"source": "answers", "columns": ["inflight"]}},
         {"limits": {"allow_probes": False}},
     ):
-        stage = Stage(settings(**{**PROBED, **changes}))
+        stage = Stage(settings(**{**LOAD_PROBING, **changes}))
         stage.servers(names(4))
         assert len(stage.sends(stage.request())) == 1
         assert stage.said(Probe) == []
 
 
-def test_crowded_servers_everywhere_mean_a_refusal_and_relief_ends_it_at_once() -> None:
-    stage = Stage(settings(**PROBED))
+def test_high_probed_load_everywhere_sheds_requests_until_it_falls() -> None:
+    stage = Stage(settings(**LOAD_PROBING))
     stage.servers(names(4))
     for held in [0.0, 10.0] * 20:
         request = stage.request()
@@ -80,9 +80,9 @@
     assert len(stage.sends(eased)) == 1
 
 
-def test_where_crossings_are_dear_the_own_zone_is_drawn_first_until_it_is_crowded() -> None:
-    stage = Stage(settings(**PROBED, prices={"cross_zone": 0.1}))
-    stage.servers(zoned())
+def test_the_local_zone_is_selected_first_until_loaded_where_crossing_zones_is_expensive() -> None:
+    stage = Stage(settings(**LOAD_PROBING, prices={"cross_zone": 0.1}))
+    stage.servers(two_zones_of_three())
     near = set(names(3))
     for _ in range(20):
         for held in (0.0, 3.0):
--- a/tests/balancer/test_outliers.py
+++ b/tests/balancer/test_outliers.py
@@ -4,7 +4,7 @@
 
 import pytest
 from helpers import MS, S, Stage, names
-from policy_context import TARGET_US, crowd, make_context, make_request, send
+from policy_context import TARGET_US, add_load, make_context, make_request, start_attempt
 
 from topazbank.interface import (
     Endpoint,
@@ -17,7 +17,7 @@
 from topazbank.state import Context, Server
 
 
-def _with_one_hung(stage: Stage, rounds: int) -> tuple[str, list[int]]:
+def traffic_with_one_hung_server(stage: Stage, rounds: int) -> tuple[str, list[int]]:
     """Good traffic, except that one server answers nothing from some moment on."""
     stage.servers(names(6))
     stage.serve(120)
@@ -35,9 +35,9 @@
     return hung, stuck
 
 
-def test_a_silent_server_is_ejected_while_its_peers_answer_and_its_repeatable_requests_are_saved() -> None:
+def test_a_hung_server_is_ejected_and_its_idempotent_requests_are_retried_elsewhere() -> None:
     stage = Stage()
-    hung, stuck = _with_one_hung(stage, 20)
+    hung, stuck = traffic_with_one_hung_server(stage, 20)
     assert any(each.text.startswith(f"ejected {hung}") for each in stage.said(Log))
     copies = [each.server for _, each in stage.sends(stuck[0])]
     assert len(copies) > 1 and hung not in copies[1:]
@@ -45,7 +45,7 @@
 
 def test_an_ejected_server_gets_one_half_open_attempt_at_a_time() -> None:
     stage = Stage()
-    hung, stuck = _with_one_hung(stage, 20)
+    hung, stuck = traffic_with_one_hung_server(stage, 20)
     before = len([1 for _, each in stage.sends() if each.server == hung])
     for request in stuck:
         stage.end(request, Outcome.EXPIRED, attempt=0, answered=False)
@@ -62,9 +62,9 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CANCELLED])
-def test_a_half_open_attempt_without_an_answer_keeps_the_server_ejected(outcome: Outcome) -> None:
+def test_an_unanswered_half_open_attempt_keeps_the_server_ejected(outcome: Outcome) -> None:
     stage = Stage()
-    hung, stuck = _with_one_hung(stage, 20)
+    hung, stuck = traffic_with_one_hung_server(stage, 20)
     for request in stuck:
         stage.end(request, Outcome.EXPIRED, attempt=0, answered=False)
     stage.wait(10 * S)  # the ejection has run out
@@ -78,7 +78,7 @@
     assert targets and hung not in targets
 
 
-def test_servers_that_are_all_silent_are_not_all_ejected() -> None:
+def test_servers_that_all_hang_are_not_all_ejected() -> None:
     stage = Stage()
     stage.servers(names(6))
     stage.serve(120)
@@ -91,7 +91,7 @@
     assert len(ejected) <= 2
 
 
-def test_a_timeout_of_a_server_that_answers_others_counts_as_no_failure() -> None:
+def test_a_timeout_at_a_responsive_server_does_not_count_as_a_failure() -> None:
     stage = Stage()
     stage.servers(names(1))
     for _ in range(6):
@@ -106,40 +106,40 @@
     assert not any("ejected" in each.text for each in stage.said(Log))
 
 
-def test_a_restarted_process_is_readmitted_as_a_cold_server() -> None:
+def test_a_restarted_server_is_readmitted_into_slow_start() -> None:
     stage = Stage()
-    hung, _ = _with_one_hung(stage, 20)
+    hung, _ = traffic_with_one_hung_server(stage, 20)
     stage.servers([Endpoint(hung, "east", started_at=stage.now)], RegistryUpdateKind.DELTA)
     server = stage.balancer._context.registry.servers[hung]
     assert server.ejected_until is None and stage.balancer._slow_start.is_cold(server)
 
 
-def fail(context: Context, outliers: OutlierDetector, server: Server, times: int) -> None:
+def record_failures(context: Context, outliers: OutlierDetector, server: Server, times: int) -> None:
     for _ in range(times):
         request = make_request(context)
-        attempt = send(context, request, server)
+        attempt = start_attempt(context, request, server)
         context.load.change(server, -1)
         outliers.attempt_ended(request, attempt, Outcome.ERROR)
 
 
-def test_failures_in_a_row_eject_a_server_and_an_answer_between_prevents_it() -> None:
+def test_only_consecutive_failures_eject_a_server() -> None:
     context = make_context()
     outliers = OutlierDetector(context, SlowStart(context))
     first, second = context.registry.ready[:2]
-    fail(context, outliers, first, FAILURES_TO_EJECT)
-    fail(context, outliers, second, FAILURES_TO_EJECT - 1)
+    record_failures(context, outliers, first, FAILURES_TO_EJECT)
+    record_failures(context, outliers, second, FAILURES_TO_EJECT - 1)
     request = make_request(context)
-    outliers.attempt_ended(request, send(context, request, second), Outcome.DELIVERED)
-    fail(context, outliers, second, FAILURES_TO_EJECT - 1)
+    outliers.attempt_ended(request, start_attempt(context, request, second), Outcome.DELIVERED)
+    record_failures(context, outliers, second, FAILURES_TO_EJECT - 1)
     assert outliers.ejected == [first] and second.ejected_until is None
     assert context.actions == [Log(f"ejected {first.name}: error")]
 
 
-def test_each_failed_half_open_attempt_doubles_the_ejection_up_to_a_bound() -> None:
+def test_each_failed_half_open_attempt_doubles_the_ejection_time_up_to_a_maximum() -> None:
     context = make_context()
     outliers = OutlierDetector(context, SlowStart(context))
     server = context.registry.ready[0]
-    fail(context, outliers, server, FAILURES_TO_EJECT)
+    record_failures(context, outliers, server, FAILURES_TO_EJECT)
     waits = []
     for _ in range(6):
         assert server.ejected_until is not None
@@ -147,7 +147,7 @@
         context.now = server.ejected_until
         request = make_request(context)
         assert outliers.half_open_candidate(request) is server
-        server.half_open_attempt = send(context, request, server)
+        server.half_open_attempt = start_attempt(context, request, server)
         assert outliers.half_open_candidate(make_request(context)) is None
         context.load.change(server, -1)
         outliers.attempt_ended(request, server.half_open_attempt, Outcome.ERROR)
@@ -155,19 +155,19 @@
         assert 0.75 * targets <= wait <= 1.25 * targets
 
 
-def test_no_more_than_a_share_of_the_servers_is_ejected() -> None:
+def test_the_ejected_fraction_of_servers_is_bounded() -> None:
     context = make_context(servers=10)
     outliers = OutlierDetector(context, SlowStart(context))
     for server in context.registry.ready:
-        fail(context, outliers, server, FAILURES_TO_EJECT)
+        record_failures(context, outliers, server, FAILURES_TO_EJECT)
     assert len(outliers.ejected) == 6
 
 
-def test_load_at_ejected_servers_is_left_out_until_they_are_readmitted() -> None:
+def test_load_at_ejected_servers_is_excluded_until_they_are_readmitted() -> None:
     context = make_context()
     outliers = OutlierDetector(context, SlowStart(context))
     server = context.registry.ready[0]
-    crowd(context, 5)
+    add_load(context, 5)
     outliers.eject(server, "test")
     assert context.load.total() == 0 and context.load.at(server) == 5
     outliers.readmit(server)
--- a/tests/balancer/test_overload_recovery.py
+++ b/tests/balancer/test_overload_recovery.py
@@ -202,7 +202,7 @@
     ("balancers", "deadline_targets", "fault_targets"),
     [(60, 4, FAULT_TARGETS), (200, 4, FAULT_TARGETS), (60, 12, LONG_FAULT_TARGETS)],
 )
-def test_a_fleet_admits_what_its_servers_bear_soon_after_they_are_well(
+def test_a_fleet_admits_its_full_capacity_soon_after_a_fault_ends(
     balancers: int, deadline_targets: int, fault_targets: float, target_us: int
 ) -> None:
     fleet = Fleet(balancers, target_us, deadline_targets, fault_targets)
@@ -215,7 +215,9 @@
 
 @pytest.mark.parametrize("target_us", [100 * MS, 2_500 * MS])
 @pytest.mark.parametrize("balancers", [20, 60])
-def test_a_balancer_whose_limit_is_full_still_samples_the_servers(balancers: int, target_us: int) -> None:
+def test_a_balancer_at_its_concurrency_limit_still_samples_the_servers(
+    balancers: int, target_us: int
+) -> None:
     fleet = Fleet(balancers, target_us, 4, LONG_FAULT_TARGETS)
     fleet.play()
     longest_us = max(fleet.longest_wait_us(each) for each in range(balancers))
--- a/tests/balancer/test_registry_refresh.py
+++ b/tests/balancer/test_registry_refresh.py
@@ -21,7 +21,7 @@
     assert stage.said(WatchRegistry) == [WatchRegistry(True)]
 
 
-def test_nothing_is_asked_where_changes_come_unasked() -> None:
+def test_the_registry_is_not_polled_where_it_pushes_changes() -> None:
     stage = Stage(settings(discovery="pushed"))
     stage.servers(names(2), RegistryUpdateKind.CACHED)
     stage.wait(60 * S)
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("ask_within_us", [10 * S, 600 * S])
-def test_failed_calls_are_repeated_with_growing_waits_and_never_given_up(ask_within_us: int) -> None:
+def test_failed_calls_are_retried_forever_with_bounded_backoff(ask_within_us: int) -> None:
     stage = Stage(settings(rules={"ask_within_us": ask_within_us}))
     asked = []
     stage.servers(names(2), RegistryUpdateKind.CACHED)
@@ -44,7 +44,7 @@
     assert waits[-1] > 2 * waits[0]
 
 
-def test_a_call_that_is_never_answered_is_made_again_in_time() -> None:
+def test_an_unanswered_call_is_retried() -> None:
     stage = Stage()
     stage.servers(names(2), RegistryUpdateKind.CACHED)
     stage.wait(10 * S)
@@ -53,7 +53,7 @@
     assert all(later - earlier < 10 * S for earlier, later in itertools.pairwise(times))
 
 
-def test_an_empty_registry_answer_ends_the_wait_for_it_and_goes_through_no_server() -> None:
+def test_an_empty_delta_completes_the_call_without_rebuilding_the_registry() -> None:
     stage = Stage()
     stage.servers(names(3))
     stage.play(RegistryUpdated(RegistryUpdateKind.FAILED))
--- a/tests/balancer/test_retries.py
+++ b/tests/balancer/test_retries.py
@@ -18,7 +18,7 @@
 )
 
 
-def test_repeats_after_failures_are_bounded() -> None:
+def test_retries_after_failures_are_bounded() -> None:
     stage = Stage()
     stage.servers(names(40))
     for _ in range(400):
@@ -29,7 +29,7 @@
     assert len(stage.sends()) <= 400 * 1.25 + 10
 
 
-def test_no_attempts_allowed_means_a_refusal() -> None:
+def test_a_request_is_rejected_where_no_attempts_are_allowed() -> None:
     stage = Stage(settings(limits={"max_attempts": 0}))
     stage.servers(names(3))
     request = stage.request("look")
@@ -37,7 +37,7 @@
     assert [each.request for each in stage.said(Refuse)] == [request]
 
 
-def test_the_retry_budget_earns_a_part_of_each_answer_and_saves_up_to_its_bound() -> None:
+def test_the_retry_budget_grows_with_each_response_up_to_its_maximum() -> None:
     budget = RetryBudget()
     while budget.spend():
         pass
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("failure", [Outcome.ERROR, Outcome.EXPIRED, Outcome.DROPPED, Outcome.DIAL_FAILED])
-def test_the_retry_budget_runs_dry_while_more_than_two_attempts_in_five_fail(failure: Outcome) -> None:
+def test_the_retry_budget_is_exhausted_while_more_than_two_attempts_in_five_fail(failure: Outcome) -> None:
     budget = RetryBudget()
     for _ in range(100):  # half fail
         budget.attempt_ended(Outcome.DELIVERED)
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CANCELLED, Outcome.UNSENT])
-def test_the_retry_budget_is_left_alone_by_what_is_neither_answer_nor_failure(outcome: Outcome) -> None:
+def test_the_retry_budget_ignores_outcomes_that_are_neither_response_nor_failure(outcome: Outcome) -> None:
     budget, untouched = RetryBudget(), RetryBudget()
     for _ in range(100):
         budget.attempt_ended(outcome)
--- a/tests/balancer/test_selection.py
+++ b/tests/balancer/test_selection.py
@@ -16,7 +16,7 @@
 from topazbank.state import Server
 
 
-def test_the_least_busy_of_the_drawn_wins() -> None:
+def test_the_least_loaded_candidate_is_selected() -> None:
     stage = Stage()
     stage.servers(names(4))  # all are drawn
     for _ in range(40):
@@ -24,7 +24,7 @@
     assert set(Counter(each.server for _, each in stage.sends()).values()) == {10}
 
 
-def test_a_server_that_answered_full_is_left_out_and_the_last_redraw_sees_all_servers() -> None:
+def test_retries_exclude_servers_at_capacity_and_reach_every_server() -> None:
     stage = Stage()
     stage.servers(names(5))
     request = stage.request("pay")
@@ -36,13 +36,13 @@
     assert [each.request for each in stage.said(Refuse)] == [request]
 
 
-def test_the_only_server_left_is_used() -> None:
+def test_the_only_server_is_selected() -> None:
     stage = Stage()
     stage.servers(names(1))
     assert stage.target(stage.request()) == names(1)[0]
 
 
-def test_slower_servers_are_drawn_less() -> None:
+def test_slower_servers_are_selected_less() -> None:
     stage = Stage()
     stage.servers(names(12))
     slow = names(12)[0]
@@ -54,7 +54,7 @@
     assert late[slow] < 0.6 * sum(late.values()) / 12
 
 
-def test_nominal_capacity_gives_the_latency_weight_until_the_first_answers() -> None:
+def test_nominal_capacity_sets_the_initial_latency_weight() -> None:
     stage = Stage()
     stage.servers([Endpoint(name, "east", nominal=4.0 if name == names(8)[0] else 1.0) for name in names(8)])
     for _ in range(200):
@@ -64,7 +64,7 @@
     assert first[names(8)[0]] > 40 / 8
 
 
-def test_an_attempt_given_up_on_still_counts_for_a_while() -> None:
+def test_a_cancelled_attempt_counts_as_load_for_a_while() -> None:
     stage = Stage()
     stage.servers(names(2))
     request = stage.request("pay", remaining_us=400 * MS)
@@ -79,7 +79,7 @@
     assert stage.balancer._context.load.at(stage.balancer._context.registry.servers[hung]) <= 1
 
 
-def test_quick_errors_do_not_draw_more_work() -> None:
+def test_fast_errors_do_not_attract_more_requests() -> None:
     stage = Stage()
     stage.servers(names(6))
     bad = names(6)[2]
@@ -94,7 +94,7 @@
     assert sum(1 for _, each in stage.sends() if each.server == bad) < 300 / 6
 
 
-def test_heavy_requests_draw_slow_servers_less_than_light_ones_do(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_expensive_requests_avoid_slow_servers_more_than_cheap_ones(monkeypatch: pytest.MonkeyPatch) -> None:
     stage = Stage()
     stage.servers([Endpoint(name, "east", nominal=0.5 if name == names(5)[0] else 1.0) for name in names(5)])
     seen: list[float] = []
@@ -110,7 +110,7 @@
     assert seen[2] < 0.5 * seen[0]
 
 
-def test_a_server_that_answers_every_other_request_with_a_quick_error_is_drawn_less() -> None:
+def test_a_server_with_intermittent_fast_errors_is_selected_less() -> None:
     stage = Stage()
     stage.servers(names(12))
     bad = names(12)[3]
@@ -124,7 +124,7 @@
     assert sum(1 for _, each in stage.sends()[400:] if each.server == bad) < 0.5 * 800 / 12
 
 
-def test_a_full_answer_keeps_requests_of_that_class_away_and_no_others() -> None:
+def test_a_rejection_at_capacity_backs_off_that_class_only() -> None:
     stage = Stage(settings(rules={"late_shedding": True}))
     stage.servers(names(5))  # four without it: a full draw
     lost = stage.request("pay")
@@ -138,7 +138,7 @@
     assert full in looks and full not in pays
 
 
-def test_a_server_that_was_full_long_ago_is_drawn_again() -> None:
+def test_a_server_is_selected_again_once_its_backoff_has_expired() -> None:
     stage = Stage()
     stage.servers(names(5))  # four without it: a full draw
     request = stage.request("amend")
@@ -153,7 +153,7 @@
             stage.end(number)
 
 
-def test_where_all_are_full_of_a_class_its_requests_are_tried_all_the_same() -> None:
+def test_requests_are_still_attempted_where_every_server_is_in_backoff() -> None:
     stage = Stage()
     stage.servers(names(3))
     request = stage.request("pay")
--- a/tests/balancer/test_settings_changed.py
+++ b/tests/balancer/test_settings_changed.py
@@ -33,7 +33,7 @@
     made.play(SettingsChanged(settings(**changes)))
 
 
-def test_a_stricter_limit_on_attempts_holds_at_once_and_a_looser_one_for_new_requests() -> None:
+def test_a_lower_attempt_limit_applies_at_once_and_a_higher_one_to_new_requests() -> None:
     made = stage(settings(limits={"max_attempts": 3}))
     first = made.request()
     change(made, limits={"max_attempts": 1})
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize(("before", "after"), [(True, False), (False, True)])
-def test_an_attempt_is_cancelled_only_where_that_was_allowed_all_the_time(before: bool, after: bool) -> None:
+def test_an_attempt_is_cancelled_only_where_cancelling_was_always_enabled(before: bool, after: bool) -> None:
     made = stage(settings(limits={"allow_cancel": before}))
     request = made.request()
     change(made, limits={"allow_cancel": after})
@@ -68,7 +68,7 @@
     assert len(made.sends(later)) == 2
 
 
-def test_a_request_in_progress_keeps_its_class_though_that_is_removed() -> None:
+def test_a_request_in_progress_keeps_its_class_after_that_is_removed() -> None:
     made = stage()
     request = made.request("amend", remaining_us=4 * S)
     change(made, classes=[SAFE])
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("late_before", [True, False])
-def test_a_full_answer_proves_nothing_if_servers_shed_late_at_any_time(late_before: bool) -> None:
+def test_a_rejection_may_have_run_if_late_shedding_was_ever_enabled(late_before: bool) -> None:
     made = stage(settings(rules={"late_shedding": late_before}))
     request = made.request("pay")
     change(made, rules={"late_shedding": not late_before})
@@ -100,7 +100,7 @@
     assert local.name == "b"
 
 
-def test_what_was_learned_stays_where_settings_do_not_define_it() -> None:
+def test_learned_state_survives_unrelated_settings_changes() -> None:
     made = stage()
     made.serve(60)
     context, balancer = made.balancer._context, made.balancer
@@ -117,7 +117,7 @@
     assert traffic.service_class.worth == 5
 
 
-def test_spans_and_ratios_follow_the_settings_that_define_them() -> None:
+def test_time_constants_and_ratios_follow_their_settings() -> None:
     made = stage()
     made.serve(20)
     balancer = made.balancer
@@ -131,7 +131,7 @@
     assert arrivals._span_us == 2 * S and arrivals.per_us(made.now) == pytest.approx(rate)
 
 
-def test_classes_and_tenants_that_are_gone_are_forgotten() -> None:
+def test_state_of_removed_classes_and_tenants_is_released() -> None:
     made = stage()
     for number in range(50):
         name = f"c{number}"
@@ -146,7 +146,7 @@
     assert not any(server.backoff for server in balancer._context.registry.servers.values())
 
 
-def test_a_change_of_how_discovery_tells_begins_a_watch_and_no_other_change_does() -> None:
+def test_only_a_change_of_the_discovery_mode_starts_a_watch() -> None:
     made = Stage(settings(discovery="pushed"))
     made.servers(names(3))
     change(made, discovery="pushed", zone="west")
@@ -157,7 +157,7 @@
     assert len(made.said(WatchRegistry)) == 1
 
 
-def test_a_shorter_deadline_is_no_sign_of_a_request_that_waited_out_its_time() -> None:
+def test_a_shortened_deadline_is_not_taken_for_queueing_in_a_stall() -> None:
     made = stage()
     made.serve(5)
     made.request()  # while it is out, a stall is noticed
@@ -166,7 +166,7 @@
     assert made.sends(made.request(remaining_us=1 * S))
 
 
-def test_a_thousand_classes_tenants_and_servers_change_alike_in_each_run() -> None:
+def test_changing_a_thousand_classes_tenants_and_servers_is_deterministic() -> None:
     def run() -> list[Any]:
         made = stage(servers=MANY)
         for turn in range(3):
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize(("before", "after"), [(True, False), (False, True)])
-def test_a_second_copy_goes_out_only_where_that_was_allowed_all_the_time(before: bool, after: bool) -> None:
+def test_a_request_is_hedged_only_where_hedging_was_always_enabled(before: bool, after: bool) -> None:
     def limits(hedging: bool) -> dict[str, bool]:
         return {"allow_hedging": hedging, "allow_cancel": False}
 
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize(("every_us", "burst"), [(10 * MS, 1), (200 * MS, 20), (500 * MS, 1)])
-def test_a_cold_server_gets_no_more_than_its_part(every_us: int, burst: int) -> None:
+def test_a_server_in_slow_start_gets_no_more_than_its_quota(every_us: int, burst: int) -> None:
     stage = Stage()
     stage.servers(names(6))
     stage.serve(300, every_us=10 * MS)
@@ -38,7 +38,7 @@
     assert times or burst == 1  # singly, the quickest known server takes all
 
 
-def test_what_warm_peers_serve_is_counted_by_work_not_by_number() -> None:
+def test_warm_capacity_is_measured_by_cost_not_by_request_count() -> None:
     rates = []
     for served_us in (100_000, 20_000):  # overload refuses the heavy ones, and the rest is light
         stage = Stage()
@@ -51,7 +51,7 @@
     assert 0.0 < rates[1] < 0.5 * rates[0]
 
 
-def test_a_warm_server_is_not_held_back() -> None:
+def test_a_warm_server_is_not_limited() -> None:
     stage = Stage()
     stage.servers(names(2))
     for _ in range(50):
@@ -59,7 +59,7 @@
     assert len({each.server for _, each in stage.sends()}) == 2
 
 
-def test_broken_connections_alone_do_not_make_a_server_cold_and_failed_dials_do() -> None:
+def test_failed_connects_start_slow_start_and_dropped_connections_do_not() -> None:
     # Guards against a network that breaks connections by chance: in a while every server would be cold.
     for outcome, cold in ((Outcome.DROPPED, False), (Outcome.DIAL_FAILED, True)):
         stage = Stage()
@@ -71,7 +71,7 @@
         assert server.consecutive_failures == 3 and stage.balancer._slow_start.is_cold(server) is cold
 
 
-def test_a_cold_server_has_room_only_as_its_budget_fills_and_any_room_once_it_is_warm() -> None:
+def test_capacity_in_slow_start_follows_its_budget_and_is_unlimited_afterwards() -> None:
     context = make_context()
     slow_start = SlowStart(context)
     for server in context.registry.ready:
@@ -90,7 +90,7 @@
     assert not slow_start.is_cold(cold) and slow_start.has_room(cold, 1_000.0)
 
 
-def test_warmth_rises_evenly_from_the_least_share_to_the_whole() -> None:
+def test_warmth_rises_linearly_from_its_minimum_to_one() -> None:
     context = make_context()
     slow_start = SlowStart(context)
     cold = context.registry.ready[0]
--- a/tests/balancer/test_stalls.py
+++ b/tests/balancer/test_stalls.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from helpers import MS, S, Stage, names, settings
-from traffic import PROBED, answer_probes, zoned
+from traffic import LOAD_PROBING, answer_probes, two_zones_of_three
 
 from topazbank.interface import (
     Log,
@@ -11,19 +11,19 @@
 )
 
 
-def stalled(stage: Stage, span_us: int) -> None:
+def stall(stage: Stage, span_us: int) -> None:
     """Time passes unseen; then the timers that fell due meanwhile fire at once."""
     stage.now += span_us
     stage.wait(0)
 
 
-def test_an_own_stall_is_not_taken_for_slow_or_silent_servers() -> None:
+def test_a_stall_of_the_balancer_is_not_blamed_on_servers() -> None:
     stage = Stage(settings())
     stage.servers(names(4))
     stage.serve(200)
     paces = {each.name: each.latency_weight for each in stage.balancer._context.registry.ready}
     requests = [stage.request() for _ in range(8)]
-    stalled(stage, 900 * MS)
+    stall(stage, 900 * MS)
     for each in requests:
         stage.end(each)
     stage.wait(100 * MS)
@@ -31,7 +31,7 @@
     assert [each for each in stage.said(Log) if "ejected" in each.text] == []
 
 
-def test_a_stall_is_seen_among_many_events_and_pardons_all_that_it_held_up() -> None:
+def test_a_stall_is_detected_while_a_queue_of_events_is_processed() -> None:
     stage = Stage(settings())
     stage.servers(names(4))
     stage.serve(200)
@@ -47,7 +47,7 @@
     assert [each for each in stage.said(Log) if "ejected" in each.text] == []
 
 
-def test_servers_that_are_slow_while_the_balancer_is_awake_are_noticed() -> None:
+def test_slow_servers_are_detected_while_the_balancer_is_not_stalled() -> None:
     stage = Stage(settings())
     stage.servers(names(4))
     stage.serve(200)
@@ -59,9 +59,9 @@
     assert all(each.latency_weight > paces[each.name] for each in stage.balancer._context.registry.ready)
 
 
-def test_back_from_a_stall_the_draw_spreads_over_all_zones_unprobed() -> None:
-    stage = Stage(settings(**PROBED, prices={"cross_zone": 0.1}))
-    stage.servers(zoned())
+def test_selection_after_a_stall_uses_all_zones_without_probing() -> None:
+    stage = Stage(settings(**LOAD_PROBING, prices={"cross_zone": 0.1}))
+    stage.servers(two_zones_of_three())
     first = stage.request()
     answer_probes(stage, {})
     stage.now += 1 * S
@@ -70,7 +70,9 @@
     assert {stage.target(each) for each in burst} & set(names(6)[3:])
 
 
-def test_what_waited_out_its_aim_in_a_stall_is_refused_where_late_is_worth_nothing() -> None:
+def test_requests_past_their_latency_target_after_a_stall_are_shed_where_late_responses_are_worthless() -> (
+    None
+):
     for worth, sent in ((0.0, 0), (0.5, 1)):
         stage = Stage(
             settings(
--- a/tests/balancer/test_statistics.py
+++ b/tests/balancer/test_statistics.py
@@ -9,14 +9,14 @@
 from topazbank.state import DecayingRate, LinearFit
 
 
-def test_a_decaying_rate_falls_by_e_in_its_span() -> None:
+def test_a_decaying_rate_falls_by_a_factor_of_e_in_its_time_constant() -> None:
     rate = DecayingRate(1_000.0)
     rate.add(5_000, 10.0)
     assert rate.per_us(5_000) == pytest.approx(0.01)
     assert rate.per_us(6_000) == pytest.approx(0.01 / math.e)
 
 
-def test_a_linear_fit_predicts_nothing_from_few_observations_and_never_falls() -> None:
+def test_a_linear_fit_needs_enough_observations_and_never_decreases() -> None:
     rising, falling = LinearFit(0.03, 5.0), LinearFit(0.03, 5.0)
     for x in range(4):
         rising.add(x, 2.0 * x)
--- a/tests/balancer/test_subsetting.py
+++ b/tests/balancer/test_subsetting.py
@@ -3,45 +3,45 @@
 from __future__ import annotations
 
 from helpers import MS, Stage, names
-from traffic import _serve_singly
+from traffic import serve_one_at_a_time
 
 
-def test_a_small_balancer_knows_few_of_many_servers_and_meets_others_when_those_go() -> None:
+def test_low_traffic_uses_a_small_subset_that_is_replaced_when_it_drains() -> None:
     stage = Stage()
     stage.servers(names(60))
-    _serve_singly(stage, 200)
+    serve_one_at_a_time(stage, 200)
     met = {each.server for _, each in stage.sends()}
     assert 2 <= len(met) <= 8
     for gone in met:
         stage.drain(gone)
-    _serve_singly(stage, 50)
+    serve_one_at_a_time(stage, 50)
     later = {each.server for _, each in stage.sends()[200:]}
     assert later and not later & met
 
 
-def test_a_busy_balancer_uses_all_servers() -> None:
+def test_high_traffic_uses_all_servers() -> None:
     stage = Stage()
     stage.servers(names(30))
     stage.serve(2_000, every_us=5 * MS, taking_us=250 * MS)
     assert len({each.server for _, each in stage.sends()}) == 30
 
 
-def test_small_balancers_draw_different_servers() -> None:
+def test_low_traffic_balancers_use_different_subsets() -> None:
     first: set[str] = set()
     for seed in range(12):
         stage = Stage(seed=seed)
         stage.servers(names(60))
-        _serve_singly(stage, 20)
+        serve_one_at_a_time(stage, 20)
         first |= {each.server for _, each in stage.sends()}
     assert len(first) > 25
 
 
-def test_latency_weights_move_faster_where_answers_are_few() -> None:
+def test_latency_weights_adapt_faster_at_low_traffic() -> None:
     def change(every_us: int, taking_us: int, singly: bool) -> float:
         stage = Stage()
         stage.servers(names(4))
         if singly:
-            _serve_singly(stage, 400, taking_us, every_us)
+            serve_one_at_a_time(stage, 400, taking_us, every_us)
         else:
             stage.serve(400, every_us, taking_us)
         request = stage.request()
--- a/tests/balancer/test_timers.py
+++ b/tests/balancer/test_timers.py
@@ -5,14 +5,14 @@
 from topazbank.state.timers import KeyRested, Timer, TimerQueue
 
 
-def test_timers_are_taken_by_due_time_and_among_equals_as_added() -> None:
+def test_timers_fire_by_due_time_and_then_in_insertion_order() -> None:
     queue = TimerQueue()
     for due, key in ((30, 1), (10, 2), (10, 3), (99, 4)):
         queue.add(due, KeyRested(key))
     assert list(queue.take_due(30)) == [(10, KeyRested(2)), (10, KeyRested(3)), (30, KeyRested(1))]
 
 
-def test_the_host_is_asked_for_a_timer_only_where_the_one_that_is_set_fires_too_late() -> None:
+def test_a_host_timer_is_set_only_where_the_pending_one_fires_too_late() -> None:
     queue = TimerQueue()
 
     def always(due: int, _: Timer) -> int:
@@ -28,7 +28,7 @@
     assert timer is not None and timer.in_us == 20
 
 
-def test_a_timer_that_nothing_waits_for_any_more_is_dropped_unset() -> None:
+def test_an_obsolete_timer_is_dropped() -> None:
     queue = TimerQueue()
     queue.add(50, KeyRested(1))
     assert queue.arm(20, lambda due, timer: None) is None
--- a/tests/balancer/test_zone_affinity.py
+++ b/tests/balancer/test_zone_affinity.py
@@ -9,12 +9,12 @@
 )
 
 
-def zones() -> list[Endpoint]:
+def two_zones_of_four() -> list[Endpoint]:
     return [Endpoint(name, "east" if index < 4 else "west") for index, name in enumerate(names(8))]
 
 
-def _crossings(stage: Stage, near_us: int, far_us: int) -> float:
-    stage.servers(zones())
+def cross_zone_ratio(stage: Stage, near_us: int, far_us: int) -> float:
+    stage.servers(two_zones_of_four())
     near = set(names(8)[:4])
     for _ in range(600):
         request = stage.request()
@@ -24,13 +24,13 @@
     return sum(1 for _, each in late if each.server not in near) / len(late)
 
 
-def test_the_own_zone_comes_first_while_it_is_as_quick_and_crossing_has_a_price() -> None:
+def test_the_local_zone_is_preferred_at_similar_latency_where_crossing_zones_is_priced() -> None:
     spared = sum(
-        _crossings(Stage(settings(prices={"cross_zone": 0.03}), seed=seed), 40 * MS, 44 * MS)
+        cross_zone_ratio(Stage(settings(prices={"cross_zone": 0.03}), seed=seed), 40 * MS, 44 * MS)
         for seed in range(5)
     )
     assert spared < 5 * 0.3
 
 
-def test_a_slow_own_zone_is_left() -> None:
-    assert _crossings(Stage(settings(prices={"cross_zone": 0.03})), 90 * MS, 40 * MS) > 0.5
+def test_a_slow_local_zone_loses_its_traffic() -> None:
+    assert cross_zone_ratio(Stage(settings(prices={"cross_zone": 0.03})), 90 * MS, 40 * MS) > 0.5
--- a/tests/balancer/traffic.py
+++ b/tests/balancer/traffic.py
@@ -12,7 +12,7 @@
 )
 
 
-def _serve_singly(stage: Stage, count: int, taking_us: int = 50 * MS, every_us: int = 400 * MS) -> None:
+def serve_one_at_a_time(stage: Stage, count: int, taking_us: int = 50 * MS, every_us: int = 400 * MS) -> None:
     """Traffic of a small balancer: each request is answered before the next comes."""
     for _ in range(count):
         request = stage.request()
@@ -22,7 +22,7 @@
         stage.wait(every_us - taking_us)
 
 
-PROBED = {
+LOAD_PROBING = {
     "limits": {"allow_probes": True},
     "report": {"source": "probes", "columns": ["inflight"]},
 }
@@ -38,5 +38,5 @@
             stage.play(ProbeEnded(server, Outcome.DELIVERED, 2 * MS, report))
 
 
-def zoned() -> list[Endpoint]:
+def two_zones_of_three() -> list[Endpoint]:
     return [Endpoint(name, zone="east" if index < 3 else "west") for index, name in enumerate(names(6))]
--- a/tests/test_decision_digest.py
+++ b/tests/test_decision_digest.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.name)
-def test_runs_with_one_seed_decide_alike_and_with_another_seed_differently(scenario: Scenario) -> None:
+def test_the_digest_is_determined_by_the_seed(scenario: Scenario) -> None:
     first = Recorder(scenario, seed=1).run(EVENTS)
     assert Recorder(scenario, seed=1).run(EVENTS) == first
     assert Recorder(scenario, seed=2).run(EVENTS) != first
