--- a/tests/balancer/traffic.py
+++ b/tests/balancer/balancer_stage.py
@@ -1,4 +1,4 @@
-"""Traffic and lists of endpoints that several test files of the balancer share."""
+"""Stages with ready servers, their traffic and their endpoints, for several test files of the balancer."""
 
 from __future__ import annotations
 
@@ -10,6 +10,14 @@
     Probe,
     ProbeEnded,
 )
+from topazbank.settings import Settings
+
+
+def ready_stage(servers: int, given: Settings | None = None, seed: int = 7) -> Stage:
+    """A stage whose balancer knows so many ready servers."""
+    stage = Stage(given, seed=seed)
+    stage.servers(names(servers))
+    return stage
 
 
 def serve_one_at_a_time(stage: Stage, count: int, taking_us: int = 50 * MS, every_us: int = 400 * MS) -> None:
--- a/tests/balancer/test_admission.py
+++ b/tests/balancer/test_admission.py
@@ -5,8 +5,8 @@
 from collections import deque
 
 import pytest
+from balancer_stage import ready_stage, serve_one_at_a_time
 from helpers import MS, S, Stage, names, settings
-from traffic import serve_one_at_a_time
 
 from topazbank.interface import (
     Cancel,
@@ -20,8 +20,7 @@
 def test_an_overdue_attempt_indicates_overload_unless_it_was_lost_or_its_server_hangs(
     at_once: int, counted: bool
 ) -> None:
-    stage = Stage()
-    stage.servers(names(4))
+    stage = ready_stage(4)
     stage.serve(60)
     lost = stage.request("pay")
     for _ in range(20):  # one at a time they go to others, and its server stays silent; many overtake it
@@ -49,8 +48,7 @@
 
 
 def test_a_surge_is_shed_early_and_by_priority() -> None:
-    stage = Stage()
-    stage.servers(names(4))
+    stage = ready_stage(4)
     stage.serve(200)
     overload_servers(stage, 600)
     asked = {each.request for each in stage.said(Refuse)}
@@ -77,8 +75,7 @@
 
 
 def test_late_responses_do_not_reduce_the_limit_below_the_timely_throughput() -> None:
-    stage = Stage()
-    stage.servers(names(8))
+    stage = ready_stage(8)
     stage.serve(400, every_us=10 * MS, taking_us=100 * MS)  # ten in flight, a fifth of the aim each
     pending: deque[tuple[int, int]] = deque()
     for _ in range(300):
@@ -91,15 +88,13 @@
 
 
 def test_nothing_is_shed_at_moderate_load() -> None:
-    stage = Stage()
-    stage.servers(names(4))
+    stage = ready_stage(4)
     stage.serve(800)
     assert stage.said(Refuse) == [] and stage.said(Cancel) == []
 
 
 def test_low_traffic_is_partly_shed_while_every_response_is_late() -> None:
-    stage = Stage()
-    stage.servers(names(8))
+    stage = ready_stage(8)
     for _ in range(120):  # hardly ever two in flight, so a window of two would never refuse
         stage.wait(900 * MS)
         request = stage.request()
@@ -116,8 +111,7 @@
 
 
 def test_two_concurrent_requests_at_low_traffic_are_not_overload() -> None:
-    stage = Stage()
-    stage.servers(names(8))
+    stage = ready_stage(8)
     stage.balancer._limit.limit = 1.0
     stage.balancer._limit.sized_at = stage.now
     for _ in range(10):
@@ -130,8 +124,7 @@
 
 
 def count_shed_with_late_responses(cores: float) -> int:
-    stage = Stage()
-    stage.servers(names(8))
+    stage = ready_stage(8)
     refused = 0
     for _ in range(300):
         stage.wait(60 * MS)
@@ -150,8 +143,7 @@
 
 
 def test_reported_idle_cores_do_not_keep_the_limit_high_with_many_in_flight() -> None:
-    stage = Stage()
-    stage.servers(names(8))
+    stage = ready_stage(8)
     out: list[tuple[int, int]] = []
     for _ in range(600):
         stage.wait(10 * MS)
@@ -164,8 +156,7 @@
 
 
 def test_a_stale_load_report_does_not_hide_hung_servers() -> None:
-    stage = Stage()
-    stage.servers(names(8))
+    stage = ready_stage(8)
     for _ in range(20):
         stage.wait(50 * MS)
         request = stage.request()
@@ -179,8 +170,7 @@
 
 def test_late_responses_shed_nothing_while_load_reports_show_idle_cores() -> None:
     # Guards against own lag, silent connections and a few slow servers, all of which look like overload.
-    stage = Stage(settings())
-    stage.servers(names(4))
+    stage = ready_stage(4)
     held: list[int] = []
     for count in range(800):
         stage.wait(20 * MS)
@@ -192,8 +182,7 @@
 
 
 def test_late_responses_at_low_traffic_shed_load_until_time_passes() -> None:
-    stage = Stage()
-    stage.servers(names(4))
+    stage = ready_stage(4)
     for _ in range(30):
         request = stage.request("look")
         stage.wait(600 * MS)
@@ -206,8 +195,7 @@
 
 
 def test_connection_failures_at_low_traffic_are_not_overload() -> None:
-    stage = Stage()
-    stage.servers(names(6))
+    stage = ready_stage(6)
     for _ in range(12):
         request = stage.request("pay")
         stage.wait(200 * MS)
--- a/tests/balancer/test_connections.py
+++ b/tests/balancer/test_connections.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from helpers import MS, S, Stage, names, settings
+from balancer_stage import LOAD_PROBING, answer_probes, ready_stage
+from helpers import MS, S, names, settings
 from policy_context import make_context
-from traffic import LOAD_PROBING, answer_probes
 
 from topazbank.interface import (
     CloseIdle,
@@ -17,8 +17,7 @@
 
 
 def test_an_idle_connection_is_closed_once_it_has_cost_as_much_as_a_handshake() -> None:
-    stage = Stage(settings(group_size=100, prices={"connection": 0.08, "handshake": 0.08}))
-    stage.servers(names(4))
+    stage = ready_stage(4, settings(group_size=100, prices={"connection": 0.08, "handshake": 0.08}))
     stage.serve(100)  # 50 a second here: 1250 a server from all, a hundredth of the price each
     stage.wait(1 * S)
     closed = {each.server for each in stage.said(CloseIdle)}
@@ -30,15 +29,13 @@
         ({"connection": 0.08, "handshake": 0.08}, 2 * MS),
         ({"handshake": 0.08}, 90 * MS),
     ):
-        stage = Stage(settings(group_size=2, prices=prices))
-        stage.servers(names(2))
+        stage = ready_stage(2, settings(group_size=2, prices=prices))
         stage.serve(300, every_us=every_us)
         assert stage.said(CloseIdle) == []
 
 
 def test_a_server_with_an_open_connection_is_preferred_among_equals() -> None:
-    stage = Stage(settings(**LOAD_PROBING, prices={"handshake": 0.08}))
-    stage.servers(names(4))
+    stage = ready_stage(4, settings(**LOAD_PROBING, prices={"handshake": 0.08}))
     targets = set()
     for _ in range(12):
         request = stage.request()
--- a/tests/balancer/test_deadlines.py
+++ b/tests/balancer/test_deadlines.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from helpers import MS, START, S, Stage, names
+from balancer_stage import ready_stage
+from helpers import MS, START, S, Stage
 
 from topazbank.interface import (
     AttemptEnded,
@@ -15,16 +16,14 @@
 
 
 def test_an_unanswered_request_fails_before_its_deadline() -> None:
-    stage = Stage()
-    stage.servers(names(5))
+    stage = ready_stage(5)
     request = stage.request("pay", remaining_us=900 * MS)
     stage.wait(899 * MS)
     assert [each.request for each in stage.said(Fail)] == [request]
 
 
 def test_nothing_is_sent_or_answered_after_the_final_response() -> None:
-    stage = Stage()
-    stage.servers(names(5))
+    stage = ready_stage(5)
     request = stage.request("look", remaining_us=300 * MS)
     stage.wait(300 * MS)
     answers = len(stage.said(Refuse))
@@ -36,8 +35,7 @@
 
 
 def test_a_request_past_its_deadline_on_arrival_is_rejected() -> None:
-    stage = Stage()
-    stage.servers(names(3))
+    stage = ready_stage(3)
     request = stage.request("pay", remaining_us=0)
     assert stage.sends(request) == []
     assert [each.request for each in stage.said(Refuse)] == [request]
@@ -50,8 +48,7 @@
 
 
 def test_late_and_unknown_events_are_ignored() -> None:
-    stage = Stage()
-    stage.servers(names(3))
+    stage = ready_stage(3)
     request = stage.request()
     stage.end(request)
     before = len(stage.log)
@@ -63,8 +60,7 @@
 
 
 def test_a_client_disconnect_cancels_the_attempt_without_a_response() -> None:
-    stage = Stage()
-    stage.servers(names(3))
+    stage = ready_stage(3)
     request = stage.request("pay")
     stage.play(RequestGone(request))
     stage.wait(3 * S)
--- a/tests/balancer/test_draining.py
+++ b/tests/balancer/test_draining.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from balancer_stage import ready_stage
 from helpers import Stage, names
 
 from topazbank.interface import (
@@ -13,8 +14,7 @@
 
 
 def test_draining_and_removed_servers_get_no_requests() -> None:
-    stage = Stage()
-    stage.servers(names(4))
+    stage = ready_stage(4)
     stage.drain("10.0.0.1:80")
     stage.servers([*names(3)[1:], "10.0.0.9:80"])
     for _ in range(100):
@@ -33,8 +33,7 @@
 
 
 def test_sending_to_a_draining_or_removed_server_is_blocked() -> None:
-    stage = Stage()
-    stage.servers(names(3))
+    stage = ready_stage(3)
     request = stage.balancer._requests[stage.request()]
     server = next(
         each
@@ -50,8 +49,7 @@
 
 def test_a_removed_server_is_forgotten_once_its_attempts_have_ended() -> None:
     # Guards memory where servers are replaced all day, and the share of the list that may be ejected.
-    stage = Stage()
-    stage.servers(names(3))
+    stage = ready_stage(3)
     request = stage.request("pay")
     taken = stage.balancer._requests[request].attempts[0].server
     stage.balancer._outliers.eject(taken, "test")
--- a/tests/balancer/test_hedging.py
+++ b/tests/balancer/test_hedging.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from helpers import MS, Stage, names, settings
+from balancer_stage import ready_stage
+from helpers import MS, settings
 
 from topazbank.interface import (
     Cancel,
@@ -11,8 +12,7 @@
 
 
 def test_a_hung_attempt_is_cancelled_before_its_retry_where_hedging_is_disabled() -> None:
-    stage = Stage(settings(limits={"allow_hedging": False}))
-    stage.servers(names(6))
+    stage = ready_stage(6, settings(limits={"allow_hedging": False}))
     stage.serve(100)
     request = stage.request("look")
     hung = stage.target(request)
@@ -29,8 +29,7 @@
 
 def test_a_hedged_request_is_sent_only_where_hedging_is_enabled() -> None:
     for allowed in (False, True):
-        stage = Stage(settings(limits={"allow_hedging": allowed}))
-        stage.servers(names(3))
+        stage = ready_stage(3, settings(limits={"allow_hedging": allowed}))
         request = stage.balancer._requests[stage.request()]
         server = next(
             each
--- a/tests/balancer/test_idempotency.py
+++ b/tests/balancer/test_idempotency.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import pytest
+from balancer_stage import ready_stage
 from helpers import MS, START, S, Stage, names, settings
 from policy_context import make_context, make_request, start_attempt
 
@@ -20,8 +21,7 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.DROPPED, Outcome.EXPIRED, Outcome.CANCELLED])
 def test_a_non_idempotent_request_that_may_have_run_is_not_retried(outcome: Outcome) -> None:
-    stage = Stage()
-    stage.servers(names(5))
+    stage = ready_stage(5)
     request = stage.request("pay")
     stage.wait(10 * MS)
     stage.end(request, outcome)
@@ -32,8 +32,7 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.DIAL_FAILED, Outcome.UNSENT])
 def test_a_non_idempotent_request_that_never_ran_is_retried_at_another_server(outcome: Outcome) -> None:
-    stage = Stage()
-    stage.servers(names(5))
+    stage = ready_stage(5)
     request = stage.request("pay")
     stage.wait(10 * MS)
     stage.end(request, outcome)
@@ -86,8 +85,7 @@
 
 
 def test_a_non_idempotent_request_is_not_retried_after_late_shedding() -> None:
-    stage = Stage(settings(rules={"late_shedding": True}))
-    stage.servers(names(5))
+    stage = ready_stage(5, settings(rules={"late_shedding": True}))
     request = stage.request("pay")
     stage.wait(10 * MS)
     stage.end(request, Outcome.FULL)
--- a/tests/balancer/test_key_order.py
+++ b/tests/balancer/test_key_order.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from helpers import MS, S, Stage, names, settings
+from balancer_stage import ready_stage
+from helpers import MS, S, Stage, settings
 
 from topazbank.interface import (
     Outcome,
@@ -22,8 +23,7 @@
 
 
 def stage_with_ordered_keys() -> Stage:
-    stage = Stage(settings(**ORDERED_CLASSES))
-    stage.servers(names(6))
+    stage = ready_stage(6, settings(**ORDERED_CLASSES))
     return stage
 
 
--- a/tests/balancer/test_load_probing.py
+++ b/tests/balancer/test_load_probing.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from balancer_stage import LOAD_PROBING, answer_probes, ready_stage, two_zones_of_three
 from helpers import MS, Stage, names, settings
-from traffic import LOAD_PROBING, answer_probes, two_zones_of_three
 
 from topazbank.interface import (
     Probe,
@@ -12,8 +12,7 @@
 
 
 def test_a_tie_is_broken_by_the_lowest_probed_load() -> None:
-    stage = Stage(settings(**LOAD_PROBING))
-    stage.servers(names(4))
+    stage = ready_stage(4, settings(**LOAD_PROBING))
     for idle in names(4):
         request = stage.request()
         assert stage.sends(request) == []
@@ -23,8 +22,7 @@
 
 
 def test_own_requests_in_flight_take_precedence_over_probed_load() -> None:
-    stage = Stage(settings(**LOAD_PROBING))
-    stage.servers(names(2))
+    stage = ready_stage(2, settings(**LOAD_PROBING))
     first = stage.request()
     answer_probes(stage, {})
     second = stage.request()
@@ -33,8 +31,7 @@
 
 
 def test_a_server_that_does_not_answer_its_probe_is_not_selected() -> None:
-    stage = Stage(settings(**LOAD_PROBING))
-    stage.servers(names(4))
+    stage = ready_stage(4, settings(**LOAD_PROBING))
     for _ in range(10):
         request = stage.request()
         answer_probes(stage, dict.fromkeys(names(4), 7.0), silent="10.0.0.1:80")
@@ -44,8 +41,7 @@
 
 
 def test_a_request_is_sent_where_no_probe_is_answered() -> None:
-    stage = Stage(settings(**LOAD_PROBING))
-    stage.servers(names(4))
+    stage = ready_stage(4, settings(**LOAD_PROBING))
     request = stage.request()
     stage.wait(50 * MS)
     assert len(stage.sends(request)) == 1
@@ -57,15 +53,13 @@
         {"report": {"source": "answers", "columns": ["inflight"]}},
         {"limits": {"allow_probes": False}},
     ):
-        stage = Stage(settings(**{**LOAD_PROBING, **changes}))
-        stage.servers(names(4))
+        stage = ready_stage(4, settings(**{**LOAD_PROBING, **changes}))
         assert len(stage.sends(stage.request())) == 1
         assert stage.said(Probe) == []
 
 
 def test_high_probed_load_everywhere_sheds_requests_until_it_falls() -> None:
-    stage = Stage(settings(**LOAD_PROBING))
-    stage.servers(names(4))
+    stage = ready_stage(4, settings(**LOAD_PROBING))
     for held in [0.0, 10.0] * 20:
         request = stage.request()
         answer_probes(stage, dict.fromkeys(names(4), held))
--- a/tests/balancer/test_outliers.py
+++ b/tests/balancer/test_outliers.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import pytest
+from balancer_stage import ready_stage
 from helpers import MS, S, Stage, names
 from policy_context import TARGET_US, add_load, make_context, make_request, start_attempt
 
@@ -79,8 +80,7 @@
 
 
 def test_servers_that_all_hang_are_not_all_ejected() -> None:
-    stage = Stage()
-    stage.servers(names(6))
+    stage = ready_stage(6)
     stage.serve(120)
     for _ in range(200):
         stage.request("pay")
@@ -92,8 +92,7 @@
 
 
 def test_a_timeout_at_a_responsive_server_does_not_count_as_a_failure() -> None:
-    stage = Stage()
-    stage.servers(names(1))
+    stage = ready_stage(1)
     for _ in range(6):
         stage.serve(60)
         old = stage.request("pay", remaining_us=S)
--- a/tests/balancer/test_registry_refresh.py
+++ b/tests/balancer/test_registry_refresh.py
@@ -5,6 +5,7 @@
 import itertools
 
 import pytest
+from balancer_stage import ready_stage
 from helpers import MS, S, Stage, names, settings
 
 from topazbank.interface import (
@@ -54,8 +55,7 @@
 
 
 def test_an_empty_delta_completes_the_call_without_rebuilding_the_registry() -> None:
-    stage = Stage()
-    stage.servers(names(3))
+    stage = ready_stage(3)
     stage.play(RegistryUpdated(RegistryUpdateKind.FAILED))
     context = stage.balancer._context
     ready = context.registry.ready
--- a/tests/balancer/test_retries.py
+++ b/tests/balancer/test_retries.py
@@ -5,7 +5,8 @@
 import math
 
 import pytest
-from helpers import MS, Stage, names, settings
+from balancer_stage import ready_stage
+from helpers import MS, settings
 
 from topazbank.interface import (
     Outcome,
@@ -19,8 +20,7 @@
 
 
 def test_retries_after_failures_are_bounded() -> None:
-    stage = Stage()
-    stage.servers(names(40))
+    stage = ready_stage(40)
     for _ in range(400):
         stage.wait(MS)
         request = stage.request()
@@ -30,8 +30,7 @@
 
 
 def test_a_request_is_rejected_where_no_attempts_are_allowed() -> None:
-    stage = Stage(settings(limits={"max_attempts": 0}))
-    stage.servers(names(3))
+    stage = ready_stage(3, settings(limits={"max_attempts": 0}))
     request = stage.request("look")
     assert stage.sends(request) == []
     assert [each.request for each in stage.said(Refuse)] == [request]
--- a/tests/balancer/test_selection.py
+++ b/tests/balancer/test_selection.py
@@ -5,6 +5,7 @@
 from collections import Counter
 
 import pytest
+from balancer_stage import ready_stage
 from helpers import MS, S, Stage, names, settings
 
 from topazbank.interface import (
@@ -17,16 +18,14 @@
 
 
 def test_the_least_loaded_candidate_is_selected() -> None:
-    stage = Stage()
-    stage.servers(names(4))  # all are drawn
+    stage = ready_stage(4)  # so few that all are candidates
     for _ in range(40):
         stage.request()
     assert set(Counter(each.server for _, each in stage.sends()).values()) == {10}
 
 
 def test_retries_exclude_servers_at_capacity_and_reach_every_server() -> None:
-    stage = Stage()
-    stage.servers(names(5))
+    stage = ready_stage(5)
     request = stage.request("pay")
     for _ in range(4):
         stage.end(request, Outcome.FULL)
@@ -37,14 +36,12 @@
 
 
 def test_the_only_server_is_selected() -> None:
-    stage = Stage()
-    stage.servers(names(1))
+    stage = ready_stage(1)
     assert stage.target(stage.request()) == names(1)[0]
 
 
 def test_slower_servers_are_selected_less() -> None:
-    stage = Stage()
-    stage.servers(names(12))
+    stage = ready_stage(12)
     slow = names(12)[0]
     for _ in range(1_500):
         request = stage.request()
@@ -65,8 +62,7 @@
 
 
 def test_a_cancelled_attempt_counts_as_load_for_a_while() -> None:
-    stage = Stage()
-    stage.servers(names(2))
+    stage = ready_stage(2)
     request = stage.request("pay", remaining_us=400 * MS)
     hung = stage.target(request)
     stage.wait(395 * MS)  # answered by then, and called off
@@ -80,8 +76,7 @@
 
 
 def test_fast_errors_do_not_attract_more_requests() -> None:
-    stage = Stage()
-    stage.servers(names(6))
+    stage = ready_stage(6)
     bad = names(6)[2]
     for _ in range(300):
         stage.wait(10 * MS)
@@ -111,8 +106,7 @@
 
 
 def test_a_server_with_intermittent_fast_errors_is_selected_less() -> None:
-    stage = Stage()
-    stage.servers(names(12))
+    stage = ready_stage(12)
     bad = names(12)[3]
     errors = 0
     for _ in range(1_200):
@@ -125,8 +119,7 @@
 
 
 def test_a_rejection_at_capacity_backs_off_that_class_only() -> None:
-    stage = Stage(settings(rules={"late_shedding": True}))
-    stage.servers(names(5))  # four without it: a full draw
+    stage = ready_stage(5, settings(rules={"late_shedding": True}))  # without one, all are candidates
     lost = stage.request("pay")
     full = stage.target(lost)
     stage.end(lost, Outcome.FULL, report={"util": 0.3})
@@ -139,8 +132,7 @@
 
 
 def test_a_server_is_selected_again_once_its_backoff_has_expired() -> None:
-    stage = Stage()
-    stage.servers(names(5))  # four without it: a full draw
+    stage = ready_stage(5)  # without one, all are candidates
     request = stage.request("amend")
     full = stage.target(request)
     stage.end(request, Outcome.FULL, report={"util": 0.3})
@@ -154,8 +146,7 @@
 
 
 def test_requests_are_still_attempted_where_every_server_is_in_backoff() -> None:
-    stage = Stage()
-    stage.servers(names(3))
+    stage = ready_stage(3)
     request = stage.request("pay")
     for _ in range(3):
         stage.end(request, Outcome.FULL, report={"util": 0.3})
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from helpers import MS, S, Stage, names
+from balancer_stage import ready_stage
+from helpers import MS, S, names
 from policy_context import make_context
 
 from topazbank.interface import (
@@ -17,8 +18,7 @@
 
 @pytest.mark.parametrize(("every_us", "burst"), [(10 * MS, 1), (200 * MS, 20), (500 * MS, 1)])
 def test_a_server_in_slow_start_gets_no_more_than_its_quota(every_us: int, burst: int) -> None:
-    stage = Stage()
-    stage.servers(names(6))
+    stage = ready_stage(6)
     stage.serve(300, every_us=10 * MS)
     warm_per_s = 100 / 6
     began = stage.now
@@ -41,8 +41,7 @@
 def test_warm_capacity_is_measured_by_cost_not_by_request_count() -> None:
     rates = []
     for served_us in (100_000, 20_000):  # overload refuses the heavy ones, and the rest is light
-        stage = Stage()
-        stage.servers(names(4))
+        stage = ready_stage(4)
         for _ in range(60):
             stage.wait(20 * MS)
             stage.end(stage.request(cost_us=served_us))
@@ -52,8 +51,7 @@
 
 
 def test_a_warm_server_is_not_limited() -> None:
-    stage = Stage()
-    stage.servers(names(2))
+    stage = ready_stage(2)
     for _ in range(50):
         stage.request()
     assert len({each.server for _, each in stage.sends()}) == 2
@@ -62,8 +60,7 @@
 def test_failed_connects_start_slow_start_and_dropped_connections_do_not() -> None:
     # Guards against a network that breaks connections by chance: in a while every server would be cold.
     for outcome, cold in ((Outcome.DROPPED, False), (Outcome.DIAL_FAILED, True)):
-        stage = Stage()
-        stage.servers(names(1))
+        stage = ready_stage(1)
         server = stage.balancer._context.registry.servers[names(1)[0]]
         for _ in range(3):
             request = stage.request("pay")
--- a/tests/balancer/test_stalls.py
+++ b/tests/balancer/test_stalls.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from balancer_stage import LOAD_PROBING, answer_probes, ready_stage, two_zones_of_three
 from helpers import MS, S, Stage, names, settings
-from traffic import LOAD_PROBING, answer_probes, two_zones_of_three
 
 from topazbank.interface import (
     Log,
@@ -18,8 +18,7 @@
 
 
 def test_a_stall_of_the_balancer_is_not_blamed_on_servers() -> None:
-    stage = Stage(settings())
-    stage.servers(names(4))
+    stage = ready_stage(4)
     stage.serve(200)
     paces = {each.name: each.latency_weight for each in stage.balancer._context.registry.ready}
     requests = [stage.request() for _ in range(8)]
@@ -32,8 +31,7 @@
 
 
 def test_a_stall_is_detected_while_a_queue_of_events_is_processed() -> None:
-    stage = Stage(settings())
-    stage.servers(names(4))
+    stage = ready_stage(4)
     stage.serve(200)
     paces = {each.name: each.latency_weight for each in stage.balancer._context.registry.ready}
     held = [stage.request() for _ in range(16)]
@@ -48,8 +46,7 @@
 
 
 def test_slow_servers_are_detected_while_the_balancer_is_not_stalled() -> None:
-    stage = Stage(settings())
-    stage.servers(names(4))
+    stage = ready_stage(4)
     stage.serve(200)
     paces = {each.name: each.latency_weight for each in stage.balancer._context.registry.ready}
     requests = [stage.request() for _ in range(8)]
@@ -74,15 +71,15 @@
     None
 ):
     for worth, sent in ((0.0, 0), (0.5, 1)):
-        stage = Stage(
+        stage = ready_stage(
+            4,
             settings(
                 classes=[
                     {"name": "look", "deadline_us": 2 * S, "latency_target_us": 500 * MS}
                     | {"late_worth": worth}
                 ]
-            )
+            ),
         )
-        stage.servers(names(4))
         stage.request("look", 1 * S)
         stage.now += 900 * MS
         stale, fresh = stage.request("look", 200 * MS), stage.request("look", 900 * MS)
--- a/tests/balancer/test_subsetting.py
+++ b/tests/balancer/test_subsetting.py
@@ -2,13 +2,12 @@
 
 from __future__ import annotations
 
-from helpers import MS, Stage, names
-from traffic import serve_one_at_a_time
+from balancer_stage import ready_stage, serve_one_at_a_time
+from helpers import MS
 
 
 def test_low_traffic_uses_a_small_subset_that_is_replaced_when_it_drains() -> None:
-    stage = Stage()
-    stage.servers(names(60))
+    stage = ready_stage(60)
     serve_one_at_a_time(stage, 200)
     met = {each.server for _, each in stage.sends()}
     assert 2 <= len(met) <= 8
@@ -20,8 +19,7 @@
 
 
 def test_high_traffic_uses_all_servers() -> None:
-    stage = Stage()
-    stage.servers(names(30))
+    stage = ready_stage(30)
     stage.serve(2_000, every_us=5 * MS, taking_us=250 * MS)
     assert len({each.server for _, each in stage.sends()}) == 30
 
@@ -29,8 +27,7 @@
 def test_low_traffic_balancers_use_different_subsets() -> None:
     first: set[str] = set()
     for seed in range(12):
-        stage = Stage(seed=seed)
-        stage.servers(names(60))
+        stage = ready_stage(60, seed=seed)
         serve_one_at_a_time(stage, 20)
         first |= {each.server for _, each in stage.sends()}
     assert len(first) > 25
@@ -38,8 +35,7 @@
 
 def test_latency_weights_adapt_faster_at_low_traffic() -> None:
     def change(every_us: int, taking_us: int, singly: bool) -> float:
-        stage = Stage()
-        stage.servers(names(4))
+        stage = ready_stage(4)
         if singly:
             serve_one_at_a_time(stage, 400, taking_us, every_us)
         else:
