--- a/tests/balancer/balancer_stage.py
+++ b/tests/balancer/balancer_stage.py
@@ -21,7 +21,7 @@
 
 
 def serve_one_at_a_time(stage: Stage, count: int, taking_us: int = 50 * MS, every_us: int = 400 * MS) -> None:
-    """Traffic of a small balancer: each request is answered before the next comes."""
+    """Traffic without concurrency: each request is answered before the next one arrives."""
     for _ in range(count):
         request = stage.request()
         stage.wait(taking_us)
@@ -36,15 +36,19 @@
 }
 
 
-def answer_probes(stage: Stage, held: dict[str, float], silent: str = "") -> None:
-    """Answer the probes sent at this moment, each with what its server holds."""
+def answer_health_checks(stage: Stage, load: dict[str, float], unresponsive: str = "") -> None:
+    """Answer the health checks sent at this moment, each with the load of its server."""
     stage.wait(2 * MS)
-    asked = [each.server for at, each in stage.log if isinstance(each, Probe) and at == stage.now - 2 * MS]
-    for server in asked:
-        if server != silent:
-            report = {"inflight": held.get(server, 0.0)}
+    checked = [each.server for at, each in stage.log if isinstance(each, Probe) and at == stage.now - 2 * MS]
+    for server in checked:
+        if server != unresponsive:
+            report = {"inflight": load.get(server, 0.0)}
             stage.play(ProbeEnded(server, Outcome.DELIVERED, 2 * MS, report))
 
 
-def two_zones_of_three() -> list[Endpoint]:
-    return [Endpoint(name, zone="east" if index < 3 else "west") for index, name in enumerate(names(6))]
+def two_zones(servers_each: int) -> list[Endpoint]:
+    """So many servers in the local zone, and as many in another one."""
+    servers = names(2 * servers_each)
+    return [
+        Endpoint(name, zone="east" if index < servers_each else "west") for index, name in enumerate(servers)
+    ]
--- a/tests/balancer/policy_context.py
+++ b/tests/balancer/policy_context.py
@@ -1,4 +1,4 @@
-"""A context of its own for the tests of single policies."""
+"""The context, requests and attempts for unit tests of single policies."""
 
 from __future__ import annotations
 
@@ -18,21 +18,23 @@
 
 
 def make_context(servers: int = 10, **changes: object) -> Context:
-    """A context at START that knows so many ready servers."""
+    """A context at START with so many ready servers."""
     context = Context(settings(**changes), random.Random(7), stall_check_targets=0.1)
     context.begin(START, TimerFired(""))
     endpoints = [Endpoint(f"s{number}", zone="east") for number in range(servers)]
     context.registry.apply(RegistryUpdated(RegistryUpdateKind.SNAPSHOT, endpoints))
-    context.load.mean = 16.0  # busy enough to know all of them
+    context.load.mean = 16.0  # enough traffic for the subset to be all of them
     return context
 
 
 def make_request(context: Context, class_name: str = "look") -> Request:
+    """A request of the class, with no attempt so far."""
     service_class = next(each for each in context.settings.classes if each.name == class_name)
     return Request(1, service_class, START + 2 * S, 1.0, (class_name, None), all_zones=True, size=1)
 
 
 def start_attempt(context: Context, request: Request, server: Server) -> Attempt:
+    """Add an attempt at the server, and its load."""
     attempt = Attempt(len(request.attempts), server, context.now, 0, 0)
     request.attempts.append(attempt)
     context.load.change(server, 1)
@@ -40,6 +42,7 @@
 
 
 def add_load(context: Context, attempts: int) -> None:
+    """Add the load of so many attempts to the first ready server."""
     server = context.registry.ready[0]
     for _ in range(attempts):
         context.load.change(server, 1)
--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -11,13 +11,13 @@
 
 
 def test_the_first_responses_after_a_restart_do_not_set_the_limit() -> None:
-    # Guards against refusals after each restart: all connections are new, and the rates not full yet.
+    # Guards against rejections after each restart: all connections are new, and rates still build up.
     balancer = Stage().balancer
     for latency_ratio in [0.5] * 8:
         balancer._admission.observe(latency_ratio)
     assert balancer._limit.limit == float("inf")
     for _ in range(4):
-        balancer._admission.observe(2.0)  # a few late ones may be chance
+        balancer._admission.observe(2.0)  # a few late responses may be chance
     assert balancer._limit.limit == float("inf")
     for _ in range(40):
         balancer._admission.observe(2.0)  # nearly all late: that is overload, however new the balancer
@@ -48,10 +48,10 @@
     context = make_context()
     limit = ConcurrencyLimit(context)
     limit.limit = 4.0
-    for refused in (False, True):
-        limit.refused = refused
+    for rejected in (False, True):
+        limit.refused = rejected
         before = limit.limit
         for _ in range(50):
             context.now += 20 * MS
             limit.observe(0.05)
-        assert (limit.limit > before) is refused
+        assert (limit.limit > before) is rejected
--- a/tests/balancer/test_connections.py
+++ b/tests/balancer/test_connections.py
@@ -1,8 +1,8 @@
-"""Connections: where they are priced, few are opened and idle ones are closed."""
+"""Connections: where they have a price, few are opened and idle ones are closed."""
 
 from __future__ import annotations
 
-from balancer_stage import LOAD_PROBING, answer_probes, ready_stage
+from balancer_stage import LOAD_PROBING, answer_health_checks, ready_stage
 from helpers import MS, S, names, settings
 from policy_context import make_context
 
@@ -18,7 +18,7 @@
 
 def test_an_idle_connection_is_closed_once_it_has_cost_as_much_as_a_handshake() -> None:
     stage = ready_stage(4, settings(group_size=100, prices={"connection": 0.08, "handshake": 0.08}))
-    stage.serve(100)  # 50 a second here: 1250 a server from all, a hundredth of the price each
+    stage.serve(100)  # 50/s here; 1250/s a server from all 100, which share the price
     stage.wait(1 * S)
     closed = {each.server for each in stage.said(CloseIdle)}
     assert closed == {each.server for _, each in stage.sends()}
@@ -39,7 +39,7 @@
     targets = set()
     for _ in range(12):
         request = stage.request()
-        answer_probes(stage, dict.fromkeys(names(4), 1.0))
+        answer_health_checks(stage, dict.fromkeys(names(4), 1.0))
         targets.add(stage.target(request))
         stage.wait(30 * MS)
         stage.end(request)
--- a/tests/balancer/test_deadlines.py
+++ b/tests/balancer/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines: each request gets one final answer in time."""
+"""Deadlines: each request gets exactly one final response in time."""
 
 from __future__ import annotations
 
--- a/tests/balancer/test_draining.py
+++ b/tests/balancer/test_draining.py
@@ -1,4 +1,4 @@
-"""Draining: servers that are draining or gone get no requests."""
+"""Draining: draining and removed servers get no requests."""
 
 from __future__ import annotations
 
@@ -48,18 +48,18 @@
 
 
 def test_a_removed_server_is_forgotten_once_its_attempts_have_ended() -> None:
-    # Guards memory where servers are replaced all day, and the share of the list that may be ejected.
+    # Bounds memory where servers are replaced often, and keeps the ejected fraction of the servers right.
     stage = ready_stage(3)
     request = stage.request("pay")
-    taken = stage.balancer._requests[request].attempts[0].server
-    stage.balancer._outliers.eject(taken, "test")
-    others = [each for each in names(3) if each != taken.name]
+    removed = stage.balancer._requests[request].attempts[0].server
+    stage.balancer._outliers.eject(removed, "test")
+    others = [each for each in names(3) if each != removed.name]
     stage.servers(others)
     assert (
         set(stage.balancer._context.registry.servers) == set(names(3))
         and not stage.balancer._outliers.ejected
     )
-    stage.play(AttemptEnded(request, 0, taken.name, Outcome.DROPPED, 1, False))
+    stage.play(AttemptEnded(request, 0, removed.name, Outcome.DROPPED, 1, False))
     stage.servers(others)
     assert set(stage.balancer._context.registry.servers) == set(others)
     assert stage.balancer._context.load.total() == stage.balancer._context.load.at_ejected == 0
--- a/tests/balancer/test_hedging.py
+++ b/tests/balancer/test_hedging.py
@@ -1,4 +1,4 @@
-"""Hedging: a hedged request goes out only where that is allowed."""
+"""Hedging: a hedged request goes out only where hedging is enabled."""
 
 from __future__ import annotations
 
--- a/tests/balancer/test_idempotency.py
+++ b/tests/balancer/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Idempotency: no request takes effect twice."""
+"""Idempotency: retries never execute a request twice."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
 
 
 def test_every_attempt_must_be_written_within_the_deduplication_window() -> None:
-    # A connection may come up long after the decision: whoever carries it out has to know the end.
+    # A connection may be established long after the decision: the proxy has to know the end of the window.
     stage = Stage()
     stage.servers(two_cells())
     request = stage.request("amend", remaining_us=4 * S)
--- a/tests/balancer/test_key_order.py
+++ b/tests/balancer/test_key_order.py
@@ -1,4 +1,4 @@
-"""Key order: requests with one key run one at a time, as they came."""
+"""Key order: requests with one key run one at a time, in order of arrival."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
 
 def test_requests_with_one_key_are_sent_in_order_one_at_a_time_across_classes() -> None:
     stage = stage_with_ordered_keys()
-    line = [stage.request(name, key=5) for name in ("save", "mark", "save")]
-    for at, request in enumerate(line):
-        assert [len(stage.sends(each)) for each in line] == [1] * (at + 1) + [0] * (2 - at)
+    requests = [stage.request(name, key=5) for name in ("save", "mark", "save")]
+    for at, request in enumerate(requests):
+        assert [len(stage.sends(each)) for each in requests] == [1] * (at + 1) + [0] * (2 - at)
         stage.wait(10 * MS)
         stage.end(request)
 
@@ -39,8 +39,8 @@
 def test_requests_without_a_shared_ordered_key_are_concurrent() -> None:
     stage = stage_with_ordered_keys()
     stage.request("save", key=5)
-    free = [stage.request("save"), stage.request("save", key=6), stage.request("look", key=5)]
-    assert all(len(stage.sends(each)) == 1 for each in free)
+    concurrent = [stage.request("save"), stage.request("save", key=6), stage.request("look", key=5)]
+    assert all(len(stage.sends(each)) == 1 for each in concurrent)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.EXPIRED, Outcome.DROPPED, Outcome.CANCELLED])
@@ -49,7 +49,7 @@
     first, second = stage.request("save", key=5), stage.request("mark", key=5)
     stage.play(RequestGone(first))
     stage.wait(10 * MS)
-    assert stage.sends(second) == []  # the first is over for the client, yet its attempt is still out
+    assert stage.sends(second) == []  # the first is over for the client, yet its attempt is still in flight
     stage.end(first, outcome, answered=True)
     ended = stage.now
     assert stage.sends(second) == []
@@ -72,13 +72,13 @@
 def test_a_queued_request_expires_in_time_and_an_abandoned_one_is_skipped() -> None:
     stage = stage_with_ordered_keys()
     first = stage.request("save", key=5)
-    held, left = (stage.request("mark", remaining_us=300 * MS, key=5) for _ in range(2))
+    queued, abandoned = (stage.request("mark", remaining_us=300 * MS, key=5) for _ in range(2))
     last = stage.request("save", key=5)
-    stage.play(RequestGone(left))
+    stage.play(RequestGone(abandoned))
     stage.wait(300 * MS)
-    assert [each.request for each in stage.said(Refuse)] == [held]
+    assert [each.request for each in stage.said(Refuse)] == [queued]
     stage.end(first)
-    assert stage.sends(held) == [] and stage.sends(left) == []
+    assert stage.sends(queued) == [] and stage.sends(abandoned) == []
     assert len(stage.sends(last)) == 1
 
 
--- a/tests/balancer/test_outliers.py
+++ b/tests/balancer/test_outliers.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: failing and silent servers, and their half-open attempts."""
+"""Outlier ejection: failing and hung servers, and their half-open attempts."""
 
 from __future__ import annotations
 
@@ -19,63 +19,63 @@
 
 
 def traffic_with_one_hung_server(stage: Stage, rounds: int) -> tuple[str, list[int]]:
-    """Good traffic, except that one server answers nothing from some moment on."""
+    """Healthy traffic, except that one server hangs after a while; gives it and the requests at it."""
     stage.servers(names(6))
     stage.serve(120)
     first = stage.request()
     hung = stage.target(first)
-    stuck = [first]
+    unanswered = [first]
     for _ in range(rounds):
         stage.wait(10 * MS)
         request = stage.request()
         if stage.target(request) == hung:
-            stuck.append(request)
+            unanswered.append(request)
         else:
             stage.wait(30 * MS)
             stage.end(request)
-    return hung, stuck
+    return hung, unanswered
 
 
 def test_a_hung_server_is_ejected_and_its_idempotent_requests_are_retried_elsewhere() -> None:
     stage = Stage()
-    hung, stuck = traffic_with_one_hung_server(stage, 20)
+    hung, unanswered = traffic_with_one_hung_server(stage, 20)
     assert any(each.text.startswith(f"ejected {hung}") for each in stage.said(Log))
-    copies = [each.server for _, each in stage.sends(stuck[0])]
-    assert len(copies) > 1 and hung not in copies[1:]
+    targets = [each.server for _, each in stage.sends(unanswered[0])]
+    assert len(targets) > 1 and hung not in targets[1:]
 
 
 def test_an_ejected_server_gets_one_half_open_attempt_at_a_time() -> None:
     stage = Stage()
-    hung, stuck = traffic_with_one_hung_server(stage, 20)
+    hung, unanswered = traffic_with_one_hung_server(stage, 20)
     before = len([1 for _, each in stage.sends() if each.server == hung])
-    for request in stuck:
+    for request in unanswered:
         stage.end(request, Outcome.EXPIRED, attempt=0, answered=False)
     for _ in range(60):
         stage.wait(60 * MS)
         request = stage.request()
         if stage.target(request) != hung:
             stage.end(request)
-    trials = len([1 for _, each in stage.sends() if each.server == hung]) - before
-    assert trials == 1
-    trial = next(each.request for _, each in reversed(stage.sends()) if each.server == hung)
-    stage.end(trial, attempt=0)
+    half_open_attempts = len([1 for _, each in stage.sends() if each.server == hung]) - before
+    assert half_open_attempts == 1
+    half_open = next(each.request for _, each in reversed(stage.sends()) if each.server == hung)
+    stage.end(half_open, attempt=0)
     assert stage.said(Log)[-1].text == f"readmitted {hung}"
 
 
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CANCELLED])
 def test_an_unanswered_half_open_attempt_keeps_the_server_ejected(outcome: Outcome) -> None:
     stage = Stage()
-    hung, stuck = traffic_with_one_hung_server(stage, 20)
-    for request in stuck:
+    hung, unanswered = traffic_with_one_hung_server(stage, 20)
+    for request in unanswered:
         stage.end(request, Outcome.EXPIRED, attempt=0, answered=False)
-    stage.wait(10 * S)  # the ejection has run out
-    trial = stage.request()
-    assert stage.target(trial) == hung
-    stage.end(trial, outcome)
-    stage.end(trial)  # drawn again, it is served elsewhere
-    sent = len(stage.sends())
+    stage.wait(10 * S)  # the ejection has expired
+    half_open = stage.request()
+    assert stage.target(half_open) == hung
+    stage.end(half_open, outcome)
+    stage.end(half_open)  # the retry succeeds at another server
+    sent_before = len(stage.sends())
     stage.serve(20)
-    targets = [each.server for _, each in stage.sends()[sent:]]
+    targets = [each.server for _, each in stage.sends()[sent_before:]]
     assert targets and hung not in targets
 
 
--- a/tests/balancer/test_overload_recovery.py
+++ b/tests/balancer/test_overload_recovery.py
@@ -1,8 +1,8 @@
-"""How soon a fleet of balancers with little traffic each admits what its servers bear again.
+"""How soon a fleet of balancers with little traffic each admits the full capacity of its servers again.
 
 The invariants, with latency targets and deadlines of any length: while servers hang, each balancer that gets
-enough requests to go by its concurrency limit sends an attempt within two targets of the one before; four
-targets after they have become well, at least nine in ten requests are admitted and answered in time.
+enough requests to be governed by its concurrency limit sends an attempt within two targets of the one before;
+four targets after the fault ends, at least nine in ten requests are admitted and answered in time.
 """
 
 from __future__ import annotations
@@ -35,16 +35,16 @@
 
 SERVERS = 12
 CORES = 4
-LOAD = 0.6  # of what the servers bear
+LOAD = 0.6  # of the capacity of the servers
 WORK_TARGETS = 0.04  # mean service time, in latency targets
 WARM_UP_TARGETS = 6.0
 FAULT_TARGETS = 6.0
 LONG_FAULT_TARGETS = 12.0
-SENT_AT_LEAST_EVERY_TARGETS = 2.0  # by each balancer, also while servers hang
-RECOVERY_TARGETS = 4.0  # so long after the servers are well again they are made use of
+MAX_SEND_GAP_TARGETS = 2.0  # by each balancer, also while servers hang
+RECOVERY_TARGETS = 4.0  # from the end of the fault until the capacity is used again
 MEASURED_TARGETS = 3.0
 SLOWDOWN = 50.0  # of the servers during the fault
-ADMITTED_LEAST = 0.9  # of the requests, once recovered
+MIN_ADMITTED = 0.9  # of the requests, once recovered
 
 
 @dataclass(slots=True)
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class JobDone:
-    """A server has done the work of an attempt."""
+    """A server has finished the work of an attempt."""
 
     server: str
     job: Job
@@ -67,31 +67,31 @@
 
 @dataclass(slots=True)
 class QueueServer:
-    """Serves so many jobs at once, in the order they came, and drops those whose time is up."""
+    """Serves jobs in order of arrival, one a core, and drops those past their deadline."""
 
     free_cores: int = CORES
     waiting: deque[Job] = field(default_factory=deque)
 
 
 class Fleet:
-    """Balancers and servers on one clock; the servers are slow from `fault_at` to `well_at`."""
+    """Balancers and servers on one clock; the servers are slow from `fault_at` to `fault_end_at`."""
 
     def __init__(self, balancers: int, target_us: int, deadline_targets: int, fault_targets: float) -> None:
         self.target_us = target_us
         self.deadline_us = deadline_targets * target_us
-        self.chance = random.Random(1)
+        self.random = random.Random(1)
         self.balancers = [
             Balancer(settings(target_us, self.deadline_us, balancers), each) for each in range(balancers)
         ]
         self.servers = {name: QueueServer() for name in names(SERVERS)}
         self.fault_at = START + int(WARM_UP_TARGETS * target_us)
-        self.well_at = self.fault_at + int(fault_targets * target_us)
-        self.end_at = self.well_at + int((RECOVERY_TARGETS + MEASURED_TARGETS) * target_us)
+        self.fault_end_at = self.fault_at + int(fault_targets * target_us)
+        self.end_at = self.fault_end_at + int((RECOVERY_TARGETS + MEASURED_TARGETS) * target_us)
         self.order = itertools.count()
         self.agenda: list[tuple[int, int, int, Event | JobDone]] = []
         self.arrived: dict[int, int] = {}
-        self.answered: dict[int, tuple[int, Outcome | None]] = {}  # None: refused or failed
-        self.out: set[int] = set()
+        self.answered: dict[int, tuple[int, Outcome | None]] = {}  # None: rejected or failed
+        self.in_flight: set[int] = set()
         self.sent: list[list[int]] = [[] for _ in range(balancers)]
 
     def add(self, at: int, balancer: int, event: Event | JobDone) -> None:
@@ -103,20 +103,20 @@
             self.add(START, index, RegistryUpdated(RegistryUpdateKind.SNAPSHOT, listed, 1))
         mean_gap_us = WORK_TARGETS * self.target_us / (LOAD * SERVERS * CORES)
         moment, ident = float(START), 0
-        while (moment := moment + self.chance.expovariate(1.0 / mean_gap_us)) < self.end_at:
+        while (moment := moment + self.random.expovariate(1.0 / mean_gap_us)) < self.end_at:
             ident += 1
             self.arrived[ident] = int(moment)
             arrival = RequestArrived(ident, "look", None, None, self.deadline_us)
-            self.add(int(moment), self.chance.randrange(len(self.balancers)), arrival)
+            self.add(int(moment), self.random.randrange(len(self.balancers)), arrival)
         while self.agenda:
             now, _, balancer, event = heapq.heappop(self.agenda)
             if isinstance(event, JobDone):
                 self.core_freed(now, event)
                 continue
             if isinstance(event, AttemptEnded):
-                if event.request not in self.out:
+                if event.request not in self.in_flight:
                     continue
-                self.out.discard(event.request)
+                self.in_flight.discard(event.request)
                 self.answered[event.request] = (now, event.outcome)
             for action in self.balancers[balancer].handle(now, event):
                 self.carry_out(now, balancer, action)
@@ -128,7 +128,7 @@
             self.answered.setdefault(action.request, (now, None))
         elif isinstance(action, Send):
             job = Job(action.request, balancer, now, action.until)
-            self.out.add(job.request)
+            self.in_flight.add(job.request)
             self.sent[balancer].append(now)
             left_us = job.until - now
             expired = AttemptEnded(job.request, 0, action.server, Outcome.EXPIRED, left_us, answered=True)
@@ -144,9 +144,9 @@
             if job.until <= now:
                 continue
             server.free_cores -= 1
-            work_us = self.chance.expovariate(1.0 / (WORK_TARGETS * self.target_us))
-            if self.fault_at <= now < self.well_at:
-                work_us = min(work_us * SLOWDOWN, self.well_at - now + work_us)
+            work_us = self.random.expovariate(1.0 / (WORK_TARGETS * self.target_us))
+            if self.fault_at <= now < self.fault_end_at:
+                work_us = min(work_us * SLOWDOWN, self.fault_end_at - now + work_us)
             self.add(now + int(work_us), job.balancer, JobDone(name, job))
 
     def core_freed(self, now: int, done: JobDone) -> None:
@@ -158,14 +158,14 @@
             self.add(now, job.balancer, answer)
         self.start_work(now, done.server)
 
-    def longest_wait_us(self, balancer: int) -> int:
+    def longest_send_gap_us(self, balancer: int) -> int:
         """The longest time in the fault for which a balancer sent nothing."""
         before = [at for at in self.sent[balancer] if at < self.fault_at]
-        during = [at for at in self.sent[balancer] if self.fault_at <= at < self.well_at]
-        moments = [before[-1], *during, self.well_at]
+        during = [at for at in self.sent[balancer] if self.fault_at <= at < self.fault_end_at]
+        moments = [before[-1], *during, self.fault_end_at]
         return max(later - earlier for earlier, later in itertools.pairwise(moments))
 
-    def served(self, since: int, until: int) -> float:
+    def timely_fraction(self, since: int, until: int) -> float:
         """The part of the requests that came in this span and were answered within the target."""
         came = [ident for ident, at in self.arrived.items() if since <= at < until]
         in_time = 0
@@ -208,9 +208,9 @@
     fleet = Fleet(balancers, target_us, deadline_targets, fault_targets)
     fleet.play()
     settled_at = fleet.fault_at - int(WARM_UP_TARGETS / 2 * target_us)
-    recovered_at = fleet.well_at + int(RECOVERY_TARGETS * target_us)
-    assert fleet.served(settled_at, fleet.fault_at) >= ADMITTED_LEAST
-    assert fleet.served(recovered_at, fleet.end_at) >= ADMITTED_LEAST
+    recovered_at = fleet.fault_end_at + int(RECOVERY_TARGETS * target_us)
+    assert fleet.timely_fraction(settled_at, fleet.fault_at) >= MIN_ADMITTED
+    assert fleet.timely_fraction(recovered_at, fleet.end_at) >= MIN_ADMITTED
 
 
 @pytest.mark.parametrize("target_us", [100 * MS, 2_500 * MS])
@@ -220,5 +220,5 @@
 ) -> None:
     fleet = Fleet(balancers, target_us, 4, LONG_FAULT_TARGETS)
     fleet.play()
-    longest_us = max(fleet.longest_wait_us(each) for each in range(balancers))
-    assert longest_us <= SENT_AT_LEAST_EVERY_TARGETS * target_us
+    longest_us = max(fleet.longest_send_gap_us(each) for each in range(balancers))
+    assert longest_us <= MAX_SEND_GAP_TARGETS * target_us
--- a/tests/balancer/test_registry_refresh.py
+++ b/tests/balancer/test_registry_refresh.py
@@ -1,4 +1,4 @@
-"""Registry refresh: when the registry is watched, and when a call is made again."""
+"""Registry refresh: when the registry is watched, and when a call is retried."""
 
 from __future__ import annotations
 
@@ -32,16 +32,16 @@
 @pytest.mark.parametrize("ask_within_us", [10 * S, 600 * S])
 def test_failed_calls_are_retried_forever_with_bounded_backoff(ask_within_us: int) -> None:
     stage = Stage(settings(rules={"ask_within_us": ask_within_us}))
-    asked = []
+    called_at = []
     stage.servers(names(2), RegistryUpdateKind.CACHED)
     for _ in range(12):
-        asked.append(stage.now)
+        called_at.append(stage.now)
         count = len(stage.said(WatchRegistry))
         stage.play(RegistryUpdated(RegistryUpdateKind.FAILED))
         while len(stage.said(WatchRegistry)) == count:
             stage.wait(5 * MS)
-    waits = [later - earlier for earlier, later in itertools.pairwise(asked)]
-    assert max(waits) <= 6 * S / 4  # a change counts as told 6 s after it could be heard, whatever is allowed
+    waits = [later - earlier for earlier, later in itertools.pairwise(called_at)]
+    assert max(waits) <= 6 * S / 4  # a change has to be known within 6 s, whatever is configured
     assert waits[-1] > 2 * waits[0]
 
 
@@ -60,7 +60,7 @@
     context = stage.balancer._context
     ready = context.registry.ready
     stage.play(RegistryUpdated(RegistryUpdateKind.DELTA, [], 1))
-    assert context.registry.ready is ready  # not built anew
+    assert context.registry.ready is ready  # not rebuilt
     assert stage.balancer._refresh.due is None and not stage.balancer._refresh.failed_calls
-    stage.play(RegistryUpdated(RegistryUpdateKind.SNAPSHOT, [], 1))  # that is another matter: all have gone
+    stage.play(RegistryUpdated(RegistryUpdateKind.SNAPSHOT, [], 1))  # an empty snapshot removes all servers
     assert not context.registry.ready
--- a/tests/balancer/test_selection.py
+++ b/tests/balancer/test_selection.py
@@ -47,8 +47,8 @@
         request = stage.request()
         stage.wait(90 * MS if stage.target(request) == slow else 30 * MS)
         stage.end(request)
-    late = Counter(each.server for _, each in stage.sends()[500:])
-    assert late[slow] < 0.6 * sum(late.values()) / 12
+    settled = Counter(each.server for _, each in stage.sends()[500:])
+    assert settled[slow] < 0.6 * sum(settled.values()) / 12
 
 
 def test_nominal_capacity_sets_the_initial_latency_weight() -> None:
@@ -64,15 +64,15 @@
 def test_a_cancelled_attempt_counts_as_load_for_a_while() -> None:
     stage = ready_stage(2)
     request = stage.request("pay", remaining_us=400 * MS)
-    hung = stage.target(request)
-    stage.wait(395 * MS)  # answered by then, and called off
+    cancelled_at = stage.target(request)
+    stage.wait(395 * MS)  # cancelled, with the final response already given
     stage.end(request, Outcome.CANCELLED, answered=True)
     other = stage.request("pay")
-    assert stage.target(other) != hung
-    again = stage.request("pay")
-    assert stage.target(again) in names(2)
+    assert stage.target(other) != cancelled_at
+    third = stage.request("pay")
+    assert stage.target(third) in names(2)
     stage.wait(S)
-    assert stage.balancer._context.load.at(stage.balancer._context.registry.servers[hung]) <= 1
+    assert stage.balancer._context.load.at(stage.balancer._context.registry.servers[cancelled_at]) <= 1
 
 
 def test_fast_errors_do_not_attract_more_requests() -> None:
@@ -92,17 +92,17 @@
 def test_expensive_requests_avoid_slow_servers_more_than_cheap_ones(monkeypatch: pytest.MonkeyPatch) -> None:
     stage = Stage()
     stage.servers([Endpoint(name, "east", nominal=0.5 if name == names(5)[0] else 1.0) for name in names(5)])
-    seen: list[float] = []
-    draw = Selector.draw
+    relative_weights: list[float] = []
+    select = Selector.draw
 
-    def watch(selector: Selector, subset: list[Server], weights: list[float], count: int) -> list[Server]:
-        seen.append(weights[0] / weights[1])
-        return draw(selector, subset, weights, count)
+    def record(selector: Selector, subset: list[Server], weights: list[float], count: int) -> list[Server]:
+        relative_weights.append(weights[0] / weights[1])
+        return select(selector, subset, weights, count)
 
-    monkeypatch.setattr(Selector, "draw", watch)
+    monkeypatch.setattr(Selector, "draw", record)
     for cost in (20 * MS, 20 * MS, 100 * MS):
         stage.end(stage.request(cost_us=cost))
-    assert seen[2] < 0.5 * seen[0]
+    assert relative_weights[2] < 0.5 * relative_weights[0]
 
 
 def test_a_server_with_intermittent_fast_errors_is_selected_less() -> None:
@@ -120,27 +120,29 @@
 
 def test_a_rejection_at_capacity_backs_off_that_class_only() -> None:
     stage = ready_stage(5, settings(rules={"late_shedding": True}))  # without one, all are candidates
-    lost = stage.request("pay")
-    full = stage.target(lost)
-    stage.end(lost, Outcome.FULL, report={"util": 0.3})
+    first = stage.request("pay")
+    at_capacity = stage.target(first)
+    stage.end(first, Outcome.FULL, report={"util": 0.3})
     for _ in range(24):
         stage.request("pay")
         stage.request("look")
-    pays = {each.server for _, each in stage.sends() if each.request % 2 == 0}
-    looks = {each.server for _, each in stage.sends() if each.request % 2 == 1 and each.request != lost}
-    assert full in looks and full not in pays
+    unsafe_targets = {each.server for _, each in stage.sends() if each.request % 2 == 0}
+    safe_targets = {
+        each.server for _, each in stage.sends() if each.request % 2 == 1 and each.request != first
+    }
+    assert at_capacity in safe_targets and at_capacity not in unsafe_targets
 
 
 def test_a_server_is_selected_again_once_its_backoff_has_expired() -> None:
     stage = ready_stage(5)  # without one, all are candidates
     request = stage.request("amend")
-    full = stage.target(request)
+    at_capacity = stage.target(request)
     stage.end(request, Outcome.FULL, report={"util": 0.3})
     stage.end(request)
-    for wait, drawn in ((100 * MS, False), (20 * S, True)):
+    for wait, selected in ((100 * MS, False), (20 * S, True)):
         stage.wait(wait)
-        targets = {stage.target(stage.request("amend")) for _ in range(4)}  # each to the least busy
-        assert (full in targets) is drawn
+        targets = {stage.target(stage.request("amend")) for _ in range(4)}  # each to the least loaded
+        assert (at_capacity in targets) is selected
         for number in range(stage.sends()[-1][1].request - 3, stage.sends()[-1][1].request + 1):
             stage.end(number)
 
--- a/tests/balancer/test_settings_changed.py
+++ b/tests/balancer/test_settings_changed.py
@@ -1,4 +1,4 @@
-"""Settings that change while requests are in progress: what takes force, what stays, what is forgotten."""
+"""Settings that change while requests are in progress: what applies, what stays, what is released."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
     WatchRegistry,
 )
 
-MANY = 1_024
+COUNT = 1_024
 
 
-def change(stage: Stage, **changes: Any) -> None:
+def change_settings(stage: Stage, **changes: Any) -> None:
     stage.play(SettingsChanged(settings(**changes)))
 
 
 def test_a_lower_attempt_limit_applies_at_once_and_a_higher_one_to_new_requests() -> None:
     stage = ready_stage(6, settings(limits={"max_attempts": 3}))
     first = stage.request()
-    change(stage, limits={"max_attempts": 1})
+    change_settings(stage, limits={"max_attempts": 1})
     stage.end(first, Outcome.ERROR)
-    assert len(stage.sends(first)) == 1 and stage.said(Refuse)  # a safe request is refused, not failed
+    assert len(stage.sends(first)) == 1 and stage.said(Refuse)  # a safe request is rejected, not failed
     second = stage.request()
-    change(stage, limits={"max_attempts": 3})
+    change_settings(stage, limits={"max_attempts": 3})
     stage.end(second, Outcome.ERROR)
     assert len(stage.sends(second)) == 1
     third = stage.request()
@@ -46,7 +46,7 @@
 def test_an_attempt_is_cancelled_only_where_cancelling_was_always_enabled(before: bool, after: bool) -> None:
     stage = ready_stage(6, settings(limits={"allow_cancel": before}))
     request = stage.request()
-    change(stage, limits={"allow_cancel": after})
+    change_settings(stage, limits={"allow_cancel": after})
     stage.play(RequestGone(request))
     assert not stage.said(Cancel)
 
@@ -54,7 +54,7 @@
 def test_a_request_in_progress_keeps_its_idempotency() -> None:
     stage = ready_stage(6, settings(classes=[SAFE, UNSAFE]))
     request = stage.request("pay")
-    change(stage, classes=[SAFE, UNSAFE | {"idempotency": "safe"}])
+    change_settings(stage, classes=[SAFE, UNSAFE | {"idempotency": "safe"}])
     stage.end(request, Outcome.DROPPED)
     assert len(stage.sends(request)) == 1 and stage.said(Fail)
     later = stage.request("pay")
@@ -65,10 +65,10 @@
 def test_a_request_in_progress_keeps_its_class_after_that_is_removed() -> None:
     stage = ready_stage(6)
     request = stage.request("amend", remaining_us=4 * S)
-    change(stage, classes=[SAFE])
+    change_settings(stage, classes=[SAFE])
     stage.end(request, Outcome.DROPPED)
     [(first_at, _), (_, again)] = stage.sends(request)
-    assert again.write_by is not None and again.write_by <= first_at + 2 * S  # its window
+    assert again.write_by is not None and again.write_by <= first_at + 2 * S  # its deduplication window
     stage.end(request)
     assert not stage.balancer._requests
 
@@ -77,10 +77,10 @@
 def test_a_rejection_may_have_run_if_late_shedding_was_ever_enabled(late_before: bool) -> None:
     stage = ready_stage(6, settings(rules={"late_shedding": late_before}))
     request = stage.request("pay")
-    change(stage, rules={"late_shedding": not late_before})
+    change_settings(stage, rules={"late_shedding": not late_before})
     stage.end(request, Outcome.FULL)
     assert len(stage.sends(request)) == 1 and stage.said(Fail)
-    change(stage, rules={"late_shedding": False})
+    change_settings(stage, rules={"late_shedding": False})
     later = stage.request("pay")
     stage.end(later, Outcome.FULL)
     assert len(stage.sends(later)) == 2
@@ -89,7 +89,7 @@
 def test_the_local_zone_changes_at_once() -> None:
     stage = ready_stage(6)
     stage.servers([Endpoint("a", zone="east"), Endpoint("b", zone="west")])
-    change(stage, zone="west")
+    change_settings(stage, zone="west")
     [local] = stage.balancer._context.registry.ready_local
     assert local.name == "b"
 
@@ -101,7 +101,7 @@
     weights = {name: server.latency_weight for name, server in context.registry.servers.items()}
     budget, usual = balancer._retry_budget._balance, dict(balancer._latency._usual_us)
     ratio, arrivals = balancer._limit.latency_ratio, balancer._slow_start.arrivals.per_us(stage.now)
-    change(stage, classes=[SAFE | {"worth": 5}, UNSAFE, KEYED])
+    change_settings(stage, classes=[SAFE | {"worth": 5}, UNSAFE, KEYED])
     assert {name: server.latency_weight for name, server in context.registry.servers.items()} == weights
     assert (balancer._retry_budget._balance, balancer._latency._usual_us) == (budget, usual)
     assert balancer._limit.latency_ratio == ratio
@@ -119,7 +119,7 @@
     limit.limit, limit.latency_ratio = 10.0, 0.2
     rate = arrivals.per_us(stage.now)
     shorter = [each | {"latency_target_us": 250 * MS} for each in (SAFE, UNSAFE, KEYED)]
-    change(stage, classes=shorter, rules={"overload_window_us": 1 * S})
+    change_settings(stage, classes=shorter, rules={"overload_window_us": 1 * S})
     assert (limit.limit, limit.latency_ratio) == (5.0, 0.4)
     assert balancer._admission._in_time._span_us == 4 * 250 * MS
     assert arrivals._span_us == 2 * S and arrivals.per_us(stage.now) == pytest.approx(rate)
@@ -129,11 +129,11 @@
     stage = ready_stage(6)
     for number in range(50):
         name = f"c{number}"
-        change(stage, classes=[SAFE | {"name": name}], tenants=[{"name": f"t{number}"}])
+        change_settings(stage, classes=[SAFE | {"name": name}], tenants=[{"name": f"t{number}"}])
         request = stage.request(name, tenant=f"t{number}", cost_us=1_000)
         stage.end(request, Outcome.FULL, report={"util": 0.1})
         stage.end(request)
-    change(stage)
+    change_settings(stage)
     balancer = stage.balancer
     assert not balancer._latency._usual_us and not balancer._latency._mean_cost_us
     assert not balancer._admission._traffic and not balancer._admission._longest_remaining_us
@@ -142,30 +142,31 @@
 
 def test_only_a_change_of_the_discovery_mode_starts_a_watch() -> None:
     stage = ready_stage(3, settings(discovery="pushed"))
-    change(stage, discovery="pushed", zone="west")
+    change_settings(stage, discovery="pushed", zone="west")
     assert not stage.said(WatchRegistry)
-    change(stage, discovery="on_request")
+    change_settings(stage, discovery="on_request")
     assert stage.said(WatchRegistry) == [WatchRegistry(True)]
-    change(stage, discovery="on_request", zone="west")
+    change_settings(stage, discovery="on_request", zone="west")
     assert len(stage.said(WatchRegistry)) == 1
 
 
 def test_a_shortened_deadline_is_not_taken_for_queueing_in_a_stall() -> None:
     stage = ready_stage(6)
     stage.serve(5)
-    stage.request()  # while it is out, a stall is noticed
-    change(stage, classes=[SAFE | {"deadline_us": 1 * S, "latency_target_us": 500 * MS}])
+    stage.request()  # while it is in flight, a stall is noticed
+    change_settings(stage, classes=[SAFE | {"deadline_us": 1 * S, "latency_target_us": 500 * MS}])
     stage.now += 30 * S
     assert stage.sends(stage.request(remaining_us=1 * S))
 
 
 def test_changing_a_thousand_classes_tenants_and_servers_is_deterministic() -> None:
     def run() -> list[Any]:
-        stage = ready_stage(MANY)
+        stage = ready_stage(COUNT)
         for turn in range(3):
-            classes = [SAFE | {"name": f"c{turn}-{number}"} for number in range(MANY)]
-            change(stage, classes=classes, tenants=[{"name": f"t{number}"} for number in range(MANY)])
-            for number in range(0, MANY, 64):
+            classes = [SAFE | {"name": f"c{turn}-{number}"} for number in range(COUNT)]
+            tenants = [{"name": f"t{number}"} for number in range(COUNT)]
+            change_settings(stage, classes=classes, tenants=tenants)
+            for number in range(0, COUNT, 64):
                 stage.request(f"c{turn}-{number}", tenant=f"t{number}")
         return stage.log
 
@@ -180,9 +181,9 @@
     stage = ready_stage(4, settings(limits=limits(before)))
     stage.serve(60)
     overdue = stage.request()
-    change(stage, limits=limits(after))
+    change_settings(stage, limits=limits(after))
     served = 0
-    for _ in range(40):  # the others answer, and its server does not
+    for _ in range(40):  # the other servers answer, and its server hangs
         stage.wait(20 * MS)
         request = stage.request()
         if stage.target(request) != stage.target(overdue):
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: a server that is warming up gets no more than its part."""
+"""Slow start: a server that is warming up is limited to its quota."""
 
 from __future__ import annotations
 
@@ -35,17 +35,17 @@
         warmth = 0.2 + 0.8 * max(end - 2 * S - began, 0) / (10 * S)
         inside = sum(1 for at in times if end - 2 * S < at <= end)
         assert inside <= max(1.0, 3 * warmth * warm_per_s * 2)
-    assert times or burst == 1  # singly, the quickest known server takes all
+    assert times or burst == 1  # one at a time, the fastest server of the subset takes all
 
 
 def test_warm_capacity_is_measured_by_cost_not_by_request_count() -> None:
     rates = []
-    for served_us in (100_000, 20_000):  # overload refuses the heavy ones, and the rest is light
+    for served_us in (100_000, 20_000):  # overload sheds the expensive ones, and the rest is cheap
         stage = ready_stage(4)
         for _ in range(60):
             stage.wait(20 * MS)
             stage.end(stage.request(cost_us=served_us))
-            stage.request(remaining_us=0, cost_us=200_000 - served_us)  # too late to be sent
+            stage.request(remaining_us=0, cost_us=200_000 - served_us)  # rejected
         rates.append(stage.balancer._slow_start.warm_capacity())
     assert 0.0 < rates[1] < 0.5 * rates[0]
 
@@ -58,7 +58,7 @@
 
 
 def test_failed_connects_start_slow_start_and_dropped_connections_do_not() -> None:
-    # Guards against a network that breaks connections by chance: in a while every server would be cold.
+    # Guards against a lossy network, where all servers would be in slow start after a while.
     for outcome, cold in ((Outcome.DROPPED, False), (Outcome.DIAL_FAILED, True)):
         stage = ready_stage(1)
         server = stage.balancer._context.registry.servers[names(1)[0]]
--- a/tests/balancer/test_subsetting.py
+++ b/tests/balancer/test_subsetting.py
@@ -1,4 +1,4 @@
-"""Subsetting: a balancer with little traffic uses few servers and learns faster from each answer."""
+"""Subsetting: a balancer with little traffic uses few servers and adapts faster to each response."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 def test_low_traffic_uses_a_small_subset_that_is_replaced_when_it_drains() -> None:
     stage = ready_stage(60)
     serve_one_at_a_time(stage, 200)
-    met = {each.server for _, each in stage.sends()}
-    assert 2 <= len(met) <= 8
-    for gone in met:
-        stage.drain(gone)
+    subset = {each.server for _, each in stage.sends()}
+    assert 2 <= len(subset) <= 8
+    for drained in subset:
+        stage.drain(drained)
     serve_one_at_a_time(stage, 50)
     later = {each.server for _, each in stage.sends()[200:]}
-    assert later and not later & met
+    assert later and not later & subset
 
 
 def test_high_traffic_uses_all_servers() -> None:
@@ -34,9 +34,9 @@
 
 
 def test_latency_weights_adapt_faster_at_low_traffic() -> None:
-    def change(every_us: int, taking_us: int, singly: bool) -> float:
+    def change(every_us: int, taking_us: int, one_at_a_time: bool) -> float:
         stage = ready_stage(4)
-        if singly:
+        if one_at_a_time:
             serve_one_at_a_time(stage, 400, taking_us, every_us)
         else:
             stage.serve(400, every_us, taking_us)
--- a/tests/balancer/test_zone_affinity.py
+++ b/tests/balancer/test_zone_affinity.py
@@ -1,35 +1,29 @@
-"""Zone affinity: the local zone is preferred while it is as quick as the others."""
+"""Zone affinity: the local zone is preferred while it is about as fast as the others."""
 
 from __future__ import annotations
 
+from balancer_stage import two_zones
 from helpers import MS, Stage, names, settings
 
-from topazbank.interface import (
-    Endpoint,
-)
 
-
-def two_zones_of_four() -> list[Endpoint]:
-    return [Endpoint(name, "east" if index < 4 else "west") for index, name in enumerate(names(8))]
-
-
-def cross_zone_ratio(stage: Stage, near_us: int, far_us: int) -> float:
-    stage.servers(two_zones_of_four())
-    near = set(names(8)[:4])
+def cross_zone_ratio(stage: Stage, local_us: int, remote_us: int) -> float:
+    """The part of the requests sent to the other zone, with these latencies in either."""
+    stage.servers(two_zones(4))
+    local = set(names(8)[:4])
     for _ in range(600):
         request = stage.request()
-        stage.wait(near_us if stage.target(request) in near else far_us)
+        stage.wait(local_us if stage.target(request) in local else remote_us)
         stage.end(request)
-    late = stage.sends()[300:]
-    return sum(1 for _, each in late if each.server not in near) / len(late)
+    settled = stage.sends()[300:]
+    return sum(1 for _, each in settled if each.server not in local) / len(settled)
 
 
 def test_the_local_zone_is_preferred_at_similar_latency_where_crossing_zones_is_priced() -> None:
-    spared = sum(
+    ratio_sum = sum(
         cross_zone_ratio(Stage(settings(prices={"cross_zone": 0.03}), seed=seed), 40 * MS, 44 * MS)
         for seed in range(5)
     )
-    assert spared < 5 * 0.3
+    assert ratio_sum < 5 * 0.3
 
 
 def test_a_slow_local_zone_loses_its_traffic() -> None:
