--- a/tests/balancer/test_invariants.py
+++ b/tests/balancer/test_invariants.py
@@ -1,17 +1,18 @@
-"""Arbitrary legal sequences of events, judged from outside by the actions alone."""
+"""Invariants of all decisions, checked from the actions alone over arbitrary legal sequences of events."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass, field
 from typing import Any
 
 from helpers import KEYED, MS, SAFE, START, UNSAFE, S, names, settings
 from hypothesis import HealthCheck, given
-from hypothesis import settings as how
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from topazbank import Balancer
-from topazbank.interface import AttemptEnded as Ended
 from topazbank.interface import (
+    AttemptEnded,
     Cancel,
     Endpoint,
     Event,
@@ -30,14 +31,14 @@
     SettingsChanged,
     TimerFired,
 )
-from topazbank.settings import Idempotency
+from topazbank.settings import Idempotency, ServiceClass
 
 SERVERS = names(7)
 ZONES = ("east", "west")
-TICK = 5 * MS
-GAP = 100 * MS
+TICK_US = 5 * MS
+KEY_COOLDOWN_US = 100 * MS
 KEYS = (None, 1, 2)
-MAY_RUN_ON = (Outcome.EXPIRED, Outcome.DROPPED, Outcome.CANCELLED)
+MAY_STILL_RUN = (Outcome.EXPIRED, Outcome.DROPPED, Outcome.CANCELLED)
 CLASSES = [
     SAFE,
     UNSAFE,
@@ -45,179 +46,220 @@
 ]
 
 
-class Referee:
-    """Keeps what a client, the servers and the list know, and checks every action against the rules."""
+@dataclass(frozen=True)
+class Permissions:
+    """What the settings allow and demand; the rest of them never changes."""
 
-    def __init__(
-        self,
-        allow_hedging: bool,
-        attempts: int,
-        late_shedding: bool,
-        ordered: set[str],
-        probing: bool,
-        rng_seed: int,
-    ) -> None:
-        self.adopt(allow_hedging, attempts, late_shedding, ordered, probing)
+    allow_hedging: bool
+    max_attempts: int
+    late_shedding: bool
+    ordered_classes: set[str]
+    allow_probes: bool
+
+
+@dataclass
+class AttemptRecord:
+    """An attempt as its server sees it."""
+
+    endpoint: Endpoint
+    sent_at: int
+    pending: bool = True
+    outcome: Outcome | None = None
+    ended_at: int = 0
+    never_ran: bool = False
+
+    @property
+    def may_have_run(self) -> bool:
+        return self.pending or not self.never_ran
+
+
+@dataclass
+class RequestRecord:
+    """A request as its client sees it, and the strictest settings since it arrived."""
+
+    service_class: ServiceClass
+    deadline: int
+    may_be_late: bool  # it arrived too close to its deadline
+    max_attempts: int
+    allow_hedging: bool
+    never_ran_outcomes: set[Outcome]
+    ordered_key: int | None
+    attempts: list[AttemptRecord] = field(default_factory=list)
+    completed: bool = False
+
+
+class InvariantChecker:
+    """Keeps what the client, the servers and the registry know, and checks every action against it."""
+
+    def __init__(self, permissions: Permissions, rng_seed: int) -> None:
+        self.apply_permissions(permissions)
         self.balancer = Balancer(self.settings, rng_seed)
         self.now = START
         self.timers: list[tuple[int, str]] = []
-        self.requests: dict[int, dict[str, Any]] = {}
-        self.probes: list[tuple[str, int]] = []
+        self.requests: dict[int, RequestRecord] = {}
+        self.health_checks: list[tuple[str, int]] = []
         self.listed: dict[str, Endpoint] = {}
         self.next = 1
 
-    def adopt(
-        self, allow_hedging: bool, attempts: int, late_shedding: bool, ordered: set[str], probing: bool
-    ) -> None:
+    def apply_permissions(self, permissions: Permissions) -> None:
+        ordered, late_shedding = permissions.ordered_classes, permissions.late_shedding
         self.settings = settings(
             classes=[{**each, "ordered_by_key": each["name"] in ordered} for each in CLASSES],
-            limits={"allow_hedging": allow_hedging, "max_attempts": attempts, "allow_probes": probing},
+            limits={
+                "allow_hedging": permissions.allow_hedging,
+                "max_attempts": permissions.max_attempts,
+                "allow_probes": permissions.allow_probes,
+            },
             report={"source": "probes", "columns": ["inflight", "queue"]},
             prices={"cross_zone": 0.1},
-            rules={"late_shedding": late_shedding, "key_rest_us": GAP},
+            rules={"late_shedding": late_shedding, "key_rest_us": KEY_COOLDOWN_US},
         )
-        self.proofs = {Outcome.DIAL_FAILED, Outcome.UNSENT} | ({Outcome.FULL} if not late_shedding else set())
-        self.kinds = {each.name: each for each in self.settings.classes}
-
-    def change(
-        self, allow_hedging: bool, attempts: int, late_shedding: bool, ordered: set[str], probing: bool
-    ) -> None:
-        """Other settings: what they forbid is forbidden to requests in progress, too."""
-        self.adopt(allow_hedging, attempts, late_shedding, ordered, probing)
+        self.never_ran_outcomes = {Outcome.DIAL_FAILED, Outcome.UNSENT}
+        if not late_shedding:
+            self.never_ran_outcomes.add(Outcome.FULL)
+        self.service_classes = {each.name: each for each in self.settings.classes}
+
+    def change_permissions(self, permissions: Permissions) -> None:
+        """Change the settings: what they forbid is forbidden for requests in progress, too."""
+        self.apply_permissions(permissions)
         for request in self.requests.values():
-            request["attempts most"] = min(request["attempts most"], attempts)
-            request["copies"] = request["copies"] and allow_hedging
-            request["proofs"] = request["proofs"] & self.proofs
+            request.max_attempts = min(request.max_attempts, permissions.max_attempts)
+            request.allow_hedging = request.allow_hedging and permissions.allow_hedging
+            request.never_ran_outcomes = request.never_ran_outcomes & self.never_ran_outcomes
         self.play(SettingsChanged(self.settings))
 
     def play(self, event: Event) -> None:
         for action in self.balancer.handle(self.now, event):
             match action:
                 case Send():
-                    self.sent(action)
+                    self.check_send(action)
                 case Refuse() | Fail():
-                    self.answered(action)
+                    self.check_final_response(action)
                 case Cancel():
-                    assert action.attempt < len(self.requests[action.request]["attempts"])
+                    assert action.attempt < len(self.requests[action.request].attempts)
                 case SetTimer():
                     self.timers.append((self.now + action.in_us, action.token))
                 case Probe():
                     assert self.settings.limits.allow_probes and action.server in self.listed
-                    self.probes.append((action.server, self.now))
+                    self.health_checks.append((action.server, self.now))
                 case _:
                     pass
         self.check_counts()
 
-    def sent(self, action: Send) -> None:
+    def check_send(self, action: Send) -> None:
         request = self.requests[action.request]
-        kind = request["kind"]
-        assert not request["over"], "sent after the final answer"
-        assert self.now < request["deadline"], "sent after the deadline"
-        line = self.listed[action.server]
-        assert line.state is ServerState.READY, "sent to a draining or gone server"
-        earlier = request["attempts"]
-        if request["key"] is not None and not earlier:
-            self.check_order(action.request)
-        assert len(earlier) < request["attempts most"], "more attempts than allowed"
-        if not request["copies"]:
-            assert not any(each["pending"] for each in earlier), "two copies out at once"
-        maybe = [each for each in earlier if each["pending"] or not each["never ran"]]
-        if maybe and kind.idempotency is Idempotency.UNSAFE:
-            raise AssertionError("an unsafe request was sent again")
-        if maybe and kind.idempotency is Idempotency.KEYED:
-            assert self.now < maybe[0]["at"] + kind.dedup_window_us, "sent after servers forgot"
-            for each in maybe:
-                assert kind.dedup_scope.value != "zone" or each["line"].zone == line.zone, "left the zone"
-                assert kind.dedup_scope.value != "cell" or each["line"].cell == line.cell, "left the cell"
-        earlier.append(
-            {"server": action.server, "line": line, "at": self.now, "pending": True, "outcome": None}
-        )
+        endpoint = self.listed[action.server]
+        assert not request.completed, "sent after the final response"
+        assert self.now < request.deadline, "sent after the deadline"
+        assert endpoint.state is ServerState.READY, "sent to a draining or removed server"
+        if request.ordered_key is not None and not request.attempts:
+            self.check_key_order(action.request)
+        assert len(request.attempts) < request.max_attempts, "more attempts than allowed"
+        if not request.allow_hedging:
+            assert not any(each.pending for each in request.attempts), "hedged where that is disabled"
+        self.check_retry(request, endpoint)
+        request.attempts.append(AttemptRecord(endpoint, self.now))
 
-    def check_order(self, number: int) -> None:
-        key = self.requests[number]["key"]
+    def check_retry(self, request: RequestRecord, endpoint: Endpoint) -> None:
+        earlier = [each for each in request.attempts if each.may_have_run]
+        if not earlier:
+            return
+        service_class = request.service_class
+        assert service_class.idempotency is not Idempotency.UNSAFE, "a non-idempotent request was retried"
+        if service_class.idempotency is Idempotency.KEYED:
+            window_end = earlier[0].sent_at + service_class.dedup_window_us
+            assert self.now < window_end, "sent after the deduplication window"
+            scope = service_class.dedup_scope.value
+            for each in earlier:
+                assert scope != "zone" or each.endpoint.zone == endpoint.zone, "left the zone"
+                assert scope != "cell" or each.endpoint.cell == endpoint.cell, "left the cell"
+
+    def check_key_order(self, number: int) -> None:
+        key = self.requests[number].ordered_key
         for before, request in self.requests.items():
-            if before < number and request["key"] == key:
-                assert request["over"], "overtook a request with its key"
-                for each in request["attempts"]:
-                    assert not each["pending"], "sent beside an attempt with its key"
-                    if each["outcome"] in MAY_RUN_ON:
-                        assert self.now >= each["ended"] + GAP, "the key had no rest"
-
-    def answered(self, action: Refuse | Fail) -> None:
+            if before < number and request.ordered_key == key:
+                assert request.completed, "overtook a request with its key"
+                for each in request.attempts:
+                    assert not each.pending, "concurrent with an attempt with its key"
+                    if each.outcome in MAY_STILL_RUN:
+                        assert self.now >= each.ended_at + KEY_COOLDOWN_US, "no cooldown of the key"
+
+    def check_final_response(self, action: Refuse | Fail) -> None:
         request = self.requests[action.request]
-        assert not request["over"], "two final answers"
-        assert self.now < request["deadline"] or request["late"], "answered after the deadline"
-        if isinstance(action, Refuse) and request["kind"].idempotency is not Idempotency.SAFE:
-            maybe = [each for each in request["attempts"] if each["pending"] or not each["never ran"]]
-            whole = (
-                request["kind"].idempotency is Idempotency.KEYED
-                and request["kind"].dedup_scope.value == "all"
+        assert not request.completed, "two final responses"
+        assert self.now < request.deadline or request.may_be_late, "answered after the deadline"
+        service_class = request.service_class
+        if isinstance(action, Refuse) and service_class.idempotency is not Idempotency.SAFE:
+            may_have_run = any(each.may_have_run for each in request.attempts)
+            deduplicated_everywhere = (
+                service_class.idempotency is Idempotency.KEYED and service_class.dedup_scope.value == "all"
             )
-            assert not maybe or whole, "a refusal that may have run"
-        request["over"] = True
+            assert not may_have_run or deduplicated_everywhere, "rejected a request that may have run"
+        request.completed = True
 
     def check_counts(self) -> None:
-        out: dict[str, int] = dict.fromkeys(SERVERS, 0)
+        in_flight: dict[str, int] = dict.fromkeys(SERVERS, 0)
         for request in self.requests.values():
-            for each in request["attempts"]:
-                out[each["server"]] += each["pending"]
+            for each in request.attempts:
+                in_flight[each.endpoint.server] += each.pending
         for name, server in self.balancer._context.registry.servers.items():
-            assert server.in_flight == out[name], "the count of requests in flight is off"
+            assert server.in_flight == in_flight[name], "the count of requests in flight is off"
 
     def arrive(self, name: str, remaining_us: int, key: int | None) -> None:
         number, self.next = self.next, self.next + 1
-        self.requests[number] = {
-            "kind": self.kinds[name],
-            "deadline": self.now + remaining_us,
-            "late": remaining_us <= 2 * TICK,
-            "attempts": [],
-            "over": False,
-            "attempts most": self.settings.limits.max_attempts,
-            "copies": self.settings.limits.allow_hedging,
-            "proofs": self.proofs,
-            "key": key if self.kinds[name].ordered_by_key else None,
-        }
+        service_class = self.service_classes[name]
+        self.requests[number] = RequestRecord(
+            service_class=service_class,
+            deadline=self.now + remaining_us,
+            may_be_late=remaining_us <= 2 * TICK_US,
+            max_attempts=self.settings.limits.max_attempts,
+            allow_hedging=self.settings.limits.allow_hedging,
+            never_ran_outcomes=self.never_ran_outcomes,
+            ordered_key=key if service_class.ordered_by_key else None,
+        )
         self.play(RequestArrived(number, name, None, key, remaining_us))
 
-    def end(self, choice: int, outcome: Outcome) -> None:
-        out = [
+    def end_attempt(self, choice: int, outcome: Outcome) -> None:
+        pending = [
             (number, index)
             for number, request in self.requests.items()
-            for index, each in enumerate(request["attempts"])
-            if each["pending"]
+            for index, each in enumerate(request.attempts)
+            if each.pending
         ]
-        if out:
-            self.end_one(*out[choice % len(out)], outcome)
+        if pending:
+            self.end_pending_attempt(*pending[choice % len(pending)], outcome)
 
-    def end_one(self, number: int, index: int, outcome: Outcome) -> None:
+    def end_pending_attempt(self, number: int, index: int, outcome: Outcome) -> None:
         request = self.requests[number]
-        each = request["attempts"][index]
-        each["pending"], each["outcome"], each["ended"] = False, outcome, self.now
-        each["never ran"] = outcome in request["proofs"]
+        attempt = request.attempts[index]
+        attempt.pending, attempt.outcome, attempt.ended_at = False, outcome, self.now
+        attempt.never_ran = outcome in request.never_ran_outcomes
         if outcome is Outcome.DELIVERED:
-            request["over"] = True
-        self.play(Ended(number, index, each["server"], outcome, self.now - each["at"], request["over"]))
+            request.completed = True
+        elapsed_us = self.now - attempt.sent_at
+        server = attempt.endpoint.server
+        self.play(AttemptEnded(number, index, server, outcome, elapsed_us, request.completed))
 
-    def probed(self, outcome: Outcome, held: float | None) -> None:
-        if self.probes:
-            server, sent = self.probes.pop(0)
-            report = None if held is None else {"inflight": held}
-            self.play(ProbeEnded(server, outcome, self.now - sent, report))
+    def end_health_check(self, outcome: Outcome, load: float | None) -> None:
+        if self.health_checks:
+            server, sent_at = self.health_checks.pop(0)
+            report = None if load is None else {"inflight": load}
+            self.play(ProbeEnded(server, outcome, self.now - sent_at, report))
 
-    def leave(self, choice: int) -> None:
-        waiting = [number for number, request in self.requests.items() if not request["over"]]
+    def disconnect_client(self, choice: int) -> None:
+        waiting = [number for number, request in self.requests.items() if not request.completed]
         if waiting:
             number = waiting[choice % len(waiting)]
-            self.requests[number]["over"] = True
+            self.requests[number].completed = True
             self.play(RequestGone(number))
 
-    def list(self, kind: RegistryUpdateKind, lines: list[Endpoint]) -> None:
+    def update_registry(self, kind: RegistryUpdateKind, endpoints: list[Endpoint]) -> None:
         if kind is not RegistryUpdateKind.DELTA:
-            for line in self.listed.values():
-                line.state = ServerState.GONE
-        for line in lines:
-            self.listed[line.server] = line
-        self.play(RegistryUpdated(kind, lines, 1))
+            for endpoint in self.listed.values():
+                endpoint.state = ServerState.GONE
+        for endpoint in endpoints:
+            self.listed[endpoint.server] = endpoint
+        self.play(RegistryUpdated(kind, endpoints, 1))
 
     def wait(self, span_us: int) -> None:
         until = self.now + span_us
@@ -232,10 +274,10 @@
 
     def check_deadlines(self) -> None:
         for request in self.requests.values():
-            assert request["over"] or self.now < request["deadline"], "a request was left unanswered"
+            assert request.completed or self.now < request.deadline, "a request was left unanswered"
 
 
-lines = st.builds(
+endpoints = st.builds(
     Endpoint,
     server=st.sampled_from(SERVERS),
     zone=st.sampled_from(ZONES),
@@ -251,12 +293,13 @@
     st.integers(1, 2_500).map(lambda ms: ms * MS),
     st.sampled_from(KEYS),
 )
-allowed = (  # copies, attempts, late shedding, classes in order, probing
-    st.booleans(),
-    st.integers(0, 4),
-    st.booleans(),
-    st.sets(st.sampled_from([str(each["name"]) for each in CLASSES])),
-    st.booleans(),
+permissions = st.builds(
+    Permissions,
+    allow_hedging=st.booleans(),
+    max_attempts=st.integers(0, 4),
+    late_shedding=st.booleans(),
+    ordered_classes=st.sets(st.sampled_from([str(each["name"]) for each in CLASSES])),
+    allow_probes=st.booleans(),
 )
 steps = st.one_of(
     arrivals,
@@ -264,56 +307,48 @@
     st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(list(Outcome))),
     st.tuples(st.just("end"), st.integers(0, 50), st.just(Outcome.DELIVERED)),
     st.tuples(
-        st.just("probed"),
+        st.just("health check"),
         st.sampled_from([Outcome.DELIVERED, Outcome.DELIVERED, Outcome.EXPIRED, Outcome.DIAL_FAILED]),
         st.sampled_from([None, 0.0, 3.0, 50.0]),
     ),
-    st.tuples(st.just("leave"), st.integers(0, 50)),
-    st.tuples(st.just("change"), *allowed),
+    st.tuples(st.just("disconnect"), st.integers(0, 50)),
+    st.tuples(st.just("change"), permissions),
     st.tuples(st.just("wait"), st.integers(1, 1_500).map(lambda ms: ms * MS)),
     st.tuples(
-        st.just("list"),
+        st.just("registry"),
         st.sampled_from([RegistryUpdateKind.DELTA, RegistryUpdateKind.SNAPSHOT, RegistryUpdateKind.FAILED]),
-        st.lists(lines, max_size=5, unique_by=lambda each: each.server),
+        st.lists(endpoints, max_size=5, unique_by=lambda each: each.server),
     ),
 )
 
 
-@how(max_examples=250, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
-@given(
-    *allowed,
-    st.integers(0, 1_000),
-    st.lists(steps, min_size=5, max_size=60),
+@hypothesis_settings(
+    max_examples=250, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck)
 )
+@given(permissions, st.integers(0, 1_000), st.lists(steps, min_size=5, max_size=60))
 def test_no_event_sequence_breaks_an_invariant(
-    copies: bool,
-    attempts: int,
-    late_shedding: bool,
-    ordered: set[str],
-    probing: bool,
-    rng: int,
-    script: list[Any],
+    initial: Permissions, rng_seed: int, script: list[Any]
 ) -> None:
-    referee = Referee(copies, attempts, late_shedding, ordered, probing, rng)
+    checker = InvariantChecker(initial, rng_seed)
     ready = [Endpoint(name, "east", "box", index % 3) for index, name in enumerate(SERVERS)]
-    referee.list(RegistryUpdateKind.CACHED, ready)
+    checker.update_registry(RegistryUpdateKind.CACHED, ready)
     for step in script:
         match step:
             case ("arrive", name, remaining, key):
-                referee.arrive(name, remaining, key)
+                checker.arrive(name, remaining, key)
             case ("end", choice, outcome):
-                referee.end(choice, outcome)
-            case ("probed", outcome, held):
-                referee.probed(outcome, held)
-            case ("change", *other):
-                referee.change(*other)
-            case ("leave", choice):
-                referee.leave(choice)
+                checker.end_attempt(choice, outcome)
+            case ("health check", outcome, load):
+                checker.end_health_check(outcome, load)
+            case ("change", changed):
+                checker.change_permissions(changed)
+            case ("disconnect", choice):
+                checker.disconnect_client(choice)
             case ("wait", span):
-                referee.wait(span)
-            case ("list", kind, changed):
+                checker.wait(span)
+            case ("registry", kind, changed):
                 if kind is RegistryUpdateKind.FAILED:
-                    referee.play(RegistryUpdated(kind))
+                    checker.play(RegistryUpdated(kind))
                 else:
-                    referee.list(kind, changed)
-    referee.wait(4 * S)
+                    checker.update_registry(kind, changed)
+    checker.wait(4 * S)
