--- a/tests/decision_digest.py
+++ b/tests/decision_digest.py
@@ -49,7 +49,7 @@
 
 @dataclass
 class SentAttempt:
-    """An attempt that the world has not ended yet."""
+    """An attempt in flight; `until` is negative once it has ended."""
 
     server: str
     sent_at: int
@@ -57,17 +57,17 @@
 
 
 @dataclass
-class WorldRequest:
+class SimulatedRequest:
     """A request as its client sees it."""
 
     answered: bool = False
     attempts: list[SentAttempt] = field(default_factory=list)
 
 
-# What falls due in the world: an event as it is, or one that depends on what happened until then.
+# Scheduled items of the simulated world: events, and items that depend on what happened until they are due.
 @dataclass
-class Ending:
-    """An attempt is to end."""
+class AttemptEnding:
+    """An attempt ends when this is due."""
 
     request: int
     attempt: int
@@ -75,20 +75,20 @@
 
 
 @dataclass
-class Starting:
-    """The answer of an attempt is to begin."""
+class ResponseStarting:
+    """The response of an attempt starts when this is due."""
 
     request: int
     attempt: int
 
 
 @dataclass
-class Step:
-    """The next random step of the world: arrivals, changes of servers, stalls."""
+class WorldStep:
+    """The next random step of the world: arrivals, changes of servers and stalls."""
 
 
 class Recorder:
-    """Plays one scenario with one seed; `run` gives the digest of all actions."""
+    """Simulates one scenario with one seed; `run` returns the digest of all actions."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self._scenario = scenario
@@ -98,37 +98,37 @@
         self._target_us = int(scenario.settings["classes"][0]["latency_target_us"])
         self._digest = hashlib.sha256()
         self._now = START
-        self._due: list[tuple[int, int, Event | Ending | Starting | Step]] = []
+        self._due: list[tuple[int, int, Event | AttemptEnding | ResponseStarting | WorldStep]] = []
         self._order = 0
-        self._requests: dict[int, WorldRequest] = {}
+        self._requests: dict[int, SimulatedRequest] = {}
         self._endpoints: dict[str, Endpoint] = {}
         self._speed: dict[str, float] = {}
         self._hung: set[str] = set()
         self._failing: set[str] = set()
-        self._holds: Counter[str] = Counter()
+        self._in_flight: Counter[str] = Counter()
         self._surge_until = 0
         self.events = 0
         self.handle_seconds = 0.0
         self.actions: Counter[str] = Counter()
 
     def run(self, events: int) -> str:
-        """Play so many events and give the digest of the actions."""
+        """Simulate so many events and return the digest of the actions."""
         for number in range(self._scenario.servers):
             self._add_server(f"s{number}")
         names = list(self._endpoints)
         self._hung.update(names[: self._scenario.hung])
         self._failing.update(names[: self._scenario.failing])
         self._play(RegistryUpdated(RegistryUpdateKind.CACHED, list(self._endpoints.values()), 0))
-        self._later(0, Step())
+        self._schedule(0, WorldStep())
         while self.events < events:
             due, _, what = heapq.heappop(self._due)
             self._now = max(self._now, due)
             match what:
-                case Ending():
+                case AttemptEnding():
                     self._end(what)
-                case Starting():
+                case ResponseStarting():
                     self._start(what)
-                case Step():
+                case WorldStep():
                     self._step()
                 case RegistryUpdated():
                     self._refresh(what)
@@ -136,7 +136,7 @@
                     self._play(what)
         return self._digest.hexdigest()
 
-    def _later(self, wait_us: float, what: Event | Ending | Starting | Step) -> None:
+    def _schedule(self, wait_us: float, what: Event | AttemptEnding | ResponseStarting | WorldStep) -> None:
         self._order += 1
         heapq.heappush(self._due, (self._now + int(wait_us), self._order, what))
 
@@ -157,16 +157,18 @@
             case Refuse() | Fail():
                 self._requests[action.request].answered = True
             case Cancel():
-                self._later(self._random.randrange(3 * MS), Ending(*_key(action), Outcome.CANCELLED))
+                self._schedule(
+                    self._random.randrange(3 * MS), AttemptEnding(*_key(action), Outcome.CANCELLED)
+                )
             case SetTimer():
-                self._later(action.in_us, TimerFired(action.token))
+                self._schedule(action.in_us, TimerFired(action.token))
             case Probe():
                 self._probe(action.server)
             case WatchRegistry():
                 failed = self._random.random() < 0.4
                 kind = RegistryUpdateKind.FAILED if failed else RegistryUpdateKind.SNAPSHOT
                 if self._random.random() < 0.8:
-                    self._later(self._random.randrange(300 * MS), RegistryUpdated(kind))
+                    self._schedule(self._random.randrange(300 * MS), RegistryUpdated(kind))
             case _:
                 pass
 
@@ -174,13 +176,13 @@
         request = self._requests[send.request]
         index = len(request.attempts)
         request.attempts.append(SentAttempt(send.server, self._now, send.until))
-        self._holds[send.server] += 1
+        self._in_flight[send.server] += 1
         chance = self._random.random()
-        crowd = 1.0 + 0.15 * self._holds[send.server]
+        congestion = 1.0 + 0.15 * self._in_flight[send.server]
         took = (
             self._scenario.service_us
             * self._speed[send.server]
-            * crowd
+            * congestion
             * (0.4 + self._random.expovariate(1.0))
         )
         if send.server in self._hung or chance < 0.004:
@@ -193,22 +195,22 @@
         else:
             outcome = Outcome.DELIVERED
             if chance > 0.9:
-                self._later(0.7 * took, Starting(send.request, index))
-        self._later(took, Ending(send.request, index, outcome))
+                self._schedule(0.7 * took, ResponseStarting(send.request, index))
+        self._schedule(took, AttemptEnding(send.request, index, outcome))
 
-    def _end(self, ending: Ending) -> None:
+    def _end(self, ending: AttemptEnding) -> None:
         request = self._requests[ending.request]
         attempt = request.attempts[ending.attempt]
         if attempt.until < 0:
             return
         attempt.until = -1
-        self._holds[attempt.server] -= 1
+        self._in_flight[attempt.server] -= 1
         if ending.outcome is Outcome.DELIVERED:
             request.answered = True
         elapsed = self._now - attempt.sent_at
         report = None
         if self._scenario.reports and self._random.random() < 0.9:
-            report = {"util": round(0.2 + 0.1 * self._holds[attempt.server] * self._random.random(), 3)}
+            report = {"util": round(0.2 + 0.1 * self._in_flight[attempt.server] * self._random.random(), 3)}
         self._play(
             AttemptEnded(
                 ending.request,
@@ -221,7 +223,7 @@
             )
         )
 
-    def _start(self, starting: Starting) -> None:
+    def _start(self, starting: ResponseStarting) -> None:
         request = self._requests[starting.request]
         attempt = request.attempts[starting.attempt]
         if attempt.until >= 0 and not request.answered:
@@ -231,11 +233,11 @@
     def _probe(self, server: str) -> None:
         took = self._random.randrange(1, 6 * MS)
         if server in self._hung or self._random.random() < 0.03:
-            self._later(took + 300 * MS, ProbeEnded(server, Outcome.EXPIRED, took + 300 * MS))
+            self._schedule(took + 300 * MS, ProbeEnded(server, Outcome.EXPIRED, took + 300 * MS))
             return
-        held = float(self._holds[server] + self._random.randrange(6))
-        report = None if self._random.random() < 0.05 else {"inflight": held}
-        self._later(took, ProbeEnded(server, Outcome.DELIVERED, took, report))
+        load = float(self._in_flight[server] + self._random.randrange(6))
+        report = None if self._random.random() < 0.05 else {"inflight": load}
+        self._schedule(took, ProbeEnded(server, Outcome.DELIVERED, took, report))
 
     def _refresh(self, update: RegistryUpdated) -> None:
         if update.kind is RegistryUpdateKind.SNAPSHOT:
@@ -243,13 +245,13 @@
         self._play(update)
 
     def _step(self) -> None:
-        """One random step, and the time of the next."""
+        """Take one random step and schedule the next."""
         chance = self._random.random()
-        busy = self._now < self._surge_until
+        surging = self._now < self._surge_until
         if chance < 0.015:
             self._change_servers()
         elif chance < 0.019:
-            self._now += int(self._target_us * self._random.choice((0.2, 0.6, 2.0)))  # all that is due waits
+            self._now += int(self._target_us * self._random.choice((0.2, 0.6, 2.0)))  # the balancer stalls
             for _ in range(self._random.randrange(6)):
                 self._arrive()
         elif chance < 0.024:
@@ -258,14 +260,16 @@
             for _ in range(self._random.randrange(2, 25)):
                 self._arrive()
         elif chance < 0.05:
-            self._leave()
+            self._disconnect_client()
         else:
             self._arrive()
-        self._later(self._random.expovariate((4.0 if busy else 1.0) / self._scenario.every_us), Step())
+        self._schedule(
+            self._random.expovariate((4.0 if surging else 1.0) / self._scenario.every_us), WorldStep()
+        )
 
     def _arrive(self) -> None:
         number = len(self._requests) + 1
-        self._requests[number] = WorldRequest()
+        self._requests[number] = SimulatedRequest()
         name = self._random.choice(self._classes) if self._random.random() < 0.99 else "unheard-of"
         cost = self._random.choice((None, 2 * MS, 10 * MS, 10 * MS, 80 * MS))
         key = self._random.choice((None, 1, 2, 3, self._random.randrange(1_000)))
@@ -273,7 +277,7 @@
         tenant = self._random.choice(self._scenario.tenants)
         self._play(RequestArrived(number, name, tenant, key, remaining, cost))
 
-    def _leave(self) -> None:
+    def _disconnect_client(self) -> None:
         number = self._random.randrange(max(len(self._requests) - 40, 0), len(self._requests) + 1)
         request = self._requests.get(number)
         if request is not None and not request.answered:
--- a/tests/decision_scenarios.py
+++ b/tests/decision_scenarios.py
@@ -1,4 +1,4 @@
-"""The settings, and the simulated worlds, over which decisions are recorded and digested."""
+"""The scenarios over which decisions are recorded and digested: settings, servers and traffic."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """Settings, and the world they are tried in."""
+    """Settings, and the servers and traffic that they are simulated with."""
 
     name: str
     settings: dict[str, Any]
@@ -60,8 +60,8 @@
     every_us: int = 6 * MS
     reports: bool = False
     tenants: tuple[str | None, ...] = (None,)
-    hung: int = 0  # servers that answer nothing from the start
-    failing: int = 0  # servers that fail what they get, from the start
+    hung: int = 0  # servers that hang from the start
+    failing: int = 0  # servers that fail every request from the start
 
 
 SCENARIOS = (
