--- a/tests/balancer/balancer_stage.py
+++ b/tests/balancer/balancer_stage.py
@@ -11,6 +11,7 @@
     ProbeEnded,
 )
 from topazbank.settings import Settings
+from topazbank.state import Request, Server
 
 
 def ready_stage(servers: int, given: Settings | None = None, seed: int = 7) -> Stage:
@@ -36,6 +37,12 @@
 }
 
 
+def server_without_attempt(stage: Stage, request: Request) -> Server:
+    """A server other than that of the request's first attempt."""
+    servers = stage.balancer._context.registry.servers.values()
+    return next(each for each in servers if each is not request.attempts[0].server)
+
+
 def answer_health_checks(stage: Stage, load: dict[str, float], unresponsive: str = "") -> None:
     """Answer the health checks sent at this moment, each with the load of its server."""
     stage.wait(2 * MS)
--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -8,6 +8,7 @@
 from policy_context import add_load, make_context
 
 from topazbank.policy.concurrency_limit import LEAST_LIMIT, ConcurrencyLimit
+from topazbank.state import Context
 
 
 def test_the_first_responses_after_a_restart_do_not_set_the_limit() -> None:
@@ -24,13 +25,18 @@
     assert balancer._limit.limit < float("inf")
 
 
+def observe_repeatedly(context: Context, limit: ConcurrencyLimit, times: int, latency_ratio: float) -> None:
+    """Observe so many responses, one each 20 ms, of this latency as a part of the target."""
+    for _ in range(times):
+        context.now += 20 * MS
+        limit.observe(latency_ratio)
+
+
 def test_late_responses_decrease_the_limit_down_to_its_minimum() -> None:
     context = make_context()
     limit = ConcurrencyLimit(context)
     add_load(context, 16)
-    for _ in range(2_000):
-        context.now += 20 * MS
-        limit.observe(2.0)
+    observe_repeatedly(context, limit, 2_000, latency_ratio=2.0)
     assert LEAST_LIMIT <= limit.limit < 1.0
 
 
@@ -38,9 +44,7 @@
     context = make_context()
     limit = ConcurrencyLimit(context)
     add_load(context, 16)
-    for _ in range(500):
-        context.now += 20 * MS
-        limit.observe(0.9)
+    observe_repeatedly(context, limit, 500, latency_ratio=0.9)
     assert limit.limit == math.inf
 
 
@@ -51,7 +55,5 @@
     for rejected in (False, True):
         limit.refused = rejected
         before = limit.limit
-        for _ in range(50):
-            context.now += 20 * MS
-            limit.observe(0.05)
+        observe_repeatedly(context, limit, 50, latency_ratio=0.05)
         assert (limit.limit > before) is rejected
--- a/tests/balancer/test_draining.py
+++ b/tests/balancer/test_draining.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from balancer_stage import ready_stage
+from balancer_stage import ready_stage, server_without_attempt
 from helpers import Stage, names
 
 from topazbank.interface import (
@@ -35,11 +35,7 @@
 def test_sending_to_a_draining_or_removed_server_is_blocked() -> None:
     stage = ready_stage(3)
     request = stage.balancer._requests[stage.request()]
-    server = next(
-        each
-        for each in stage.balancer._context.registry.servers.values()
-        if each is not request.attempts[0].server
-    )
+    server = server_without_attempt(stage, request)
     for state in (ServerState.DRAINING, ServerState.GONE):
         stage.drain(server.name, state)
         assert not stage.balancer._send(request, server)
--- a/tests/balancer/test_hedging.py
+++ b/tests/balancer/test_hedging.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from balancer_stage import ready_stage
+from balancer_stage import ready_stage, server_without_attempt
 from helpers import MS, settings
 
 from topazbank.interface import (
@@ -31,9 +31,5 @@
     for allowed in (False, True):
         stage = ready_stage(3, settings(limits={"allow_hedging": allowed}))
         request = stage.balancer._requests[stage.request()]
-        server = next(
-            each
-            for each in stage.balancer._context.registry.servers.values()
-            if each is not request.attempts[0].server
-        )
+        server = server_without_attempt(stage, request)
         assert stage.balancer._send(request, server) is allowed
