--- a/tests/balancer/balancer_stage.py
+++ b/tests/balancer/balancer_stage.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from helpers import MS, Stage, names
+from helpers import MS as MILLISECOND_US
+from helpers import Stage, names
 
 from topazbank.interface import (
     Endpoint,
@@ -21,7 +22,9 @@
     return stage
 
 
-def serve_one_at_a_time(stage: Stage, count: int, taking_us: int = 50 * MS, every_us: int = 400 * MS) -> None:
+def serve_one_at_a_time(
+    stage: Stage, count: int, taking_us: int = 50 * MILLISECOND_US, every_us: int = 400 * MILLISECOND_US
+) -> None:
     """Traffic without concurrency: each request is answered before the next one arrives."""
     for _ in range(count):
         request = stage.request()
@@ -45,12 +48,16 @@
 
 def answer_health_checks(stage: Stage, load: dict[str, float], unresponsive: str = "") -> None:
     """Answer the health checks sent at this moment, each with the load of its server."""
-    stage.wait(2 * MS)
-    checked = [each.server for at, each in stage.log if isinstance(each, Probe) and at == stage.now - 2 * MS]
+    stage.wait(2 * MILLISECOND_US)
+    checked = [
+        each.server
+        for at, each in stage.log
+        if isinstance(each, Probe) and at == stage.now - 2 * MILLISECOND_US
+    ]
     for server in checked:
         if server != unresponsive:
             report = {"inflight": load.get(server, 0.0)}
-            stage.play(ProbeEnded(server, Outcome.DELIVERED, 2 * MS, report))
+            stage.play(ProbeEnded(server, Outcome.DELIVERED, 2 * MILLISECOND_US, report))
 
 
 def two_zones(servers_each: int) -> list[Endpoint]:
--- a/tests/balancer/policy_context.py
+++ b/tests/balancer/policy_context.py
@@ -4,7 +4,9 @@
 
 import random
 
-from helpers import MS, START, S, settings
+from helpers import MS as MILLISECOND_US
+from helpers import START, settings
+from helpers import S as SECOND_US
 
 from topazbank.interface import (
     Endpoint,
@@ -14,7 +16,7 @@
 )
 from topazbank.state import Attempt, Context, Request, Server
 
-TARGET_US = 500 * MS
+TARGET_US = 500 * MILLISECOND_US
 
 
 def make_context(servers: int = 10, **changes: object) -> Context:
@@ -30,7 +32,7 @@
 def make_request(context: Context, class_name: str = "look") -> Request:
     """A request of the class, with no attempt so far."""
     service_class = next(each for each in context.settings.classes if each.name == class_name)
-    return Request(1, service_class, START + 2 * S, 1.0, (class_name, None), all_zones=True, size=1)
+    return Request(1, service_class, START + 2 * SECOND_US, 1.0, (class_name, None), all_zones=True, size=1)
 
 
 def start_attempt(context: Context, request: Request, server: Server) -> Attempt:
--- a/tests/balancer/test_admission.py
+++ b/tests/balancer/test_admission.py
@@ -6,7 +6,9 @@
 
 import pytest
 from balancer_stage import ready_stage, serve_one_at_a_time
-from helpers import MS, S, Stage, names, settings
+from helpers import MS as MILLISECOND_US
+from helpers import S as SECOND_US
+from helpers import Stage, names, settings
 
 from topazbank.interface import (
     Cancel,
@@ -25,7 +27,7 @@
     overdue = stage.request("pay")
     for _ in range(20):  # one at a time, they go to other servers; many at once overtake it
         others = [stage.request() for _ in range(at_once)]
-        stage.wait(50 * MS)
+        stage.wait(50 * MILLISECOND_US)
         for each in others:
             stage.end(each)
     assert stage.balancer._requests[overdue].attempts[0].counted_late is counted
@@ -36,7 +38,7 @@
     stage.servers(names(4))
     in_flight: list[int] = []
     for tick in range(spans):
-        stage.wait(10 * MS)
+        stage.wait(10 * MILLISECOND_US)
         for name in ("look", "pay"):
             request = stage.request(name)
             if stage.sends(request):
@@ -62,12 +64,12 @@
     stage = Stage()
     stage.serve(1)
     overload_servers(stage, 400)
-    stage.wait(10 * S)
+    stage.wait(10 * SECOND_US)
     for request in list(stage.balancer._requests.values()):
         for attempt in request.attempts:
             if attempt.pending:
                 stage.end(request.ident, Outcome.CANCELLED, attempt.index, answered=True)
-    stage.wait(11 * S)  # cancelled attempts count as load for as long again
+    stage.wait(11 * SECOND_US)  # cancelled attempts count as load for as long again
     stage.serve(600)  # a small limit takes some latency targets to grow; a rejection meanwhile is no fault
     rejected = len(stage.said(Refuse))
     stage.serve(300)
@@ -76,12 +78,13 @@
 
 def test_late_responses_do_not_reduce_the_limit_below_the_timely_throughput() -> None:
     stage = ready_stage(8)
-    stage.serve(400, every_us=10 * MS, taking_us=100 * MS)  # ten in flight, each a fifth of the target
+    # Ten in flight, each a fifth of the target.
+    stage.serve(400, every_us=10 * MILLISECOND_US, taking_us=100 * MILLISECOND_US)
     pending: deque[tuple[int, int]] = deque()
     for _ in range(300):
-        stage.wait(10 * MS)
+        stage.wait(10 * MILLISECOND_US)
         stage.balancer._limit.latency_ratio = stage.balancer._limit.late_share = 1.0
-        pending.append((stage.now + 100 * MS, stage.request()))
+        pending.append((stage.now + 100 * MILLISECOND_US, stage.request()))
         if pending[0][0] <= stage.now and stage.sends(done := pending.popleft()[1]):
             stage.end(done)
     assert len(stage.said(Refuse)) < 60
@@ -96,14 +99,14 @@
 def test_low_traffic_is_partly_shed_while_every_response_is_late() -> None:
     stage = ready_stage(8)
     for _ in range(120):  # hardly ever two in flight, so a limit of two would never reject one
-        stage.wait(900 * MS)
+        stage.wait(900 * MILLISECOND_US)
         request = stage.request()
         if stage.sends(request):
-            stage.wait(700 * MS)
+            stage.wait(700 * MILLISECOND_US)
             stage.end(request)
     rejected = len(stage.said(Refuse))
     assert 20 <= rejected < 120
-    stage.wait(10 * S)
+    stage.wait(10 * SECOND_US)
     serve_one_at_a_time(stage, 60)
     rejected = len(stage.said(Refuse))
     serve_one_at_a_time(stage, 60)
@@ -116,10 +119,10 @@
     stage.balancer._limit.sized_at = stage.now
     for _ in range(10):
         pair = (stage.request(), stage.request())
-        stage.wait(50 * MS)
+        stage.wait(50 * MILLISECOND_US)
         for request in pair:
             stage.end(request)
-        stage.wait(900 * MS)
+        stage.wait(900 * MILLISECOND_US)
     assert not stage.said(Refuse)
 
 
@@ -127,10 +130,10 @@
     stage = ready_stage(8)
     rejected = 0
     for _ in range(300):
-        stage.wait(60 * MS)
+        stage.wait(60 * MILLISECOND_US)
         request = stage.request()
         if stage.sends(request):
-            stage.wait(550 * MS)
+            stage.wait(550 * MILLISECOND_US)
             stage.end(request, attempt=0, report={"util": cores})
         else:
             rejected += 1
@@ -146,10 +149,10 @@
     stage = ready_stage(8)
     in_flight: list[tuple[int, int]] = []
     for _ in range(600):
-        stage.wait(10 * MS)
+        stage.wait(10 * MILLISECOND_US)
         request = stage.request()
         if stage.sends(request):
-            latency_us = (550 if request % 8 == 0 else 300) * MS  # one in eight is late
+            latency_us = (550 if request % 8 == 0 else 300) * MILLISECOND_US  # one in eight is late
             in_flight.append((stage.now + latency_us, request))
         while in_flight and stage.now >= in_flight[0][0]:
             stage.end(in_flight.pop(0)[1], attempt=0, report={"util": 0.5})
@@ -159,12 +162,12 @@
 def test_a_stale_load_report_does_not_hide_hung_servers() -> None:
     stage = ready_stage(8)
     for _ in range(20):
-        stage.wait(50 * MS)
+        stage.wait(50 * MILLISECOND_US)
         request = stage.request()
-        stage.wait(50 * MS)
+        stage.wait(50 * MILLISECOND_US)
         stage.end(request, attempt=0, report={"util": 0.3})
     for _ in range(400):
-        stage.wait(20 * MS)
+        stage.wait(20 * MILLISECOND_US)
         stage.request("pay")  # none of these is ever answered
     assert len(stage.said(Refuse)) > 100
 
@@ -174,7 +177,7 @@
     stage = ready_stage(4)
     in_flight: list[int] = []
     for count in range(800):
-        stage.wait(20 * MS)
+        stage.wait(20 * MILLISECOND_US)
         in_flight.append(stage.request())
         if len(in_flight) > min(3 + count // 10, 30):  # in the end 600 ms each, past the target of 500 ms
             stage.end(in_flight.pop(0), report={"util": 0.2})
@@ -186,12 +189,12 @@
     stage = ready_stage(4)
     for _ in range(30):
         request = stage.request("look")
-        stage.wait(600 * MS)
+        stage.wait(600 * MILLISECOND_US)
         if stage.sends(request):
             stage.end(request)
     rejected = len(stage.said(Refuse))
     assert rejected > 3
-    stage.wait(10 * S)
+    stage.wait(10 * SECOND_US)
     assert all(stage.sends(stage.request("look")) for _ in range(2))
 
 
@@ -199,13 +202,16 @@
     stage = ready_stage(6)
     for _ in range(12):
         request = stage.request("pay")
-        stage.wait(200 * MS)
+        stage.wait(200 * MILLISECOND_US)
         stage.end(request, Outcome.DROPPED)
     assert stage.said(Refuse) == [] and len(stage.said(Fail)) == 12
 
 
 def test_rejections_carry_a_jittered_retry_after_where_enabled() -> None:
-    for limits, maximum_us in (({}, 0), ({"retry_after": True, "max_retry_after_us": 30 * MS}, 30 * MS)):
+    for limits, maximum_us in (
+        ({}, 0),
+        ({"retry_after": True, "max_retry_after_us": 30 * MILLISECOND_US}, 30 * MILLISECOND_US),
+    ):
         stage = Stage(settings(limits=limits))
         for _ in range(20):
             stage.request()  # there is no server
--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -4,7 +4,8 @@
 
 import math
 
-from helpers import MS, Stage
+from helpers import MS as MILLISECOND_US
+from helpers import Stage
 from policy_context import add_load, make_context
 
 from topazbank.policy.concurrency_limit import LEAST_LIMIT, ConcurrencyLimit
@@ -28,7 +29,7 @@
 def observe_repeatedly(context: Context, limit: ConcurrencyLimit, times: int, latency_ratio: float) -> None:
     """Observe so many responses, one each 20 ms, of this latency as a part of the target."""
     for _ in range(times):
-        context.now += 20 * MS
+        context.now += 20 * MILLISECOND_US
         limit.observe(latency_ratio)
 
 
--- a/tests/balancer/test_connections.py
+++ b/tests/balancer/test_connections.py
@@ -3,7 +3,9 @@
 from __future__ import annotations
 
 from balancer_stage import LOAD_PROBING, answer_health_checks, ready_stage
-from helpers import MS, S, names, settings
+from helpers import MS as MILLISECOND_US
+from helpers import S as SECOND_US
+from helpers import names, settings
 from policy_context import make_context
 
 from topazbank.interface import (
@@ -19,15 +21,15 @@
 def test_an_idle_connection_is_closed_once_it_has_cost_as_much_as_a_handshake() -> None:
     stage = ready_stage(4, settings(group_size=100, prices={"connection": 0.08, "handshake": 0.08}))
     stage.serve(100)  # 50/s here; 1250/s a server from all 100, which share the price
-    stage.wait(1 * S)
+    stage.wait(1 * SECOND_US)
     closed = {each.server for each in stage.said(CloseIdle)}
     assert closed == {each.server for _, each in stage.sends()}
 
 
 def test_connections_are_not_closed_while_in_use_or_free_of_cost() -> None:
     for prices, every_us in (
-        ({"connection": 0.08, "handshake": 0.08}, 2 * MS),
-        ({"handshake": 0.08}, 90 * MS),
+        ({"connection": 0.08, "handshake": 0.08}, 2 * MILLISECOND_US),
+        ({"handshake": 0.08}, 90 * MILLISECOND_US),
     ):
         stage = ready_stage(2, settings(group_size=2, prices=prices))
         stage.serve(300, every_us=every_us)
@@ -41,14 +43,14 @@
         request = stage.request()
         answer_health_checks(stage, dict.fromkeys(names(4), 1.0))
         targets.add(stage.target(request))
-        stage.wait(30 * MS)
+        stage.wait(30 * MILLISECOND_US)
         stage.end(request)
     assert len(targets) == 1
 
 
 def test_idle_connections_are_not_closed_for_a_replaced_server_record() -> None:
     context = make_context(prices={"connection": 0.08, "handshake": 0.08})
-    connections = IdleConnections(context, DecayingRate(S), LinearFit(0.03, 5.0))
+    connections = IdleConnections(context, DecayingRate(SECOND_US), LinearFit(0.03, 5.0))
     server = context.registry.ready[0]
     connections.add(server)
     assert connections.close_due(server) == server.idle_close_due
--- a/tests/balancer/test_deadlines.py
+++ b/tests/balancer/test_deadlines.py
@@ -3,7 +3,9 @@
 from __future__ import annotations
 
 from balancer_stage import ready_stage
-from helpers import MS, START, S, Stage
+from helpers import MS as MILLISECOND_US
+from helpers import START, Stage
+from helpers import S as SECOND_US
 
 from topazbank.interface import (
     AttemptEnded,
@@ -17,21 +19,21 @@
 
 def test_an_unanswered_request_fails_before_its_deadline() -> None:
     stage = ready_stage(5)
-    request = stage.request("pay", remaining_us=900 * MS)
-    stage.wait(899 * MS)
+    request = stage.request("pay", remaining_us=900 * MILLISECOND_US)
+    stage.wait(899 * MILLISECOND_US)
     assert [each.request for each in stage.said(Fail)] == [request]
 
 
 def test_nothing_is_sent_or_answered_after_the_final_response() -> None:
     stage = ready_stage(5)
-    request = stage.request("look", remaining_us=300 * MS)
-    stage.wait(300 * MS)
+    request = stage.request("look", remaining_us=300 * MILLISECOND_US)
+    stage.wait(300 * MILLISECOND_US)
     answers = len(stage.said(Refuse))
     stage.end(request, Outcome.CANCELLED, answered=True)
-    stage.wait(5 * S)
+    stage.wait(5 * SECOND_US)
     assert answers == 1
     assert len(stage.said(Refuse)) == 1
-    assert len([1 for at, _ in stage.sends(request) if at > START + 300 * MS]) == 0
+    assert len([1 for at, _ in stage.sends(request) if at > START + 300 * MILLISECOND_US]) == 0
 
 
 def test_a_request_past_its_deadline_on_arrival_is_rejected() -> None:
@@ -63,6 +65,6 @@
     stage = ready_stage(3)
     request = stage.request("pay")
     stage.play(RequestGone(request))
-    stage.wait(3 * S)
+    stage.wait(3 * SECOND_US)
     assert [each.request for each in stage.said(Cancel)] == [request]
     assert stage.said(Fail) == [] and stage.said(Refuse) == []
--- a/tests/balancer/test_hedging.py
+++ b/tests/balancer/test_hedging.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from balancer_stage import ready_stage, server_without_attempt
-from helpers import MS, settings
+from helpers import MS as MILLISECOND_US
+from helpers import settings
 
 from topazbank.interface import (
     Cancel,
@@ -17,7 +18,7 @@
     request = stage.request("look")
     hung = stage.target(request)
     for _ in range(60):
-        stage.wait(10 * MS)
+        stage.wait(10 * MILLISECOND_US)
         other = stage.request("look")
         if stage.target(other) != hung:
             stage.end(other)
--- a/tests/balancer/test_idempotency.py
+++ b/tests/balancer/test_idempotency.py
@@ -4,7 +4,9 @@
 
 import pytest
 from balancer_stage import ready_stage
-from helpers import MS, START, S, Stage, names, settings
+from helpers import MS as MILLISECOND_US
+from helpers import START, Stage, names, settings
+from helpers import S as SECOND_US
 from policy_context import make_context, make_request, start_attempt
 
 from topazbank.interface import (
@@ -23,7 +25,7 @@
 def test_a_non_idempotent_request_that_may_have_run_is_not_retried(outcome: Outcome) -> None:
     stage = ready_stage(5)
     request = stage.request("pay")
-    stage.wait(10 * MS)
+    stage.wait(10 * MILLISECOND_US)
     stage.end(request, outcome)
     assert len(stage.sends(request)) == 1
     assert [each.request for each in stage.said(Fail)] == [request]
@@ -34,7 +36,7 @@
 def test_a_non_idempotent_request_that_never_ran_is_retried_at_another_server(outcome: Outcome) -> None:
     stage = ready_stage(5)
     request = stage.request("pay")
-    stage.wait(10 * MS)
+    stage.wait(10 * MILLISECOND_US)
     stage.end(request, outcome)
     targets = [each.server for _, each in stage.sends(request)]
     assert len(targets) == 2 and targets[0] != targets[1]
@@ -51,7 +53,7 @@
         cell_of = {each.server: each.cell for each in two_cells()}
         request = stage.request("amend")
         for _ in range(3):
-            stage.wait(10 * MS)
+            stage.wait(10 * MILLISECOND_US)
             stage.end(request, Outcome.DROPPED)
         targets = [each.server for _, each in stage.sends(request)]
         assert len(targets) > 1
@@ -61,8 +63,8 @@
 def test_a_request_is_not_retried_after_its_deduplication_window() -> None:
     stage = Stage()
     stage.servers(two_cells())
-    request = stage.request("amend", remaining_us=4 * S)
-    stage.wait(2 * S)
+    request = stage.request("amend", remaining_us=4 * SECOND_US)
+    stage.wait(2 * SECOND_US)
     stage.end(request, Outcome.DROPPED)
     assert len(stage.sends(request)) == 1
     assert [each.request for each in stage.said(Fail)] == [request]
@@ -72,22 +74,26 @@
     # A connection may be established long after the decision: the proxy has to know the end of the window.
     stage = Stage()
     stage.servers(two_cells())
-    request = stage.request("amend", remaining_us=4 * S)
+    request = stage.request("amend", remaining_us=4 * SECOND_US)
     stage.end(request, Outcome.FULL)  # it never ran
-    stage.wait(100 * MS)
+    stage.wait(100 * MILLISECOND_US)
     sent_at = stage.now
     stage.end(request, Outcome.DIAL_FAILED)  # nor then
-    stage.wait(500 * MS)
+    stage.wait(500 * MILLISECOND_US)
     stage.end(request, Outcome.DROPPED)
     ends = [send.write_by for _, send in stage.sends(request)]
-    assert ends == [START + 2 * S - 5 * MS] * 2 + [sent_at + 2 * S - 5 * MS] * 2
+    assert (
+        ends
+        == [START + 2 * SECOND_US - 5 * MILLISECOND_US] * 2
+        + [sent_at + 2 * SECOND_US - 5 * MILLISECOND_US] * 2
+    )
     assert [send.write_by for _, send in stage.sends(stage.request("pay"))] == [None]
 
 
 def test_a_non_idempotent_request_is_not_retried_after_late_shedding() -> None:
     stage = ready_stage(5, settings(rules={"late_shedding": True}))
     request = stage.request("pay")
-    stage.wait(10 * MS)
+    stage.wait(10 * MILLISECOND_US)
     stage.end(request, Outcome.FULL)
     assert len(stage.sends(request)) == 1
     assert [each.request for each in stage.said(Fail)] == [request]
@@ -99,13 +105,13 @@
         stage = Stage(settings(rules={"late_shedding": True}), seed=seed)
         stage.servers(two_cells())
         cell_of = {each.server: each.cell for each in two_cells()}
-        request = stage.request("amend", remaining_us=4 * S)
+        request = stage.request("amend", remaining_us=4 * SECOND_US)
         for _ in range(2):
-            stage.wait(10 * MS)
+            stage.wait(10 * MILLISECOND_US)
             stage.end(request, Outcome.FULL)
         targets = [each.server for _, each in stage.sends(request)]
         assert len(targets) == 3 and len({cell_of[each] for each in targets}) == 1
-        stage.wait(2 * S)
+        stage.wait(2 * SECOND_US)
         stage.end(request, Outcome.FULL)
         assert len(stage.sends(request)) == 3
         assert [each.request for each in stage.said(Fail)] == [request]
@@ -117,11 +123,11 @@
 ) -> None:
     context = make_context()
     request = make_request(context, class_name)
-    assert may_run_again(request, context.now, 5 * MS)
+    assert may_run_again(request, context.now, 5 * MILLISECOND_US)
     attempt = start_attempt(context, request, context.registry.ready[0])
-    assert may_run_again(request, context.now, 5 * MS) is repeatable
+    assert may_run_again(request, context.now, 5 * MILLISECOND_US) is repeatable
     attempt.may_have_run = False
-    assert may_run_again(request, context.now, 5 * MS)
+    assert may_run_again(request, context.now, 5 * MILLISECOND_US)
 
 
 def test_deduplication_is_bounded_by_the_cell_and_the_window() -> None:
@@ -132,5 +138,5 @@
     start_attempt(context, request, first)
     assert is_deduplicated_at(request, first) and not is_deduplicated_at(request, other)
     forgotten_at = context.now + request.service_class.dedup_window_us
-    assert may_run_again(request, forgotten_at - 6 * MS, 5 * MS)
-    assert not may_run_again(request, forgotten_at - 5 * MS, 5 * MS)
+    assert may_run_again(request, forgotten_at - 6 * MILLISECOND_US, 5 * MILLISECOND_US)
+    assert not may_run_again(request, forgotten_at - 5 * MILLISECOND_US, 5 * MILLISECOND_US)
--- a/tests/balancer/test_invariants.py
+++ b/tests/balancer/test_invariants.py
@@ -5,7 +5,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from helpers import KEYED, MS, SAFE, START, UNSAFE, S, names, settings
+from helpers import KEYED, SAFE, START, UNSAFE, names, settings
+from helpers import MS as MILLISECOND_US
+from helpers import S as SECOND_US
 from hypothesis import HealthCheck, given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
@@ -35,8 +37,8 @@
 
 SERVERS = names(7)
 ZONES = ("east", "west")
-TICK_US = 5 * MS
-KEY_COOLDOWN_US = 100 * MS
+TICK_US = 5 * MILLISECOND_US
+KEY_COOLDOWN_US = 100 * MILLISECOND_US
 KEYS = (None, 1, 2)
 MAY_STILL_RUN = (Outcome.EXPIRED, Outcome.DROPPED, Outcome.CANCELLED)
 CLASSES = [
@@ -285,12 +287,12 @@
     cell=st.integers(0, 2),
     state=st.sampled_from([ServerState.READY, ServerState.READY, ServerState.DRAINING, ServerState.GONE]),
     nominal=st.sampled_from([0.0, 1.0, 3.0]),
-    started_at=st.sampled_from([None, START - 5 * S, START, START + 2 * S]),
+    started_at=st.sampled_from([None, START - 5 * SECOND_US, START, START + 2 * SECOND_US]),
 )
 arrivals = st.tuples(
     st.just("arrive"),
     st.sampled_from([str(each["name"]) for each in CLASSES]),
-    st.integers(1, 2_500).map(lambda ms: ms * MS),
+    st.integers(1, 2_500).map(lambda ms: ms * MILLISECOND_US),
     st.sampled_from(KEYS),
 )
 permissions = st.builds(
@@ -313,7 +315,7 @@
     ),
     st.tuples(st.just("disconnect"), st.integers(0, 50)),
     st.tuples(st.just("change"), permissions),
-    st.tuples(st.just("wait"), st.integers(1, 1_500).map(lambda ms: ms * MS)),
+    st.tuples(st.just("wait"), st.integers(1, 1_500).map(lambda ms: ms * MILLISECOND_US)),
     st.tuples(
         st.just("registry"),
         st.sampled_from([RegistryUpdateKind.DELTA, RegistryUpdateKind.SNAPSHOT, RegistryUpdateKind.FAILED]),
@@ -351,4 +353,4 @@
                     checker.play(RegistryUpdated(kind))
                 else:
                     checker.update_registry(kind, changed)
-    checker.wait(4 * S)
+    checker.wait(4 * SECOND_US)
--- a/tests/balancer/test_key_order.py
+++ b/tests/balancer/test_key_order.py
@@ -4,7 +4,9 @@
 
 import pytest
 from balancer_stage import ready_stage
-from helpers import MS, S, Stage, settings
+from helpers import MS as MILLISECOND_US
+from helpers import S as SECOND_US
+from helpers import Stage, settings
 
 from topazbank.interface import (
     Outcome,
@@ -14,11 +16,11 @@
 
 ORDERED_CLASSES = {
     "classes": [
-        {"name": "save", "deadline_us": 2 * S, "idempotency": "safe", "ordered_by_key": True},
-        {"name": "mark", "deadline_us": 2 * S, "idempotency": "safe", "ordered_by_key": True},
-        {"name": "look", "deadline_us": 2 * S, "idempotency": "safe"},
+        {"name": "save", "deadline_us": 2 * SECOND_US, "idempotency": "safe", "ordered_by_key": True},
+        {"name": "mark", "deadline_us": 2 * SECOND_US, "idempotency": "safe", "ordered_by_key": True},
+        {"name": "look", "deadline_us": 2 * SECOND_US, "idempotency": "safe"},
     ],
-    "rules": {"key_rest_us": 100 * MS},
+    "rules": {"key_rest_us": 100 * MILLISECOND_US},
 }
 
 
@@ -32,7 +34,7 @@
     requests = [stage.request(name, key=5) for name in ("save", "mark", "save")]
     for at, request in enumerate(requests):
         assert [len(stage.sends(each)) for each in requests] == [1] * (at + 1) + [0] * (2 - at)
-        stage.wait(10 * MS)
+        stage.wait(10 * MILLISECOND_US)
         stage.end(request)
 
 
@@ -48,23 +50,23 @@
     stage = stage_with_ordered_keys()
     first, second = stage.request("save", key=5), stage.request("mark", key=5)
     stage.play(RequestGone(first))
-    stage.wait(10 * MS)
+    stage.wait(10 * MILLISECOND_US)
     assert stage.sends(second) == []  # the first is over for the client, yet its attempt is still in flight
     stage.end(first, outcome, answered=True)
     ended = stage.now
     assert stage.sends(second) == []
     third = stage.request("mark", key=5)
-    stage.wait(99 * MS)
+    stage.wait(99 * MILLISECOND_US)
     assert stage.sends(second) == [] and stage.sends(third) == []
-    stage.wait(5 * MS)
-    assert stage.sends(second)[0][0] >= ended + 100 * MS
+    stage.wait(5 * MILLISECOND_US)
+    assert stage.sends(second)[0][0] >= ended + 100 * MILLISECOND_US
     assert stage.sends(third) == []
 
 
 def test_a_request_with_an_ordered_key_is_retried_without_delay() -> None:
     stage = stage_with_ordered_keys()
     first = stage.request("save", key=5)
-    stage.wait(10 * MS)
+    stage.wait(10 * MILLISECOND_US)
     stage.end(first, Outcome.DROPPED)
     assert len(stage.sends(first)) == 2
 
@@ -72,10 +74,10 @@
 def test_a_queued_request_expires_in_time_and_an_abandoned_one_is_skipped() -> None:
     stage = stage_with_ordered_keys()
     first = stage.request("save", key=5)
-    queued, abandoned = (stage.request("mark", remaining_us=300 * MS, key=5) for _ in range(2))
+    queued, abandoned = (stage.request("mark", remaining_us=300 * MILLISECOND_US, key=5) for _ in range(2))
     last = stage.request("save", key=5)
     stage.play(RequestGone(abandoned))
-    stage.wait(300 * MS)
+    stage.wait(300 * MILLISECOND_US)
     assert [each.request for each in stage.said(Refuse)] == [queued]
     stage.end(first)
     assert stage.sends(queued) == [] and stage.sends(abandoned) == []
@@ -86,9 +88,9 @@
     stage = stage_with_ordered_keys()
     for key in range(50):
         request = stage.request("save", key=key)
-        stage.wait(10 * MS)
+        stage.wait(10 * MILLISECOND_US)
         stage.end(request, Outcome.DELIVERED if key % 2 else Outcome.CANCELLED, answered=True)
-    stage.wait(200 * MS)
+    stage.wait(200 * MILLISECOND_US)
     assert not stage.balancer._key_order.queues
 
 
@@ -102,5 +104,5 @@
     assert not stage.balancer._send(waiting, server)
     stage.end(first, Outcome.CANCELLED, answered=True)
     assert not stage.balancer._send(waiting, server)
-    stage.balancer._context.now += 100 * MS
+    stage.balancer._context.now += 100 * MILLISECOND_US
     assert stage.balancer._send(waiting, server)
--- a/tests/balancer/test_load_probing.py
+++ b/tests/balancer/test_load_probing.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from balancer_stage import LOAD_PROBING, answer_health_checks, ready_stage, two_zones
-from helpers import MS, Stage, names, settings
+from helpers import MS as MILLISECOND_US
+from helpers import Stage, names, settings
 
 from topazbank.interface import (
     Probe,
@@ -35,7 +36,7 @@
     for _ in range(10):
         request = stage.request()
         answer_health_checks(stage, dict.fromkeys(names(4), 7.0), unresponsive="10.0.0.1:80")
-        stage.wait(50 * MS)
+        stage.wait(50 * MILLISECOND_US)
         assert stage.target(request) != "10.0.0.1:80"
         stage.end(request)
 
@@ -43,7 +44,7 @@
 def test_a_request_is_sent_where_no_health_check_is_answered() -> None:
     stage = ready_stage(4, settings(**LOAD_PROBING))
     request = stage.request()
-    stage.wait(50 * MS)
+    stage.wait(50 * MILLISECOND_US)
     assert len(stage.sends(request)) == 1
 
 
@@ -64,7 +65,7 @@
         request = stage.request()
         answer_health_checks(stage, dict.fromkeys(names(4), load))
         if stage.sends(request):
-            stage.wait(int((40 + 40 * load) * MS))
+            stage.wait(int((40 + 40 * load) * MILLISECOND_US))
             stage.end(request)
     rejected = stage.request("amend")
     answer_health_checks(stage, dict.fromkeys(names(4), 30.0))
@@ -83,7 +84,7 @@
             request = stage.request()
             answer_health_checks(stage, dict.fromkeys(names(6), load))
             answer_health_checks(stage, dict.fromkeys(names(6), load))
-            stage.wait(int((40 + 40 * load) * MS))
+            stage.wait(int((40 + 40 * load) * MILLISECOND_US))
             assert load or stage.target(request) in local
             stage.end(request)
     before = len(stage.log)
--- a/tests/balancer/test_outliers.py
+++ b/tests/balancer/test_outliers.py
@@ -4,7 +4,9 @@
 
 import pytest
 from balancer_stage import ready_stage
-from helpers import MS, S, Stage, names
+from helpers import MS as MILLISECOND_US
+from helpers import S as SECOND_US
+from helpers import Stage, names
 from policy_context import TARGET_US, add_load, make_context, make_request, start_attempt
 
 from topazbank.interface import (
@@ -26,12 +28,12 @@
     hung = stage.target(first)
     unanswered = [first]
     for _ in range(rounds):
-        stage.wait(10 * MS)
+        stage.wait(10 * MILLISECOND_US)
         request = stage.request()
         if stage.target(request) == hung:
             unanswered.append(request)
         else:
-            stage.wait(30 * MS)
+            stage.wait(30 * MILLISECOND_US)
             stage.end(request)
     return hung, unanswered
 
@@ -51,7 +53,7 @@
     for request in unanswered:
         stage.end(request, Outcome.EXPIRED, attempt=0, answered=False)
     for _ in range(60):
-        stage.wait(60 * MS)
+        stage.wait(60 * MILLISECOND_US)
         request = stage.request()
         if stage.target(request) != hung:
             stage.end(request)
@@ -68,7 +70,7 @@
     hung, unanswered = traffic_with_one_hung_server(stage, 20)
     for request in unanswered:
         stage.end(request, Outcome.EXPIRED, attempt=0, answered=False)
-    stage.wait(10 * S)  # the ejection has expired
+    stage.wait(10 * SECOND_US)  # the ejection has expired
     half_open = stage.request()
     assert stage.target(half_open) == hung
     stage.end(half_open, outcome)
@@ -84,7 +86,7 @@
     stage.serve(120)
     for _ in range(200):
         stage.request("pay")
-        stage.wait(15 * MS)
+        stage.wait(15 * MILLISECOND_US)
     ejected = [
         each for each in stage.balancer._context.registry.servers.values() if each.ejected_until is not None
     ]
@@ -95,12 +97,12 @@
     stage = ready_stage(1)
     for _ in range(6):
         stage.serve(60)
-        old = stage.request("pay", remaining_us=S)
-        stage.wait(900 * MS)
+        old = stage.request("pay", remaining_us=SECOND_US)
+        stage.wait(900 * MILLISECOND_US)
         new = stage.request("pay")
-        stage.wait(50 * MS)
+        stage.wait(50 * MILLISECOND_US)
         stage.end(new)
-        stage.wait(30 * MS)
+        stage.wait(30 * MILLISECOND_US)
         stage.end(old, Outcome.EXPIRED, answered=False)
     assert not any("ejected" in each.text for each in stage.said(Log))
 
--- a/tests/balancer/test_overload_recovery.py
+++ b/tests/balancer/test_overload_recovery.py
@@ -14,7 +14,8 @@
 from dataclasses import dataclass, field
 
 import pytest
-from helpers import MS, START, names
+from helpers import MS as MILLISECOND_US
+from helpers import START, names
 
 from topazbank import Balancer, Settings
 from topazbank.interface import (
@@ -197,7 +198,7 @@
     )
 
 
-@pytest.mark.parametrize("target_us", [100 * MS, 2_500 * MS])
+@pytest.mark.parametrize("target_us", [100 * MILLISECOND_US, 2_500 * MILLISECOND_US])
 @pytest.mark.parametrize(
     ("balancers", "deadline_targets", "fault_targets"),
     [(60, 4, FAULT_TARGETS), (200, 4, FAULT_TARGETS), (60, 12, LONG_FAULT_TARGETS)],
@@ -213,7 +214,7 @@
     assert fleet.timely_fraction(recovered_at, fleet.end_at) >= MIN_ADMITTED
 
 
-@pytest.mark.parametrize("target_us", [100 * MS, 2_500 * MS])
+@pytest.mark.parametrize("target_us", [100 * MILLISECOND_US, 2_500 * MILLISECOND_US])
 @pytest.mark.parametrize("balancers", [20, 60])
 def test_a_balancer_at_its_concurrency_limit_still_samples_the_servers(
     balancers: int, target_us: int
--- a/tests/balancer/test_registry_refresh.py
+++ b/tests/balancer/test_registry_refresh.py
@@ -6,7 +6,9 @@
 
 import pytest
 from balancer_stage import ready_stage
-from helpers import MS, S, Stage, names, settings
+from helpers import MS as MILLISECOND_US
+from helpers import S as SECOND_US
+from helpers import Stage, names, settings
 
 from topazbank.interface import (
     FetchRegistry,
@@ -25,11 +27,11 @@
 def test_the_registry_is_not_polled_where_it_pushes_changes() -> None:
     stage = Stage(settings(discovery="pushed"))
     stage.servers(names(2), RegistryUpdateKind.CACHED)
-    stage.wait(60 * S)
+    stage.wait(60 * SECOND_US)
     assert stage.said(WatchRegistry) == [] and stage.said(FetchRegistry) == []
 
 
-@pytest.mark.parametrize("ask_within_us", [10 * S, 600 * S])
+@pytest.mark.parametrize("ask_within_us", [10 * SECOND_US, 600 * SECOND_US])
 def test_failed_calls_are_retried_forever_with_bounded_backoff(ask_within_us: int) -> None:
     stage = Stage(settings(rules={"ask_within_us": ask_within_us}))
     called_at = []
@@ -39,19 +41,19 @@
         count = len(stage.said(WatchRegistry))
         stage.play(RegistryUpdated(RegistryUpdateKind.FAILED))
         while len(stage.said(WatchRegistry)) == count:
-            stage.wait(5 * MS)
+            stage.wait(5 * MILLISECOND_US)
     waits = [later - earlier for earlier, later in itertools.pairwise(called_at)]
-    assert max(waits) <= 6 * S / 4  # a change has to be known within 6 s, whatever is configured
+    assert max(waits) <= 6 * SECOND_US / 4  # a change has to be known within 6 s, whatever is configured
     assert waits[-1] > 2 * waits[0]
 
 
 def test_an_unanswered_call_is_retried() -> None:
     stage = Stage()
     stage.servers(names(2), RegistryUpdateKind.CACHED)
-    stage.wait(10 * S)
+    stage.wait(10 * SECOND_US)
     times = [at for at, each in stage.log if isinstance(each, WatchRegistry)]
     assert len(times) > 1
-    assert all(later - earlier < 10 * S for earlier, later in itertools.pairwise(times))
+    assert all(later - earlier < 10 * SECOND_US for earlier, later in itertools.pairwise(times))
 
 
 def test_an_empty_delta_completes_the_call_without_rebuilding_the_registry() -> None:
--- a/tests/balancer/test_retries.py
+++ b/tests/balancer/test_retries.py
@@ -6,7 +6,8 @@
 
 import pytest
 from balancer_stage import ready_stage
-from helpers import MS, settings
+from helpers import MS as MILLISECOND_US
+from helpers import settings
 
 from topazbank.interface import (
     Outcome,
@@ -22,7 +23,7 @@
 def test_retries_after_failures_are_bounded() -> None:
     stage = ready_stage(40)
     for _ in range(400):
-        stage.wait(MS)
+        stage.wait(MILLISECOND_US)
         request = stage.request()
         while stage.balancer._requests.get(request) is not None:
             stage.end(request, Outcome.DROPPED)
--- a/tests/balancer/test_selection.py
+++ b/tests/balancer/test_selection.py
@@ -6,7 +6,9 @@
 
 import pytest
 from balancer_stage import ready_stage
-from helpers import MS, S, Stage, names, settings
+from helpers import MS as MILLISECOND_US
+from helpers import S as SECOND_US
+from helpers import Stage, names, settings
 
 from topazbank.interface import (
     Endpoint,
@@ -45,7 +47,7 @@
     slow = names(12)[0]
     for _ in range(1_500):
         request = stage.request()
-        stage.wait(90 * MS if stage.target(request) == slow else 30 * MS)
+        stage.wait(90 * MILLISECOND_US if stage.target(request) == slow else 30 * MILLISECOND_US)
         stage.end(request)
     settled = Counter(each.server for _, each in stage.sends()[500:])
     assert settled[slow] < 0.6 * sum(settled.values()) / 12
@@ -63,15 +65,15 @@
 
 def test_a_cancelled_attempt_counts_as_load_for_a_while() -> None:
     stage = ready_stage(2)
-    request = stage.request("pay", remaining_us=400 * MS)
+    request = stage.request("pay", remaining_us=400 * MILLISECOND_US)
     cancelled_at = stage.target(request)
-    stage.wait(395 * MS)  # cancelled, with the final response already given
+    stage.wait(395 * MILLISECOND_US)  # cancelled, with the final response already given
     stage.end(request, Outcome.CANCELLED, answered=True)
     other = stage.request("pay")
     assert stage.target(other) != cancelled_at
     third = stage.request("pay")
     assert stage.target(third) in names(2)
-    stage.wait(S)
+    stage.wait(SECOND_US)
     assert stage.balancer._context.load.at(stage.balancer._context.registry.servers[cancelled_at]) <= 1
 
 
@@ -79,12 +81,12 @@
     stage = ready_stage(6)
     bad = names(6)[2]
     for _ in range(300):
-        stage.wait(10 * MS)
+        stage.wait(10 * MILLISECOND_US)
         request = stage.request("pay")
         if stage.target(request) == bad:
             stage.end(request, Outcome.ERROR)
         else:
-            stage.wait(40 * MS)
+            stage.wait(40 * MILLISECOND_US)
             stage.end(request)
     assert sum(1 for _, each in stage.sends() if each.server == bad) < 300 / 6
 
@@ -100,7 +102,7 @@
         return select(selector, subset, weights, count)
 
     monkeypatch.setattr(Selector, "draw", record)
-    for cost in (20 * MS, 20 * MS, 100 * MS):
+    for cost in (20 * MILLISECOND_US, 20 * MILLISECOND_US, 100 * MILLISECOND_US):
         stage.end(stage.request(cost_us=cost))
     assert relative_weights[2] < 0.5 * relative_weights[0]
 
@@ -112,7 +114,7 @@
     for _ in range(1_200):
         request = stage.request("pay")
         target = stage.target(request)
-        stage.wait(5 * MS if target == bad else 40 * MS)
+        stage.wait(5 * MILLISECOND_US if target == bad else 40 * MILLISECOND_US)
         errors += target == bad
         stage.end(request, Outcome.ERROR if target == bad and errors % 2 else Outcome.DELIVERED)
     assert sum(1 for _, each in stage.sends()[400:] if each.server == bad) < 0.5 * 800 / 12
@@ -139,7 +141,7 @@
     at_capacity = stage.target(request)
     stage.end(request, Outcome.FULL, report={"util": 0.3})
     stage.end(request)
-    for wait, selected in ((100 * MS, False), (20 * S, True)):
+    for wait, selected in ((100 * MILLISECOND_US, False), (20 * SECOND_US, True)):
         stage.wait(wait)
         targets = {stage.target(stage.request("amend")) for _ in range(4)}  # each to the least loaded
         assert (at_capacity in targets) is selected
--- a/tests/balancer/test_settings_changed.py
+++ b/tests/balancer/test_settings_changed.py
@@ -6,7 +6,9 @@
 
 import pytest
 from balancer_stage import ready_stage
-from helpers import KEYED, MS, SAFE, UNSAFE, S, Stage, settings
+from helpers import KEYED, SAFE, UNSAFE, Stage, settings
+from helpers import MS as MILLISECOND_US
+from helpers import S as SECOND_US
 
 from topazbank.interface import (
     Cancel,
@@ -64,11 +66,12 @@
 
 def test_a_request_in_progress_keeps_its_class_after_that_is_removed() -> None:
     stage = ready_stage(6)
-    request = stage.request("amend", remaining_us=4 * S)
+    request = stage.request("amend", remaining_us=4 * SECOND_US)
     change_settings(stage, classes=[SAFE])
     stage.end(request, Outcome.DROPPED)
     [(first_at, _), (_, again)] = stage.sends(request)
-    assert again.write_by is not None and again.write_by <= first_at + 2 * S  # its deduplication window
+    # Its deduplication window.
+    assert again.write_by is not None and again.write_by <= first_at + 2 * SECOND_US
     stage.end(request)
     assert not stage.balancer._requests
 
@@ -118,11 +121,11 @@
     limit, arrivals = balancer._limit, balancer._slow_start.arrivals
     limit.limit, limit.latency_ratio = 10.0, 0.2
     rate = arrivals.per_us(stage.now)
-    shorter = [each | {"latency_target_us": 250 * MS} for each in (SAFE, UNSAFE, KEYED)]
-    change_settings(stage, classes=shorter, rules={"overload_window_us": 1 * S})
+    shorter = [each | {"latency_target_us": 250 * MILLISECOND_US} for each in (SAFE, UNSAFE, KEYED)]
+    change_settings(stage, classes=shorter, rules={"overload_window_us": 1 * SECOND_US})
     assert (limit.limit, limit.latency_ratio) == (5.0, 0.4)
-    assert balancer._admission._in_time._span_us == 4 * 250 * MS
-    assert arrivals._span_us == 2 * S and arrivals.per_us(stage.now) == pytest.approx(rate)
+    assert balancer._admission._in_time._span_us == 4 * 250 * MILLISECOND_US
+    assert arrivals._span_us == 2 * SECOND_US and arrivals.per_us(stage.now) == pytest.approx(rate)
 
 
 def test_state_of_removed_classes_and_tenants_is_released() -> None:
@@ -154,9 +157,11 @@
     stage = ready_stage(6)
     stage.serve(5)
     stage.request()  # while it is in flight, a stall is noticed
-    change_settings(stage, classes=[SAFE | {"deadline_us": 1 * S, "latency_target_us": 500 * MS}])
-    stage.now += 30 * S
-    assert stage.sends(stage.request(remaining_us=1 * S))
+    change_settings(
+        stage, classes=[SAFE | {"deadline_us": 1 * SECOND_US, "latency_target_us": 500 * MILLISECOND_US}]
+    )
+    stage.now += 30 * SECOND_US
+    assert stage.sends(stage.request(remaining_us=1 * SECOND_US))
 
 
 def test_changing_a_thousand_classes_tenants_and_servers_is_deterministic() -> None:
@@ -184,7 +189,7 @@
     change_settings(stage, limits=limits(after))
     served = 0
     for _ in range(40):  # the other servers answer, and its server hangs
-        stage.wait(20 * MS)
+        stage.wait(20 * MILLISECOND_US)
         request = stage.request()
         if stage.target(request) != stage.target(overdue):
             stage.end(request)
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -4,7 +4,9 @@
 
 import pytest
 from balancer_stage import ready_stage
-from helpers import MS, S, names
+from helpers import MS as MILLISECOND_US
+from helpers import S as SECOND_US
+from helpers import names
 from policy_context import make_context
 
 from topazbank.interface import (
@@ -16,15 +18,17 @@
 from topazbank.policy.slow_start import SlowStart
 
 
-@pytest.mark.parametrize(("every_us", "burst"), [(10 * MS, 1), (200 * MS, 20), (500 * MS, 1)])
+@pytest.mark.parametrize(
+    ("every_us", "burst"), [(10 * MILLISECOND_US, 1), (200 * MILLISECOND_US, 20), (500 * MILLISECOND_US, 1)]
+)
 def test_a_server_in_slow_start_gets_no_more_than_its_quota(every_us: int, burst: int) -> None:
     stage = ready_stage(6)
-    stage.serve(300, every_us=10 * MS)
+    stage.serve(300, every_us=10 * MILLISECOND_US)
     warm_per_s = 100 / 6
     began = stage.now
     cold = Endpoint("10.0.0.6:80", zone="east", started_at=began)
     stage.servers([cold], RegistryUpdateKind.DELTA)
-    while stage.now < began + 10 * S:
+    while stage.now < began + 10 * SECOND_US:
         requests = [stage.request() for _ in range(burst)]
         stage.wait(every_us)
         for each in requests:
@@ -32,8 +36,8 @@
                 stage.end(each)
     times = [at for at, each in stage.sends() if each.server == "10.0.0.6:80" and at >= began]
     for end in times:
-        warmth = 0.2 + 0.8 * max(end - 2 * S - began, 0) / (10 * S)
-        inside = sum(1 for at in times if end - 2 * S < at <= end)
+        warmth = 0.2 + 0.8 * max(end - 2 * SECOND_US - began, 0) / (10 * SECOND_US)
+        inside = sum(1 for at in times if end - 2 * SECOND_US < at <= end)
         assert inside <= max(1.0, 3 * warmth * warm_per_s * 2)
     assert times or burst == 1  # one at a time, the fastest server of the subset takes all
 
@@ -43,7 +47,7 @@
     for served_us in (100_000, 20_000):  # overload sheds the expensive ones, and the rest is cheap
         stage = ready_stage(4)
         for _ in range(60):
-            stage.wait(20 * MS)
+            stage.wait(20 * MILLISECOND_US)
             stage.end(stage.request(cost_us=served_us))
             stage.request(remaining_us=0, cost_us=200_000 - served_us)  # rejected
         rates.append(stage.balancer._slow_start.warm_capacity())
@@ -76,12 +80,13 @@
     cold = context.registry.ready[0]
     slow_start.begin(cold, context.now)
     assert slow_start.is_cold(cold) and not slow_start.has_room(cold, 1.0)
-    context.now += 2 * S
+    context.now += 2 * SECOND_US
     sent = 0
     while slow_start.has_room(cold, 1.0) and sent < 100:
         cold.cold_budget -= 1.0
         sent += 1
-    overload = 3 * 0.36 * slow_start.warm_capacity() * 2 * S  # multiple x warmth by now x capacity x window
+    # Multiple x warmth by now x capacity x window.
+    overload = 3 * 0.36 * slow_start.warm_capacity() * 2 * SECOND_US
     assert 1 <= sent <= 0.2 * overload
     context.now += context.settings.rules.slow_start_us
     assert not slow_start.is_cold(cold) and slow_start.has_room(cold, 1_000.0)
--- a/tests/balancer/test_subsetting.py
+++ b/tests/balancer/test_subsetting.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from balancer_stage import ready_stage, serve_one_at_a_time
-from helpers import MS
+from helpers import MS as MILLISECOND_US
 
 
 def test_low_traffic_uses_a_small_subset_that_is_replaced_when_it_drains() -> None:
@@ -20,7 +20,7 @@
 
 def test_high_traffic_uses_all_servers() -> None:
     stage = ready_stage(30)
-    stage.serve(2_000, every_us=5 * MS, taking_us=250 * MS)
+    stage.serve(2_000, every_us=5 * MILLISECOND_US, taking_us=250 * MILLISECOND_US)
     assert len({each.server for _, each in stage.sends()}) == 30
 
 
@@ -47,4 +47,8 @@
         stage.end(request)
         return server.latency_weight - before
 
-    assert change(400 * MS, 60 * MS, True) > 2 * change(5 * MS, 60 * MS, False) > 0.0
+    assert (
+        change(400 * MILLISECOND_US, 60 * MILLISECOND_US, True)
+        > 2 * change(5 * MILLISECOND_US, 60 * MILLISECOND_US, False)
+        > 0.0
+    )
--- a/tests/balancer/test_zone_affinity.py
+++ b/tests/balancer/test_zone_affinity.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from balancer_stage import two_zones
-from helpers import MS, Stage, names, settings
+from helpers import MS as MILLISECOND_US
+from helpers import Stage, names, settings
 
 
 def cross_zone_ratio(stage: Stage, local_us: int, remote_us: int) -> float:
@@ -20,11 +21,18 @@
 
 def test_the_local_zone_is_preferred_at_similar_latency_where_crossing_zones_is_priced() -> None:
     ratio_sum = sum(
-        cross_zone_ratio(Stage(settings(prices={"cross_zone": 0.03}), seed=seed), 40 * MS, 44 * MS)
+        cross_zone_ratio(
+            Stage(settings(prices={"cross_zone": 0.03}), seed=seed), 40 * MILLISECOND_US, 44 * MILLISECOND_US
+        )
         for seed in range(5)
     )
     assert ratio_sum < 5 * 0.3
 
 
 def test_a_slow_local_zone_loses_its_traffic() -> None:
-    assert cross_zone_ratio(Stage(settings(prices={"cross_zone": 0.03})), 90 * MS, 40 * MS) > 0.5
+    assert (
+        cross_zone_ratio(
+            Stage(settings(prices={"cross_zone": 0.03})), 90 * MILLISECOND_US, 40 * MILLISECOND_US
+        )
+        > 0.5
+    )
--- a/tests/decision_digest.py
+++ b/tests/decision_digest.py
@@ -16,7 +16,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from decision_scenarios import MS, SCENARIOS, S, Scenario
+from decision_scenarios import MILLISECOND_US, SCENARIOS, SECOND_US, Scenario
 
 from topazbank import Balancer, Settings
 from topazbank.interface import (
@@ -42,7 +42,7 @@
     WatchRegistry,
 )
 
-START = 50 * S
+START = 50 * SECOND_US
 ZONES = ("east", "west", "north")
 FAILURES = (Outcome.ERROR, Outcome.FULL, Outcome.DIAL_FAILED, Outcome.DROPPED, Outcome.UNSENT)
 
@@ -158,7 +158,8 @@
                 self._requests[action.request].answered = True
             case Cancel():
                 self._schedule(
-                    self._random.randrange(3 * MS), AttemptEnding(*_key(action), Outcome.CANCELLED)
+                    self._random.randrange(3 * MILLISECOND_US),
+                    AttemptEnding(*_key(action), Outcome.CANCELLED),
                 )
             case SetTimer():
                 self._schedule(action.in_us, TimerFired(action.token))
@@ -168,7 +169,7 @@
                 failed = self._random.random() < 0.4
                 kind = RegistryUpdateKind.FAILED if failed else RegistryUpdateKind.SNAPSHOT
                 if self._random.random() < 0.8:
-                    self._schedule(self._random.randrange(300 * MS), RegistryUpdated(kind))
+                    self._schedule(self._random.randrange(300 * MILLISECOND_US), RegistryUpdated(kind))
             case _:
                 pass
 
@@ -231,9 +232,11 @@
             self._play(AnswerStarted(starting.request, starting.attempt, attempt.server, elapsed))
 
     def _probe(self, server: str) -> None:
-        took = self._random.randrange(1, 6 * MS)
+        took = self._random.randrange(1, 6 * MILLISECOND_US)
         if server in self._hung or self._random.random() < 0.03:
-            self._schedule(took + 300 * MS, ProbeEnded(server, Outcome.EXPIRED, took + 300 * MS))
+            self._schedule(
+                took + 300 * MILLISECOND_US, ProbeEnded(server, Outcome.EXPIRED, took + 300 * MILLISECOND_US)
+            )
             return
         load = float(self._in_flight[server] + self._random.randrange(6))
         report = None if self._random.random() < 0.05 else {"inflight": load}
@@ -271,7 +274,9 @@
         number = len(self._requests) + 1
         self._requests[number] = SimulatedRequest()
         name = self._random.choice(self._classes) if self._random.random() < 0.99 else "unheard-of"
-        cost = self._random.choice((None, 2 * MS, 10 * MS, 10 * MS, 80 * MS))
+        cost = self._random.choice(
+            (None, 2 * MILLISECOND_US, 10 * MILLISECOND_US, 10 * MILLISECOND_US, 80 * MILLISECOND_US)
+        )
         key = self._random.choice((None, 1, 2, 3, self._random.randrange(1_000)))
         remaining = int(self._target_us * self._random.choice((0.02, 0.6, 1.5, 3.0, 4.0, 4.0)))
         tenant = self._random.choice(self._scenario.tenants)
@@ -298,7 +303,7 @@
                 state = self._random.choice((ServerState.READY, ServerState.DRAINING, ServerState.GONE))
                 self._endpoints[name] = self._listed(name, state, endpoint.started_at)
             case 5 | 6:
-                self._endpoints[name] = self._listed(name, ServerState.READY, self._now - 2 * MS)
+                self._endpoints[name] = self._listed(name, ServerState.READY, self._now - 2 * MILLISECOND_US)
                 self._hung.discard(name)
                 self._failing.discard(name)
             case 7:
--- a/tests/decision_scenarios.py
+++ b/tests/decision_scenarios.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-MS = 1_000
-S = 1_000_000
+MILLISECOND_US = 1_000
+SECOND_US = 1_000_000
 
 
 def service_classes(target_us: int, ordered: bool = False, late_worth: float = 0.0) -> list[dict[str, Any]]:
@@ -31,15 +31,15 @@
 PERMISSIVE = {"max_attempts": 5, "allow_hedging": True, "allow_cancel": True}
 RULES = {
     "slow_start_from": 0.2,
-    "slow_start_us": 5 * S,
+    "slow_start_us": 5 * SECOND_US,
     "overload_multiple": 3,
-    "overload_window_us": 2 * S,
-    "ask_within_us": 4 * S,
+    "overload_window_us": 2 * SECOND_US,
+    "ask_within_us": 4 * SECOND_US,
 }
 BASE: dict[str, Any] = {
-    "classes": service_classes(500 * MS),
+    "classes": service_classes(500 * MILLISECOND_US),
     "zone": "east",
-    "tick_us": 5 * MS,
+    "tick_us": 5 * MILLISECOND_US,
     "limits": PERMISSIVE,
     "rules": RULES,
 }
@@ -56,8 +56,8 @@
     name: str
     settings: dict[str, Any]
     servers: int = 12
-    service_us: int = 60 * MS
-    every_us: int = 6 * MS
+    service_us: int = 60 * MILLISECOND_US
+    every_us: int = 6 * MILLISECOND_US
     reports: bool = False
     tenants: tuple[str | None, ...] = (None,)
     hung: int = 0  # servers that hang from the start
@@ -66,26 +66,39 @@
 
 SCENARIOS = (
     Scenario("permissive", BASE),
-    Scenario("cautious", {**BASE, "limits": {"max_attempts": 2}}, service_us=150 * MS),
+    Scenario("cautious", {**BASE, "limits": {"max_attempts": 2}}, service_us=150 * MILLISECOND_US),
     Scenario("no-hedging", {**BASE, "limits": {**PERMISSIVE, "allow_hedging": False}}),
     Scenario("pushed", {**BASE, "discovery": "pushed", "rules": {**RULES, "late_shedding": True}}),
-    Scenario("overloaded", BASE, servers=4, service_us=200 * MS, every_us=5 * MS),
-    Scenario("sparse", {**BASE, "group_size": 50}, servers=8, every_us=350 * MS, service_us=250 * MS),
-    Scenario("sparse-reports", BASE, servers=8, every_us=350 * MS, service_us=300 * MS, reports=True),
-    Scenario("probes", {**BASE, **PROBES}, every_us=40 * MS),
+    Scenario("overloaded", BASE, servers=4, service_us=200 * MILLISECOND_US, every_us=5 * MILLISECOND_US),
+    Scenario(
+        "sparse",
+        {**BASE, "group_size": 50},
+        servers=8,
+        every_us=350 * MILLISECOND_US,
+        service_us=250 * MILLISECOND_US,
+    ),
+    Scenario(
+        "sparse-reports",
+        BASE,
+        servers=8,
+        every_us=350 * MILLISECOND_US,
+        service_us=300 * MILLISECOND_US,
+        reports=True,
+    ),
+    Scenario("probes", {**BASE, **PROBES}, every_us=40 * MILLISECOND_US),
     Scenario(
         "probes-priced",
         {**BASE, **PROBES, "prices": {"cross_zone": 0.1, "probe": 0.002, "handshake": 0.08}},
         servers=30,
-        every_us=20 * MS,
-        service_us=120 * MS,
+        every_us=20 * MILLISECOND_US,
+        service_us=120 * MILLISECOND_US,
     ),
     Scenario(
         "ordered",
         {
             **BASE,
-            "classes": service_classes(500 * MS, ordered=True),
-            "rules": {**RULES, "key_rest_us": 80 * MS},
+            "classes": service_classes(500 * MILLISECOND_US, ordered=True),
+            "rules": {**RULES, "key_rest_us": 80 * MILLISECOND_US},
         },
     ),
     Scenario(
@@ -93,10 +106,10 @@
         {
             **BASE,
             **PROBES,
-            "classes": service_classes(500 * MS, ordered=True, late_worth=0.5),
-            "rules": {**RULES, "key_rest_us": 80 * MS},
+            "classes": service_classes(500 * MILLISECOND_US, ordered=True, late_worth=0.5),
+            "rules": {**RULES, "key_rest_us": 80 * MILLISECOND_US},
         },
-        every_us=30 * MS,
+        every_us=30 * MILLISECOND_US,
     ),
     Scenario(
         "tenants",
@@ -106,7 +119,7 @@
             "over_share_worth": 0.2,
         },
         servers=5,
-        service_us=120 * MS,
+        service_us=120 * MILLISECOND_US,
         reports=True,
         tenants=("a", "b", "c", None),
     ),
@@ -114,27 +127,34 @@
     Scenario(
         "connections",
         {**BASE, "group_size": 100, "prices": {"connection": 0.08, "handshake": 0.08, "cross_zone": 0.03}},
-        every_us=15 * MS,
+        every_us=15 * MILLISECOND_US,
     ),
     Scenario(
         "seconds",
         {
             **BASE,
-            "classes": service_classes(4 * S, late_worth=0.3),
-            "limits": {**PERMISSIVE, "retry_after": True, "max_retry_after_us": 200 * MS},
+            "classes": service_classes(4 * SECOND_US, late_worth=0.3),
+            "limits": {**PERMISSIVE, "retry_after": True, "max_retry_after_us": 200 * MILLISECOND_US},
         },
-        service_us=600 * MS,
-        every_us=30 * MS,
+        service_us=600 * MILLISECOND_US,
+        every_us=30 * MILLISECOND_US,
     ),
-    Scenario("100-ms", {**BASE, "classes": service_classes(100 * MS)}, service_us=15 * MS, every_us=4 * MS),
-    Scenario("200-servers", {**BASE, "group_size": 20}, servers=200, every_us=3 * MS),
+    Scenario(
+        "100-ms",
+        {**BASE, "classes": service_classes(100 * MILLISECOND_US)},
+        service_us=15 * MILLISECOND_US,
+        every_us=4 * MILLISECOND_US,
+    ),
+    Scenario("200-servers", {**BASE, "group_size": 20}, servers=200, every_us=3 * MILLISECOND_US),
     Scenario(
         "silent-servers",
         {**BASE, "limits": {**PERMISSIVE, "allow_hedging": False}},
-        every_us=12 * MS,
-        service_us=40 * MS,
+        every_us=12 * MILLISECOND_US,
+        service_us=40 * MILLISECOND_US,
         hung=2,
     ),
-    Scenario("failing-servers", BASE, every_us=12 * MS, service_us=40 * MS, failing=3),
-    Scenario("3-servers", BASE, servers=3, every_us=20 * MS),
+    Scenario(
+        "failing-servers", BASE, every_us=12 * MILLISECOND_US, service_us=40 * MILLISECOND_US, failing=3
+    ),
+    Scenario("3-servers", BASE, servers=3, every_us=20 * MILLISECOND_US),
 )
