--- /dev/null
+++ b/tests/balancer/test_zone_affinity.py
@@ -0,0 +1,38 @@
+"""Zone affinity: the local zone is preferred while it is about as fast as the others."""
+
+from __future__ import annotations
+
+from balancer_stage import two_zones
+from helpers import MS as MILLISECOND_US
+from helpers import Stage, names, settings
+
+
+def cross_zone_ratio(stage: Stage, local_us: int, remote_us: int) -> float:
+    """The part of the requests sent to the other zone, with these latencies in either."""
+    stage.servers(two_zones(4))
+    local = set(names(8)[:4])
+    for _ in range(600):
+        request = stage.request()
+        stage.wait(local_us if stage.target(request) in local else remote_us)
+        stage.end(request)
+    settled = stage.sends()[300:]
+    return sum(1 for _, each in settled if each.server not in local) / len(settled)
+
+
+def test_the_local_zone_is_preferred_at_similar_latency_where_crossing_zones_is_priced() -> None:
+    ratio_sum = sum(
+        cross_zone_ratio(
+            Stage(settings(prices={"cross_zone": 0.03}), seed=seed), 40 * MILLISECOND_US, 44 * MILLISECOND_US
+        )
+        for seed in range(5)
+    )
+    assert ratio_sum < 5 * 0.3
+
+
+def test_a_slow_local_zone_loses_its_traffic() -> None:
+    assert (
+        cross_zone_ratio(
+            Stage(settings(prices={"cross_zone": 0.03})), 90 * MILLISECOND_US, 40 * MILLISECOND_US
+        )
+        > 0.5
+    )
