--- a/scale/standins/registry.py
+++ b/scale/standins/registry.py
@@ -339,7 +339,8 @@
         self._write(HTTPStatus.OK, answer.body)
 
     def _write(self, status: HTTPStatus, body: bytes) -> None:
-        assert self._transport is not None and self._call is not None
+        assert self._transport is not None
+        assert self._call is not None
         close = b"" if self._call.keep_alive else b"Connection: close\r\n"
         head = b"HTTP/1.1 %d %b\r\nContent-Type: application/json\r\n%bContent-Length: %d\r\n\r\n"
         written = head % (status, status.phrase.encode(), close, len(body))
--- a/tests/scale/test_control.py
+++ b/tests/scale/test_control.py
@@ -10,6 +10,7 @@
 from typing import Any
 
 import pytest
+from polling import wait_until
 
 from scale.control.applied_log import AppliedLog
 from scale.control.experiment import ControlExperiment
@@ -50,17 +51,14 @@
     try:
         async with asyncio.timeout(PATIENCE_S):
             sidecar.start()
-            while sidecar.applied.version() < 1:
-                await asyncio.sleep(0)
+            await wait_until(lambda: sidecar.applied.version() >= 1)
             log.drain(leave)
-            while sidecar.applied.version() < 2:
-                await asyncio.sleep(0)
+            await wait_until(lambda: sidecar.applied.version() >= 2)
             for request in range(8):
                 assert sent_to(sidecar, request) == [stays]
             sidecar.move(second)
             log.remove([stays])
-            while sidecar.applied.version() < 3:
-                await asyncio.sleep(0)
+            await wait_until(lambda: sidecar.applied.version() >= 3)
             assert sent_to(sidecar, 8) == []
             assert server.counts.snapshots == 2  # at the start and after the move
     finally:
@@ -162,7 +160,8 @@
     assert value(results, "release", "real sidecar", pairs) == 3 * 35
     assert value(results, "sidecars_cut_off", "hollow sidecar", pairs) == 4
     missing = [each.value for each in results if each.metric == "in force, missing"]
-    assert missing and set(missing) == {0.0}
+    assert missing
+    assert set(missing) == {0.0}
 
     assert (
         value(results, "release", "real sidecar", "http bytes in the window") > 35 * 100
--- a/tests/scale/test_demo.py
+++ b/tests/scale/test_demo.py
@@ -34,7 +34,8 @@
 def test_demo_shows_calls_served_through_a_drain_and_a_kill() -> None:
     ended = subprocess.run(DEMO, capture_output=True, text=True, check=False, timeout=PATIENCE_S)
     assert ended.returncode == 0, ended.stdout + ended.stderr
-    assert "all went as it should" in ended.stdout and "refused 0, failed 0" in ended.stdout
+    assert "all went as it should" in ended.stdout
+    assert "refused 0, failed 0" in ended.stdout
 
 
 def test_interrupted_demo_ends_its_sidecar() -> None:
@@ -111,7 +112,8 @@
     config = read_config({"RELAY_CONFIG": str(SAMPLE_CONFIG)})
     settings = config.settings
     assert [each.name for each in settings.classes] == ["read", "update", "send"]
-    assert settings.limits.max_attempts == 4 and settings.limits.allow_hedging
+    assert settings.limits.max_attempts == 4
+    assert settings.limits.allow_hedging
     assert settings.rules.drain_grace_us == 1_000_000
 
 
--- a/tests/scale/test_latency.py
+++ b/tests/scale/test_latency.py
@@ -141,7 +141,8 @@
     assert tracer.registry.timed(lambda value: value + 1)(1) == 2
     tracer.write(tmp_path / "trace.json")
     trace = Trace.read(tmp_path / "trace.json")
-    assert trace.collection_count >= 1 and trace.registry_count == 1
+    assert trace.collection_count >= 1
+    assert trace.registry_count == 1
     assert all(ended >= began for began, ended, _ in tracer.collections.spans)
 
 
@@ -156,7 +157,8 @@
     measurements = read_results([tmp_path / "results.jsonl"])
     for servers in (4, 40):
         at_point = figures(measurements, servers)
-        assert at_point["calls"] > 0 and at_point["direct calls"] in (
+        assert at_point["calls"] > 0
+        assert at_point["direct calls"] in (
             at_point["calls"],
             at_point["calls"] - 1,
         )
@@ -165,7 +167,8 @@
         assert at_point["overlapping requests"] == 0
         assert at_point["overhead p50"] <= at_point["overhead p99"] <= at_point["overhead p99.9"]
     traced = figures(measurements, 40)
-    assert traced["garbage collections"] == 0 and traced["registry calls timed"] > 0
+    assert traced["garbage collections"] == 0
+    assert traced["registry calls timed"] > 0
     sources = [each for each in measurements if each.metric == "mean time of all calls"]
     assert len({each.labels["source"] for each in sources}) == len(sources) == 6
 
--- a/tests/scale/test_ports.py
+++ b/tests/scale/test_ports.py
@@ -18,6 +18,5 @@
 
 
 def test_reserved_port_is_given_to_nobody_else() -> None:
-    with ReservedAddress() as reserved, socket.socket() as other:
-        with pytest.raises(OSError, match="in use"):
-            other.bind(reserved.address)  # without SO_REUSEADDR, as for an outgoing connection
+    with ReservedAddress() as reserved, socket.socket() as other, pytest.raises(OSError, match="in use"):
+        other.bind(reserved.address)  # without SO_REUSEADDR, as for an outgoing connection
--- a/tests/scale/test_registry_standin.py
+++ b/tests/scale/test_registry_standin.py
@@ -9,6 +9,7 @@
 from typing import Any
 
 import pytest
+from polling import wait_until
 
 from scale.standins.change_log import ChangeLog, Endpoint, EndpointStatus
 from scale.standins.fleet import make_endpoints
@@ -58,8 +59,7 @@
 
 
 async def until_watching(server: RegistryServer, count: int) -> None:
-    while server.counts.watching != count:
-        await asyncio.sleep(0)
+    await wait_until(lambda: server.counts.watching == count)
 
 
 def names(told: Any) -> list[str]:
--- a/tests/scale/test_rig.py
+++ b/tests/scale/test_rig.py
@@ -76,7 +76,8 @@
     output = process.popen.stdout
     assert output is not None
     output.readline()
-    assert process.is_running() and process.usage().memory_bytes > 0
+    assert process.is_running()
+    assert process.usage().memory_bytes > 0
     with pytest.raises(RuntimeError), group:
         raise RuntimeError
     assert not process.is_running()
@@ -90,5 +91,6 @@
     command = [sys.executable, "-m", "scale", "run", str(path), "--results", str(tmp_path / "out.jsonl")]
     ended = subprocess.run(command, capture_output=True, text=True, check=False)
     assert ended.returncode == 2
-    assert ended.stderr.startswith("scale: kind: ") and ended.stderr.count("\n") == 1
+    assert ended.stderr.startswith("scale: kind: ")
+    assert ended.stderr.count("\n") == 1
     assert not (tmp_path / "out.jsonl").exists()
--- a/tests/scale/test_server_standin.py
+++ b/tests/scale/test_server_standin.py
@@ -8,6 +8,7 @@
 from typing import Any
 
 import pytest
+from polling import wait_until
 
 from scale.http1 import MessageReader, format_answer, format_request
 from scale.load import (
@@ -42,11 +43,6 @@
     return await client.call(request, 0.0, limit_s)
 
 
-async def until(condition: Callable[[], bool]) -> None:
-    while not condition():
-        await asyncio.sleep(0.001)
-
-
 def run(scene: Callable[[], Coroutine[Any, Any, None]]) -> None:
     asyncio.run(scene())
 
@@ -56,7 +52,8 @@
     reader = MessageReader()
     read = [message for byte in written for message in reader.feed(bytes([byte]))]
     assert (read[0].target, read[0].headers["x-call-id"], read[0].body) == ("/api/7", "a", b"body")
-    assert read[1].status == 200 and read[1].body == b""
+    assert read[1].status == 200
+    assert read[1].body == b""
 
 
 def test_connection_is_kept_and_its_calls_are_counted() -> None:
@@ -65,7 +62,8 @@
             bodies = [ServedBody.decode((await call(client)).body) for _ in range(3)]
             assert [each.connection_call for each in bodies] == [1, 2, 3]
             assert {each.server for each in bodies} == {"s-0"}
-            assert server.counters.connections == 1 and server.counters.served == 3
+            assert server.counters.connections == 1
+            assert server.counters.served == 3
 
     run(scene)
 
@@ -79,7 +77,8 @@
         async with server_and_client() as (server, client):
             server.mode = mode
             assert (await call(client)).status == status
-            assert getattr(server.counters, counter) == 1 and server.counters.served == 0
+            assert getattr(server.counters, counter) == 1
+            assert server.counters.served == 0
 
     run(scene)
 
@@ -88,7 +87,7 @@
     async def scene() -> None:
         async with server_and_client(service_s=0.05) as (server, client):
             held = asyncio.create_task(call(client))
-            await until(lambda: server.counters.requests == 1)
+            await wait_until(lambda: server.counters.requests == 1)
             server.drain()
             assert (await call(client)).status == 503
             assert (await held).status == 200
@@ -102,9 +101,9 @@
         async with server_and_client() as (server, client):
             server.mode = ServerMode.HANG
             held = asyncio.create_task(call(client))
-            await until(lambda: server.counters.hung == 1)
+            await wait_until(lambda: server.counters.hung == 1)
             held.cancel()
-            await until(lambda: server.counters.abandoned == 1)
+            await wait_until(lambda: server.counters.abandoned == 1)
             assert (await call(client, limit_s=0.01)).status == NO_ANSWER
 
     run(scene)
@@ -114,7 +113,7 @@
     async def scene() -> None:
         async with server_and_client(service_s=PATIENCE_S) as (server, client):
             held = asyncio.create_task(call(client))
-            await until(lambda: server.counters.requests == 1)
+            await wait_until(lambda: server.counters.requests == 1)
             server.die()
             assert (await held).status == NO_ANSWER
             assert (await call(client)).status == NO_ANSWER
@@ -133,7 +132,8 @@
             assert (await call(client, probe)).status == 200
             server.drain()
             assert (await call(client, probe)).status == 503
-            assert server.counters.probes == 2 and server.counters.requests == 0
+            assert server.counters.probes == 2
+            assert server.counters.requests == 0
 
     run(scene)
 
@@ -152,7 +152,9 @@
     assert [first() for _ in range(5)] == [second() for _ in range(5)]
     arrivals = poisson_arrivals(100.0, 2.0, 5)
     assert arrivals == poisson_arrivals(100.0, 2.0, 5) == sorted(arrivals)
-    assert 0.0 <= arrivals[0] and arrivals[-1] <= 2.0 and arrivals != poisson_arrivals(100.0, 2.0, 6)
+    assert arrivals[0] >= 0.0
+    assert arrivals[-1] <= 2.0
+    assert arrivals != poisson_arrivals(100.0, 2.0, 6)
 
 
 def test_open_loop_waits_for_no_answer() -> None:
@@ -170,7 +172,8 @@
 
         async with asyncio.timeout(PATIENCE_S):
             results = await run_open_loop([0.0, 0.0, 0.001], start_call)
-        assert started == [0, 1, 2] and len(results) == 3
+        assert started == [0, 1, 2]
+        assert len(results) == 3
 
     run(scene)
 
--- a/tests/scale/test_suite.py
+++ b/tests/scale/test_suite.py
@@ -37,7 +37,7 @@
     commits = iter(["abc", "abc-dirty"])  # the results of the first change the work tree
     monkeypatch.setattr(suite, "current_commit", lambda: next(commits))
 
-    def run(experiment: Experiment, writer: ResultWriter) -> None:
+    def run(_experiment: Experiment, writer: ResultWriter) -> None:
         writer.add("sidecar", "calls", 1.0, "calls")
 
     monkeypatch.setattr(suite, "run_experiment", run)
@@ -50,9 +50,10 @@
 
 def test_nothing_runs_where_one_file_is_bad(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     ran: list[str] = []
-    monkeypatch.setattr(suite, "run_experiment", lambda experiment, writer: ran.append(experiment.name))
+    monkeypatch.setattr(suite, "run_experiment", lambda experiment, _writer: ran.append(experiment.name))
     write_experiments(tmp_path, "a", "b")
     (tmp_path / "b.toml").write_text('name = "b"\nkind = "latency"\n')
     with pytest.raises(ExperimentError):
         suite.run_suite(suite.find_experiments(tmp_path), tmp_path / "out")
-    assert ran == [] and not (tmp_path / "out").exists()
+    assert ran == []
+    assert not (tmp_path / "out").exists()
