--- a/scale/callgraph/experiment.py
+++ b/scale/callgraph/experiment.py
@@ -3,12 +3,17 @@
 from __future__ import annotations
 
 from enum import Enum, unique
-from typing import Literal, Self
+from typing import Annotated, Literal, Self
 
 from pydantic import BaseModel, ConfigDict, Field, model_validator
 
+from scale.errors import DurationTooShortError, FaultOrderError, FaultTooEarlyError, FaultTooLateError
 from scale.experiment import Experiment
 
+Depth = Annotated[int, Field(ge=1, le=16)]  # services one below the other
+Load = Annotated[float, Field(gt=0.0, le=4.0)]  # of the capacity of a service
+Share = Annotated[float, Field(ge=0.0, le=1.0)]
+
 
 @unique
 class PolicyName(Enum):
@@ -79,13 +84,13 @@
     kind: FaultKind = FaultKind.NONE
     begin_s: float = Field(default=0.0, ge=0.0)
     end_s: float = Field(default=0.0, ge=0.0)
-    share: float = Field(default=1.0, ge=0.0, le=1.0)  # of the calls on the service, for "errors"
+    share: Share = 1.0  # of the calls on the service, for "errors"
     depth: int = Field(default=0, ge=0)  # of the service, for "errors" and "service-lost"; 0: the deepest
 
     @model_validator(mode="after")
     def _ends_after_its_begin(self) -> Self:
         if self.kind is not FaultKind.NONE and self.end_s <= self.begin_s:
-            raise ValueError("end_s must be greater than begin_s")
+            raise FaultOrderError
         return self
 
 
@@ -93,9 +98,9 @@
     """One run for each combination of the swept lists: depth, load, fault share, policy and seed."""
 
     kind: Literal["callgraph"]
-    depths: list[int] = Field(default=[16], min_length=1)
-    loads: list[float] = Field(default=[0.5], min_length=1)  # of the capacity of a service
-    fault_shares: list[float] = Field(default=[], description="one run each; empty: the fault's own share")
+    depths: list[Depth] = Field(default=[16], min_length=1)
+    loads: list[Load] = Field(default=[0.5], min_length=1)  # of the capacity of a service
+    fault_shares: list[Share] = Field(default=[], description="one run each; empty: the fault's own share")
     policies: list[PolicyName] = Field(default=[PolicyName.BALANCER], min_length=1)
     seeds: int = Field(default=1, ge=1, le=16)  # runs with seed, seed + 1, ...
     fan_out: int = Field(default=1, ge=1, le=4)
@@ -111,18 +116,12 @@
 
     @model_validator(mode="after")
     def _times_fit(self) -> Self:
-        if self.warm_up_s + self.calls.deadline_ms / 1_000.0 >= self.duration_s:
-            raise ValueError("duration_s must be greater than warm_up_s and the deadline together")
+        deadline_s = self.calls.deadline_ms / 1_000.0
+        if self.warm_up_s + deadline_s >= self.duration_s:
+            raise DurationTooShortError
         if self.fault.kind is not FaultKind.NONE:
-            deadline_s = self.calls.deadline_ms / 1_000.0
             if self.fault.begin_s <= self.warm_up_s + deadline_s:
-                raise ValueError("fault.begin_s must be later than warm_up_s by more than the deadline")
+                raise FaultTooEarlyError
             if self.fault.end_s >= self.duration_s - deadline_s:
-                raise ValueError("fault.end_s must be earlier than duration_s by more than the deadline")
-        if not all(1 <= depth <= 16 for depth in self.depths):
-            raise ValueError("depths must be from 1 to 16")
-        if not all(0.0 < load <= 4.0 for load in self.loads):
-            raise ValueError("loads must be greater than 0 and at most 4")
-        if not all(0.0 <= share <= 1.0 for share in self.fault_shares):
-            raise ValueError("fault_shares must be from 0 to 1")
+                raise FaultTooLateError
         return self
--- a/scale/capacity.py
+++ b/scale/capacity.py
@@ -14,7 +14,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from scale.errors import ExperimentError
+from scale.errors import InvalidKeyError, UnmatchedTableError
 from scale.experiment import read_experiment_file
 from scale.report import Slope, fit_slope
 from scale.results import Label, Measurement, read_results
@@ -80,8 +80,7 @@
     try:
         return FigureFile.model_validate(read_experiment_file(path)).figures
     except ValidationError as error:
-        first = error.errors()[0]
-        raise ExperimentError(f"{'.'.join(map(str, first['loc']))}: {first['msg']}") from error
+        raise InvalidKeyError.from_validation(error, root="figures") from error
 
 
 def find_figure(figure: Figure, results: Results) -> Found | None:
@@ -220,8 +219,7 @@
     wanted = {match["name"] for match in _BLOCK.finditer(text)}
     known = {figure.table for figure in shown}
     if wanted != known:
-        names = ", ".join(sorted(wanted ^ known))
-        raise ExperimentError(f"table: {names}: stands on the page or among the figures alone")
+        raise UnmatchedTableError(wanted ^ known)
 
     def fill(match: re.Match[str]) -> str:
         chosen = [figure for figure in shown if figure.table == match["name"]]
--- a/scale/commands.py
+++ b/scale/commands.py
@@ -14,6 +14,8 @@
 
 from pydantic import BaseModel, ConfigDict
 
+from scale.errors import ProcessEndedError
+
 LINE_MOST = 64 * 1024 * 1024  # a commit of thousands of entries is one line
 _ANSWER_WITHIN_S = 120.0
 
@@ -64,21 +66,22 @@
     """Gives commands to a process, one at a time."""
 
     def __init__(self, popen: subprocess.Popen[bytes]) -> None:
-        """Wait until the process takes commands; raise OSError if it ends first."""
+        """Wait until the process takes commands; raise ProcessEndedError if it ends first."""
         assert popen.stdout is not None
+        self._pid = popen.pid
         line = popen.stdout.readline()
         if not line:
-            raise OSError(f"process {popen.pid} ended before it took commands")
+            raise ProcessEndedError(popen.pid)
         self.ready = Ready.model_validate_json(line)
         self._socket = socket.create_connection(self.ready.commands, _ANSWER_WITHIN_S)
         self._answers = self._socket.makefile("rb")
 
     def ask(self, command: Message, answer: type[AnyMessage]) -> AnyMessage:
-        """Give a command and return its answer; raise OSError if there is none."""
+        """Give a command and return its answer; raise ProcessEndedError if there is none."""
         self._socket.sendall(command.model_dump_json().encode() + b"\n")
         line = self._answers.readline()
         if not line:
-            raise OSError("the process ended its command connection")
+            raise ProcessEndedError(self._pid)
         return answer.model_validate_json(line)
 
     def tell(self, command: Message) -> None:
--- a/scale/configuration/run.py
+++ b/scale/configuration/run.py
@@ -18,7 +18,7 @@
 from scale.configuration.experiment import ConfigurationExperiment
 from scale.configuration.sidecar import KINDS, ConfiguredSidecar
 from scale.control.delays import new_histogram, record_seconds, seconds_at
-from scale.errors import ScaleError
+from scale.errors import EndpointListTimeoutError, RequestsInFlightTimeoutError, ScaleError
 from scale.load import CallResult
 from scale.ports import ReservedAddress
 from scale.processes import ManagedProcess, ProcessGroup
@@ -36,10 +36,6 @@
 log = structlog.get_logger()
 
 
-class ConfigurationTimeoutError(ScaleError):
-    """The sidecars did not come to hold the registry's list, or to send on what they took, in time."""
-
-
 def run_configuration(experiment: ConfigurationExperiment, writer: ResultWriter) -> None:
     """Measure each size."""
     for servers in experiment.servers:
@@ -106,20 +102,16 @@
 
     async def run(self) -> None:
         """Wait for the list, then measure changes, a bad file, one taken back, and what reloads cost."""
-        await self._until(lambda: self._counts().watching >= len(self.sidecars))
+        await _wait_until(
+            lambda: self._counts().watching >= len(self.sidecars),
+            EndpointListTimeoutError("sidecars", _LOADED_WITHIN_S),
+        )
         for _ in range(self.experiment.changes):
             await self._measure_change()
         await self._measure_bad_file()
         await self._measure_taken_back()
         await self._measure_cost()
 
-    async def _until(self, condition: Callable[[], bool]) -> None:
-        give_up_at = time.monotonic() + _LOADED_WITHIN_S
-        while not condition():
-            if time.monotonic() > give_up_at:
-                raise ConfigurationTimeoutError("sidecars: not all of them were under way within 60 s")
-            await asyncio.sleep(_LOOK_EVERY_S)
-
     def _counts(self) -> Counts:
         return self.registry.ask(GetCounts(), Counts)
 
@@ -148,7 +140,10 @@
         reached = self.server.counters.requests + len(self.sidecars) * len(KINDS)
         self.server.service_time_s = lambda: _HELD_S
         in_flight = [asyncio.ensure_future(each.call(kind)) for each in self.sidecars for kind in KINDS]
-        await self._until(lambda: self.server.counters.requests + _ended(in_flight) >= reached)
+        await _wait_until(
+            lambda: self.server.counters.requests + _ended(in_flight) >= reached,
+            RequestsInFlightTimeoutError(_LOADED_WITHIN_S),
+        )
         self.server.service_time_s = lambda: 0.0
         ended_before = _ended(in_flight)
         await self._change("change", f"added-{self.version + 1}")
@@ -195,6 +190,15 @@
         self.writer.add(role, metric, value, unit, {**self.labels, "phase": phase})
 
 
+async def _wait_until(condition: Callable[[], bool], timeout_error: ScaleError) -> None:
+    """Poll a condition until it holds; raise the given error if it does not within 60 s."""
+    give_up_at = time.monotonic() + _LOADED_WITHIN_S
+    while not condition():
+        if time.monotonic() > give_up_at:
+            raise timeout_error
+        await asyncio.sleep(_LOOK_EVERY_S)
+
+
 def _ended(calls: Sequence[asyncio.Future[CallResult]]) -> int:
     return sum(each.done() for each in calls)
 
--- a/scale/control/experiment.py
+++ b/scale/control/experiment.py
@@ -8,6 +8,7 @@
 import psutil
 from pydantic import BaseModel, ConfigDict, Field, ValidationInfo, field_validator
 
+from scale.errors import MemoryLimitError
 from scale.experiment import Experiment
 
 SERVERS_MOST = 20_000
@@ -63,5 +64,5 @@
         largest_list = ENTRY_BYTES * max(others.data.get("servers", [0]))
         needed = max(hollow_sidecars) * (SIDECAR_BYTES + largest_list)
         if needed > psutil.virtual_memory().total / 2:
-            raise ValueError(f"some {needed / 1e9:.1f} GB of lists are more than half of the memory")
+            raise MemoryLimitError(needed)
         return hollow_sidecars
--- a/scale/control/processes.py
+++ b/scale/control/processes.py
@@ -20,7 +20,6 @@
     StartSidecars,
     sidecar_settings,
 )
-from scale.errors import ScaleError
 from scale.processes import ManagedProcess, ProcessGroup
 from scale.sidecar_process import format_address, start_sidecar, write_config
 from scale.standins.change_log import Endpoint
@@ -42,10 +41,6 @@
 _LOOK_EVERY_S = 0.2
 
 
-class ControlTimeoutError(ScaleError):
-    """The sidecars did not come to hold the registry's list in time."""
-
-
 class Registry:
     """The registry stand-in's process."""
 
--- a/scale/control/run.py
+++ b/scale/control/run.py
@@ -24,7 +24,8 @@
     write_real_delays,
     write_usage,
 )
-from scale.control.processes import ControlTimeoutError, HollowGroup, RealSidecar, Registry, wait_for
+from scale.control.processes import HollowGroup, RealSidecar, Registry, wait_for
+from scale.errors import EndpointListTimeoutError
 from scale.ports import ReservedAddress
 from scale.processes import ProcessGroup
 from scale.results import ResultWriter
@@ -125,7 +126,7 @@
         empty = self.fleet.read()
         self.fleet.hollow.start(self.experiment.start_within_s)
         if not self._await_change(Committed(version=1, at_s=0.0), _LOADED_WITHIN_S):
-            raise ControlTimeoutError("hollow_sidecars: not all of them held the list within 120 s")
+            raise EndpointListTimeoutError("hollow_sidecars", _LOADED_WITHIN_S)
         time.sleep(self.experiment.settle_s)
         full = self.fleet.read()
         write_hollow_memory(self.writer, self.fleet, empty, full, labels)
--- a/scale/errors.py
+++ b/scale/errors.py
@@ -1,15 +1,224 @@
-"""Errors that the rig reports to its user in one line."""
+"""Errors of the rig; each class words its own message."""
 
 from __future__ import annotations
 
+from collections.abc import Collection
+from pathlib import Path
+from typing import Self
+
+from pydantic import ValidationError
+
+_BYTES_PER_GB = 1e9
+
 
 class ScaleError(Exception):
-    """Something the user can mend; the command prints it in one line and exits with 2."""
+    """Base of all errors that the user can fix; the command prints it in one line and exits with 2."""
+
+
+# -- Experiment files ---------------------------------------------------------------------------------
 
 
 class ExperimentError(ScaleError):
-    """An experiment file that cannot be used; the text names the key at fault."""
+    """An experiment file or figures file that cannot be used."""
+
+    def __init__(self, subject: str, reason: str) -> None:
+        """Word the message.
+
+        Args:
+            subject: The key, file or folder at fault.
+            reason: What is wrong with it.
+        """
+        super().__init__(f"{subject}: {reason}")
+
+
+class UnreadableExperimentError(ExperimentError):
+    """An experiment file that cannot be opened or read."""
+
+    def __init__(self, path: Path, cause: OSError) -> None:
+        """Name the file and the operating system's reason."""
+        super().__init__(str(path), cause.strerror or type(cause).__name__)
+
+
+class TomlSyntaxError(ExperimentError):
+    """An experiment file that is not TOML."""
+
+    def __init__(self, path: Path, cause: ValueError) -> None:
+        """Name the file and the parser's complaint."""
+        super().__init__(str(path), f"not TOML: {cause}")
+
+
+class InvalidKeyError(ExperimentError):
+    """A key that is missing, unknown or has a value out of its range."""
+
+    @classmethod
+    def from_validation(cls, error: ValidationError, root: str = "experiment") -> Self:
+        """Report the first of pydantic's complaints.
+
+        Args:
+            error: What the model said.
+            root: What to name where the complaint is about the model as a whole.
+        """
+        first = error.errors()[0]
+        key = ".".join(map(str, first["loc"])) or root
+        return cls(key, first["msg"])
+
+
+class UnknownKindError(ExperimentError):
+    """An experiment file whose `kind` the rig does not know."""
+
+    def __init__(self, known: Collection[str]) -> None:
+        """List the kinds that are known."""
+        super().__init__("kind", f"must be one of {', '.join(sorted(known))}")
+
+
+class NoExperimentsError(ExperimentError):
+    """A folder without experiment files."""
+
+    def __init__(self, folder: Path) -> None:
+        """Name the folder."""
+        super().__init__(str(folder), "holds no experiments")
+
+
+class UnmatchedTableError(ExperimentError):
+    """Tables that stand on the page without figures, or among the figures without a place on the page."""
+
+    def __init__(self, names: Collection[str]) -> None:
+        """Name the tables."""
+        super().__init__("table", f"{', '.join(sorted(names))}: only on the page or only among the figures")
+
+
+# -- Checks across several keys, raised inside pydantic validators, which need a ValueError -----------
+
+
+class FaultOrderError(ValueError):
+    """A fault that ends no later than it begins."""
+
+    def __init__(self) -> None:
+        super().__init__("end_s must be greater than begin_s")
+
+
+class DurationTooShortError(ValueError):
+    """A run that ends before anything can be measured."""
+
+    def __init__(self) -> None:
+        super().__init__("duration_s must be greater than warm_up_s and the deadline together")
+
+
+class FaultTooEarlyError(ValueError):
+    """A fault that begins before there is a baseline to compare with."""
+
+    def __init__(self) -> None:
+        super().__init__("fault.begin_s must be later than warm_up_s by more than the deadline")
+
+
+class FaultTooLateError(ValueError):
+    """A fault that ends too late for its recovery to be measured."""
+
+    def __init__(self) -> None:
+        super().__init__("fault.end_s must be earlier than duration_s by more than the deadline")
+
+
+class MemoryLimitError(ValueError):
+    """An experiment whose endpoint lists would not fit into the machine's memory."""
+
+    def __init__(self, needed_bytes: int) -> None:
+        """Tell the memory that the endpoint lists need, in bytes."""
+        super().__init__(f"{needed_bytes / _BYTES_PER_GB:.1f} GB of endpoint lists exceed half of the memory")
+
+
+class UntracedCollectorError(ValueError):
+    """A garbage collector setting for a sidecar that is not traced, where nothing could apply it."""
+
+    def __init__(self) -> None:
+        super().__init__("a collector other than the program's needs traced = true")
+
+
+# -- Results ------------------------------------------------------------------------------------------
 
 
 class ResultsError(ScaleError):
-    """A results file that cannot be read; the text names the file and line."""
+    """A results file that cannot be used."""
+
+
+class UnreadableResultsError(ResultsError):
+    """A results file that cannot be opened or decoded."""
+
+    def __init__(self, path: Path, cause: Exception) -> None:
+        """Name the file and the cause."""
+        super().__init__(f"{path}: cannot be read: {cause}")
+
+
+class InvalidMeasurementError(ResultsError):
+    """A line of a results file that is not a measurement."""
+
+    def __init__(self, path: Path, line_number: int) -> None:
+        """Name the file and the line, counted from 1."""
+        super().__init__(f"{path}:{line_number}: not a measurement")
+
+
+class TooFewSizesError(ValueError):
+    """Points to fit a line through that were all measured at one size."""
+
+    def __init__(self) -> None:
+        super().__init__("two different sizes are needed for a slope")
+
+
+# -- Processes ----------------------------------------------------------------------------------------
+
+
+class SidecarError(ScaleError):
+    """A sidecar process that did not start or stop as it should."""
+
+
+class SidecarStartError(SidecarError):
+    """A sidecar that ended, or took too long, before it was ready."""
+
+    def __init__(self, log_lines: list[str]) -> None:
+        """Quote the last line of its log."""
+        last_line = log_lines[-1] if log_lines else "it logged nothing"
+        super().__init__(f"the sidecar did not start: {last_line}")
+
+
+class SidecarStopTimeoutError(SidecarError):
+    """A sidecar that was still running a while after SIGTERM."""
+
+    def __init__(self, timeout_s: float) -> None:
+        """Tell how long it was waited for, in seconds."""
+        super().__init__(f"the sidecar did not end within {timeout_s:.0f} s of SIGTERM")
+
+
+class SidecarExitError(SidecarError):
+    """A sidecar that ended with an exit code other than 0."""
+
+    def __init__(self, exit_code: int) -> None:
+        """Tell the exit code."""
+        super().__init__(f"the sidecar ended with exit code {exit_code}")
+
+
+class EndpointListTimeoutError(ScaleError):
+    """Sidecars that did not come to hold the registry's endpoint list in time."""
+
+    def __init__(self, key: str, timeout_s: float) -> None:
+        """Word the message.
+
+        Args:
+            key: The experiment's key that says how many sidecars there are.
+            timeout_s: How long they were waited for, in seconds.
+        """
+        super().__init__(f"{key}: not all of them held the endpoint list within {timeout_s:.0f} s")
+
+
+class RequestsInFlightTimeoutError(ScaleError):
+    """Requests that did not reach the server in time."""
+
+    def __init__(self, timeout_s: float) -> None:
+        """Tell how long they were waited for, in seconds."""
+        super().__init__(f"sidecars: not all requests reached the server within {timeout_s:.0f} s")
+
+
+class ProcessEndedError(ConnectionError):
+    """A process of the rig that ended before it answered."""
+
+    def __init__(self, pid: int) -> None:
+        """Name the process by its id."""
+        super().__init__(f"process {pid} ended its command connection")
--- a/scale/experiment.py
+++ b/scale/experiment.py
@@ -8,7 +8,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from scale.errors import ExperimentError
+from scale.errors import InvalidKeyError, TomlSyntaxError, UnreadableExperimentError
 
 
 class Experiment(BaseModel):
@@ -31,9 +31,9 @@
         with path.open("rb") as file:
             return tomllib.load(file)
     except OSError as error:
-        raise ExperimentError(f"{path}: {error.strerror}") from error
+        raise UnreadableExperimentError(path, error) from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise ExperimentError(f"{path}: not TOML: {error}") from error
+        raise TomlSyntaxError(path, error) from error
 
 
 def validate_experiment(model: type[AnyExperiment], given: dict[str, Any]) -> AnyExperiment:
@@ -41,6 +41,4 @@
     try:
         return model.model_validate(given)
     except ValidationError as error:
-        first = error.errors()[0]
-        key = ".".join(str(part) for part in first["loc"]) or "experiment"
-        raise ExperimentError(f"{key}: {first['msg']}") from error
+        raise InvalidKeyError.from_validation(error) from error
--- a/scale/kinds.py
+++ b/scale/kinds.py
@@ -13,7 +13,7 @@
 from scale.configuration.run import run_configuration
 from scale.control.experiment import ControlExperiment
 from scale.control.run import run_control
-from scale.errors import ExperimentError
+from scale.errors import UnknownKindError
 from scale.experiment import Experiment, read_experiment_file, validate_experiment
 from scale.latency.experiment import LatencyExperiment
 from scale.latency.run import run_latency
@@ -41,7 +41,7 @@
     given = read_experiment_file(path)
     kind = KINDS.get(str(given.get("kind")))
     if kind is None:
-        raise ExperimentError(f"kind: one of {', '.join(sorted(KINDS)) or 'none yet'} is needed")
+        raise UnknownKindError(KINDS.keys())
     return validate_experiment(kind.model, given)
 
 
--- a/scale/latency/experiment.py
+++ b/scale/latency/experiment.py
@@ -7,6 +7,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, model_validator
 
+from scale.errors import UntracedCollectorError
 from scale.experiment import Experiment
 
 SERVERS_MOST = 4_900  # each is a listening socket of one process
@@ -34,7 +35,7 @@
     @model_validator(mode="after")
     def _collector_is_set_by_the_tracing_entry(self) -> Self:
         if self.collector is not Collector.PROGRAM and not self.traced:
-            raise ValueError("a collector other than the program's needs traced = true")
+            raise UntracedCollectorError
         return self
 
 
--- a/scale/latency/run.py
+++ b/scale/latency/run.py
@@ -17,6 +17,7 @@
 import structlog
 
 from scale.commands import CommandClient, python_command
+from scale.errors import SidecarExitError, SidecarStopTimeoutError
 from scale.latency.analysis import (
     PERCENTS,
     SLOWEST_PERCENT,
@@ -44,7 +45,6 @@
 from scale.results import Label, ResultWriter
 from scale.sidecar_process import (
     PROGRAM,
-    SidecarError,
     await_ready,
     format_address,
     sample_config,
@@ -217,9 +217,9 @@
         try:
             code = sidecar.popen.wait(_STOP_LIMIT_S)
         except subprocess.TimeoutExpired as late:
-            raise SidecarError(f"the sidecar did not end within {_STOP_LIMIT_S:.0f} s of SIGTERM") from late
+            raise SidecarStopTimeoutError(_STOP_LIMIT_S) from late
         if code != 0:
-            raise SidecarError(f"the sidecar ended with exit code {code}")
+            raise SidecarExitError(code)
 
 
 async def _repeat(rate_per_s: float, change: Callable[[], None]) -> None:
--- a/scale/report.py
+++ b/scale/report.py
@@ -14,6 +14,7 @@
 import matplotlib.pyplot as plt
 import numpy as np
 
+from scale.errors import TooFewSizesError
 from scale.results import Measurement
 
 _LEAST_POINTS = 2  # fewer give no line
@@ -34,9 +35,9 @@
 
 
 def fit_slope(sizes: Sequence[float], values: Sequence[float]) -> Slope:
-    """Fit a line by least squares; raise ValueError with fewer than two different sizes."""
+    """Fit a line by least squares; raise TooFewSizesError with fewer than two different sizes."""
     if len(set(sizes)) < _LEAST_POINTS:
-        raise ValueError("two different sizes are needed for a slope")
+        raise TooFewSizesError
     per_unit, at_zero = np.polyfit(sizes, values, 1)
     expected = at_zero + per_unit * np.asarray(sizes)
     residual = float(np.sum((np.asarray(values) - expected) ** 2))
--- a/scale/results.py
+++ b/scale/results.py
@@ -10,7 +10,7 @@
 
 from pydantic import BaseModel, ConfigDict, ValidationError
 
-from scale.errors import ResultsError
+from scale.errors import InvalidMeasurementError, UnreadableResultsError
 from scale.experiment import Experiment
 
 Label = str | float | int | bool
@@ -92,10 +92,10 @@
         try:
             lines = path.read_text(encoding="utf-8").splitlines()
         except (OSError, UnicodeDecodeError) as error:
-            raise ResultsError(f"{path}: cannot be read: {error}") from error
+            raise UnreadableResultsError(path, error) from error
         for number, line in enumerate(lines, start=1):
             try:
                 measurements.append(Measurement.model_validate_json(line))
             except ValidationError as error:
-                raise ResultsError(f"{path}:{number}: not a measurement") from error
+                raise InvalidMeasurementError(path, number) from error
     return measurements
--- a/scale/sidecar_process.py
+++ b/scale/sidecar_process.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from scale.errors import ScaleError
+from scale.errors import SidecarStartError
 from scale.load import Address
 from scale.processes import ManagedProcess, ProcessGroup
 
@@ -23,10 +23,6 @@
 _ASK_LIMIT_S = 1.0
 
 
-class SidecarError(ScaleError):
-    """A sidecar that did not start; the text holds the last line of its log."""
-
-
 def sample_config(listen: Address, discovery: Address) -> dict[str, Any]:
     """The sample configuration with addresses of this run."""
     config: dict[str, Any] = json.loads(SAMPLE_CONFIG.read_text(encoding="utf-8"))
@@ -61,12 +57,12 @@
 
 
 def await_ready(sidecar: ManagedProcess, listen: Address, folder: Path) -> None:
-    """Wait until a sidecar calls itself ready; raise SidecarError if it ends or takes longer than 15 s."""
+    """Wait until a sidecar is ready; raise SidecarStartError if it ends first or takes over 15 s."""
     give_up_at = time.monotonic() + READY_WITHIN_S
     while not _is_ready(listen):
         if not sidecar.is_running() or time.monotonic() > give_up_at:
             lines = log_path(folder).read_text(encoding="utf-8", errors="replace").splitlines()
-            raise SidecarError(f"the sidecar did not start: {lines[-1] if lines else 'it logged nothing'}")
+            raise SidecarStartError(lines)
         time.sleep(_ASK_EVERY_S)
 
 
--- a/scale/suite.py
+++ b/scale/suite.py
@@ -8,7 +8,7 @@
 
 import structlog
 
-from scale.errors import ExperimentError
+from scale.errors import NoExperimentsError
 from scale.kinds import load_experiment, run_experiment
 from scale.results import ResultWriter, current_commit
 
@@ -22,10 +22,10 @@
 
 
 def find_experiments(folder: Path = EXPERIMENTS) -> list[Path]:
-    """The experiment files of a folder, without those for tests; raise ExperimentError if there are none."""
+    """List a folder's experiment files except the small ones; raise NoExperimentsError if there are none."""
     found = sorted(path for path in folder.glob("*.toml") if not path.stem.endswith(_FOR_TESTS))
     if not found:
-        raise ExperimentError(f"{folder}: holds no experiments")
+        raise NoExperimentsError(folder)
     return found
 
 
--- a/tests/scale/test_demo.py
+++ b/tests/scale/test_demo.py
@@ -13,12 +13,12 @@
 import pytest
 
 from scale.demo import DRAINED, SERVERS, DemoOutcome, Phase, ServerOutcome, format_outcome
+from scale.errors import SidecarError
 from scale.load import NO_ANSWER, CallResult
 from scale.ports import ReservedAddress
 from scale.processes import ProcessGroup
 from scale.sidecar_process import (
     SAMPLE_CONFIG,
-    SidecarError,
     await_ready,
     sample_config,
     start_sidecar,
