--- a/scale/control/faults.py
+++ b/scale/control/faults.py
@@ -11,7 +11,6 @@
 from scale.control.measure import Fleet
 from scale.control.processes import HALVES
 from scale.standins.fleet import zone_name
-from scale.standins.registry import Availability
 from scale.standins.registry_process import (
     ChangeEndpoints,
     Committed,
@@ -20,6 +19,7 @@
     SetSilent,
     StrandConnections,
 )
+from scale.standins.registry_state import Availability
 
 _CUT_OFF = 1  # the half of the hollow sidecars that is cut off
 
--- a/scale/control/measure.py
+++ b/scale/control/measure.py
@@ -14,8 +14,8 @@
 from scale.control.processes import HollowGroup, RealSidecar, Registry
 from scale.processes import ManagedProcess, Usage
 from scale.results import Label, ResultWriter
-from scale.standins.registry import SEGMENT_HEADER_BYTES
 from scale.standins.registry_process import Committed, Counts, Observed, TrafficTotals
+from scale.standins.tcp_info import SEGMENT_HEADER_BYTES
 
 PERCENTILES = (50.0, 99.0, 100.0)
 Labels = Mapping[str, Label]
--- a/scale/control/processes.py
+++ b/scale/control/processes.py
@@ -20,11 +20,11 @@
     StartSidecars,
     sidecar_settings,
 )
+from scale.load import Address
 from scale.processes import ManagedProcess, ProcessGroup
 from scale.sidecar_process import format_address, start_sidecar, write_config
 from scale.standins.change_log import Endpoint
 from scale.standins.fleet import make_endpoints, zone_name
-from scale.standins.registry import Address
 from scale.standins.registry_process import (
     ChangeEndpoints,
     Committed,
--- /dev/null
+++ b/scale/standins/registry_connection.py
@@ -0,0 +1,207 @@
+"""Connections to the registry: each reads calls, one at a time, and answers them."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from dataclasses import dataclass, field
+from http import HTTPStatus
+
+from scale.load import Address
+from scale.standins.registry_protocol import Call, MalformedCallError, parse_call
+from scale.standins.registry_state import Availability, RegistryState
+from scale.standins.tcp_info import count_segments
+
+OVERLOAD_WAIT_S = 2.0  # how long an overloaded registry lets a call wait before it ends it with 503
+_HEAD_MOST = 8 * 1024
+_PART = 64 * 1024  # of an answer, given to the kernel at once: bounds what a slow reader holds in memory
+_SAMPLED = 16  # the segments of one connection in so many are counted
+
+
+@dataclass(frozen=True, slots=True)
+class ObservedCall:
+    """A call that says which version its caller holds."""
+
+    at_s: float  # monotonic clock, alike in all processes of the machine
+    after: int
+
+
+@dataclass(slots=True)
+class ListenerTraffic:
+    """What went through one listener since the start."""
+
+    calls: int = 0
+    http_bytes: int = 0  # both ways, without the headers of TCP and IP
+
+
+@dataclass(slots=True)
+class Listener:
+    """An address at which the registry is reached."""
+
+    server: asyncio.Server
+    address: Address
+    silent: bool = False
+    observed: list[ObservedCall] | None = None  # what was called here, where that is noted
+    traffic: ListenerTraffic = field(default_factory=ListenerTraffic)
+    connections: set[RegistryConnection] = field(default_factory=set)
+
+
+class RegistryConnection(asyncio.Protocol):
+    """One connection: reads calls, one at a time, and answers them."""
+
+    def __init__(self, state: RegistryState, listener: Listener) -> None:
+        self.silent = False  # whether nothing is read or written any more
+        self._state = state
+        self._listener = listener
+        self._transport: asyncio.Transport | None = None
+        self._unread = b""
+        self._call: Call | None = None
+        self._timer: asyncio.TimerHandle | None = None
+        self._body = memoryview(b"")  # what is left to write of an answer
+        self._sampled = False
+        self._writable = True
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Count the connection."""
+        assert isinstance(transport, asyncio.Transport)
+        self._transport = transport
+        transport.set_write_buffer_limits(high=_PART)
+        self._listener.connections.add(self)
+        counts = self._state.counts
+        counts.connections += 1
+        self._sampled = counts.connections % _SAMPLED == 0
+
+    def data_received(self, data: bytes) -> None:
+        """Read the calls in what has arrived, unless the listener is cut off."""
+        self._state.counts.bytes_in += len(data)
+        self._listener.traffic.http_bytes += len(data)
+        if self.silent or self._listener.silent:
+            return
+        self._unread += data
+        self._read_call()
+
+    def _read_call(self) -> None:
+        if self._call is not None:
+            return  # answered first: calls on a connection are taken in order
+        head, end, rest = self._unread.partition(b"\r\n\r\n")
+        if not end:
+            if len(self._unread) > _HEAD_MOST:
+                self._reject(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
+            return
+        self._unread = rest
+        self._state.counts.calls += 1
+        self._listener.traffic.calls += 1
+        try:
+            self._call = parse_call(head)
+        except MalformedCallError as error:
+            self._reject(error.status)
+        else:
+            self._take(self._call)
+
+    def _reject(self, status: HTTPStatus) -> None:
+        self._state.counts.malformed += 1
+        self._call = Call(None, 0, False)
+        self._write(status, b"")
+
+    def _take(self, call: Call) -> None:
+        loop = asyncio.get_running_loop()
+        if self._listener.observed is not None and call.after is not None:
+            self._listener.observed.append(ObservedCall(time.monotonic(), call.after))
+        availability = self._state.availability
+        if availability is Availability.DOWN:
+            self._answer()
+        elif availability is Availability.OVERLOADED:
+            self._timer = loop.call_later(OVERLOAD_WAIT_S, self.end_watch)
+        elif call.after == self._state.change_log.version and call.wait_ms:
+            self._state.add_watch(self)
+            self._timer = loop.call_later(call.wait_ms / 1000, self.end_watch)
+        else:
+            self._answer()
+
+    def end_watch(self) -> None:
+        """Answer the call that waits, whatever there is to tell."""
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+        self._state.remove_watch(self)
+        if not (self.silent or self._listener.silent):
+            self._answer()
+
+    def _answer(self) -> None:
+        call, counts, change_log = self._call, self._state.counts, self._state.change_log
+        assert call is not None
+        if self._state.availability is not Availability.UP:
+            counts.refused += 1
+            self._write(HTTPStatus.SERVICE_UNAVAILABLE, b"")
+            return
+        answer = change_log.snapshot() if call.after is None else change_log.since(call.after)
+        if answer.is_snapshot:
+            counts.snapshots += 1
+        elif call.after == change_log.version:
+            counts.empty += 1
+        else:
+            counts.deltas += 1
+        self._write(HTTPStatus.OK, answer.body)
+
+    def _write(self, status: HTTPStatus, body: bytes) -> None:
+        assert self._transport is not None
+        assert self._call is not None
+        close = b"" if self._call.keep_alive else b"Connection: close\r\n"
+        head = b"HTTP/1.1 %d %b\r\nContent-Type: application/json\r\n%bContent-Length: %d\r\n\r\n"
+        written = head % (status, status.phrase.encode(), close, len(body))
+        self._state.counts.bytes_out += len(written) + len(body)
+        self._listener.traffic.http_bytes += len(written) + len(body)
+        first = _PART - len(written)
+        self._body = memoryview(body)[first:]
+        self._transport.write(written + body[:first])
+        self._write_on()
+
+    def _write_on(self) -> None:
+        assert self._transport is not None
+        while self._body and self._writable and not self._transport.is_closing():
+            part, self._body = self._body[:_PART], self._body[_PART:]
+            self._transport.write(part)
+        if not self._body:
+            self._end_call()
+
+    def _end_call(self) -> None:
+        call, self._call = self._call, None
+        if call is None or self._transport is None:
+            return
+        if call.keep_alive:
+            asyncio.get_running_loop().call_soon(self._read_call)
+        else:
+            self._transport.close()
+
+    def pause_writing(self) -> None:
+        """Stop writing until the transport's buffer has drained."""
+        self._writable = False
+
+    def resume_writing(self) -> None:
+        """Write what is left of the answer."""
+        self._writable = True
+        if self._body:
+            self._write_on()
+
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Forget the connection and its watch."""
+        if self._sampled:
+            self._count_segments()
+        self._listener.connections.discard(self)
+        self._state.remove_watch(self)
+        if self._timer is not None:
+            self._timer.cancel()
+        self._body = memoryview(b"")
+
+    def _count_segments(self) -> None:
+        """Count the segments so far; the few of a close that is under way are missed."""
+        assert self._transport is not None
+        segments = count_segments(self._transport.get_extra_info("socket"))
+        if segments is not None:
+            self._state.counts.sampled_segments += segments
+            self._state.counts.sampled_connections += 1
+
+    def abort(self) -> None:
+        """Reset the connection."""
+        if self._transport is not None:
+            self._transport.abort()
--- a/scale/standins/registry_process.py
+++ b/scale/standins/registry_process.py
@@ -15,7 +15,8 @@
 from scale.commands import Done, Message, serve_commands
 from scale.standins.change_log import ChangeLog
 from scale.standins.fleet import make_endpoints
-from scale.standins.registry import Availability, RegistryServer
+from scale.standins.registry import RegistryServer
+from scale.standins.registry_state import Availability
 
 
 class ChangeEndpoints(Message):
--- /dev/null
+++ b/scale/standins/registry_protocol.py
@@ -0,0 +1,68 @@
+"""The registry's protocol: reads the head of one request."""
+
+from __future__ import annotations
+
+import re
+from dataclasses import dataclass
+from http import HTTPStatus
+from urllib.parse import parse_qsl
+
+PATH = "/registry/instances"
+WAIT_MOST_MS = 60_000
+_REQUEST_LINE = re.compile(rb"([A-Z]+) (/[!-~]*) HTTP/1\.([01])")
+_HEADER_LINE = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+):[ \t]*(.*?)[ \t]*")
+_BODY_HEADERS = frozenset((b"content-length", b"transfer-encoding"))
+
+
+@dataclass(frozen=True, slots=True)
+class Call:
+    """One request, as read."""
+
+    after: int | None  # None: the whole list
+    wait_ms: int
+    keep_alive: bool
+
+
+class MalformedCallError(Exception):
+    """A request that this registry does not serve, with the status that says so."""
+
+    def __init__(self, status: HTTPStatus) -> None:
+        super().__init__(status.phrase)
+        self.status = status
+
+
+def parse_call(head: bytes) -> Call:
+    """Read a head without its blank line; raise MalformedCallError on all but the protocol's GET."""
+    first, *rest = head.split(b"\r\n")
+    line = _REQUEST_LINE.fullmatch(first)
+    if line is None:
+        raise MalformedCallError(HTTPStatus.BAD_REQUEST)
+    method, target, minor = line.groups()
+    headers = {}
+    for each in rest:
+        header = _HEADER_LINE.fullmatch(each)
+        if header is None:
+            raise MalformedCallError(HTTPStatus.BAD_REQUEST)
+        headers[header[1].lower()] = header[2]
+    if method != b"GET":
+        raise MalformedCallError(HTTPStatus.METHOD_NOT_ALLOWED)
+    has_body = not _BODY_HEADERS.isdisjoint(headers)
+    if has_body or (minor == b"1" and b"host" not in headers):
+        raise MalformedCallError(HTTPStatus.BAD_REQUEST)
+    path, _, query = target.decode("ascii").partition("?")
+    if path != PATH:
+        raise MalformedCallError(HTTPStatus.NOT_FOUND)
+    after, wait_ms = _parse_query(query)
+    keep_alive = minor == b"1" and headers.get(b"connection", b"").lower() != b"close"
+    return Call(after, wait_ms, keep_alive)
+
+
+def _parse_query(query: str) -> tuple[int | None, int]:
+    try:
+        values = {name: int(value) for name, value in parse_qsl(query, strict_parsing=bool(query))}
+    except ValueError as error:
+        raise MalformedCallError(HTTPStatus.BAD_REQUEST) from error
+    after, wait_ms = values.get("after"), values.get("wait_ms", 0)
+    if values.keys() - {"after", "wait_ms"} or wait_ms < 0 or (after is None and wait_ms):
+        raise MalformedCallError(HTTPStatus.BAD_REQUEST)
+    return after, min(wait_ms, WAIT_MOST_MS)
--- a/tests/scale/test_registry_standin.py
+++ b/tests/scale/test_registry_standin.py
@@ -11,9 +11,11 @@
 import pytest
 from polling import wait_until
 
+from scale.load import Address
 from scale.standins.change_log import ChangeLog, Endpoint, EndpointStatus
 from scale.standins.fleet import make_endpoints
-from scale.standins.registry import Address, Availability, RegistryServer
+from scale.standins.registry import RegistryServer
+from scale.standins.registry_state import Availability
 from topazbank.net.discovery import parse_registry
 
 PATIENCE_S = 20.0
