--- a/scale/configuration/run.py
+++ b/scale/configuration/run.py
@@ -19,12 +19,12 @@
 from scale.configuration.sidecar import KINDS, ConfiguredSidecar
 from scale.control.delays import new_histogram, record_seconds, seconds_at
 from scale.errors import EndpointListTimeoutError, RequestsInFlightTimeoutError, ScaleError
-from scale.load import CallResult
+from scale.http_client import CallResult
 from scale.ports import ReservedAddress
 from scale.processes import ManagedProcess, ProcessGroup
 from scale.results import Label, ResultWriter
 from scale.sidecar_process import format_address
-from scale.standins.registry_process import Counts, GetCounts
+from scale.standins.registry_commands import Counts, GetCounts
 from scale.standins.server import ServerStandin
 
 PERCENTILES = (50.0, 99.0, 100.0)
--- a/scale/configuration/sidecar.py
+++ b/scale/configuration/sidecar.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from scale.load import Address, CallResult, HttpClient, format_call
+from scale.http_client import Address, CallResult, HttpClient, format_call
 from scale.processes import ProcessGroup
 from scale.sidecar_process import await_ready, sample_config, start_sidecar
 
--- a/scale/control/faults.py
+++ b/scale/control/faults.py
@@ -11,7 +11,7 @@
 from scale.control.measure import Fleet
 from scale.control.processes import HALVES
 from scale.standins.fleet import zone_name
-from scale.standins.registry_process import (
+from scale.standins.registry_commands import (
     ChangeEndpoints,
     Committed,
     ForgetChanges,
--- a/scale/control/hollow.py
+++ b/scale/control/hollow.py
@@ -1,6 +1,6 @@
-"""Hollow sidecars: the real discovery client, balancer and table of servers, without clients or requests.
+"""A process of hollow sidecars, hundreds of them.
 
-Hundreds share one process.  Run as `python -m scale.control.hollow`; it prints that it is ready and then
+Run as `python -m scale.control.hollow`; it prints that it is ready and then
 takes commands.
 """
 
@@ -10,158 +10,30 @@
 import gc
 import logging
 import random
-import time
-from typing import Annotated, Any, Literal
+from typing import Annotated
 
 import typer
 from hdrh.histogram import HdrHistogram
-from pydantic import Field, TypeAdapter
 
 from scale.commands import Done, Message, serve_commands
-from scale.control.applied_log import AppliedLog
 from scale.control.delays import new_histogram, record_seconds
-from scale.standins.registry_process import Committed
-from topazbank.balancer import Balancer
-from topazbank.interface import (
-    Endpoint,
-    FetchRegistry,
-    RegistryUpdated,
-    RegistryUpdateKind,
-    ServerState,
-    SetTimer,
-    TimerFired,
-    WatchRegistry,
+from scale.control.hollow_commands import (
+    HOLLOW_COMMANDS,
+    Delays,
+    GetDelays,
+    GetProgress,
+    MoveDiscovery,
+    Progress,
+    StartSidecars,
 )
-from topazbank.net.discovery import Discovery, RegistryResponse
-from topazbank.net.sidecar import Clock
-from topazbank.net.upstream import Address, Upstream, parse_address
-from topazbank.settings import Settings
+from scale.control.hollow_sidecar import HollowSidecar, sidecar_settings
+from scale.standins.registry_commands import Committed
+from topazbank.net.upstream import Address, parse_address
 from topazbank.wire_settings import settings_from_wire
 
-_SOCKETS_PER_SIDECAR = 480  # what a sidecar with the usual 1,024 descriptors keeps for servers
 _GC_THRESHOLDS = (700, 5, 2)  # as the sidecar's own program sets them
 
 
-def sidecar_settings(zone: str) -> dict[str, Any]:
-    """Settings of a sidecar, in the wire's names."""
-    return {
-        "lanes": [{"name": "look", "giveUpUs": 2_000_000, "repeat": "read_like"}],
-        "bounds": {"sendCap": 3, "mayCancel": True},
-        "discovery": "on_request",
-        "zone": zone,
-    }
-
-
-class HollowSidecar:
-    """One sidecar without a front end: it follows the registry as a real one does, and serves nobody."""
-
-    def __init__(self, settings: Settings, seed: int, discovery: Address) -> None:
-        self.applied = AppliedLog()  # what it held when
-        self._clock = Clock()
-        self.balancer = Balancer(settings, seed)
-        limits = settings.limits
-        self._upstream = Upstream(
-            limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, _SOCKETS_PER_SIDECAR
-        )
-        self._discovery = Discovery(discovery, 0, self._told)
-        self._stopped = False
-
-    def start(self) -> None:
-        """Hear of an empty list, as a real one without a list of its own does, and begin to watch."""
-        self._handle(RegistryUpdated(RegistryUpdateKind.CACHED))
-
-    def stop(self) -> None:
-        """End all calls, as a process that is killed."""
-        self._stopped = True
-        self._discovery.stop()
-
-    def move(self, address: Address) -> None:
-        """Follow the registry at another address."""
-        self._discovery.move(address)
-
-    def _told(self, told: RegistryResponse | None) -> None:
-        if told is None:
-            self._handle(RegistryUpdated(RegistryUpdateKind.FAILED))
-            return
-        is_news = told.complete or told.version > self.applied.version()
-        self._apply(told)
-        if is_news:
-            self.applied.add(told.version, time.monotonic())
-
-    def _apply(self, told: RegistryResponse) -> None:
-        """Put a list into force as `Sidecar` does: addresses first, then the balancer."""
-        if told.complete:
-            self._upstream.retain({line.server.server for line in told.lines})
-        for line in told.lines:
-            server = line.server
-            self._upstream.update(server.server, line.address, server.started_at, server.state)
-        servers = [line.server for line in told.lines]
-        servers += [Endpoint(name, state=ServerState.GONE) for name in self._upstream.displace()]
-        kind = RegistryUpdateKind.SNAPSHOT if told.complete else RegistryUpdateKind.DELTA
-        self._handle(RegistryUpdated(kind, servers, told.version))
-
-    def _handle(self, event: RegistryUpdated | TimerFired) -> None:
-        if self._stopped:
-            return
-        for action in self.balancer.handle(self._clock.now(), event):
-            match action:
-                case SetTimer():
-                    loop = asyncio.get_running_loop()
-                    loop.call_later(action.in_us / 1e6, self._handle, TimerFired(action.token))
-                case WatchRegistry():
-                    self._discovery.follow(action.wanted)
-                case FetchRegistry():
-                    self._discovery.fetch()
-
-
-class StartSidecars(Message):
-    """Start all sidecars, or stop them and start them anew, spread over a time."""
-
-    command: Literal["start"] = "start"
-    within_s: float
-
-
-class MoveDiscovery(Message):
-    """Move all sidecars to another address of the registry, at once."""
-
-    command: Literal["move"] = "move"
-    address: tuple[str, int]
-
-
-class GetProgress(Message):
-    """Ask in how many sidecars a change is in force."""
-
-    command: Literal["progress"] = "progress"
-    change: Committed
-
-
-class Progress(Message):
-    """In how many sidecars it is in force, of how many."""
-
-    sidecars: int
-    in_force: int
-
-
-class GetDelays(Message):
-    """Ask for the times from changes to their being in force."""
-
-    command: Literal["delays"] = "delays"
-    changes: list[Committed]
-
-
-class Delays(Message):
-    """The times over all changes and sidecars, and how many of these pairs are not in force yet."""
-
-    histogram: str  # HdrHistogram's encoding, in microseconds
-    missing: int
-
-
-HollowCommand = Annotated[
-    StartSidecars | MoveDiscovery | GetProgress | GetDelays, Field(discriminator="command")
-]
-_COMMANDS: TypeAdapter[HollowCommand] = TypeAdapter(HollowCommand)
-
-
 class HollowProcess:
     """Carries out the commands on the sidecars of one process."""
 
@@ -174,7 +46,7 @@
 
     def handle(self, line: bytes) -> Message:
         """Carry out one command; raise ValueError on what is none."""
-        command = _COMMANDS.validate_json(line)
+        command = HOLLOW_COMMANDS.validate_json(line)
         match command:
             case StartSidecars():
                 self._start(command.within_s)
--- /dev/null
+++ b/scale/control/hollow_sidecar.py
@@ -0,0 +1,98 @@
+"""One hollow sidecar: the real discovery client, balancer and table of servers, without a front end."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from typing import Any
+
+from scale.control.applied_log import AppliedLog
+from topazbank.balancer import Balancer
+from topazbank.interface import (
+    Endpoint,
+    FetchRegistry,
+    RegistryUpdated,
+    RegistryUpdateKind,
+    ServerState,
+    SetTimer,
+    TimerFired,
+    WatchRegistry,
+)
+from topazbank.net.discovery import Discovery, RegistryResponse
+from topazbank.net.sidecar import Clock
+from topazbank.net.upstream import Address, Upstream
+from topazbank.settings import Settings
+
+_SOCKETS_PER_SIDECAR = 480  # what a sidecar with the usual 1,024 descriptors keeps for servers
+
+
+def sidecar_settings(zone: str) -> dict[str, Any]:
+    """Settings of a sidecar, in the wire's names."""
+    return {
+        "lanes": [{"name": "look", "giveUpUs": 2_000_000, "repeat": "read_like"}],
+        "bounds": {"sendCap": 3, "mayCancel": True},
+        "discovery": "on_request",
+        "zone": zone,
+    }
+
+
+class HollowSidecar:
+    """One sidecar without a front end: it follows the registry as a real one does, and serves nobody."""
+
+    def __init__(self, settings: Settings, seed: int, discovery: Address) -> None:
+        self.applied = AppliedLog()  # what it held when
+        self._clock = Clock()
+        self.balancer = Balancer(settings, seed)
+        limits = settings.limits
+        self._upstream = Upstream(
+            limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, _SOCKETS_PER_SIDECAR
+        )
+        self._discovery = Discovery(discovery, 0, self._told)
+        self._stopped = False
+
+    def start(self) -> None:
+        """Hear of an empty list, as a real one without a list of its own does, and begin to watch."""
+        self._handle(RegistryUpdated(RegistryUpdateKind.CACHED))
+
+    def stop(self) -> None:
+        """End all calls, as a process that is killed."""
+        self._stopped = True
+        self._discovery.stop()
+
+    def move(self, address: Address) -> None:
+        """Follow the registry at another address."""
+        self._discovery.move(address)
+
+    def _told(self, told: RegistryResponse | None) -> None:
+        if told is None:
+            self._handle(RegistryUpdated(RegistryUpdateKind.FAILED))
+            return
+        is_news = told.complete or told.version > self.applied.version()
+        self._apply(told)
+        if is_news:
+            self.applied.add(told.version, time.monotonic())
+
+    def _apply(self, told: RegistryResponse) -> None:
+        """Put a list into force as `Sidecar` does: addresses first, then the balancer."""
+        if told.complete:
+            self._upstream.retain({line.server.server for line in told.lines})
+        for line in told.lines:
+            server = line.server
+            self._upstream.update(server.server, line.address, server.started_at, server.state)
+        servers = [line.server for line in told.lines]
+        servers += [Endpoint(name, state=ServerState.GONE) for name in self._upstream.displace()]
+        kind = RegistryUpdateKind.SNAPSHOT if told.complete else RegistryUpdateKind.DELTA
+        self._handle(RegistryUpdated(kind, servers, told.version))
+
+    def _handle(self, event: RegistryUpdated | TimerFired) -> None:
+        if self._stopped:
+            return
+        for action in self.balancer.handle(self._clock.now(), event):
+            match action:
+                case SetTimer():
+                    loop = asyncio.get_running_loop()
+                    loop.call_later(action.in_us / 1e6, self._handle, TimerFired(action.token))
+                case WatchRegistry():
+                    self._discovery.follow(action.wanted)
+                case FetchRegistry():
+                    self._discovery.fetch()
--- a/scale/control/measure.py
+++ b/scale/control/measure.py
@@ -10,11 +10,11 @@
 
 from scale.control.delays import new_histogram, record_seconds, seconds_at
 from scale.control.experiment import ControlExperiment
-from scale.control.hollow import Delays
+from scale.control.hollow_commands import Delays
 from scale.control.processes import HollowGroup, RealSidecar, Registry
 from scale.processes import ManagedProcess, Usage
 from scale.results import Label, ResultWriter
-from scale.standins.registry_process import Committed, Counts, Observed, TrafficTotals
+from scale.standins.registry_commands import Committed, Counts, Observed, TrafficTotals
 from scale.standins.tcp_info import SEGMENT_HEADER_BYTES
 
 PERCENTILES = (50.0, 99.0, 100.0)
--- a/scale/control/processes.py
+++ b/scale/control/processes.py
@@ -11,21 +11,21 @@
 
 from scale.commands import CommandClient, python_command
 from scale.control.experiment import ControlExperiment
-from scale.control.hollow import (
+from scale.control.hollow_commands import (
     Delays,
     GetDelays,
     GetProgress,
     MoveDiscovery,
     Progress,
     StartSidecars,
-    sidecar_settings,
 )
-from scale.load import Address
+from scale.control.hollow_sidecar import sidecar_settings
+from scale.http_client import Address
 from scale.processes import ManagedProcess, ProcessGroup
 from scale.sidecar_process import format_address, start_sidecar, write_config
 from scale.standins.change_log import Endpoint
 from scale.standins.fleet import make_endpoints, zone_name
-from scale.standins.registry_process import (
+from scale.standins.registry_commands import (
     ChangeEndpoints,
     Committed,
     Counts,
--- a/scale/control/run.py
+++ b/scale/control/run.py
@@ -29,7 +29,7 @@
 from scale.ports import ReservedAddress
 from scale.processes import ProcessGroup
 from scale.results import ResultWriter
-from scale.standins.registry_process import ChangeEndpoints, Committed
+from scale.standins.registry_commands import ChangeEndpoints, Committed
 
 _LOADED_WITHIN_S = 120.0
 _IN_FORCE_WITHIN_S = 15.0
--- a/scale/demo/outcome.py
+++ b/scale/demo/outcome.py
@@ -7,7 +7,8 @@
 from dataclasses import dataclass, field
 from http import HTTPStatus
 
-from scale.load import CallResult, LatencyHistogram
+from scale.histogram import LatencyHistogram
+from scale.http_client import CallResult
 from scale.standins.server import ServedBody
 
 DRAINED, KILLED = 1, 2  # numbers of the servers
--- a/scale/demo/run.py
+++ b/scale/demo/run.py
@@ -10,7 +10,8 @@
 from pathlib import Path
 
 from scale.demo.outcome import DRAINED, KILLED, DemoOutcome, Phase, ServerOutcome
-from scale.load import Address, CallResult, HttpClient, format_call, poisson_arrivals, run_open_loop
+from scale.http_client import Address, CallResult, HttpClient, format_call
+from scale.open_loop import poisson_arrivals, run_open_loop
 from scale.ports import ReservedAddress
 from scale.processes import ManagedProcess, ProcessGroup
 from scale.sidecar_process import await_ready, format_address, log_path, sample_config, start_sidecar
--- a/scale/load.py
+++ b/scale/http_client.py
@@ -1,28 +1,16 @@
-"""An open-loop load client: calls start at fixed times, whatever became of those before.
-
-A slow answer holds up no later call, as each call takes an idle connection or opens a new one: the waiting
-that a slow callee causes is measured, not left out (no coordinated omission).  Latency counts from the moment
-the request is written; how late that was against its arrival time is the client's lag, kept beside it.
-"""
+"""The load client's HTTP side: one call at a time on each connection, and as many connections as it takes."""
 
 from __future__ import annotations
 
 import asyncio
 import time
-from collections.abc import Awaitable, Callable, Sequence
 from dataclasses import dataclass
 
-import numpy as np
-from hdrh.histogram import HdrHistogram
-
 from scale.http1 import Message, MessageReader, format_request
 
 Address = tuple[str, int]
 NO_ANSWER = 0  # in place of a status: the connection failed or the time was over
 
-_LOWEST_US, _HIGHEST_US, _DIGITS = 1, 120_000_000, 3
-_LAG_INTERVAL_S = 0.01
-
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
@@ -46,28 +34,6 @@
         return (self.sent_at - self.arrived_at) * 1e6
 
 
-class LatencyHistogram:
-    """Counts times in microseconds, to three digits."""
-
-    def __init__(self, times_us: Sequence[float] = ()) -> None:
-        self._histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
-        for each in times_us:
-            self.add(each)
-
-    def add(self, time_us: float) -> None:
-        """Count one time; those beyond the range count as its ends."""
-        self._histogram.record_value(int(min(max(time_us, _LOWEST_US), _HIGHEST_US)))
-
-    def quantile(self, percent: float) -> float:
-        """The time that so many in 100 do not exceed, in microseconds; 0 when nothing was counted."""
-        return float(self._histogram.get_value_at_percentile(percent))
-
-    @property
-    def count(self) -> int:
-        """How many times were counted."""
-        return int(self._histogram.get_total_count())
-
-
 class HttpClient:
     """Calls one address over connections that it keeps, and opens more when all of them are busy."""
 
@@ -159,59 +125,6 @@
             self._transport.abort()
 
 
-def poisson_arrivals(rate_per_s: float, duration_s: float, seed: int) -> list[float]:
-    """Arrival times in seconds from 0 to the duration, the same for the same seed."""
-    generator = np.random.default_rng(seed)
-    count = generator.poisson(rate_per_s * duration_s)
-    return [float(each) for each in np.sort(generator.uniform(0.0, duration_s, count))]
-
-
-async def run_open_loop(
-    arrivals_s: Sequence[float], start_call: Callable[[int, float], Awaitable[CallResult]]
-) -> list[CallResult]:
-    """Start call after call at its time from now; return the results in the order of the arrivals.
-
-    `start_call` is given the call's number and its arrival time on the monotonic clock.
-    """
-    began = time.monotonic()
-    tasks: list[asyncio.Future[CallResult]] = []
-    try:
-        for number, after_s in enumerate(arrivals_s):
-            arrives_at = began + after_s
-            await asyncio.sleep(max(arrives_at - time.monotonic(), 0.0))
-            tasks.append(asyncio.ensure_future(start_call(number, arrives_at)))
-        return list(await asyncio.gather(*tasks))
-    finally:
-        for task in tasks:
-            task.cancel()
-
-
-class LagProbe:
-    """Measures how late this process's event loop wakes a sleeper, while the block runs.
-
-    The loop's timers tick by the millisecond, so that half of one is there at rest.
-    """
-
-    def __init__(self) -> None:
-        self.histogram = LatencyHistogram()
-        self._task: asyncio.Task[None] | None = None
-
-    async def __aenter__(self) -> LagProbe:
-        self._task = asyncio.create_task(self._measure())
-        return self
-
-    async def __aexit__(self, *_: object) -> None:
-        if self._task is not None:
-            self._task.cancel()
-            await asyncio.gather(self._task, return_exceptions=True)
-
-    async def _measure(self) -> None:
-        while True:
-            due = time.monotonic() + _LAG_INTERVAL_S
-            await asyncio.sleep(_LAG_INTERVAL_S)
-            self.histogram.add((time.monotonic() - due) * 1e6)
-
-
 def format_call(service_class: str, ident: str, budget_s: float, idempotency_key: str | None = None) -> bytes:
     """A call as the application sends it; without a key it is one that is safe to repeat."""
     headers = {
--- /dev/null
+++ b/scale/lag_probe.py
@@ -0,0 +1,36 @@
+"""Measures the lag of the running event loop."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+
+from scale.histogram import LatencyHistogram
+
+_LAG_INTERVAL_S = 0.01
+
+
+class LagProbe:
+    """Measures how late this process's event loop wakes a sleeper, while the block runs.
+
+    The loop's timers tick by the millisecond, so that half of one is there at rest.
+    """
+
+    def __init__(self) -> None:
+        self.histogram = LatencyHistogram()
+        self._task: asyncio.Task[None] | None = None
+
+    async def __aenter__(self) -> LagProbe:
+        self._task = asyncio.create_task(self._measure())
+        return self
+
+    async def __aexit__(self, *_: object) -> None:
+        if self._task is not None:
+            self._task.cancel()
+            await asyncio.gather(self._task, return_exceptions=True)
+
+    async def _measure(self) -> None:
+        while True:
+            due = time.monotonic() + _LAG_INTERVAL_S
+            await asyncio.sleep(_LAG_INTERVAL_S)
+            self.histogram.add((time.monotonic() - due) * 1e6)
--- a/scale/latency/analysis.py
+++ b/scale/latency/analysis.py
@@ -7,8 +7,9 @@
 
 import numpy as np
 
+from scale.histogram import LatencyHistogram
+from scale.http_client import CallResult
 from scale.latency.tracing import Times, Trace
-from scale.load import CallResult, LatencyHistogram
 from scale.standins.server import ServedBody
 
 PERCENTS = (50.0, 99.0, 99.9)
--- a/scale/latency/figures.py
+++ b/scale/latency/figures.py
@@ -6,6 +6,7 @@
 
 import numpy as np
 
+from scale.histogram import LatencyHistogram
 from scale.latency.analysis import (
     PERCENTS,
     SLOWEST_PERCENT,
@@ -18,7 +19,6 @@
 from scale.latency.experiment import LatencyExperiment, LatencyPoint
 from scale.latency.point import PointOutcome
 from scale.latency.tracing import Trace
-from scale.load import LatencyHistogram
 from scale.results import Label, ResultWriter
 
 _MEBIBYTE = 1024 * 1024
--- a/scale/latency/point.py
+++ b/scale/latency/point.py
@@ -17,19 +17,13 @@
 
 from scale.commands import CommandClient, python_command
 from scale.errors import SidecarExitError, SidecarStopTimeoutError
+from scale.histogram import LatencyHistogram
+from scale.http_client import Address, CallResult, HttpClient, format_call
+from scale.lag_probe import LagProbe
 from scale.latency.experiment import LatencyExperiment, LatencyPoint
 from scale.latency.servers import GetServerCounts, ServerCounts, server_name
 from scale.latency.tracing import Trace
-from scale.load import (
-    Address,
-    CallResult,
-    HttpClient,
-    LagProbe,
-    LatencyHistogram,
-    format_call,
-    poisson_arrivals,
-    run_open_loop,
-)
+from scale.open_loop import poisson_arrivals, run_open_loop
 from scale.ports import ReservedAddress
 from scale.processes import ManagedProcess, ProcessGroup, Usage
 from scale.sidecar_process import (
--- a/scale/ports.py
+++ b/scale/ports.py
@@ -6,7 +6,7 @@
 from types import TracebackType
 from typing import Self
 
-from scale.load import Address
+from scale.http_client import Address
 
 
 class ReservedAddress:
--- a/scale/sidecar_process.py
+++ b/scale/sidecar_process.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from scale.errors import SidecarStartError
-from scale.load import Address
+from scale.http_client import Address
 from scale.processes import ManagedProcess, ProcessGroup
 
 SAMPLE_CONFIG = Path(__file__).resolve().parent.parent / "deploy" / "sample" / "config.json"
--- a/scale/standins/registry.py
+++ b/scale/standins/registry.py
@@ -8,7 +8,7 @@
 
 import asyncio
 
-from scale.load import Address
+from scale.http_client import Address
 from scale.standins.change_log import ChangeLog
 from scale.standins.registry_connection import (
     Listener,
--- /dev/null
+++ b/scale/standins/registry_commands.py
@@ -0,0 +1,118 @@
+"""Commands to a registry's process, and its answers."""
+
+from __future__ import annotations
+
+from typing import Annotated, Literal
+
+from pydantic import Field, TypeAdapter
+
+from scale.commands import Message
+from scale.standins.registry_state import Availability
+
+
+class ChangeEndpoints(Message):
+    """Restart, drain, remove or add again endpoints of the made-up fleet, by their place in it."""
+
+    command: Literal["change"] = "change"
+    change: Literal["restart", "drain", "remove", "add"]
+    indexes: list[int]
+
+
+class Committed(Message):
+    """A change that was committed, with the moment (monotonic clock) before watches were answered."""
+
+    version: int
+    at_s: float
+
+
+class SetAvailability(Message):
+    """Take the registry down, or bring it back."""
+
+    command: Literal["availability"] = "availability"
+    availability: Availability
+
+
+class SetSilent(Message):
+    """Cut off those who come by a listener, or end that."""
+
+    command: Literal["silent"] = "silent"
+    listener: int
+    silent: bool
+
+
+class StrandConnections(Message):
+    """Let all open connections fall silent for good, while new ones are served."""
+
+    command: Literal["strand"] = "strand"
+
+
+class ForgetChanges(Message):
+    """Lose the change log, as by a restart of the registry."""
+
+    command: Literal["forget_changes"] = "forget_changes"
+
+
+class GetCounts(Message):
+    """Ask what the registry has done so far."""
+
+    command: Literal["counts"] = "counts"
+
+
+class Counts(Message):
+    """The registry's counts, as in `RegistryCounts`."""
+
+    version: int
+    connections: int
+    calls: int
+    snapshots: int
+    deltas: int
+    empty: int
+    refused: int
+    malformed: int
+    bytes_in: int
+    bytes_out: int
+    sampled_connections: int
+    sampled_segments: int
+    watching: int
+
+
+class GetTraffic(Message):
+    """Ask what went through some listeners since the start."""
+
+    command: Literal["traffic"] = "traffic"
+    listeners: list[int]
+
+
+class TrafficTotals(Message):
+    """What went through the listeners asked for, together."""
+
+    calls: int
+    http_bytes: int
+
+
+class GetObserved(Message):
+    """Ask when the only sidecar of each observed listener was first seen to hold a version."""
+
+    command: Literal["observed"] = "observed"
+    listeners: list[int]
+    changes: list[Committed]
+
+
+class Observed(Message):
+    """For each change, the seconds until each sidecar was seen to hold it; None: not yet."""
+
+    delays_s: list[list[float | None]]
+
+
+RegistryCommand = Annotated[
+    ChangeEndpoints
+    | SetAvailability
+    | SetSilent
+    | StrandConnections
+    | ForgetChanges
+    | GetCounts
+    | GetTraffic
+    | GetObserved,
+    Field(discriminator="command"),
+]
+REGISTRY_COMMANDS: TypeAdapter[RegistryCommand] = TypeAdapter(RegistryCommand)
--- a/scale/standins/registry_connection.py
+++ b/scale/standins/registry_connection.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from http import HTTPStatus
 
-from scale.load import Address
+from scale.http_client import Address
 from scale.standins.registry_protocol import Call, MalformedCallError, parse_call
 from scale.standins.registry_state import Availability, RegistryState
 from scale.standins.tcp_info import count_segments
--- a/tests/scale/test_control.py
+++ b/tests/scale/test_control.py
@@ -14,7 +14,7 @@
 
 from scale.control.applied_log import AppliedLog
 from scale.control.experiment import ControlExperiment
-from scale.control.hollow import HollowSidecar, sidecar_settings
+from scale.control.hollow_sidecar import HollowSidecar, sidecar_settings
 from scale.errors import ExperimentError
 from scale.experiment import validate_experiment
 from scale.kinds import load_experiment
--- a/tests/scale/test_demo.py
+++ b/tests/scale/test_demo.py
@@ -16,7 +16,7 @@
 from scale.demo.report import format_outcome
 from scale.demo.run import SERVERS
 from scale.errors import SidecarError
-from scale.load import NO_ANSWER, CallResult
+from scale.http_client import NO_ANSWER, CallResult
 from scale.ports import ReservedAddress
 from scale.processes import ProcessGroup
 from scale.sidecar_process import (
--- a/tests/scale/test_latency.py
+++ b/tests/scale/test_latency.py
@@ -16,11 +16,11 @@
 
 from scale.errors import ExperimentError
 from scale.experiment import validate_experiment
+from scale.http_client import NO_ANSWER, CallResult
 from scale.kinds import load_experiment, run_experiment
 from scale.latency.analysis import ServedCall, pair_up, served, tell_sources_apart
 from scale.latency.experiment import LatencyExperiment
 from scale.latency.tracing import BusyTime, Trace, Tracer
-from scale.load import NO_ANSWER, CallResult
 from scale.results import Measurement, ResultWriter, read_results
 from scale.standins.server import ServedBody
 
--- a/tests/scale/test_registry_standin.py
+++ b/tests/scale/test_registry_standin.py
@@ -11,7 +11,7 @@
 import pytest
 from polling import wait_until
 
-from scale.load import Address
+from scale.http_client import Address
 from scale.standins.change_log import ChangeLog, Endpoint, EndpointStatus
 from scale.standins.fleet import make_endpoints
 from scale.standins.registry import RegistryServer
--- a/tests/scale/test_server_standin.py
+++ b/tests/scale/test_server_standin.py
@@ -10,16 +10,10 @@
 import pytest
 from polling import wait_until
 
+from scale.histogram import LatencyHistogram
 from scale.http1 import MessageReader, format_answer, format_request
-from scale.load import (
-    NO_ANSWER,
-    CallResult,
-    HttpClient,
-    LatencyHistogram,
-    format_call,
-    poisson_arrivals,
-    run_open_loop,
-)
+from scale.http_client import NO_ANSWER, CallResult, HttpClient, format_call
+from scale.open_loop import poisson_arrivals, run_open_loop
 from scale.standins.server import ServedBody, ServerMode, ServerStandin, exponential_service_times
 
 PATIENCE_S = 20.0
