--- /dev/null
+++ b/scale/callgraph/root_load.py
@@ -0,0 +1,39 @@
+"""The load on a call graph: root calls at random times."""
+
+from __future__ import annotations
+
+import numpy as np
+
+from scale.callgraph.graph import CallGraph
+from scale.callgraph.loop import MICROSECONDS, EventLoop
+from scale.callgraph.measure import RootCall, RootCallRecorder
+from scale.callgraph.server import CallResult
+
+
+class RootLoad:
+    """Root calls at random times, spread evenly over the root callers that the network does not cut off."""
+
+    def __init__(self, loop: EventLoop, graph: CallGraph, rate: float, deadline_us: int, seed: int) -> None:
+        self.recorder = RootCallRecorder(deadline_us)
+        self._loop = loop
+        self._graph = graph
+        self._mean_gap_us = MICROSECONDS / rate
+        self._deadline_us = deadline_us
+        self._random = np.random.default_rng([seed, 1])
+
+    def schedule_next(self) -> None:
+        """Schedule the next root call."""
+        self._loop.call_later(int(self._random.exponential(self._mean_gap_us)), self._call)
+
+    def _call(self) -> None:
+        self.schedule_next()
+        callers = self._graph.root_callers
+        caller = callers[int(self._random.integers(len(callers)))]
+        if caller.location.zone in self._graph.network.lost_zones:
+            return  # its application is lost as well
+        call = self.recorder.offer(self._loop.now)
+        caller.call(self._deadline_us, lambda result: self._ended(call, result))
+
+    def _ended(self, call: RootCall, result: CallResult) -> None:
+        call.ended_at = self._loop.now
+        call.result = result
--- a/scale/callgraph/run.py
+++ b/scale/callgraph/run.py
@@ -1,26 +1,19 @@
-"""Runs call graphs and writes what they measure."""
+"""Runs one call graph, from its start to its end."""
 
 from __future__ import annotations
 
 import hashlib
 import itertools
 import math
-from collections.abc import Iterator, Mapping
+from collections.abc import Iterator
 from dataclasses import dataclass
 
-import numpy as np
-import structlog
-
 from scale.callgraph.experiment import CallGraphExperiment, Fault, FaultKind, PolicyName
 from scale.callgraph.faults import schedule_fault
 from scale.callgraph.graph import CallGraph
-from scale.callgraph.loop import MICROSECONDS, EventLoop
-from scale.callgraph.measure import RootCall, RootCallRecorder, Shares, to_us
-from scale.callgraph.server import CallResult
-from scale.results import Label, ResultWriter
-
-log = structlog.get_logger()
-_ROLE = "call graph"
+from scale.callgraph.loop import EventLoop
+from scale.callgraph.measure import RootCallRecorder, Shares, to_us
+from scale.callgraph.root_load import RootLoad
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,35 +69,6 @@
         return self.recorder.recovery_us(self.before().goodput, self.spans.fault_end, self.spans.end)
 
 
-class RootLoad:
-    """Root calls at random times, spread evenly over the root callers that the network does not cut off."""
-
-    def __init__(self, loop: EventLoop, graph: CallGraph, rate: float, deadline_us: int, seed: int) -> None:
-        self.recorder = RootCallRecorder(deadline_us)
-        self._loop = loop
-        self._graph = graph
-        self._mean_gap_us = MICROSECONDS / rate
-        self._deadline_us = deadline_us
-        self._random = np.random.default_rng([seed, 1])
-
-    def schedule_next(self) -> None:
-        """Schedule the next root call."""
-        self._loop.call_later(int(self._random.exponential(self._mean_gap_us)), self._call)
-
-    def _call(self) -> None:
-        self.schedule_next()
-        callers = self._graph.root_callers
-        caller = callers[int(self._random.integers(len(callers)))]
-        if caller.location.zone in self._graph.network.lost_zones:
-            return  # its application is lost as well
-        call = self.recorder.offer(self._loop.now)
-        caller.call(self._deadline_us, lambda result: self._ended(call, result))
-
-    def _ended(self, call: RootCall, result: CallResult) -> None:
-        call.ended_at = self._loop.now
-        call.result = result
-
-
 def run_point(experiment: CallGraphExperiment, point: Point) -> CallGraphRun:
     """Run one call graph from its start to its end."""
     loop = EventLoop()
@@ -165,63 +129,3 @@
         experiment.policies, experiment.depths, experiment.loads, shares, seeds
     ):
         yield Point(depth, load, fault.model_copy(update={"share": share}), policy, seed)
-
-
-def run_call_graphs(experiment: CallGraphExperiment, writer: ResultWriter) -> None:
-    """Run all points of an experiment, and write the figures of each as it ends."""
-    all_points = list(points(experiment))
-    for number, point in enumerate(all_points, start=1):
-        run = run_point(experiment, point)
-        _write(writer, point, run)
-        log.info(
-            "point measured",
-            number=number,
-            of=len(all_points),
-            policy=point.policy.value,
-            depth=point.depth,
-            load=point.load,
-            share=point.fault.share,
-            seed=point.seed,
-        )
-
-
-def _labels(point: Point) -> dict[str, Label]:
-    labels: dict[str, Label] = {
-        "policy": point.policy.value,
-        "depth": point.depth,
-        "load": point.load,
-        "fault": point.fault.kind.value,
-        "point_seed": point.seed,
-    }
-    if point.fault.kind is FaultKind.ERRORS:
-        labels["fault_share"] = point.fault.share
-    return labels
-
-
-def _write(writer: ResultWriter, point: Point, run: CallGraphRun) -> None:
-    labels = _labels(point)
-    per_root_call = run.calls_per_root_call()
-    writer.add(_ROLE, "calls on the deepest service", per_root_call[-1], "calls/root call", labels)
-    writer.add(_ROLE, "calls on the busiest service", max(per_root_call), "calls/root call", labels)
-    _write_shares(writer, "during", run.during(), labels)
-    if point.fault.kind is FaultKind.NONE:
-        return
-    _write_shares(writer, "before", run.before(), labels)
-    _write_shares(writer, "after", run.after(), labels)
-    _write_recovery(writer, run, labels)
-
-
-def _write_shares(writer: ResultWriter, span: str, shares: Shares, labels: Mapping[str, Label]) -> None:
-    labels = {**labels, "span": span}
-    writer.add(_ROLE, "root calls offered", shares.offered, "calls", labels)
-    writer.add(_ROLE, "goodput", shares.goodput, "part of offered", labels)
-    writer.add(_ROLE, "refused", shares.refused, "part of offered", labels)
-    writer.add(_ROLE, "failed", shares.failed, "part of offered", labels)
-
-
-def _write_recovery(writer: ResultWriter, run: CallGraphRun, labels: Mapping[str, Label]) -> None:
-    """Where goodput does not come back, the time until the end of the run stands with `recovered=False`."""
-    recovery_us = run.recovery_us()
-    recovered = recovery_us is not None
-    value_us = run.spans.end - run.spans.fault_end if recovery_us is None else recovery_us
-    writer.add(_ROLE, "time to recover", value_us / MICROSECONDS, "s", {**labels, "recovered": recovered})
--- /dev/null
+++ b/scale/callgraph/sweep.py
@@ -0,0 +1,77 @@
+"""Runs all points of an experiment on call graphs, and writes what they measure."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+import structlog
+
+from scale.callgraph.experiment import CallGraphExperiment, FaultKind
+from scale.callgraph.loop import MICROSECONDS
+from scale.callgraph.measure import Shares
+from scale.callgraph.run import CallGraphRun, Point, points, run_point
+from scale.results import Label, ResultWriter
+
+_ROLE = "call graph"
+
+log = structlog.get_logger()
+
+
+def run_call_graphs(experiment: CallGraphExperiment, writer: ResultWriter) -> None:
+    """Run all points of an experiment, and write the figures of each as it ends."""
+    all_points = list(points(experiment))
+    for number, point in enumerate(all_points, start=1):
+        run = run_point(experiment, point)
+        _write(writer, point, run)
+        log.info(
+            "point measured",
+            number=number,
+            of=len(all_points),
+            policy=point.policy.value,
+            depth=point.depth,
+            load=point.load,
+            share=point.fault.share,
+            seed=point.seed,
+        )
+
+
+def _labels(point: Point) -> dict[str, Label]:
+    labels: dict[str, Label] = {
+        "policy": point.policy.value,
+        "depth": point.depth,
+        "load": point.load,
+        "fault": point.fault.kind.value,
+        "point_seed": point.seed,
+    }
+    if point.fault.kind is FaultKind.ERRORS:
+        labels["fault_share"] = point.fault.share
+    return labels
+
+
+def _write(writer: ResultWriter, point: Point, run: CallGraphRun) -> None:
+    labels = _labels(point)
+    per_root_call = run.calls_per_root_call()
+    writer.add(_ROLE, "calls on the deepest service", per_root_call[-1], "calls/root call", labels)
+    writer.add(_ROLE, "calls on the busiest service", max(per_root_call), "calls/root call", labels)
+    _write_shares(writer, "during", run.during(), labels)
+    if point.fault.kind is FaultKind.NONE:
+        return
+    _write_shares(writer, "before", run.before(), labels)
+    _write_shares(writer, "after", run.after(), labels)
+    _write_recovery(writer, run, labels)
+
+
+def _write_shares(writer: ResultWriter, span: str, shares: Shares, labels: Mapping[str, Label]) -> None:
+    labels = {**labels, "span": span}
+    writer.add(_ROLE, "root calls offered", shares.offered, "calls", labels)
+    writer.add(_ROLE, "goodput", shares.goodput, "part of offered", labels)
+    writer.add(_ROLE, "refused", shares.refused, "part of offered", labels)
+    writer.add(_ROLE, "failed", shares.failed, "part of offered", labels)
+
+
+def _write_recovery(writer: ResultWriter, run: CallGraphRun, labels: Mapping[str, Label]) -> None:
+    """Where goodput does not come back, the time until the end of the run stands with `recovered=False`."""
+    recovery_us = run.recovery_us()
+    recovered = recovery_us is not None
+    value_us = run.spans.end - run.spans.fault_end if recovery_us is None else recovery_us
+    writer.add(_ROLE, "time to recover", value_us / MICROSECONDS, "s", {**labels, "recovered": recovered})
--- /dev/null
+++ b/scale/capacity/evaluation.py
@@ -0,0 +1,91 @@
+"""Works figures out of the measurements of results files."""
+
+from __future__ import annotations
+
+import statistics
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
+
+from scale.capacity.figures import Figure
+from scale.capacity.numbers import format_number
+from scale.results import Measurement
+from scale.slope import Slope, fit_slope
+
+Results = Mapping[str, Sequence[Measurement]]  # by the name of their file
+
+
+@dataclass(frozen=True, slots=True)
+class Found:
+    """What a figure came to."""
+
+    value: float
+    least: float
+    most: float
+    how: str
+    run: str
+    at_least: bool = False  # whether the run ended before what was timed
+
+
+def find_figure(figure: Figure, results: Results) -> Found | None:
+    """Work a figure out of its files' measurements; None if no run gave it yet."""
+    chosen: list[Measurement] = []
+    runs = []
+    for name in figure.results:
+        run = [each for each in _choose_run(figure, results.get(name, ())) if _matches(figure, each)]
+        chosen.extend(run)
+        if run:
+            runs.append(_describe_run(name, run))
+    if not chosen:
+        return None
+    if figure.against is not None and figure.at is not None:
+        return _fitted(figure, figure.against, figure.at, chosen, "; ".join(runs))
+    values = [each.value * figure.times for each in chosen]
+    how = "measured" if len(values) == 1 else f"measured, median of {len(values)}"
+    if figure.processes:
+        one = format_number(statistics.median(values) / figure.times)
+        how = f"worked out: {one} {chosen[0].unit} x {figure.processes}"
+    ended_early = any(each.labels.get("recovered") is False for each in chosen)
+    return Found(statistics.median(values), min(values), max(values), how, "; ".join(runs), ended_early)
+
+
+def _describe_run(name: str, run: Sequence[Measurement]) -> str:
+    seeds = sorted({int(each.labels.get("point_seed", each.seed)) for each in run})
+    return f"{name}, {run[0].commit}, seed {', '.join(map(str, seeds))}"
+
+
+def _choose_run(figure: Figure, measurements: Sequence[Measurement]) -> list[Measurement]:
+    commits = [each.commit for each in measurements if each.commit not in figure.not_commits]
+    commit = figure.commit or (commits[-1] if commits else None)
+    return [each for each in measurements if each.commit == commit]
+
+
+def _matches(figure: Figure, measurement: Measurement) -> bool:
+    if (measurement.role, measurement.metric) != (figure.role, figure.metric):
+        return False
+    if any(measurement.labels.get(name) != value for name, value in figure.where.items()):
+        return False
+    if figure.against is None:
+        return True
+    size = measurement.labels.get(figure.against)
+    return isinstance(size, int | float) and (figure.up_to is None or size <= figure.up_to)
+
+
+def _fitted(figure: Figure, against: str, at: float, chosen: Sequence[Measurement], run: str) -> Found | None:
+    sizes = [float(each.labels[against]) for each in chosen]
+    if len(set(sizes)) == 1:
+        return None
+    slope = fit_slope(sizes, [each.value for each in chosen])
+    value = slope.at(at) * figure.times
+    return Found(value, value, value, _describe_line(figure, slope, against, at, chosen[0].unit), run)
+
+
+def _describe_line(figure: Figure, slope: Slope, against: str, at: float, unit: str) -> str:
+    reach = f"measured to {format_number(slope.largest)}"
+    if at > slope.largest:
+        reach += ", beyond that extrapolated"
+    name = against.replace("_", " ")
+    line = f"{format_number(slope.per_unit)} x {format_number(at)} {name}"
+    line += f" {'-' if slope.at_zero < 0.0 else '+'} {format_number(abs(slope.at_zero))} {unit}"
+    if figure.processes:
+        line = f"({line}) x {figure.processes}"
+    return f"worked out: {line}; {reach}, r2 {slope.r_squared:.2f}"
--- /dev/null
+++ b/scale/capacity/figures.py
@@ -0,0 +1,53 @@
+"""The figures of the capacity page, as `figures.toml` lists them."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+from pydantic import BaseModel, ConfigDict, Field, ValidationError
+
+from scale.errors import InvalidKeyError
+from scale.experiment import read_experiment_file
+from scale.results import Label
+
+
+class Figure(BaseModel):
+    """One row of a table: which measurements it takes, and what is made of them."""
+
+    model_config = ConfigDict(extra="forbid", frozen=True)
+
+    table: str
+    what: str
+    results: list[str] = Field(min_length=1)  # names of results files without their ending, each a run
+    role: str
+    metric: str
+    where: dict[str, Label] = {}  # labels that the measurements must have
+    commit: str | None = None  # of the runs; otherwise that of each file's last line
+    not_commits: list[str] = []  # runs that this figure must not come from
+    against: str | None = None  # label of the size that a line is fitted to
+    at: float | None = None  # size at which the line is taken
+    up_to: float | None = None  # largest size that the line is fitted to
+    times: float = 1.0  # unit, or how many processes there are
+    processes: str = ""  # what the multiplication stands for, if it is more than a unit
+    unit: str = ""
+    budget: float | None = Field(default=None, gt=0.0)  # in the same unit
+    budget_is_least: bool = False  # whether more than the budget is better than less
+    carried_by: str
+    rank: int | None = None  # among what is missing; such figures stand in that table as well
+    missing: str = ""  # what they are called there
+
+
+class FigureFile(BaseModel):
+    """All figures of the page."""
+
+    model_config = ConfigDict(extra="forbid", frozen=True)
+
+    figures: list[Figure]
+
+
+def read_figures(path: Path) -> list[Figure]:
+    """Read the figures; raise ExperimentError in one line that names the key at fault."""
+    try:
+        return FigureFile.model_validate(read_experiment_file(path)).figures
+    except ValidationError as error:
+        raise InvalidKeyError.from_validation(error, root="figures") from error
--- /dev/null
+++ b/scale/capacity/page.py
@@ -0,0 +1,46 @@
+"""Fills the tables into the capacity page."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Sequence
+from pathlib import Path
+
+from scale.capacity.figures import Figure
+from scale.capacity.table import format_figures
+from scale.errors import UnmatchedTableError
+from scale.results import Measurement, read_results
+
+MISSING = "missing"  # the table of what has a rank
+_BLOCK = re.compile(r"(<!-- table: (?P<name>[a-z-]+) -->\n).*?(<!-- end of table -->)", re.DOTALL)
+
+
+def _rank(figures: Sequence[Figure]) -> list[Figure]:
+    """The figures of what is missing, in order, as rows of a table of their own."""
+    ranked = sorted((figure.rank, index) for index, figure in enumerate(figures) if figure.rank is not None)
+    return [
+        figures[index].model_copy(update={"table": MISSING, "what": f"{rank}. {figures[index].missing}"})
+        for rank, index in ranked
+    ]
+
+
+def fill_page(text: str, figures: Sequence[Figure], folder: Path) -> str:
+    """Put the tables between a page's marks.
+
+    Raise ExperimentError for a mark without figures, or figures without a mark.
+    """
+    results: dict[str, Sequence[Measurement]] = {}
+    for name in {name for figure in figures for name in figure.results}:
+        path = folder / f"{name}.jsonl"
+        results[name] = read_results([path]) if path.exists() else []
+    shown = [*figures, *_rank(figures)]
+    wanted = {match["name"] for match in _BLOCK.finditer(text)}
+    known = {figure.table for figure in shown}
+    if wanted != known:
+        raise UnmatchedTableError(wanted ^ known)
+
+    def fill(match: re.Match[str]) -> str:
+        chosen = [figure for figure in shown if figure.table == match["name"]]
+        return f"{match[1]}{format_figures(chosen, results)}{match[3]}"
+
+    return _BLOCK.sub(fill, text)
--- a/scale/cli.py
+++ b/scale/cli.py
@@ -11,13 +11,15 @@
 import structlog
 import typer
 
-from scale.capacity import fill_page, read_figures
+from scale.capacity.figures import read_figures
+from scale.capacity.page import fill_page
 from scale.demo.report import format_outcome
 from scale.demo.run import run_demo
 from scale.errors import ScaleError
 from scale.kinds import load_experiment, run_experiment
 from scale.logs import configure_logs
-from scale.report import format_table, write_plots
+from scale.plots import write_plots
+from scale.report import format_table
 from scale.results import ResultWriter, read_results
 from scale.slopes import fit_slopes, format_slopes
 from scale.suite import EXPERIMENTS, LIMIT_S, RESULTS, find_experiments, run_suite
--- /dev/null
+++ b/scale/control/peak_sampler.py
@@ -0,0 +1,44 @@
+"""Samples the memory of processes while something happens."""
+
+from __future__ import annotations
+
+from threading import Event, Thread
+from typing import Self
+
+from scale.control.measure import Fleet, Labels
+from scale.results import ResultWriter
+
+_SAMPLE_EVERY_S = 0.25
+
+
+class PeakSampler:
+    """Samples memory while something happens, and keeps the largest."""
+
+    def __init__(self, fleet: Fleet) -> None:
+        self._fleet = fleet
+        self._over = Event()
+        self._thread = Thread(target=self._sample)
+        self._registry_bytes = 0
+        self._hollow_bytes = 0
+
+    def __enter__(self) -> Self:
+        self._thread.start()
+        return self
+
+    def __exit__(self, *error: object) -> None:
+        self._over.set()
+        self._thread.join()
+
+    def _sample(self) -> None:
+        registry, hollow = self._fleet.registry.process, self._fleet.hollow.processes
+        is_over = False
+        while not is_over:
+            is_over = self._over.wait(_SAMPLE_EVERY_S)
+            self._registry_bytes = max(self._registry_bytes, registry.usage().memory_bytes)
+            self._hollow_bytes = max(self._hollow_bytes, sum(each.usage().memory_bytes for each in hollow))
+
+    def write(self, writer: ResultWriter, labels: Labels) -> None:
+        """Write the largest figures."""
+        each = self._hollow_bytes / self._fleet.hollow.count
+        writer.add("discovery", "memory, largest", self._registry_bytes, "bytes", labels)
+        writer.add("hollow sidecar", "memory, largest, with its process's", each, "bytes", labels)
--- a/scale/control/run.py
+++ b/scale/control/run.py
@@ -9,8 +9,6 @@
 from contextlib import ExitStack, contextmanager
 from dataclasses import dataclass
 from pathlib import Path
-from threading import Event, Thread
-from typing import Self
 
 import structlog
 
@@ -24,6 +22,7 @@
     write_real_delays,
     write_usage,
 )
+from scale.control.peak_sampler import PeakSampler
 from scale.control.processes import HollowGroup, RealSidecar, Registry, wait_for
 from scale.errors import EndpointListTimeoutError
 from scale.ports import ReservedAddress
@@ -33,7 +32,6 @@
 
 _LOADED_WITHIN_S = 120.0
 _IN_FORCE_WITHIN_S = 15.0
-_SAMPLE_EVERY_S = 0.25
 
 log = structlog.get_logger()
 
@@ -62,39 +60,6 @@
         yield Fleet(experiment, registry, hollow_group, real)
 
 
-class PeakSampler:
-    """Samples memory while something happens, and keeps the largest."""
-
-    def __init__(self, fleet: Fleet) -> None:
-        self._fleet = fleet
-        self._over = Event()
-        self._thread = Thread(target=self._sample)
-        self._registry_bytes = 0
-        self._hollow_bytes = 0
-
-    def __enter__(self) -> Self:
-        self._thread.start()
-        return self
-
-    def __exit__(self, *error: object) -> None:
-        self._over.set()
-        self._thread.join()
-
-    def _sample(self) -> None:
-        registry, hollow = self._fleet.registry.process, self._fleet.hollow.processes
-        is_over = False
-        while not is_over:
-            is_over = self._over.wait(_SAMPLE_EVERY_S)
-            self._registry_bytes = max(self._registry_bytes, registry.usage().memory_bytes)
-            self._hollow_bytes = max(self._hollow_bytes, sum(each.usage().memory_bytes for each in hollow))
-
-    def write(self, writer: ResultWriter, labels: Labels) -> None:
-        """Write the largest figures."""
-        each = self._hollow_bytes / self._fleet.hollow.count
-        writer.add("discovery", "memory, largest", self._registry_bytes, "bytes", labels)
-        writer.add("hollow sidecar", "memory, largest, with its process's", each, "bytes", labels)
-
-
 @dataclass(slots=True)
 class Point:
     """One size of an experiment."""
--- a/scale/demo/report.py
+++ b/scale/demo/report.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from scale.demo.outcome import DRAINED, DemoOutcome
+from scale.text_table import align_columns
 
 
 def format_outcome(outcome: DemoOutcome) -> str:
@@ -13,8 +14,7 @@
     for server in outcome.servers:
         counts = [str(phase[server.name]) for phase in phases]
         rows.append([server.name, *counts, str(server.rejected)])
-    widths = [max(len(row[column]) for row in rows) for column in range(len(header))]
-    lines = ["  ".join(cell.rjust(width) for cell, width in zip(row, widths, strict=True)) for row in rows]
+    lines = align_columns(rows, str.rjust)
     added = outcome.added_us()
     drained = outcome.servers[DRAINED]
     stopped_after_ms = max((drained.last_request_at - outcome.drain_told_at) * 1000, 0.0)
--- a/scale/kinds.py
+++ b/scale/kinds.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from scale.callgraph.experiment import CallGraphExperiment
-from scale.callgraph.run import run_call_graphs
+from scale.callgraph.sweep import run_call_graphs
 from scale.configuration.experiment import ConfigurationExperiment
 from scale.configuration.run import run_configuration
 from scale.control.experiment import ControlExperiment
--- a/scale/slopes.py
+++ b/scale/slopes.py
@@ -6,10 +6,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from scale.report import Slope, fit_slope
 from scale.results import Measurement
-
-_LEAST_SIZES = 2
+from scale.slope import MINIMUM_SIZES, Slope, fit_slope
+from scale.text_table import align_columns
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +44,7 @@
     fitted = []
     for series, measured in points.items():
         sizes = [float(each.labels[against]) for each in measured]
-        if len(set(sizes)) >= _LEAST_SIZES:
+        if len(set(sizes)) >= MINIMUM_SIZES:
             slope = fit_slope(sizes, [each.value for each in measured])
             fitted.append(FittedSeries(series, len(measured), slope))
     return fitted
@@ -61,6 +60,4 @@
         figures = (slope.per_unit, slope.at_zero, slope.r_squared, slope.largest, each.points, slope.at(at))
         labels = (series.experiment, series.commit, series.role, series.metric, series.unit)
         rows.append([*labels, *(f"{figure:.4g}" for figure in figures), series.alike])
-    widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
-    lines = ("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)) for row in rows)
-    return "\n".join(line.rstrip() for line in lines)
+    return "\n".join(align_columns(rows))
--- a/tests/scale/test_capacity.py
+++ b/tests/scale/test_capacity.py
@@ -6,7 +6,11 @@
 
 import pytest
 
-from scale.capacity import Figure, fill_page, find_figure, format_figures, format_number, read_figures
+from scale.capacity.evaluation import find_figure
+from scale.capacity.figures import Figure, read_figures
+from scale.capacity.numbers import format_number
+from scale.capacity.page import fill_page
+from scale.capacity.table import format_figures
 from scale.cli import FIGURES, PAGE
 from scale.errors import ExperimentError
 from scale.results import Label, Measurement
--- a/tests/scale/test_rig.py
+++ b/tests/scale/test_rig.py
@@ -10,9 +10,11 @@
 
 from scale.errors import ExperimentError, ResultsError
 from scale.experiment import Experiment, read_experiment_file, validate_experiment
+from scale.plots import write_plots
 from scale.processes import ProcessGroup
-from scale.report import fit_slope, format_table, write_plots
+from scale.report import format_table
 from scale.results import ResultWriter, read_results
+from scale.slope import fit_slope
 
 EXPERIMENT = Experiment(name="small", kind="control", seed=3, duration_s=1.0)
 WAIT_FOREVER = [sys.executable, "-c", "import signal; print(flush=True); signal.pause()"]
