--- a/scale/callgraph/graph.py
+++ b/scale/callgraph/graph.py
@@ -12,7 +12,7 @@
 from scale.callgraph.network import Location, Network
 from scale.callgraph.policies import make_policy
 from scale.callgraph.server import Server
-from scale.callgraph.sidecar import SimulatedSidecar
+from scale.callgraph.sidecar import SimulatedSidecar, UpstreamService
 from topazbank.interface import Endpoint, RegistryUpdateKind
 from topazbank.settings import Discovery, Idempotency, Limits, Rules, ServiceClass, Settings
 
@@ -92,9 +92,8 @@
         settings = _settings(self._experiment, location)
         seed = int(next(self._seeds).generate_state(1, np.uint64)[0]) >> (64 - _SEED_BITS)
         policy = make_policy(self._policy, settings, seed)
-        sidecar = SimulatedSidecar(
-            self._loop, self.network, location, policy, service.servers, _SERVICE_CLASS, settings.limits
-        )
+        upstream = UpstreamService(service.servers, _SERVICE_CLASS, settings.limits.dial_timeout_us)
+        sidecar = SimulatedSidecar(self._loop, self.network, location, policy, upstream)
         service.callers.append(sidecar)
         return sidecar
 
--- a/scale/callgraph/sidecar.py
+++ b/scale/callgraph/sidecar.py
@@ -24,7 +24,6 @@
     SetTimer,
     TimerFired,
 )
-from topazbank.settings import Limits
 
 
 @dataclass(slots=True, eq=False)
@@ -56,6 +55,15 @@
     starts: int = 0  # of the process they lead to
 
 
+@dataclass(frozen=True, slots=True)
+class UpstreamService:
+    """The service that a sidecar calls."""
+
+    servers: Mapping[str, Server]  # by name
+    service_class: str  # of all calls
+    dial_timeout_us: int
+
+
 class SimulatedSidecar:
     """One sidecar towards one service."""
 
@@ -65,17 +73,13 @@
         network: Network,
         location: Location,
         policy: Policy,
-        servers: Mapping[str, Server],
-        service_class: str,
-        limits: Limits,
+        upstream: UpstreamService,
     ) -> None:
         self.location = location
         self._loop = loop
         self._network = network
         self._policy = policy
-        self._servers = servers
-        self._service_class = service_class
-        self._limits = limits
+        self._upstream = upstream
         self._requests: dict[int, _Request] = {}
         self._next_request = 1
         self._idle: dict[str, _IdleConnections] = {}
@@ -88,7 +92,7 @@
         """Make a call on the service; `done` is told of its end once."""
         number, self._next_request = self._next_request, self._next_request + 1
         self._requests[number] = _Request(done)
-        self._handle(RequestArrived(number, self._service_class, None, None, remaining_us))
+        self._handle(RequestArrived(number, self._upstream.service_class, None, None, remaining_us))
 
     def _handle(self, event: RegistryUpdated | RequestArrived | AttemptEnded | TimerFired) -> None:
         for action in self._policy.handle(self._loop.now, event):
@@ -121,7 +125,7 @@
 
     def _send(self, action: Send) -> None:
         request = self._requests[action.request]
-        server = self._servers[action.server]
+        server = self._upstream.servers[action.server]
         attempt = _Attempt(request.attempts_sent, server, self._loop.now, server.starts)
         request.out[attempt.index] = attempt
         request.attempts_sent += 1
@@ -145,7 +149,7 @@
 
     def _dial(self, number: int, attempt: _Attempt, until: int, one_way_us: int) -> None:
         if not self._network.reaches(self.location, attempt.server.location):
-            timeout_us = self._limits.dial_timeout_us
+            timeout_us = self._upstream.dial_timeout_us
             self._loop.call_later(timeout_us, self._end, number, attempt, Outcome.DIAL_FAILED)
         elif not attempt.server.is_up:
             self._loop.call_later(2 * one_way_us, self._end, number, attempt, Outcome.DIAL_FAILED)
--- a/scale/capacity/numbers.py
+++ b/scale/capacity/numbers.py
@@ -2,15 +2,17 @@
 
 from __future__ import annotations
 
-_SIGNIFICANT = 3
+_SIGNIFICANT_DIGITS = 3
+_LEAST_WITHOUT_FRACTION = 100.0  # three digits are whole from here on
+_LEAST_ROUNDED = 10_000.0  # from here on, digits beyond the significant ones become zeros
 
 
 def format_number(value: float) -> str:
     """A number with three significant digits, thousands apart, and no exponent."""
     if value == 0.0:
         return "0"
-    rounded = float(f"{value:.{_SIGNIFICANT}g}")
-    if abs(rounded) >= 100.0:
-        return f"{value:,.0f}" if abs(value) < 10_000.0 else f"{rounded:,.0f}"
+    rounded = float(f"{value:.{_SIGNIFICANT_DIGITS}g}")
+    if abs(rounded) >= _LEAST_WITHOUT_FRACTION:
+        return f"{value:,.0f}" if abs(value) < _LEAST_ROUNDED else f"{rounded:,.0f}"
     text = f"{rounded:.10f}".rstrip("0").rstrip(".")
     return "0" if text == "-0" else text
--- a/scale/cli.py
+++ b/scale/cli.py
@@ -5,7 +5,6 @@
 import signal
 import sys
 from pathlib import Path
-from types import FrameType
 from typing import Annotated
 
 import structlog
@@ -117,13 +116,9 @@
     typer.echo("all went as it should")
 
 
-def _interrupt(number: int, frame: FrameType | None) -> None:
-    raise KeyboardInterrupt
-
-
 def main() -> int:
     """Run the command; bad input is one line on standard error and exit code 2."""
-    signal.signal(signal.SIGTERM, _interrupt)
+    signal.signal(signal.SIGTERM, signal.default_int_handler)
     try:
         app()
     except ScaleError as error:
--- a/scale/configuration/run.py
+++ b/scale/configuration/run.py
@@ -14,17 +14,17 @@
 
 import structlog
 
-from scale.commands import CommandClient, python_command
+from scale.commands import CommandClient
 from scale.configuration.experiment import ConfigurationExperiment
 from scale.configuration.sidecar import KINDS, ConfiguredSidecar
-from scale.control.delays import new_histogram, record_seconds, seconds_at
 from scale.errors import EndpointListTimeoutError, RequestsInFlightTimeoutError, ScaleError
+from scale.histogram import LatencyHistogram
 from scale.http_client import CallResult
 from scale.ports import ReservedAddress
 from scale.processes import ManagedProcess, ProcessGroup
 from scale.results import Label, ResultWriter
 from scale.sidecar_process import format_address
-from scale.standins.registry_commands import Counts, GetCounts
+from scale.standins.registry_commands import Counts, GetCounts, RegistryOptions, registry_command
 from scale.standins.server import ServerStandin
 
 PERCENTILES = (50.0, 99.0, 100.0)
@@ -70,10 +70,8 @@
 
 
 def _registry_command(experiment: ConfigurationExperiment, servers: int, server: ServerStandin) -> list[str]:
-    return python_command(
-        "scale.standins.registry_process",
-        *("--servers", servers, "--seed", experiment.seed, "--address", format_address(server.address)),
-    )
+    address = format_address(server.address)
+    return registry_command(RegistryOptions(servers=servers, seed=experiment.seed, endpoint_address=address))
 
 
 @dataclass(frozen=True, slots=True)
@@ -128,11 +126,11 @@
         delays = [delay for delay in await asyncio.gather(*changes) if delay is not None]
         share = len(delays) / len(self.sidecars)
         self._add("configuration", f"in force within {within_s:g} s", share, "share", phase)
-        histogram = new_histogram()
+        histogram = LatencyHistogram()
         for delay in delays:
-            record_seconds(histogram, delay)
+            histogram.add_seconds(delay)
         for percentile in PERCENTILES if delays else ():
-            value = seconds_at(histogram, percentile)
+            value = histogram.quantile_seconds(percentile)
             self._add("configuration", f"in force, {percentile:g} in 100", value, "s", phase)
 
     async def _measure_change(self) -> None:
--- a/scale/control/faults.py
+++ b/scale/control/faults.py
@@ -64,13 +64,13 @@
     return FaultOutcome([back])
 
 
-def _moved(fault: Fault, fleet: Fleet, chooser: random.Random) -> FaultOutcome:
+def _moved(_fault: Fault, fleet: Fleet, _chooser: random.Random) -> FaultOutcome:
     moved = _now(fleet)
     fleet.move_discovery()
     return FaultOutcome([moved])
 
 
-def _failed_over(fault: Fault, fleet: Fleet, chooser: random.Random) -> FaultOutcome:
+def _failed_over(_fault: Fault, fleet: Fleet, chooser: random.Random) -> FaultOutcome:
     """Another machine takes discovery's address over: nobody hears of a change on an open connection."""
     fleet.registry.client.tell(StrandConnections())
     return FaultOutcome([_restart_one(fleet, chooser)])
@@ -110,7 +110,7 @@
     return FaultOutcome(changes)
 
 
-def _sidecars_restarted(fault: Fault, fleet: Fleet, chooser: random.Random) -> FaultOutcome:
+def _sidecars_restarted(fault: Fault, fleet: Fleet, _chooser: random.Random) -> FaultOutcome:
     restarted = _now(fleet)
     fleet.hollow.start(fault.lasts_s)
     return FaultOutcome([restarted], with_real=False)
--- a/scale/control/hollow.py
+++ b/scale/control/hollow.py
@@ -13,10 +13,8 @@
 from typing import Annotated
 
 import typer
-from hdrh.histogram import HdrHistogram
 
 from scale.commands import Done, Message, serve_commands
-from scale.control.delays import new_histogram, record_seconds
 from scale.control.hollow_commands import (
     HOLLOW_COMMANDS,
     Delays,
@@ -27,6 +25,7 @@
     StartSidecars,
 )
 from scale.control.hollow_sidecar import HollowSidecar, sidecar_settings
+from scale.histogram import LatencyHistogram
 from scale.standins.registry_commands import Committed
 from topazbank.net.upstream import Address, parse_address
 from topazbank.wire_settings import settings_from_wire
@@ -76,7 +75,7 @@
         return Progress(sidecars=len(delays), in_force=sum(delay is not None for delay in delays))
 
     def _delays(self, changes: list[Committed]) -> Delays:
-        histogram: HdrHistogram = new_histogram()
+        histogram = LatencyHistogram()
         missing = 0
         for change in changes:
             for sidecar in self._sidecars:
@@ -84,8 +83,8 @@
                 if delay_s is None:
                     missing += 1
                 else:
-                    record_seconds(histogram, delay_s)
-        return Delays(histogram=histogram.encode().decode("ascii"), missing=missing)
+                    histogram.add_seconds(delay_s)
+        return Delays(histogram=histogram.encode(), missing=missing)
 
 
 def main(
--- a/scale/control/measure.py
+++ b/scale/control/measure.py
@@ -6,12 +6,11 @@
 from dataclasses import dataclass
 
 import numpy as np
-from hdrh.histogram import HdrHistogram
 
-from scale.control.delays import new_histogram, record_seconds, seconds_at
 from scale.control.experiment import ControlExperiment
 from scale.control.hollow_commands import Delays
 from scale.control.processes import HollowGroup, RealSidecar, Registry
+from scale.histogram import LatencyHistogram
 from scale.processes import ManagedProcess, Usage
 from scale.results import Label, ResultWriter
 from scale.standins.registry_commands import Committed, Counts, Observed, TrafficTotals
@@ -160,33 +159,33 @@
 
 
 def _write_percentiles(
-    writer: ResultWriter, role: str, histogram: HdrHistogram, missing: int, labels: Labels
+    writer: ResultWriter, role: str, histogram: LatencyHistogram, missing: int, labels: Labels
 ) -> None:
     """Write times to being in force; `missing` pairs of a change and a sidecar have none."""
-    writer.add(role, "in force, measured", histogram.get_total_count(), "pairs", labels)
+    writer.add(role, "in force, measured", histogram.count, "pairs", labels)
     writer.add(role, "in force, missing", missing, "pairs", labels)
-    if histogram.get_total_count():
+    if histogram.count:
         for percentile in PERCENTILES:
-            delay_s = seconds_at(histogram, percentile)
+            delay_s = histogram.quantile_seconds(percentile)
             writer.add(role, f"in force, {percentile:g} in 100", delay_s, "s", labels)
 
 
 def write_hollow_delays(writer: ResultWriter, delays: Sequence[Delays], labels: Labels) -> None:
     """Write the times to being in force in hollow sidecars."""
-    histogram = new_histogram()
+    histogram = LatencyHistogram()
     for each in delays:
-        histogram.add(HdrHistogram.decode(each.histogram))
+        histogram.merge(LatencyHistogram.decode(each.histogram))
     _write_percentiles(writer, "hollow sidecar", histogram, sum(each.missing for each in delays), labels)
 
 
 def write_real_delays(writer: ResultWriter, observed: Observed, labels: Labels) -> None:
     """Write the times to being in force in real sidecars, each seen by the call that followed it."""
-    histogram = new_histogram()
+    histogram = LatencyHistogram()
     missing = 0
     for change in observed.delays_s:
         for delay_s in change:
             if delay_s is None:
                 missing += 1
             else:
-                record_seconds(histogram, delay_s)
+                histogram.add_seconds(delay_s)
     _write_percentiles(writer, "real sidecar", histogram, missing, labels)
--- a/scale/control/processes.py
+++ b/scale/control/processes.py
@@ -5,7 +5,7 @@
 import signal
 import subprocess
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from pathlib import Path
 from typing import Any
 
@@ -33,7 +33,9 @@
     GetObserved,
     GetTraffic,
     Observed,
+    RegistryOptions,
     TrafficTotals,
+    registry_command,
 )
 
 HALVES = (0, 1)  # hollow sidecars call at two addresses, so that one half can be cut off
@@ -45,12 +47,14 @@
     """The registry stand-in's process."""
 
     def __init__(self, group: ProcessGroup, experiment: ControlExperiment, servers: int) -> None:
-        command = python_command(
-            "scale.standins.registry_process",
-            *("--servers", servers, "--zones", experiment.zones, "--seed", experiment.seed),
-            *("--listeners", _HOLLOW_LISTENERS, "--observed", 2 * experiment.real_sidecars),
+        options = RegistryOptions(
+            servers=servers,
+            zones=experiment.zones,
+            seed=experiment.seed,
+            listeners=_HOLLOW_LISTENERS,
+            observed_listeners=2 * experiment.real_sidecars,
         )
-        self.process = group.start(command, stdout=subprocess.PIPE)
+        self.process = group.start(registry_command(options), stdout=subprocess.PIPE)
         self.client = CommandClient(self.process.popen)
         self.endpoints: list[Endpoint] = make_endpoints(servers, experiment.zones, experiment.seed)
 
@@ -133,6 +137,16 @@
         return [client for index, client in enumerate(self._clients) if index % len(HALVES) in halves]
 
 
+def real_sidecar_config(experiment: ControlExperiment, index: int, listen: Address) -> dict[str, Any]:
+    """The configuration of a real sidecar, without the address of discovery."""
+    return {
+        "name": f"n{index}",
+        "listen": format_address(listen),
+        "seed": f"{experiment.seed + index:x}",
+        "settings": sidecar_settings(zone_name(index % experiment.zones)),
+    }
+
+
 class RealSidecar:
     """One `python -m topazbank` process."""
 
@@ -140,26 +154,20 @@
         self,
         group: ProcessGroup,
         registry: Registry,
-        experiment: ControlExperiment,
         index: int,
-        listen: Address,
+        config: Mapping[str, Any],
         folder: Path,
     ) -> None:
         self._registry = registry
         self._index = index
+        self._config = config
         self._folder = folder / f"sidecar-{index}"
         self._folder.mkdir()
-        self._config: dict[str, Any] = {
-            "name": f"n{index}",
-            "listen": format_address(listen),
-            "seed": f"{experiment.seed + index:x}",
-            "settings": sidecar_settings(zone_name(index % experiment.zones)),
-        }
         self.process = start_sidecar(group, self._config_at(moved=False), self._folder)
 
     def _config_at(self, moved: bool) -> dict[str, Any]:
         address = self._registry.address(self._registry.real_listener(self._index, moved))
-        return self._config | {"discovery": format_address(address)}
+        return {**self._config, "discovery": format_address(address)}
 
     def move(self, moved: bool) -> None:
         """Move it to its other address, or back, by its configuration and SIGHUP."""
--- a/scale/control/run.py
+++ b/scale/control/run.py
@@ -23,7 +23,7 @@
     write_usage,
 )
 from scale.control.peak_sampler import PeakSampler
-from scale.control.processes import HollowGroup, RealSidecar, Registry, wait_for
+from scale.control.processes import HollowGroup, RealSidecar, Registry, real_sidecar_config, wait_for
 from scale.errors import EndpointListTimeoutError
 from scale.ports import ReservedAddress
 from scale.processes import ProcessGroup
@@ -54,7 +54,9 @@
         registry = Registry(group, experiment, servers)
         hollow_group = HollowGroup(group, registry, experiment, hollow)
         real = [
-            RealSidecar(group, registry, experiment, index, reserved.address, folder)
+            RealSidecar(
+                group, registry, index, real_sidecar_config(experiment, index, reserved.address), folder
+            )
             for index, reserved in enumerate(listen)
         ]
         yield Fleet(experiment, registry, hollow_group, real)
--- a/scale/histogram.py
+++ b/scale/histogram.py
@@ -2,30 +2,57 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Iterable
+from typing import Self
 
 from hdrh.histogram import HdrHistogram
 
-_LOWEST_US, _HIGHEST_US, _DIGITS = 1, 120_000_000, 3
+_LOWEST_US, _HIGHEST_US = 1, 3_600_000_000
+_SIGNIFICANT_DIGITS = 3
+_MICROSECONDS = 1e6  # in a second
 
 
 class LatencyHistogram:
-    """Counts times in microseconds, to three digits."""
+    """Counts times from a microsecond to an hour, to three significant digits."""
 
-    def __init__(self, times_us: Sequence[float] = ()) -> None:
-        self._histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
+    def __init__(self, times_us: Iterable[float] = ()) -> None:
+        """Count some times, in microseconds."""
+        self._histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _SIGNIFICANT_DIGITS)
         for each in times_us:
             self.add(each)
 
     def add(self, time_us: float) -> None:
-        """Count one time; those beyond the range count as its ends."""
+        """Count one time in microseconds; those beyond the range count as its ends."""
         self._histogram.record_value(int(min(max(time_us, _LOWEST_US), _HIGHEST_US)))
 
+    def add_seconds(self, time_s: float) -> None:
+        """Count one time in seconds."""
+        self.add(round(time_s * _MICROSECONDS))
+
     def quantile(self, percent: float) -> float:
-        """The time that so many in 100 do not exceed, in microseconds; 0 when nothing was counted."""
+        """Return the time that `percent` in 100 do not exceed, in microseconds; 0 if none was counted."""
         return float(self._histogram.get_value_at_percentile(percent))
 
+    def quantile_seconds(self, percent: float) -> float:
+        """Return the time that `percent` in 100 do not exceed, in seconds; 0 if none was counted."""
+        return self.quantile(percent) / _MICROSECONDS
+
     @property
     def count(self) -> int:
         """How many times were counted."""
         return int(self._histogram.get_total_count())
+
+    def merge(self, other: LatencyHistogram) -> None:
+        """Add all that another histogram has counted."""
+        self._histogram.add(other._histogram)
+
+    def encode(self) -> str:
+        """Return HdrHistogram's compressed encoding in ASCII."""
+        return str(self._histogram.encode().decode("ascii"))
+
+    @classmethod
+    def decode(cls, encoded: str) -> Self:
+        """Read what `encode` returned."""
+        histogram = cls()
+        histogram._histogram.add(HdrHistogram.decode(encoded))
+        return histogram
--- a/scale/http1.py
+++ b/scale/http1.py
@@ -8,9 +8,9 @@
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
+from http import HTTPStatus
 
 _END_OF_HEAD = b"\r\n\r\n"
-_REASONS = {200: "OK", 404: "Not Found", 500: "Internal Server Error", 503: "Service Unavailable"}
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,9 +67,9 @@
     return _format(f"{method} {target} HTTP/1.1", headers, body)
 
 
-def format_answer(status: int, headers: Mapping[str, str], body: bytes = b"") -> bytes:
+def format_answer(status: HTTPStatus, headers: Mapping[str, str], body: bytes = b"") -> bytes:
     """The bytes of an answer."""
-    return _format(f"HTTP/1.1 {status} {_REASONS.get(status, 'Other')}", headers, body)
+    return _format(f"HTTP/1.1 {status.value} {status.phrase}", headers, body)
 
 
 def _format(first_line: str, headers: Mapping[str, str], body: bytes) -> bytes:
--- a/scale/http_client.py
+++ b/scale/http_client.py
@@ -102,7 +102,7 @@
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
-    def connection_lost(self, error: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
         if self._answer is not None and not self._answer.done():
             self._answer.set_exception(ConnectionResetError("the connection broke"))
 
--- a/scale/latency/analysis.py
+++ b/scale/latency/analysis.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Sequence
 from dataclasses import dataclass
+from http import HTTPStatus
 
 import numpy as np
 
@@ -49,7 +50,7 @@
 
 def served(result: CallResult) -> ServedCall | None:
     """The call with what its server said; None if it was not served."""
-    return ServedCall(result, ServedBody.decode(result.body)) if result.status == 200 else None
+    return ServedCall(result, ServedBody.decode(result.body)) if result.status == HTTPStatus.OK else None
 
 
 def pair_up(results: Sequence[CallResult]) -> list[Pair]:
--- a/scale/latency/point.py
+++ b/scale/latency/point.py
@@ -69,32 +69,36 @@
         )
         servers = CommandClient(group.start(command, stdout=subprocess.PIPE).popen)
         try:
-            run = _PointRun(experiment, point, Path(folder), group, listen.address, servers)
-            return asyncio.run(run.run())
+            processes = _PointProcesses(Path(folder), group, listen.address, servers)
+            return asyncio.run(_PointRun(experiment, point, processes).run())
         finally:
             servers.close()
 
 
+@dataclass(frozen=True, slots=True)
+class _PointProcesses:
+    """The processes of one point, and where the sidecar finds its files and listens."""
+
+    folder: Path
+    group: ProcessGroup
+    listen: Address
+    servers: CommandClient
+
+
 class _PointRun:
     """The parts of one point."""
 
     def __init__(
-        self,
-        experiment: LatencyExperiment,
-        point: LatencyPoint,
-        folder: Path,
-        group: ProcessGroup,
-        listen: Address,
-        servers: CommandClient,
+        self, experiment: LatencyExperiment, point: LatencyPoint, processes: _PointProcesses
     ) -> None:
         self._experiment = experiment
         self._point = point
-        self._folder = folder
-        self._group = group
-        self._listen = listen
-        self._servers = servers
-        self._trace_path = folder / "trace.json"
-        self._addresses = servers.ready.addresses
+        self._folder = processes.folder
+        self._group = processes.group
+        self._listen = processes.listen
+        self._servers = processes.servers
+        self._trace_path = processes.folder / "trace.json"
+        self._addresses = processes.servers.ready.addresses
         self._change_log = ChangeLog(
             Endpoint(server_name(index), format_address(address), zone="a")
             for index, address in enumerate(self._addresses)
--- a/scale/latency/tracing.py
+++ b/scale/latency/tracing.py
@@ -52,7 +52,7 @@
         """Note every collection from now on."""
         gc.callbacks.append(self._note)
 
-    def _note(self, phase: str, info: dict[str, int]) -> None:
+    def _note(self, phase: str, _info: dict[str, int]) -> None:
         if phase == "start":
             self._began = (time.monotonic(), time.thread_time())
         else:
--- a/scale/standins/registry_commands.py
+++ b/scale/standins/registry_commands.py
@@ -6,10 +6,26 @@
 
 from pydantic import Field, TypeAdapter
 
-from scale.commands import Message
+from scale.commands import Message, python_command
 from scale.standins.registry_state import Availability
 
 
+class RegistryOptions(Message):
+    """What a registry's process is started with."""
+
+    servers: int  # endpoints in the registry
+    zones: int = 1  # that they are spread over
+    seed: int = 0  # of the endpoints' names
+    endpoint_address: str | None = None  # of all endpoints, host:port; None: each has its own
+    listeners: int = 1  # addresses to listen at
+    observed_listeners: int = 0  # further addresses, each for one sidecar
+
+
+def registry_command(options: RegistryOptions) -> list[str]:
+    """Return the command line of a registry's process."""
+    return python_command("scale.standins.registry_process", options.model_dump_json())
+
+
 class ChangeEndpoints(Message):
     """Restart, drain, remove or add again endpoints of the made-up fleet, by their place in it."""
 
--- a/scale/standins/registry_process.py
+++ b/scale/standins/registry_process.py
@@ -25,6 +25,7 @@
     GetObserved,
     GetTraffic,
     Observed,
+    RegistryOptions,
     SetAvailability,
     SetSilent,
     StrandConnections,
@@ -99,28 +100,21 @@
         return None
 
 
-async def serve(
-    servers: int, zones: int, seed: int, listeners: int, observed: int, address: str | None
-) -> None:
+async def serve(options: RegistryOptions) -> None:
     """Serve a made-up fleet until the command connection ends."""
-    server = RegistryServer(ChangeLog(make_endpoints(servers, zones, seed, address)))
-    addresses = await server.start(listeners + observed, observed)
+    endpoints = make_endpoints(options.servers, options.zones, options.seed, options.endpoint_address)
+    server = RegistryServer(ChangeLog(endpoints))
+    listeners = options.listeners + options.observed_listeners
+    addresses = await server.start(listeners, options.observed_listeners)
     try:
         await serve_commands(RegistryProcess(server).handle, addresses)
     finally:
         await server.stop()
 
 
-def main(
-    servers: Annotated[int, typer.Option(help="Endpoints in the registry.")],
-    zones: Annotated[int, typer.Option(help="Zones that they are spread over.")] = 1,
-    seed: Annotated[int, typer.Option(help="Seed of the endpoints' names.")] = 0,
-    listeners: Annotated[int, typer.Option(help="Addresses to listen at.")] = 1,
-    observed: Annotated[int, typer.Option(help="Further addresses, each for one sidecar.")] = 0,
-    address: Annotated[str | None, typer.Option(help="Address of all endpoints, host:port.")] = None,
-) -> None:
+def main(options: Annotated[str, typer.Argument(help="`RegistryOptions` as JSON.")]) -> None:
     """Run a registry of made-up endpoints on loopback."""
-    asyncio.run(serve(servers, zones, seed, listeners, observed, address))
+    asyncio.run(serve(RegistryOptions.model_validate_json(options)))
 
 
 if __name__ == "__main__":
--- a/scale/standins/server.py
+++ b/scale/standins/server.py
@@ -15,6 +15,7 @@
 from collections.abc import Callable
 from dataclasses import asdict, dataclass
 from enum import Enum, auto
+from http import HTTPStatus
 
 import numpy as np
 
@@ -137,7 +138,7 @@
         self._server.connections.add(self)
         self._server.counters.connections += 1
 
-    def connection_lost(self, error: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
         """Forget the connection, and the request that it held."""
         self._server.connections.discard(self)
         if self._held is not None or self._is_hanging:
@@ -169,10 +170,11 @@
             self.reset()
         elif request.target == _LIVE_PATH and server.allow_probes:
             counters.probes += 1
-            self._write(200 if server.mode is ServerMode.SERVE else 503)
+            is_healthy = server.mode is ServerMode.SERVE
+            self._write(HTTPStatus.OK if is_healthy else HTTPStatus.SERVICE_UNAVAILABLE)
         elif "x-call-id" not in request.headers:
             counters.without_id += 1
-            self._write(404)
+            self._write(HTTPStatus.NOT_FOUND)
         else:
             counters.requests += 1
             self._calls += 1
@@ -183,10 +185,10 @@
         counters = self._server.counters
         if mode is ServerMode.REJECT:
             counters.rejected += 1
-            self._write(503, _REJECTION)
+            self._write(HTTPStatus.SERVICE_UNAVAILABLE, _REJECTION)
         elif mode is ServerMode.DRAIN:
             counters.rejected += 1
-            self._write(503, _REJECTION | {"Connection": "close"})
+            self._write(HTTPStatus.SERVICE_UNAVAILABLE, _REJECTION | {"Connection": "close"})
             if self._transport is not None:
                 self._transport.close()
         elif mode is ServerMode.HANG:
@@ -202,13 +204,13 @@
         self._held = None
         if mode is ServerMode.ERROR:
             self._server.counters.errors += 1
-            self._write(500)
+            self._write(HTTPStatus.INTERNAL_SERVER_ERROR)
             return
         self._server.counters.served += 1
         held_us = (time.monotonic() - began_at) * 1e6
         served = ServedBody(self._server.name, self._calls, began_at, held_us)
-        self._write(200, body=served.encode())
+        self._write(HTTPStatus.OK, body=served.encode())
 
-    def _write(self, status: int, headers: dict[str, str] | None = None, body: bytes = b"") -> None:
+    def _write(self, status: HTTPStatus, headers: dict[str, str] | None = None, body: bytes = b"") -> None:
         if self._transport is not None:
             self._transport.write(format_answer(status, headers or {}, body))
--- a/tests/scale/test_server_standin.py
+++ b/tests/scale/test_server_standin.py
@@ -5,6 +5,7 @@
 import asyncio
 from collections.abc import AsyncIterator, Callable, Coroutine
 from contextlib import asynccontextmanager
+from http import HTTPStatus
 from typing import Any
 
 import pytest
@@ -42,7 +43,9 @@
 
 
 def test_messages_are_cut_whatever_the_pieces() -> None:
-    written = format_request("POST", "/api/7", {"X-Call-Id": "a"}, b"body") + format_answer(200, {}, b"")
+    written = format_request("POST", "/api/7", {"X-Call-Id": "a"}, b"body") + format_answer(
+        HTTPStatus.OK, {}, b""
+    )
     reader = MessageReader()
     read = [message for byte in written for message in reader.feed(bytes([byte]))]
     assert (read[0].target, read[0].headers["x-call-id"], read[0].body) == ("/api/7", "a", b"body")
