--- a/scale/control/experiment.py
+++ b/scale/control/experiment.py
@@ -11,10 +11,10 @@
 from scale.errors import MemoryLimitError
 from scale.experiment import Experiment
 
-SERVERS_MOST = 20_000
-HOLLOW_MOST = 10_000
-REAL_MOST = 100
-ENTRY_BYTES = 1_700  # what an entry of the list takes in a hollow sidecar, measured
+MAXIMUM_SERVERS = 20_000
+MAXIMUM_STUBS = 10_000
+MAXIMUM_REAL = 100
+ENTRY_BYTES = 1_700  # what an entry of the endpoint list takes in a stub sidecar, measured
 SIDECAR_BYTES = 60_000  # and what it takes without any
 
 
@@ -29,8 +29,8 @@
     ZONE_LOST = "zone_lost"  # the servers of one zone leave in one change
     REGION_LOST = "region_lost"  # the servers of one region's zones leave in one change
     RELEASE = "release"  # the servers of one service leave and come back, one after another
-    SIDECARS_RESTARTED = "sidecars_restarted"  # all hollow ones at once
-    SIDECARS_CUT_OFF = "sidecars_cut_off"  # half of the hollow ones hear nothing for a while
+    SIDECARS_RESTARTED = "sidecars_restarted"  # all stub sidecars at once
+    SIDECARS_CUT_OFF = "sidecars_cut_off"  # half of the stub sidecars are partitioned for a while
 
 
 class Fault(BaseModel):
@@ -44,25 +44,30 @@
 
 
 class ControlExperiment(Experiment):
-    """Sidecars that follow a registry, at each combination of the sizes and rates."""
+    """Sidecars that follow a registry, at each combination of the sizes and rates.
 
-    servers: list[Annotated[int, Field(ge=2, le=SERVERS_MOST)]] = Field(min_length=1)
-    hollow_sidecars: list[Annotated[int, Field(ge=1, le=HOLLOW_MOST)]] = Field(min_length=1)
-    real_sidecars: int = Field(default=0, ge=0, le=REAL_MOST)
-    hollow_per_process: int = Field(default=250, ge=1, le=2_000)
+    A stub sidecar, "hollow" in the files' keys and in the results, has a sidecar's control plane alone.
+    """
+
+    servers: list[Annotated[int, Field(ge=2, le=MAXIMUM_SERVERS)]] = Field(min_length=1)
+    stub_sidecars: list[Annotated[int, Field(ge=1, le=MAXIMUM_STUBS)]] = Field(
+        min_length=1, alias="hollow_sidecars"
+    )
+    real_sidecars: int = Field(default=0, ge=0, le=MAXIMUM_REAL)
+    stubs_per_process: int = Field(default=250, ge=1, le=2_000, alias="hollow_per_process")
     changes_per_second: list[Annotated[float, Field(ge=0.0, le=1_000.0)]] = Field(min_length=1)
     zones: int = Field(default=18, ge=1, le=1_000)
     regions: int = Field(default=5, ge=1, le=100)
-    start_within_s: float = Field(default=3.0, ge=0.0, le=60.0)  # the hollow ones start spread over this
+    start_within_s: float = Field(default=3.0, ge=0.0, le=60.0)  # the stub sidecars start spread over this
     settle_s: float = Field(default=4.0, ge=0.0, le=60.0)  # between all being up to date and measuring
     faults: tuple[Fault, ...] = ()
 
-    @field_validator("hollow_sidecars")
+    @field_validator("stub_sidecars")
     @classmethod
-    def _fits_in_memory(cls, hollow_sidecars: list[int], others: ValidationInfo) -> list[int]:
+    def _fits_in_memory(cls, stub_sidecars: list[int], others: ValidationInfo) -> list[int]:
         """Guard the machine: all lists together may take half of its memory at most."""
         largest_list = ENTRY_BYTES * max(others.data.get("servers", [0]))
-        needed = max(hollow_sidecars) * (SIDECAR_BYTES + largest_list)
+        needed = max(stub_sidecars) * (SIDECAR_BYTES + largest_list)
         if needed > psutil.virtual_memory().total / 2:
             raise MemoryLimitError(needed)
-        return hollow_sidecars
+        return stub_sidecars
--- a/scale/control/faults.py
+++ b/scale/control/faults.py
@@ -21,7 +21,7 @@
 )
 from scale.standins.registry_state import Availability
 
-_CUT_OFF = 1  # the half of the hollow sidecars that is cut off
+_CUT_OFF = 1  # the half of the stub sidecars that is cut off
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
     """What a fault is measured by: the time from each of these until it is in force."""
 
     changes: list[Committed]
-    halves: tuple[int, ...] = HALVES  # of the hollow sidecars that it was about
+    halves: tuple[int, ...] = HALVES  # of the stub sidecars that it was about
     with_real: bool = True  # whether it was about the real sidecars, too
 
 
@@ -112,14 +112,14 @@
 
 def _sidecars_restarted(fault: Fault, fleet: Fleet, _chooser: random.Random) -> FaultOutcome:
     restarted = _now(fleet)
-    fleet.hollow.start(fault.lasts_s)
+    fleet.stubs.start(fault.lasts_s)
     return FaultOutcome([restarted], with_real=False)
 
 
 def _sidecars_cut_off(fault: Fault, fleet: Fleet, chooser: random.Random) -> FaultOutcome:
     """A change falls into the time of silence; for those who were cut off it counts from the end of it."""
     client = fleet.registry.client
-    listener = fleet.registry.hollow_listener(_CUT_OFF, fleet.moved)
+    listener = fleet.registry.stub_listener(_CUT_OFF, fleet.moved)
     client.tell(SetSilent(listener=listener, silent=True))
     time.sleep(fault.lasts_s / 2)
     _restart_one(fleet, chooser)
--- a/scale/control/measure.py
+++ b/scale/control/measure.py
@@ -8,8 +8,8 @@
 import numpy as np
 
 from scale.control.experiment import ControlExperiment
-from scale.control.hollow_commands import Delays
-from scale.control.processes import HollowGroup, RealSidecar, Registry
+from scale.control.processes import RealSidecar, Registry, StubGroup
+from scale.control.stub_commands import Delays
 from scale.histogram import LatencyHistogram
 from scale.processes import ManagedProcess, Usage
 from scale.results import Label, ResultWriter
@@ -17,6 +17,9 @@
 from scale.standins.tcp_info import SEGMENT_HEADER_BYTES
 
 PERCENTILES = (50.0, 99.0, 100.0)
+STUB_ROLE = "hollow sidecar"  # stored results use this word for a stub sidecar
+STUB_PROCESS_ROLE = "hollow process"
+
 Labels = Mapping[str, Label]
 
 
@@ -25,7 +28,7 @@
     """What all processes have used by a moment."""
 
     registry: Usage
-    hollow: list[Usage]
+    stubs: list[Usage]
     real: list[Usage]
     counts: Counts
     real_traffic: TrafficTotals
@@ -37,19 +40,19 @@
 
     experiment: ControlExperiment
     registry: Registry
-    hollow: HollowGroup
+    stubs: StubGroup
     real: list[RealSidecar]
     moved: bool = False  # whether the sidecars are at their second address of the registry
 
     @property
     def sidecars(self) -> int:
         """How many sidecars follow the registry."""
-        return self.hollow.count + len(self.real)
+        return self.stubs.count + len(self.real)
 
     def move_discovery(self) -> None:
         """Move all sidecars to their other address of the registry, at once."""
         self.moved = not self.moved
-        self.hollow.move(self.moved)
+        self.stubs.move(self.moved)
         for sidecar in self.real:
             sidecar.move(self.moved)
 
@@ -61,7 +64,7 @@
         """Read the meters of all processes."""
         return Reading(
             self.registry.process.usage(),
-            _usages(self.hollow.processes),
+            _usages(self.stubs.processes),
             _usages([each.process for each in self.real]),
             self.registry.counts(),
             self.registry.real_traffic(len(self.real)),
@@ -116,10 +119,10 @@
     writer.add("discovery", "http bytes", traffic.http_bytes / traffic.seconds, "bytes/s", labels)
     writer.add("discovery", "snapshots", after.counts.snapshots - before.counts.snapshots, "answers", labels)
     writer.add("discovery", "refused", after.counts.refused - before.counts.refused, "answers", labels)
-    hollow = sum(map(_cores, before.hollow, after.hollow)) / fleet.hollow.count
-    writer.add("hollow sidecar", "cpu", hollow, "cores", labels)
-    busiest = max(map(_cores, before.hollow, after.hollow))
-    writer.add("hollow process", "cpu, largest", busiest, "cores", labels)  # near 1: its delays are its own
+    stub_cores = sum(map(_cores, before.stubs, after.stubs)) / fleet.stubs.count
+    writer.add(STUB_ROLE, "cpu", stub_cores, "cores", labels)
+    busiest = max(map(_cores, before.stubs, after.stubs))
+    writer.add(STUB_PROCESS_ROLE, "cpu, largest", busiest, "cores", labels)  # near 1: its delays are its own
     if fleet.real:
         _write_real_usage(writer, before, after, traffic.seconds, labels)
     each = traffic.seconds * fleet.sidecars
@@ -147,15 +150,15 @@
     writer.add(role, "http bytes in the window", http_bytes / len(cores), "bytes", labels)
 
 
-def write_hollow_memory(
+def write_stub_memory(
     writer: ResultWriter, fleet: Fleet, empty: Reading, full: Reading, labels: Labels
 ) -> None:
-    """Write what a hollow sidecar adds to the memory of its process."""
+    """Write what a stub sidecar adds to the memory of its process."""
     grown = sum(
         after.memory_bytes - before.memory_bytes
-        for before, after in zip(empty.hollow, full.hollow, strict=True)
+        for before, after in zip(empty.stubs, full.stubs, strict=True)
     )
-    writer.add("hollow sidecar", "memory", grown / fleet.hollow.count, "bytes", labels)
+    writer.add(STUB_ROLE, "memory", grown / fleet.stubs.count, "bytes", labels)
 
 
 def _write_percentiles(
@@ -170,12 +173,12 @@
             writer.add(role, f"in force, {percentile:g} in 100", delay_s, "s", labels)
 
 
-def write_hollow_delays(writer: ResultWriter, delays: Sequence[Delays], labels: Labels) -> None:
-    """Write the times to being in force in hollow sidecars."""
+def write_stub_delays(writer: ResultWriter, delays: Sequence[Delays], labels: Labels) -> None:
+    """Write the times to being in force in stub sidecars."""
     histogram = LatencyHistogram()
     for each in delays:
         histogram.merge(LatencyHistogram.decode(each.histogram))
-    _write_percentiles(writer, "hollow sidecar", histogram, sum(each.missing for each in delays), labels)
+    _write_percentiles(writer, STUB_ROLE, histogram, sum(each.missing for each in delays), labels)
 
 
 def write_real_delays(writer: ResultWriter, observed: Observed, labels: Labels) -> None:
--- a/scale/control/peak_sampler.py
+++ b/scale/control/peak_sampler.py
@@ -5,7 +5,7 @@
 from threading import Event, Thread
 from typing import Self
 
-from scale.control.measure import Fleet, Labels
+from scale.control.measure import STUB_ROLE, Fleet, Labels
 from scale.results import ResultWriter
 
 _SAMPLE_EVERY_S = 0.25
@@ -19,7 +19,7 @@
         self._over = Event()
         self._thread = Thread(target=self._sample)
         self._registry_bytes = 0
-        self._hollow_bytes = 0
+        self._stub_bytes = 0
 
     def __enter__(self) -> Self:
         self._thread.start()
@@ -30,15 +30,15 @@
         self._thread.join()
 
     def _sample(self) -> None:
-        registry, hollow = self._fleet.registry.process, self._fleet.hollow.processes
+        registry, stubs = self._fleet.registry.process, self._fleet.stubs.processes
         is_over = False
         while not is_over:
             is_over = self._over.wait(_SAMPLE_EVERY_S)
             self._registry_bytes = max(self._registry_bytes, registry.usage().memory_bytes)
-            self._hollow_bytes = max(self._hollow_bytes, sum(each.usage().memory_bytes for each in hollow))
+            self._stub_bytes = max(self._stub_bytes, sum(each.usage().memory_bytes for each in stubs))
 
     def write(self, writer: ResultWriter, labels: Labels) -> None:
         """Write the largest figures."""
-        each = self._hollow_bytes / self._fleet.hollow.count
+        each = self._stub_bytes / self._fleet.stubs.count
         writer.add("discovery", "memory, largest", self._registry_bytes, "bytes", labels)
-        writer.add("hollow sidecar", "memory, largest, with its process's", each, "bytes", labels)
+        writer.add(STUB_ROLE, "memory, largest, with its process's", each, "bytes", labels)
--- a/scale/control/processes.py
+++ b/scale/control/processes.py
@@ -1,4 +1,4 @@
-"""The processes of an experiment on control: the registry, hollow sidecars and real ones."""
+"""The processes of an experiment on control: the registry, stub sidecars and real ones."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from scale.commands import CommandClient, python_command
 from scale.control.experiment import ControlExperiment
-from scale.control.hollow_commands import (
+from scale.control.stub_commands import (
     Delays,
     GetDelays,
     GetProgress,
@@ -19,7 +19,7 @@
     Progress,
     StartSidecars,
 )
-from scale.control.hollow_sidecar import sidecar_settings
+from scale.control.stub_sidecar import sidecar_settings
 from scale.http_client import Address
 from scale.processes import ManagedProcess, ProcessGroup
 from scale.sidecar_process import format_address, start_sidecar, write_config
@@ -38,8 +38,8 @@
     registry_command,
 )
 
-HALVES = (0, 1)  # hollow sidecars call at two addresses, so that one half can be cut off
-_HOLLOW_LISTENERS = 2 * len(HALVES)  # and each half has another address to be moved to
+HALVES = (0, 1)  # stub sidecars call at two addresses, so that one half can be cut off
+_STUB_LISTENERS = 2 * len(HALVES)  # and each half has another address to be moved to
 _LOOK_EVERY_S = 0.2
 
 
@@ -51,20 +51,20 @@
             servers=servers,
             zones=experiment.zones,
             seed=experiment.seed,
-            listeners=_HOLLOW_LISTENERS,
+            listeners=_STUB_LISTENERS,
             observed_listeners=2 * experiment.real_sidecars,
         )
         self.process = group.start(registry_command(options), stdout=subprocess.PIPE)
         self.client = CommandClient(self.process.popen)
         self.endpoints: list[Endpoint] = make_endpoints(servers, experiment.zones, experiment.seed)
 
-    def hollow_listener(self, half: int, moved: bool) -> int:
-        """The listener at which a half of the hollow sidecars calls, before or after a move."""
+    def stub_listener(self, half: int, moved: bool) -> int:
+        """The listener at which a half of the stub sidecars calls, before or after a move."""
         return half + len(HALVES) * moved
 
     def real_listener(self, sidecar: int, moved: bool) -> int:
         """The listener at which one real sidecar alone calls, before or after a move."""
-        return _HOLLOW_LISTENERS + 2 * sidecar + moved
+        return _STUB_LISTENERS + 2 * sidecar + moved
 
     def address(self, listener: int) -> Address:
         """Where a listener is."""
@@ -91,8 +91,8 @@
         return self.client.ask(GetObserved(listeners=listeners, changes=changes), Observed)
 
 
-class HollowGroup:
-    """All processes with hollow sidecars."""
+class StubGroup:
+    """All processes with stub sidecars."""
 
     def __init__(
         self, group: ProcessGroup, registry: Registry, experiment: ControlExperiment, count: int
@@ -100,12 +100,12 @@
         self.count = count
         self._registry = registry
         self.processes: list[ManagedProcess] = []
-        for first in range(0, count, experiment.hollow_per_process):
+        for first in range(0, count, experiment.stubs_per_process):
             index = len(self.processes)
-            discovery = registry.address(registry.hollow_listener(index % len(HALVES), moved=False))
+            discovery = registry.address(registry.stub_listener(index % len(HALVES), moved=False))
             command = python_command(
-                "scale.control.hollow",
-                *("--count", min(experiment.hollow_per_process, count - first)),
+                "scale.control.stub_process",
+                *("--count", min(experiment.stubs_per_process, count - first)),
                 *("--discovery", format_address(discovery)),
                 *("--zone", zone_name(index % experiment.zones)),
                 *("--seed", experiment.seed + index),
@@ -121,7 +121,7 @@
     def move(self, moved: bool) -> None:
         """Move all to their other address of the registry, or back."""
         for index, client in enumerate(self._clients):
-            listener = self._registry.hollow_listener(index % len(HALVES), moved)
+            listener = self._registry.stub_listener(index % len(HALVES), moved)
             client.tell(MoveDiscovery(address=self._registry.address(listener)))
 
     def is_in_force(self, change: Committed, halves: tuple[int, ...] = HALVES) -> bool:
--- a/scale/control/run.py
+++ b/scale/control/run.py
@@ -17,13 +17,13 @@
 from scale.control.measure import (
     Fleet,
     Labels,
-    write_hollow_delays,
-    write_hollow_memory,
     write_real_delays,
+    write_stub_delays,
+    write_stub_memory,
     write_usage,
 )
 from scale.control.peak_sampler import PeakSampler
-from scale.control.processes import HollowGroup, RealSidecar, Registry, real_sidecar_config, wait_for
+from scale.control.processes import RealSidecar, Registry, StubGroup, real_sidecar_config, wait_for
 from scale.errors import EndpointListTimeoutError
 from scale.ports import ReservedAddress
 from scale.processes import ProcessGroup
@@ -39,27 +39,27 @@
 def run_control(experiment: ControlExperiment, writer: ResultWriter) -> None:
     """Measure each size, each with the change rates and then the faults."""
     for servers in experiment.servers:
-        for hollow in experiment.hollow_sidecars:
-            with _started_fleet(experiment, servers, hollow) as fleet:
+        for stub_count in experiment.stub_sidecars:
+            with _started_fleet(experiment, servers, stub_count) as fleet:
                 Point(experiment, writer, fleet, servers).run()
 
 
 @contextmanager
-def _started_fleet(experiment: ControlExperiment, servers: int, hollow: int) -> Iterator[Fleet]:
+def _started_fleet(experiment: ControlExperiment, servers: int, stub_count: int) -> Iterator[Fleet]:
     with ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         # Held from before the first process on: the connections of thousands of sidecars use up ports.
         listen = [stack.enter_context(ReservedAddress()) for _ in range(experiment.real_sidecars)]
         group = stack.enter_context(ProcessGroup())
         registry = Registry(group, experiment, servers)
-        hollow_group = HollowGroup(group, registry, experiment, hollow)
+        stubs = StubGroup(group, registry, experiment, stub_count)
         real = [
             RealSidecar(
                 group, registry, index, real_sidecar_config(experiment, index, reserved.address), folder
             )
             for index, reserved in enumerate(listen)
         ]
-        yield Fleet(experiment, registry, hollow_group, real)
+        yield Fleet(experiment, registry, stubs, real)
 
 
 @dataclass(slots=True)
@@ -91,19 +91,19 @@
     def _load(self) -> None:
         labels = self._labels("start")
         empty = self.fleet.read()
-        self.fleet.hollow.start(self.experiment.start_within_s)
+        self.fleet.stubs.start(self.experiment.start_within_s)
         if not self._await_change(Committed(version=1, at_s=0.0), _LOADED_WITHIN_S):
             raise EndpointListTimeoutError("hollow_sidecars", _LOADED_WITHIN_S)
         time.sleep(self.experiment.settle_s)
         full = self.fleet.read()
-        write_hollow_memory(self.writer, self.fleet, empty, full, labels)
+        write_stub_memory(self.writer, self.fleet, empty, full, labels)
         log.info("sidecars loaded", servers=self.servers, sidecars=self.fleet.sidecars)
 
     def _await_change(self, change: Committed, within_s: float) -> bool:
-        """Wait until a change is in force in all sidecars, hollow and real; say whether it came to be."""
+        """Wait until a change is in force in all sidecars, stub and real; say whether it came to be."""
 
         def is_in_force() -> bool:
-            return self.fleet.hollow.is_in_force(change) and self._is_in_force_in_real(change)
+            return self.fleet.stubs.is_in_force(change) and self._is_in_force_in_real(change)
 
         return wait_for(is_in_force, within_s)
 
@@ -135,7 +135,7 @@
         return changes
 
     def _write_delays(self, changes: list[Committed], labels: Labels) -> None:
-        write_hollow_delays(self.writer, self.fleet.hollow.delays(changes), labels)
+        write_stub_delays(self.writer, self.fleet.stubs.delays(changes), labels)
         if self.fleet.real:
             self._write_real_delays(changes, labels)
 
@@ -151,13 +151,13 @@
         after = self.fleet.read()
         write_usage(self.writer, self.fleet, before, after, labels)
         peak.write(self.writer, labels)
-        write_hollow_delays(self.writer, self.fleet.hollow.delays(outcome.changes, outcome.halves), labels)
+        write_stub_delays(self.writer, self.fleet.stubs.delays(outcome.changes, outcome.halves), labels)
         if self.fleet.real and outcome.with_real:
             self._write_real_delays(outcome.changes, labels)
         log.info("fault measured", fault=fault.kind, servers=self.servers, recovered=recovered)
 
     def _is_over(self, outcome: FaultOutcome) -> bool:
         latest = outcome.changes[-1]
-        if not self.fleet.hollow.is_in_force(latest, outcome.halves):
+        if not self.fleet.stubs.is_in_force(latest, outcome.halves):
             return False
         return not outcome.with_real or self._is_in_force_in_real(latest)
--- a/scale/control/hollow_commands.py
+++ b/scale/control/stub_commands.py
@@ -1,4 +1,4 @@
-"""Commands to a process of hollow sidecars, and its answers."""
+"""Commands to a process of stub sidecars, and its answers."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
     missing: int
 
 
-HollowCommand = Annotated[
+StubCommand = Annotated[
     StartSidecars | MoveDiscovery | GetProgress | GetDelays, Field(discriminator="command")
 ]
-HOLLOW_COMMANDS: TypeAdapter[HollowCommand] = TypeAdapter(HollowCommand)
+STUB_COMMANDS: TypeAdapter[StubCommand] = TypeAdapter(StubCommand)
--- a/scale/control/hollow.py
+++ b/scale/control/stub_process.py
@@ -1,6 +1,6 @@
-"""A process of hollow sidecars, hundreds of them.
+"""A process of stub sidecars, hundreds of them.
 
-Run as `python -m scale.control.hollow`; it prints that it is ready and then
+Run as `python -m scale.control.stub_process`; it prints that it is ready and then
 takes commands.
 """
 
@@ -15,8 +15,8 @@
 import typer
 
 from scale.commands import Done, Message, serve_commands
-from scale.control.hollow_commands import (
-    HOLLOW_COMMANDS,
+from scale.control.stub_commands import (
+    STUB_COMMANDS,
     Delays,
     GetDelays,
     GetProgress,
@@ -24,7 +24,7 @@
     Progress,
     StartSidecars,
 )
-from scale.control.hollow_sidecar import HollowSidecar, sidecar_settings
+from scale.control.stub_sidecar import StubSidecar, sidecar_settings
 from scale.histogram import LatencyHistogram
 from scale.standins.registry_commands import Committed
 from topazbank.net.upstream import Address, parse_address
@@ -33,7 +33,7 @@
 _GC_THRESHOLDS = (700, 5, 2)  # as the sidecar's own program sets them
 
 
-class HollowProcess:
+class StubProcess:
     """Carries out the commands on the sidecars of one process."""
 
     def __init__(self, count: int, zone: str, seed: int, discovery: Address) -> None:
@@ -41,11 +41,11 @@
         self._random = random.Random(seed)
         self._discovery = discovery
         self._count = count
-        self._sidecars: list[HollowSidecar] = []
+        self._sidecars: list[StubSidecar] = []
 
     def handle(self, line: bytes) -> Message:
         """Carry out one command; raise ValueError on what is none."""
-        command = HOLLOW_COMMANDS.validate_json(line)
+        command = STUB_COMMANDS.validate_json(line)
         match command:
             case StartSidecars():
                 self._start(command.within_s)
@@ -63,7 +63,7 @@
         for sidecar in self._sidecars:
             sidecar.stop()
         self._sidecars = [
-            HollowSidecar(self._settings, self._random.getrandbits(64), self._discovery)
+            StubSidecar(self._settings, self._random.getrandbits(64), self._discovery)
             for _ in range(self._count)
         ]
         loop = asyncio.get_running_loop()
@@ -93,9 +93,9 @@
     zone: Annotated[str, typer.Option(help="Zone of the sidecars.")] = "",
     seed: Annotated[int, typer.Option(help="Seed of the sidecars.")] = 0,
 ) -> None:
-    """Run hollow sidecars until the command connection ends."""
+    """Run stub sidecars until the command connection ends."""
     logging.basicConfig(level=logging.ERROR)
-    process = HollowProcess(count, zone, seed, parse_address(discovery))
+    process = StubProcess(count, zone, seed, parse_address(discovery))
     gc.freeze()
     gc.set_threshold(*_GC_THRESHOLDS)
     asyncio.run(serve_commands(process.handle, []))
--- a/scale/control/hollow_sidecar.py
+++ b/scale/control/stub_sidecar.py
@@ -1,4 +1,4 @@
-"""One hollow sidecar: the real discovery client, balancer and table of servers, without a front end."""
+"""One stub sidecar: the real discovery client, balancer and table of servers, without a front end."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     }
 
 
-class HollowSidecar:
+class StubSidecar:
     """One sidecar without a front end: it follows the registry as a real one does, and serves nobody."""
 
     def __init__(self, settings: Settings, seed: int, discovery: Address) -> None:
--- a/tests/scale/test_control.py
+++ b/tests/scale/test_control.py
@@ -14,7 +14,7 @@
 
 from scale.control.applied_log import AppliedLog
 from scale.control.experiment import ControlExperiment
-from scale.control.hollow_sidecar import HollowSidecar, sidecar_settings
+from scale.control.stub_sidecar import StubSidecar, sidecar_settings
 from scale.errors import ExperimentError
 from scale.experiment import validate_experiment
 from scale.kinds import load_experiment
@@ -42,12 +42,12 @@
     assert log.version() == 5
 
 
-async def check_hollow_sidecar() -> None:
+async def check_stub_sidecar() -> None:
     log = ChangeLog(make_endpoints(3, zones=1, seed=5))
     stays, *leave = [each.name for each in log.endpoints()]
     server = RegistryServer(log)
     [first, second] = await server.start(listeners=2)
-    sidecar = HollowSidecar(settings_from_wire(sidecar_settings("z00")), 1, first)
+    sidecar = StubSidecar(settings_from_wire(sidecar_settings("z00")), 1, first)
     try:
         async with asyncio.timeout(PATIENCE_S):
             sidecar.start()
@@ -66,13 +66,13 @@
         await server.stop()
 
 
-def sent_to(sidecar: HollowSidecar, request: int) -> list[str]:
+def sent_to(sidecar: StubSidecar, request: int) -> list[str]:
     arrived = RequestArrived(request, "look", None, None, 1_000_000)
     return [action.server for action in sidecar.balancer.handle(10**15, arrived) if isinstance(action, Send)]
 
 
-def test_hollow_sidecar_puts_the_registry_into_force() -> None:
-    asyncio.run(check_hollow_sidecar())
+def test_stub_sidecar_applies_the_registry() -> None:
+    asyncio.run(check_stub_sidecar())
 
 
 GIVEN: Mapping[str, Any] = {
