--- a/scale/commands.py
+++ b/scale/commands.py
@@ -16,8 +16,8 @@
 
 from scale.errors import ProcessEndedError
 
-LINE_MOST = 64 * 1024 * 1024  # a commit of thousands of entries is one line
-_ANSWER_WITHIN_S = 120.0
+MAXIMUM_LINE_BYTES = 64 * 1024 * 1024  # a commit of thousands of entries is one line
+_RESPONSE_TIMEOUT_S = 120.0
 
 
 class Message(BaseModel):
@@ -53,7 +53,7 @@
             writer.close()
             ended.set()
 
-    server = await asyncio.start_server(serve, "127.0.0.1", 0, limit=LINE_MOST)
+    server = await asyncio.start_server(serve, "127.0.0.1", 0, limit=MAXIMUM_LINE_BYTES)
     try:
         host, port = server.sockets[0].getsockname()
         print(Ready(commands=(host, port), addresses=addresses).model_dump_json(), flush=True)
@@ -73,24 +73,24 @@
         if not line:
             raise ProcessEndedError(popen.pid)
         self.ready = Ready.model_validate_json(line)
-        self._socket = socket.create_connection(self.ready.commands, _ANSWER_WITHIN_S)
-        self._answers = self._socket.makefile("rb")
+        self._socket = socket.create_connection(self.ready.commands, _RESPONSE_TIMEOUT_S)
+        self._responses = self._socket.makefile("rb")
 
-    def ask(self, command: Message, answer: type[AnyMessage]) -> AnyMessage:
+    def request(self, command: Message, response_type: type[AnyMessage]) -> AnyMessage:
         """Give a command and return its answer; raise ProcessEndedError if there is none."""
         self._socket.sendall(command.model_dump_json().encode() + b"\n")
-        line = self._answers.readline()
+        line = self._responses.readline()
         if not line:
             raise ProcessEndedError(self._pid)
-        return answer.model_validate_json(line)
+        return response_type.model_validate_json(line)
 
-    def tell(self, command: Message) -> None:
+    def execute(self, command: Message) -> None:
         """Give a command that has no figures to answer with."""
-        self.ask(command, Done)
+        self.request(command, Done)
 
     def close(self) -> None:
         """End the connection, and with it the process's work."""
-        self._answers.close()
+        self._responses.close()
         self._socket.close()
 
 
--- a/scale/configuration/experiment.py
+++ b/scale/configuration/experiment.py
@@ -8,8 +8,8 @@
 
 from scale.experiment import Experiment
 
-SERVERS_MOST = 20_000
-SIDECARS_MOST = 100
+MAXIMUM_SERVERS = 20_000
+MAXIMUM_SIDECARS = 100
 
 
 class ConfigurationExperiment(Experiment):
@@ -18,8 +18,8 @@
     `duration_s` is how long each change is watched at most.
     """
 
-    servers: list[Annotated[int, Field(ge=2, le=SERVERS_MOST)]] = Field(min_length=1)
-    sidecars: list[Annotated[int, Field(ge=1, le=SIDECARS_MOST)]] = Field(min_length=1)
+    servers: list[Annotated[int, Field(ge=2, le=MAXIMUM_SERVERS)]] = Field(min_length=1)
+    sidecars: list[Annotated[int, Field(ge=1, le=MAXIMUM_SIDECARS)]] = Field(min_length=1)
     changes: int = Field(default=2, ge=1, le=1_000)  # each watched until it is in force
     metered_reloads: int = Field(default=5, ge=1, le=1_000)  # with no requests beside them
     reload_interval_s: float = Field(default=1.0, ge=0.05, le=60.0)  # between the metered ones
--- a/scale/configuration/run.py
+++ b/scale/configuration/run.py
@@ -16,7 +16,7 @@
 
 from scale.commands import CommandClient
 from scale.configuration.experiment import ConfigurationExperiment
-from scale.configuration.sidecar import KINDS, ConfiguredSidecar
+from scale.configuration.sidecar import SAMPLE_CLASSES, ConfiguredSidecar
 from scale.errors import EndpointListTimeoutError, RequestsInFlightTimeoutError, ScaleError
 from scale.histogram import LatencyHistogram
 from scale.http_client import CallResult
@@ -28,9 +28,9 @@
 from scale.standins.server import ServerStandin
 
 PERCENTILES = (50.0, 99.0, 100.0)
-_LOADED_WITHIN_S = 60.0
-_LOOK_EVERY_S = 0.05
-_HELD_S = 0.8  # how long the server holds a request that is in flight while its file is replaced
+_LOAD_TIMEOUT_S = 60.0
+_POLL_INTERVAL_S = 0.05
+_SERVICE_TIME_S = 0.8  # how long the server holds a request that is in flight while its file is replaced
 _BAD_FILE = b'{"settings": {"lanes": []}}'
 
 log = structlog.get_logger()
@@ -46,24 +46,26 @@
 async def _run_point(
     experiment: ConfigurationExperiment, writer: ResultWriter, servers: int, sidecars: int
 ) -> None:
-    with ExitStack() as held, ProcessGroup() as group, tempfile.TemporaryDirectory() as folder:
-        listen = [held.enter_context(ReservedAddress()).address for _ in range(sidecars)]
+    with ExitStack() as stack, ProcessGroup() as group, tempfile.TemporaryDirectory() as folder:
+        listen = [stack.enter_context(ReservedAddress()).address for _ in range(sidecars)]
         server = ServerStandin("s-0", lambda: 0.0)
         await server.start()
         registry = group.start(_registry_command(experiment, servers, server), stdout=subprocess.PIPE)
         client = CommandClient(registry.popen)
         discovery = client.ready.addresses[0]
-        started = [
+        configured = [
             ConfiguredSidecar(group, Path(folder) / f"n{index}", address, discovery, experiment.seed + index)
             for index, address in enumerate(listen)
         ]
-        for each in started:
+        for each in configured:
             each.await_ready()
-        point = Point(experiment, writer, server, client, started, {"servers": servers, "sidecars": sidecars})
+        point = Point(
+            experiment, writer, server, client, configured, {"servers": servers, "sidecars": sidecars}
+        )
         try:
             await point.run()
         finally:
-            for each in started:
+            for each in configured:
                 each.close()
             server.close()
     log.info("point measured", servers=servers, sidecars=sidecars)
@@ -102,16 +104,16 @@
         """Wait for the list, then measure changes, a bad file, one taken back, and what reloads cost."""
         await _wait_until(
             lambda: self._counts().watching >= len(self.sidecars),
-            EndpointListTimeoutError("sidecars", _LOADED_WITHIN_S),
+            EndpointListTimeoutError("sidecars", _LOAD_TIMEOUT_S),
         )
         for _ in range(self.experiment.changes):
             await self._measure_change()
         await self._measure_bad_file()
-        await self._measure_taken_back()
+        await self._measure_rollback()
         await self._measure_cost()
 
     def _counts(self) -> Counts:
-        return self.registry.ask(GetCounts(), Counts)
+        return self.registry.request(GetCounts(), Counts)
 
     def _next_configurations(self, added_class: str) -> list[tuple[ConfiguredSidecar, bytes]]:
         """The next version for each sidecar, with one class more than at the start."""
@@ -120,12 +122,12 @@
 
     async def _change(self, phase: str, added_class: str) -> None:
         """Replace all files by a next version, and write the times until requests of a class were taken."""
-        within_s = self.experiment.duration_s
+        timeout_s = self.experiment.duration_s
         configurations = self._next_configurations(added_class)
-        changes = (each.change(content, added_class, within_s) for each, content in configurations)
+        changes = (each.change(content, added_class, timeout_s) for each, content in configurations)
         delays = [delay for delay in await asyncio.gather(*changes) if delay is not None]
         share = len(delays) / len(self.sidecars)
-        self._add("configuration", f"in force within {within_s:g} s", share, "share", phase)
+        self._add("configuration", f"in force within {timeout_s:g} s", share, "share", phase)
         histogram = LatencyHistogram()
         for delay in delays:
             histogram.add_seconds(delay)
@@ -135,15 +137,17 @@
 
     async def _measure_change(self) -> None:
         """Replace all files while each sidecar has a request of each idempotency in flight."""
-        reached = self.server.counters.requests + len(self.sidecars) * len(KINDS)
-        self.server.service_time_s = lambda: _HELD_S
-        in_flight = [asyncio.ensure_future(each.call(kind)) for each in self.sidecars for kind in KINDS]
+        reached = self.server.counters.requests + len(self.sidecars) * len(SAMPLE_CLASSES)
+        self.server.service_time_s = lambda: _SERVICE_TIME_S
+        in_flight = [
+            asyncio.ensure_future(each.call(kind)) for each in self.sidecars for kind in SAMPLE_CLASSES
+        ]
         await _wait_until(
-            lambda: self.server.counters.requests + _ended(in_flight) >= reached,
-            RequestsInFlightTimeoutError(_LOADED_WITHIN_S),
+            lambda: self.server.counters.requests + _count_ended(in_flight) >= reached,
+            RequestsInFlightTimeoutError(_LOAD_TIMEOUT_S),
         )
         self.server.service_time_s = lambda: 0.0
-        ended_before = _ended(in_flight)
+        ended_before = _count_ended(in_flight)
         await self._change("change", f"added-{self.version + 1}")
         results = await asyncio.gather(*in_flight)
         served = sum(each.status == HTTPStatus.OK for each in results)
@@ -155,10 +159,10 @@
         for sidecar in self.sidecars:
             await asyncio.to_thread(sidecar.replace_file, _BAD_FILE)
         await asyncio.sleep(self.experiment.reload_interval_s)
-        taken = [await each.knows_class(KINDS[0]) for each in self.sidecars]
-        self._add("configuration", "classes as before", sum(taken) / len(taken), "share", "bad file")
+        unchanged = [await each.knows_class(SAMPLE_CLASSES[0]) for each in self.sidecars]
+        self._add("configuration", "classes as before", sum(unchanged) / len(unchanged), "share", "bad file")
 
-    async def _measure_taken_back(self) -> None:
+    async def _measure_rollback(self) -> None:
         """Put what an earlier version said into force again, as a newer version."""
         await self._change("taken back", "added-2")
 
@@ -173,13 +177,13 @@
                 await asyncio.to_thread(sidecar.replace_file, content)
             await asyncio.sleep(interval_s)
         end = self._read()
-        each = reloads * len(self.sidecars)
+        reload_count = reloads * len(self.sidecars)
         cpu_s = (end.sidecar_cpu_s - idle.sidecar_cpu_s) - (idle.sidecar_cpu_s - start.sidecar_cpu_s)
-        read = (end.http_bytes() - idle.http_bytes()) - (idle.http_bytes() - start.http_bytes())
+        received_bytes = (end.http_bytes() - idle.http_bytes()) - (idle.http_bytes() - start.http_bytes())
         snapshots = end.counts.snapshots - idle.counts.snapshots
-        self._add("sidecar", "cpu of a reload", cpu_s / each, "s", "metered")
-        self._add("sidecar", "registry bytes of a reload", read / each, "bytes", "metered")
-        self._add("discovery", "whole lists for a reload", snapshots / each, "answers", "metered")
+        self._add("sidecar", "cpu of a reload", cpu_s / reload_count, "s", "metered")
+        self._add("sidecar", "registry bytes of a reload", received_bytes / reload_count, "bytes", "metered")
+        self._add("discovery", "whole lists for a reload", snapshots / reload_count, "answers", "metered")
 
     def _read(self) -> Reading:
         return Reading(sum(_cpu_s(each.process) for each in self.sidecars), self._counts())
@@ -190,14 +194,14 @@
 
 async def _wait_until(condition: Callable[[], bool], timeout_error: ScaleError) -> None:
     """Poll a condition until it holds; raise the given error if it does not within 60 s."""
-    give_up_at = time.monotonic() + _LOADED_WITHIN_S
+    deadline = time.monotonic() + _LOAD_TIMEOUT_S
     while not condition():
-        if time.monotonic() > give_up_at:
+        if time.monotonic() > deadline:
             raise timeout_error
-        await asyncio.sleep(_LOOK_EVERY_S)
+        await asyncio.sleep(_POLL_INTERVAL_S)
 
 
-def _ended(calls: Sequence[asyncio.Future[CallResult]]) -> int:
+def _count_ended(calls: Sequence[asyncio.Future[CallResult]]) -> int:
     return sum(each.done() for each in calls)
 
 
--- a/scale/configuration/sidecar.py
+++ b/scale/configuration/sidecar.py
@@ -15,12 +15,12 @@
 from scale.processes import ProcessGroup
 from scale.sidecar_process import await_ready, sample_config, start_sidecar
 
-KINDS = ("read", "update", "send")  # classes of the sample configuration, one for each idempotency
+SAMPLE_CLASSES = ("read", "update", "send")  # classes of the sample configuration, one for each idempotency
 _BUDGET_S = 1.5
-_CALL_LIMIT_S = 3.0
-_FIRST_WAIT_S = 0.002
-_WAIT_GROWTH = 1.25  # so that a delay is known to a quarter of itself, by few requests
-_WAIT_MOST_S = 0.25
+_CALL_TIMEOUT_S = 3.0
+_INITIAL_BACKOFF_S = 0.002
+_BACKOFF_FACTOR = 1.25  # so that a delay is known to a quarter of itself, by few requests
+_MAXIMUM_BACKOFF_S = 0.25
 
 
 class ConfiguredSidecar:
@@ -63,29 +63,29 @@
     async def call(self, service_class: str) -> CallResult:
         """Make a request of a class."""
         self._calls += 1
-        ident = f"{self.process.pid:08x}{self._calls:08x}"
-        data = format_call(service_class, ident, _BUDGET_S, ident if service_class == "update" else None)
+        call_id = f"{self.process.pid:08x}{self._calls:08x}"
+        data = format_call(service_class, call_id, _BUDGET_S, call_id if service_class == "update" else None)
         if service_class == "send":
             data = data.replace(b"GET ", b"POST ", 1)
-        return await self._client.call(data, time.monotonic(), _CALL_LIMIT_S)
+        return await self._client.call(data, time.monotonic(), _CALL_TIMEOUT_S)
 
     async def knows_class(self, service_class: str) -> bool:
         """Whether it takes requests of a class now: one that it does not know is a bad request."""
         return (await self.call(service_class)).status != HTTPStatus.BAD_REQUEST
 
-    async def change(self, content: bytes, added_class: str, within_s: float) -> float | None:
+    async def change(self, content: bytes, added_class: str, timeout_s: float) -> float | None:
         """Replace its file, and return the seconds until a request of an added class was taken and answered.
 
         None: not in time.  Files may be slow, so they are replaced beside the event loop, which goes on to
         answer the requests in flight and to ask the other sidecars.
         """
-        since_s = await asyncio.to_thread(self.replace_file, content)
-        wait_s = _FIRST_WAIT_S
-        while time.monotonic() < since_s + within_s:
+        replaced_at = await asyncio.to_thread(self.replace_file, content)
+        backoff_s = _INITIAL_BACKOFF_S
+        while time.monotonic() < replaced_at + timeout_s:
             if await self.knows_class(added_class):
-                return time.monotonic() - since_s
-            await asyncio.sleep(wait_s)
-            wait_s = min(wait_s * _WAIT_GROWTH, _WAIT_MOST_S)
+                return time.monotonic() - replaced_at
+            await asyncio.sleep(backoff_s)
+            backoff_s = min(backoff_s * _BACKOFF_FACTOR, _MAXIMUM_BACKOFF_S)
         return None
 
     def close(self) -> None:
--- a/scale/control/applied_log.py
+++ b/scale/control/applied_log.py
@@ -22,7 +22,7 @@
         """The version in force; 0 before the first."""
         return self._versions[-1] if self._versions else 0
 
-    def in_force_after(self, version: int, committed_at_s: float) -> float | None:
+    def delay_until_applied(self, version: int, committed_at_s: float) -> float | None:
         """Seconds from a commit until its version, or a newer one, was in force; None: not yet.
 
         Versions only grow here: a registry whose versions go back is none that these experiments have.
--- a/scale/control/experiment.py
+++ b/scale/control/experiment.py
@@ -14,8 +14,8 @@
 MAXIMUM_SERVERS = 20_000
 MAXIMUM_STUBS = 10_000
 MAXIMUM_REAL = 100
-ENTRY_BYTES = 1_700  # what an entry of the endpoint list takes in a stub sidecar, measured
-SIDECAR_BYTES = 60_000  # and what it takes without any
+BYTES_PER_ENDPOINT = 1_700  # what an entry of the endpoint list takes in a stub sidecar, measured
+BYTES_PER_SIDECAR = 60_000  # and what it takes without any
 
 
 class FaultKind(StrEnum):
@@ -66,8 +66,8 @@
     @classmethod
     def _fits_in_memory(cls, stub_sidecars: list[int], others: ValidationInfo) -> list[int]:
         """Guard the machine: all lists together may take half of its memory at most."""
-        largest_list = ENTRY_BYTES * max(others.data.get("servers", [0]))
-        needed = max(stub_sidecars) * (SIDECAR_BYTES + largest_list)
+        largest_list = BYTES_PER_ENDPOINT * max(others.data.get("servers", [0]))
+        needed = max(stub_sidecars) * (BYTES_PER_SIDECAR + largest_list)
         if needed > psutil.virtual_memory().total / 2:
             raise MemoryLimitError(needed)
         return stub_sidecars
--- a/scale/control/measure.py
+++ b/scale/control/measure.py
@@ -13,7 +13,7 @@
 from scale.histogram import LatencyHistogram
 from scale.processes import ManagedProcess, Usage
 from scale.results import Label, ResultWriter
-from scale.standins.registry_commands import Committed, Counts, Observed, TrafficTotals
+from scale.standins.registry_commands import CommittedChange, Counts, ObservedDelays, TrafficTotals
 from scale.standins.tcp_info import SEGMENT_HEADER_BYTES
 
 PERCENTILES = (50.0, 99.0, 100.0)
@@ -42,23 +42,23 @@
     registry: Registry
     stubs: StubGroup
     real: list[RealSidecar]
-    moved: bool = False  # whether the sidecars are at their second address of the registry
+    migrated: bool = False  # whether the sidecars are at their second address of the registry
 
     @property
     def sidecars(self) -> int:
         """How many sidecars follow the registry."""
         return self.stubs.count + len(self.real)
 
-    def move_discovery(self) -> None:
+    def migrate_discovery(self) -> None:
         """Move all sidecars to their other address of the registry, at once."""
-        self.moved = not self.moved
-        self.stubs.move(self.moved)
+        self.migrated = not self.migrated
+        self.stubs.migrate(self.migrated)
         for sidecar in self.real:
-            sidecar.move(self.moved)
+            sidecar.migrate(self.migrated)
 
-    def real_delays(self, changes: list[Committed]) -> Observed:
+    def real_delays(self, changes: list[CommittedChange]) -> ObservedDelays:
         """When each real sidecar was first seen to hold each change."""
-        return self.registry.real_delays(changes, len(self.real), self.moved)
+        return self.registry.real_delays(changes, len(self.real), self.migrated)
 
     def read(self) -> Reading:
         """Read the meters of all processes."""
@@ -181,7 +181,7 @@
     _write_percentiles(writer, STUB_ROLE, histogram, sum(each.missing for each in delays), labels)
 
 
-def write_real_delays(writer: ResultWriter, observed: Observed, labels: Labels) -> None:
+def write_real_delays(writer: ResultWriter, observed: ObservedDelays, labels: Labels) -> None:
     """Write the times to being in force in real sidecars, each seen by the call that followed it."""
     histogram = LatencyHistogram()
     missing = 0
--- a/scale/control/peak_sampler.py
+++ b/scale/control/peak_sampler.py
@@ -8,7 +8,7 @@
 from scale.control.measure import STUB_ROLE, Fleet, Labels
 from scale.results import ResultWriter
 
-_SAMPLE_EVERY_S = 0.25
+_SAMPLE_INTERVAL_S = 0.25
 
 
 class PeakSampler:
@@ -16,7 +16,7 @@
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
-        self._over = Event()
+        self._stopping = Event()
         self._thread = Thread(target=self._sample)
         self._registry_bytes = 0
         self._stub_bytes = 0
@@ -26,14 +26,14 @@
         return self
 
     def __exit__(self, *error: object) -> None:
-        self._over.set()
+        self._stopping.set()
         self._thread.join()
 
     def _sample(self) -> None:
         registry, stubs = self._fleet.registry.process, self._fleet.stubs.processes
-        is_over = False
-        while not is_over:
-            is_over = self._over.wait(_SAMPLE_EVERY_S)
+        is_last_sample = False
+        while not is_last_sample:
+            is_last_sample = self._stopping.wait(_SAMPLE_INTERVAL_S)
             self._registry_bytes = max(self._registry_bytes, registry.usage().memory_bytes)
             self._stub_bytes = max(self._stub_bytes, sum(each.usage().memory_bytes for each in stubs))
 
--- a/scale/control/processes.py
+++ b/scale/control/processes.py
@@ -15,7 +15,7 @@
     Delays,
     GetDelays,
     GetProgress,
-    MoveDiscovery,
+    MigrateDiscovery,
     Progress,
     StartSidecars,
 )
@@ -27,12 +27,12 @@
 from scale.standins.fleet import make_endpoints, zone_name
 from scale.standins.registry_commands import (
     ChangeEndpoints,
-    Committed,
+    CommittedChange,
     Counts,
     GetCounts,
-    GetObserved,
+    GetObservedDelays,
     GetTraffic,
-    Observed,
+    ObservedDelays,
     RegistryOptions,
     TrafficTotals,
     registry_command,
@@ -40,7 +40,7 @@
 
 HALVES = (0, 1)  # stub sidecars call at two addresses, so that one half can be cut off
 _STUB_LISTENERS = 2 * len(HALVES)  # and each half has another address to be moved to
-_LOOK_EVERY_S = 0.2
+_POLL_INTERVAL_S = 0.2
 
 
 class Registry:
@@ -58,37 +58,41 @@
         self.client = CommandClient(self.process.popen)
         self.endpoints: list[Endpoint] = make_endpoints(servers, experiment.zones, experiment.seed)
 
-    def stub_listener(self, half: int, moved: bool) -> int:
+    def stub_listener(self, half: int, migrated: bool) -> int:
         """The listener at which a half of the stub sidecars calls, before or after a move."""
-        return half + len(HALVES) * moved
+        return half + len(HALVES) * migrated
 
-    def real_listener(self, sidecar: int, moved: bool) -> int:
+    def real_listener(self, sidecar: int, migrated: bool) -> int:
         """The listener at which one real sidecar alone calls, before or after a move."""
-        return _STUB_LISTENERS + 2 * sidecar + moved
+        return _STUB_LISTENERS + 2 * sidecar + migrated
 
     def address(self, listener: int) -> Address:
         """Where a listener is."""
         return self.client.ready.addresses[listener]
 
-    def change(self, command: ChangeEndpoints) -> Committed:
+    def change(self, command: ChangeEndpoints) -> CommittedChange:
         """Commit a change."""
-        return self.client.ask(command, Committed)
+        return self.client.request(command, CommittedChange)
 
     def counts(self) -> Counts:
         """What it has done so far."""
-        return self.client.ask(GetCounts(), Counts)
+        return self.client.request(GetCounts(), Counts)
 
     def real_traffic(self, real_sidecars: int) -> TrafficTotals:
         """What went between the registry and all real sidecars so far."""
         listeners = [
-            self.real_listener(index, moved) for index in range(real_sidecars) for moved in (False, True)
+            self.real_listener(index, migrated)
+            for index in range(real_sidecars)
+            for migrated in (False, True)
         ]
-        return self.client.ask(GetTraffic(listeners=listeners), TrafficTotals)
+        return self.client.request(GetTraffic(listeners=listeners), TrafficTotals)
 
-    def real_delays(self, changes: list[Committed], real_sidecars: int, moved: bool) -> Observed:
+    def real_delays(
+        self, changes: list[CommittedChange], real_sidecars: int, migrated: bool
+    ) -> ObservedDelays:
         """When each real sidecar was first seen to hold each change."""
-        listeners = [self.real_listener(index, moved) for index in range(real_sidecars)]
-        return self.client.ask(GetObserved(listeners=listeners, changes=changes), Observed)
+        listeners = [self.real_listener(index, migrated) for index in range(real_sidecars)]
+        return self.client.request(GetObservedDelays(listeners=listeners, changes=changes), ObservedDelays)
 
 
 class StubGroup:
@@ -102,7 +106,7 @@
         self.processes: list[ManagedProcess] = []
         for first in range(0, count, experiment.stubs_per_process):
             index = len(self.processes)
-            discovery = registry.address(registry.stub_listener(index % len(HALVES), moved=False))
+            discovery = registry.address(registry.stub_listener(index % len(HALVES), migrated=False))
             command = python_command(
                 "scale.control.stub_process",
                 *("--count", min(experiment.stubs_per_process, count - first)),
@@ -113,25 +117,25 @@
             self.processes.append(group.start(command, stdout=subprocess.PIPE))
         self._clients = [CommandClient(process.popen) for process in self.processes]
 
-    def start(self, within_s: float) -> None:
+    def start(self, spread_s: float) -> None:
         """Start all sidecars, or start them anew, spread over a time."""
         for client in self._clients:
-            client.tell(StartSidecars(within_s=within_s))
+            client.execute(StartSidecars(spread_s=spread_s))
 
-    def move(self, moved: bool) -> None:
+    def migrate(self, migrated: bool) -> None:
         """Move all to their other address of the registry, or back."""
         for index, client in enumerate(self._clients):
-            listener = self._registry.stub_listener(index % len(HALVES), moved)
-            client.tell(MoveDiscovery(address=self._registry.address(listener)))
+            listener = self._registry.stub_listener(index % len(HALVES), migrated)
+            client.execute(MigrateDiscovery(address=self._registry.address(listener)))
 
-    def is_in_force(self, change: Committed, halves: tuple[int, ...] = HALVES) -> bool:
+    def is_applied(self, change: CommittedChange, halves: tuple[int, ...] = HALVES) -> bool:
         """Whether all sidecars of these halves hold a change."""
-        progress = [client.ask(GetProgress(change=change), Progress) for client in self._of(halves)]
-        return all(each.in_force == each.sidecars for each in progress)
+        progress = [client.request(GetProgress(change=change), Progress) for client in self._of(halves)]
+        return all(each.applied == each.sidecars for each in progress)
 
-    def delays(self, changes: list[Committed], halves: tuple[int, ...] = HALVES) -> list[Delays]:
+    def delays(self, changes: list[CommittedChange], halves: tuple[int, ...] = HALVES) -> list[Delays]:
         """The times until changes were in force, by process, of the sidecars of these halves."""
-        return [client.ask(GetDelays(changes=changes), Delays) for client in self._of(halves)]
+        return [client.request(GetDelays(changes=changes), Delays) for client in self._of(halves)]
 
     def _of(self, halves: tuple[int, ...]) -> list[CommandClient]:
         return [client for index, client in enumerate(self._clients) if index % len(HALVES) in halves]
@@ -163,23 +167,23 @@
         self._config = config
         self._folder = folder / f"sidecar-{index}"
         self._folder.mkdir()
-        self.process = start_sidecar(group, self._config_at(moved=False), self._folder)
+        self.process = start_sidecar(group, self._config_at(migrated=False), self._folder)
 
-    def _config_at(self, moved: bool) -> dict[str, Any]:
-        address = self._registry.address(self._registry.real_listener(self._index, moved))
+    def _config_at(self, migrated: bool) -> dict[str, Any]:
+        address = self._registry.address(self._registry.real_listener(self._index, migrated))
         return {**self._config, "discovery": format_address(address)}
 
-    def move(self, moved: bool) -> None:
+    def migrate(self, migrated: bool) -> None:
         """Move it to its other address, or back, by its configuration and SIGHUP."""
-        write_config(self._config_at(moved), self._folder)
+        write_config(self._config_at(migrated), self._folder)
         self.process.popen.send_signal(signal.SIGHUP)
 
 
-def wait_for(condition: Callable[[], bool], within_s: float) -> bool:
+def wait_until(condition: Callable[[], bool], timeout_s: float) -> bool:
     """Wait until a condition holds, and say whether it came to."""
-    give_up_at = time.monotonic() + within_s
+    deadline = time.monotonic() + timeout_s
     while not condition():
-        if time.monotonic() >= give_up_at:
+        if time.monotonic() >= deadline:
             return False
-        time.sleep(_LOOK_EVERY_S)
+        time.sleep(_POLL_INTERVAL_S)
     return True
--- a/scale/control/run.py
+++ b/scale/control/run.py
@@ -13,7 +13,7 @@
 import structlog
 
 from scale.control.experiment import ControlExperiment, Fault
-from scale.control.faults import FaultOutcome, carry_out
+from scale.control.faults import FaultOutcome, inject_fault
 from scale.control.measure import (
     Fleet,
     Labels,
@@ -23,15 +23,15 @@
     write_usage,
 )
 from scale.control.peak_sampler import PeakSampler
-from scale.control.processes import RealSidecar, Registry, StubGroup, real_sidecar_config, wait_for
+from scale.control.processes import RealSidecar, Registry, StubGroup, real_sidecar_config, wait_until
 from scale.errors import EndpointListTimeoutError
 from scale.ports import ReservedAddress
 from scale.processes import ProcessGroup
 from scale.results import ResultWriter
-from scale.standins.registry_commands import ChangeEndpoints, Committed
+from scale.standins.registry_commands import ChangeEndpoints, CommittedChange
 
-_LOADED_WITHIN_S = 120.0
-_IN_FORCE_WITHIN_S = 15.0
+_LOAD_TIMEOUT_S = 120.0
+_PROPAGATION_TIMEOUT_S = 15.0
 
 log = structlog.get_logger()
 
@@ -73,12 +73,12 @@
 
     def run(self) -> None:
         """Load the list into all sidecars, measure the change rates, then the faults."""
-        chooser = random.Random(self.experiment.seed)
+        rng = random.Random(self.experiment.seed)
         self._load()
         for rate in self.experiment.changes_per_second:
-            self._measure_rate(rate, chooser)
+            self._measure_rate(rate, rng)
         for fault in self.experiment.faults:
-            self._measure_fault(fault, chooser)
+            self._measure_fault(fault, rng)
 
     def _labels(self, phase: str, changes_per_second: float = 0.0) -> Labels:
         return {
@@ -92,62 +92,62 @@
         labels = self._labels("start")
         empty = self.fleet.read()
         self.fleet.stubs.start(self.experiment.start_within_s)
-        if not self._await_change(Committed(version=1, at_s=0.0), _LOADED_WITHIN_S):
-            raise EndpointListTimeoutError("hollow_sidecars", _LOADED_WITHIN_S)
+        if not self._await_change(CommittedChange(version=1, at_s=0.0), _LOAD_TIMEOUT_S):
+            raise EndpointListTimeoutError("hollow_sidecars", _LOAD_TIMEOUT_S)
         time.sleep(self.experiment.settle_s)
         full = self.fleet.read()
         write_stub_memory(self.writer, self.fleet, empty, full, labels)
         log.info("sidecars loaded", servers=self.servers, sidecars=self.fleet.sidecars)
 
-    def _await_change(self, change: Committed, within_s: float) -> bool:
+    def _await_change(self, change: CommittedChange, timeout_s: float) -> bool:
         """Wait until a change is in force in all sidecars, stub and real; say whether it came to be."""
 
-        def is_in_force() -> bool:
-            return self.fleet.stubs.is_in_force(change) and self._is_in_force_in_real(change)
+        def is_applied() -> bool:
+            return self.fleet.stubs.is_applied(change) and self._is_applied_in_real(change)
 
-        return wait_for(is_in_force, within_s)
+        return wait_until(is_applied, timeout_s)
 
-    def _is_in_force_in_real(self, change: Committed) -> bool:
+    def _is_applied_in_real(self, change: CommittedChange) -> bool:
         return None not in self.fleet.real_delays([change]).delays_s[0]
 
-    def _measure_rate(self, rate: float, chooser: random.Random) -> None:
+    def _measure_rate(self, rate: float, rng: random.Random) -> None:
         labels = self._labels("steady", rate)
         duration_s = self.experiment.duration_s
         count = max(round(rate * duration_s), 1) if rate else 0
         before = self.fleet.read()
-        changes = self._commit_spread(count, duration_s, chooser)
+        changes = self._commit_spread(count, duration_s, rng)
         after = self.fleet.read()
         write_usage(self.writer, self.fleet, before, after, labels)
         if changes:
-            self._await_change(changes[-1], _IN_FORCE_WITHIN_S)
+            self._await_change(changes[-1], _PROPAGATION_TIMEOUT_S)
             self._write_delays(changes, labels)
         log.info("rate measured", servers=self.servers, sidecars=self.fleet.sidecars, rate=rate)
 
-    def _commit_spread(self, count: int, duration_s: float, chooser: random.Random) -> list[Committed]:
+    def _commit_spread(self, count: int, duration_s: float, rng: random.Random) -> list[CommittedChange]:
         """Restart servers at random moments of a window, and return at its end."""
-        began = time.monotonic()
+        started_at = time.monotonic()
         changes = []
-        for moment in sorted(chooser.uniform(0.0, duration_s) for _ in range(count)):
-            time.sleep(max(began + moment - time.monotonic(), 0.0))
-            index = chooser.randrange(self.servers)
+        for moment in sorted(rng.uniform(0.0, duration_s) for _ in range(count)):
+            time.sleep(max(started_at + moment - time.monotonic(), 0.0))
+            index = rng.randrange(self.servers)
             changes.append(self.fleet.registry.change(ChangeEndpoints(change="restart", indexes=[index])))
-        time.sleep(max(began + duration_s - time.monotonic(), 0.0))
+        time.sleep(max(started_at + duration_s - time.monotonic(), 0.0))
         return changes
 
-    def _write_delays(self, changes: list[Committed], labels: Labels) -> None:
+    def _write_delays(self, changes: list[CommittedChange], labels: Labels) -> None:
         write_stub_delays(self.writer, self.fleet.stubs.delays(changes), labels)
         if self.fleet.real:
             self._write_real_delays(changes, labels)
 
-    def _write_real_delays(self, changes: list[Committed], labels: Labels) -> None:
+    def _write_real_delays(self, changes: list[CommittedChange], labels: Labels) -> None:
         write_real_delays(self.writer, self.fleet.real_delays(changes), labels)
 
-    def _measure_fault(self, fault: Fault, chooser: random.Random) -> None:
+    def _measure_fault(self, fault: Fault, rng: random.Random) -> None:
         labels = self._labels(str(fault.kind))
         before = self.fleet.read()
         with PeakSampler(self.fleet) as peak:
-            outcome = carry_out(fault, self.fleet, chooser)
-            recovered = wait_for(lambda: self._is_over(outcome), fault.observed_s)
+            outcome = inject_fault(fault, self.fleet, rng)
+            recovered = wait_until(lambda: self._has_recovered(outcome), fault.observed_s)
         after = self.fleet.read()
         write_usage(self.writer, self.fleet, before, after, labels)
         peak.write(self.writer, labels)
@@ -156,8 +156,8 @@
             self._write_real_delays(outcome.changes, labels)
         log.info("fault measured", fault=fault.kind, servers=self.servers, recovered=recovered)
 
-    def _is_over(self, outcome: FaultOutcome) -> bool:
+    def _has_recovered(self, outcome: FaultOutcome) -> bool:
         latest = outcome.changes[-1]
-        if not self.fleet.stubs.is_in_force(latest, outcome.halves):
+        if not self.fleet.stubs.is_applied(latest, outcome.halves):
             return False
-        return not outcome.with_real or self._is_in_force_in_real(latest)
+        return not outcome.with_real or self._is_applied_in_real(latest)
--- a/scale/control/stub_commands.py
+++ b/scale/control/stub_commands.py
@@ -7,17 +7,17 @@
 from pydantic import Field, TypeAdapter
 
 from scale.commands import Message
-from scale.standins.registry_commands import Committed
+from scale.standins.registry_commands import CommittedChange
 
 
 class StartSidecars(Message):
     """Start all sidecars, or stop them and start them anew, spread over a time."""
 
     command: Literal["start"] = "start"
-    within_s: float
+    spread_s: float
 
 
-class MoveDiscovery(Message):
+class MigrateDiscovery(Message):
     """Move all sidecars to another address of the registry, at once."""
 
     command: Literal["move"] = "move"
@@ -28,21 +28,21 @@
     """Ask in how many sidecars a change is in force."""
 
     command: Literal["progress"] = "progress"
-    change: Committed
+    change: CommittedChange
 
 
 class Progress(Message):
     """In how many sidecars it is in force, of how many."""
 
     sidecars: int
-    in_force: int
+    applied: int
 
 
 class GetDelays(Message):
     """Ask for the times from changes to their being in force."""
 
     command: Literal["delays"] = "delays"
-    changes: list[Committed]
+    changes: list[CommittedChange]
 
 
 class Delays(Message):
@@ -53,6 +53,6 @@
 
 
 StubCommand = Annotated[
-    StartSidecars | MoveDiscovery | GetProgress | GetDelays, Field(discriminator="command")
+    StartSidecars | MigrateDiscovery | GetProgress | GetDelays, Field(discriminator="command")
 ]
 STUB_COMMANDS: TypeAdapter[StubCommand] = TypeAdapter(StubCommand)
--- a/scale/control/stub_process.py
+++ b/scale/control/stub_process.py
@@ -20,13 +20,13 @@
     Delays,
     GetDelays,
     GetProgress,
-    MoveDiscovery,
+    MigrateDiscovery,
     Progress,
     StartSidecars,
 )
 from scale.control.stub_sidecar import StubSidecar, sidecar_settings
 from scale.histogram import LatencyHistogram
-from scale.standins.registry_commands import Committed
+from scale.standins.registry_commands import CommittedChange
 from topazbank.net.upstream import Address, parse_address
 from topazbank.wire_settings import settings_from_wire
 
@@ -48,18 +48,18 @@
         command = STUB_COMMANDS.validate_json(line)
         match command:
             case StartSidecars():
-                self._start(command.within_s)
-            case MoveDiscovery():
+                self._start(command.spread_s)
+            case MigrateDiscovery():
                 self._discovery = command.address
                 for sidecar in self._sidecars:
-                    sidecar.move(command.address)
+                    sidecar.migrate(command.address)
             case GetProgress():
                 return self._progress(command.change)
             case GetDelays():
                 return self._delays(command.changes)
         return Done()
 
-    def _start(self, within_s: float) -> None:
+    def _start(self, spread_s: float) -> None:
         for sidecar in self._sidecars:
             sidecar.stop()
         self._sidecars = [
@@ -68,18 +68,18 @@
         ]
         loop = asyncio.get_running_loop()
         for sidecar in self._sidecars:
-            loop.call_later(within_s * self._random.random(), sidecar.start)
+            loop.call_later(spread_s * self._random.random(), sidecar.start)
 
-    def _progress(self, change: Committed) -> Progress:
-        delays = [each.applied.in_force_after(change.version, change.at_s) for each in self._sidecars]
-        return Progress(sidecars=len(delays), in_force=sum(delay is not None for delay in delays))
+    def _progress(self, change: CommittedChange) -> Progress:
+        delays = [each.applied.delay_until_applied(change.version, change.at_s) for each in self._sidecars]
+        return Progress(sidecars=len(delays), applied=sum(delay is not None for delay in delays))
 
-    def _delays(self, changes: list[Committed]) -> Delays:
+    def _delays(self, changes: list[CommittedChange]) -> Delays:
         histogram = LatencyHistogram()
         missing = 0
         for change in changes:
             for sidecar in self._sidecars:
-                delay_s = sidecar.applied.in_force_after(change.version, change.at_s)
+                delay_s = sidecar.applied.delay_until_applied(change.version, change.at_s)
                 if delay_s is None:
                     missing += 1
                 else:
--- a/scale/control/stub_sidecar.py
+++ b/scale/control/stub_sidecar.py
@@ -47,7 +47,7 @@
         self._upstream = Upstream(
             limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, _SOCKETS_PER_SIDECAR
         )
-        self._discovery = Discovery(discovery, 0, self._told)
+        self._discovery = Discovery(discovery, 0, self._on_registry_response)
         self._stopped = False
 
     def start(self) -> None:
@@ -59,30 +59,30 @@
         self._stopped = True
         self._discovery.stop()
 
-    def move(self, address: Address) -> None:
+    def migrate(self, address: Address) -> None:
         """Follow the registry at another address."""
         self._discovery.move(address)
 
-    def _told(self, told: RegistryResponse | None) -> None:
-        if told is None:
+    def _on_registry_response(self, response: RegistryResponse | None) -> None:
+        if response is None:
             self._handle(RegistryUpdated(RegistryUpdateKind.FAILED))
             return
-        is_news = told.complete or told.version > self.applied.version()
-        self._apply(told)
-        if is_news:
-            self.applied.add(told.version, time.monotonic())
+        is_update = response.complete or response.version > self.applied.version()
+        self._apply(response)
+        if is_update:
+            self.applied.add(response.version, time.monotonic())
 
-    def _apply(self, told: RegistryResponse) -> None:
+    def _apply(self, response: RegistryResponse) -> None:
         """Put a list into force as `Sidecar` does: addresses first, then the balancer."""
-        if told.complete:
-            self._upstream.retain({line.server.server for line in told.lines})
-        for line in told.lines:
+        if response.complete:
+            self._upstream.retain({line.server.server for line in response.lines})
+        for line in response.lines:
             server = line.server
             self._upstream.update(server.server, line.address, server.started_at, server.state)
-        servers = [line.server for line in told.lines]
+        servers = [line.server for line in response.lines]
         servers += [Endpoint(name, state=ServerState.GONE) for name in self._upstream.displace()]
-        kind = RegistryUpdateKind.SNAPSHOT if told.complete else RegistryUpdateKind.DELTA
-        self._handle(RegistryUpdated(kind, servers, told.version))
+        kind = RegistryUpdateKind.SNAPSHOT if response.complete else RegistryUpdateKind.DELTA
+        self._handle(RegistryUpdated(kind, servers, response.version))
 
     def _handle(self, event: RegistryUpdated | TimerFired) -> None:
         if self._stopped:
--- a/scale/demo/run.py
+++ b/scale/demo/run.py
@@ -24,10 +24,10 @@
 _SERVICE_MEAN_S = 0.005
 _CLASS = "read"  # of the sample configuration: safe to repeat
 _BUDGET_S = 2.0
-_CALL_LIMIT_S = 2.5
+_CALL_TIMEOUT_S = 2.5
 _DRAIN_AT, _KILL_AT = 1 / 3, 2 / 3  # of the duration
 _KILL_TOLD_AFTER_S = 0.5  # how late the registry learns of a death
-_STOP_LIMIT_S = 10.0
+_STOP_TIMEOUT_S = 10.0
 
 Say = Callable[[str], None]
 
@@ -98,7 +98,7 @@
 
         async def start_call(number: int, arrived_at: float) -> CallResult:
             request = format_call(_CLASS, f"{self._seed:08x}{number:08x}", _BUDGET_S)
-            return await client.call(request, arrived_at, _CALL_LIMIT_S)
+            return await client.call(request, arrived_at, _CALL_TIMEOUT_S)
 
         try:
             return await run_open_loop(arrivals_s, start_call)
@@ -130,6 +130,6 @@
     """End a sidecar as the platform does, and give its exit code; None if it does not end within 10 s."""
     sidecar.popen.terminate()
     try:
-        return sidecar.popen.wait(_STOP_LIMIT_S)
+        return sidecar.popen.wait(_STOP_TIMEOUT_S)
     except subprocess.TimeoutExpired:
         return None
--- a/scale/http_client.py
+++ b/scale/http_client.py
@@ -125,14 +125,16 @@
             self._transport.abort()
 
 
-def format_call(service_class: str, ident: str, budget_s: float, idempotency_key: str | None = None) -> bytes:
+def format_call(
+    service_class: str, call_id: str, budget_s: float, idempotency_key: str | None = None
+) -> bytes:
     """A call as the application sends it; without a key it is one that is safe to repeat."""
     headers = {
         "Host": "app.svc",
-        "X-Call-Id": ident,
+        "X-Call-Id": call_id,
         "X-Call-Class": service_class,
         "X-Budget": f"{budget_s:.3f}",
     }
     if idempotency_key is None:
-        return format_request("GET", f"/api/{ident}", headers)
-    return format_request("POST", f"/api/{ident}", headers | {"Idempotency-Key": idempotency_key})
+        return format_request("GET", f"/api/{call_id}", headers)
+    return format_request("POST", f"/api/{call_id}", headers | {"Idempotency-Key": idempotency_key})
--- a/scale/latency/experiment.py
+++ b/scale/latency/experiment.py
@@ -10,7 +10,7 @@
 from scale.errors import UntracedCollectorError
 from scale.experiment import Experiment
 
-SERVERS_MOST = 4_900  # each is a listening socket of one process
+MAXIMUM_SERVERS = 4_900  # each is a listening socket of one process
 
 
 class Collector(StrEnum):
@@ -26,7 +26,7 @@
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
-    servers: int = Field(ge=1, le=SERVERS_MOST)  # in the list, each with a listener
+    servers: int = Field(ge=1, le=MAXIMUM_SERVERS)  # in the list, each with a listener
     changes_per_s: float = Field(default=0.0, ge=0.0, le=100.0)  # restarts of single servers in the list
     snapshots_per_s: float = Field(default=0.0, ge=0.0, le=10.0)  # the registry forgets what changed
     collector: Collector = Collector.PROGRAM
--- a/scale/latency/point.py
+++ b/scale/latency/point.py
@@ -40,8 +40,8 @@
 
 _CLASS = "read"  # of the sample configuration: safe to repeat
 _BUDGET_S = 2.0
-_CALL_LIMIT_S = 2.5
-_STOP_LIMIT_S = 15.0
+_CALL_TIMEOUT_S = 2.5
+_STOP_TIMEOUT_S = 15.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -145,7 +145,7 @@
         return start_sidecar(self._group, config, self._folder, program)
 
     def _counts(self) -> ServerCounts:
-        return self._servers.ask(GetServerCounts(), ServerCounts)
+        return self._servers.request(GetServerCounts(), ServerCounts)
 
     async def _call(self, through_sidecar: HttpClient, duration_s: float, seed: int) -> list[CallResult]:
         """Call in turn through the sidecar and direct."""
@@ -156,7 +156,7 @@
             client = self._direct[direct[number]] if number % 2 else through_sidecar
             self._calls += 1
             request = format_call(_CLASS, f"{self._calls:016x}", _BUDGET_S)
-            return await client.call(request, arrived_at, _CALL_LIMIT_S)
+            return await client.call(request, arrived_at, _CALL_TIMEOUT_S)
 
         return await run_open_loop(arrivals, start_call)
 
@@ -184,15 +184,15 @@
 
     def _force_a_snapshot(self) -> None:
         """Lose the log of changes and commit one, so that the watch is answered with the whole list."""
-        self._change_log.forget_changes()
+        self._change_log.drop_changes()
         self._change_log.commit([self._change_log.endpoint(server_name(0))])
 
     def _stop(self, sidecar: ManagedProcess) -> None:
         sidecar.popen.terminate()
         try:
-            code = sidecar.popen.wait(_STOP_LIMIT_S)
+            code = sidecar.popen.wait(_STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired as late:
-            raise SidecarStopTimeoutError(_STOP_LIMIT_S) from late
+            raise SidecarStopTimeoutError(_STOP_TIMEOUT_S) from late
         if code != 0:
             raise SidecarExitError(code)
 
--- a/scale/processes.py
+++ b/scale/processes.py
@@ -85,10 +85,10 @@
         running = [each.popen for each in self.processes if each.is_running()]
         for popen in running:
             popen.terminate()
-        give_up_at = time.monotonic() + _TERMINATE_WAIT_S
+        deadline = time.monotonic() + _TERMINATE_WAIT_S
         for popen in running:
             try:
-                popen.wait(max(give_up_at - time.monotonic(), 0.0))
+                popen.wait(max(deadline - time.monotonic(), 0.0))
             except subprocess.TimeoutExpired:
                 popen.kill()
                 popen.wait()
--- a/scale/sidecar_process.py
+++ b/scale/sidecar_process.py
@@ -17,10 +17,10 @@
 
 SAMPLE_CONFIG = Path(__file__).resolve().parent.parent / "deploy" / "sample" / "config.json"
 PROGRAM = (sys.executable, "-m", "topazbank")
-READY_WITHIN_S = 15.0
+READY_TIMEOUT_S = 15.0
 
-_ASK_EVERY_S = 0.05
-_ASK_LIMIT_S = 1.0
+_POLL_INTERVAL_S = 0.05
+_PROBE_TIMEOUT_S = 1.0
 
 
 def sample_config(listen: Address, discovery: Address) -> dict[str, Any]:
@@ -58,16 +58,16 @@
 
 def await_ready(sidecar: ManagedProcess, listen: Address, folder: Path) -> None:
     """Wait until a sidecar is ready; raise SidecarStartError if it ends first or takes over 15 s."""
-    give_up_at = time.monotonic() + READY_WITHIN_S
+    deadline = time.monotonic() + READY_TIMEOUT_S
     while not _is_ready(listen):
-        if not sidecar.is_running() or time.monotonic() > give_up_at:
+        if not sidecar.is_running() or time.monotonic() > deadline:
             lines = log_path(folder).read_text(encoding="utf-8", errors="replace").splitlines()
             raise SidecarStartError(lines)
-        time.sleep(_ASK_EVERY_S)
+        time.sleep(_POLL_INTERVAL_S)
 
 
 def _is_ready(listen: Address) -> bool:
-    connection = http.client.HTTPConnection(*listen, timeout=_ASK_LIMIT_S)
+    connection = http.client.HTTPConnection(*listen, timeout=_PROBE_TIMEOUT_S)
     try:
         connection.request("GET", "/health/ready")
         return connection.getresponse().status == http.HTTPStatus.OK
--- a/scale/standins/change_log.py
+++ b/scale/standins/change_log.py
@@ -112,7 +112,7 @@
         )
         return self.commit(restarted)
 
-    def forget_changes(self) -> None:
+    def drop_changes(self) -> None:
         """Lose the log, as a registry that was started anew: whoever asks next is told the whole list."""
         self._version += 1
         self._changes.clear()
--- a/scale/standins/fleet.py
+++ b/scale/standins/fleet.py
@@ -7,8 +7,8 @@
 from scale.standins.change_log import Endpoint
 
 _PORT = 8443
-_SIZES = ("m1", "m2")  # types of machine
-_PER_GROUP = 35
+_MACHINE_TYPES = ("m1", "m2")  # types of machine
+_ENDPOINTS_PER_GROUP = 35
 
 
 def zone_name(index: int) -> str:
@@ -27,8 +27,8 @@
             name=f"s-{name:08x}",
             address=address or f"10.{index >> 16}.{index >> 8 & 255}.{index & 255}:{_PORT}",
             zone=zone_name(index % zones),
-            type=_SIZES[index % len(_SIZES)],
-            group=index // _PER_GROUP,
+            type=_MACHINE_TYPES[index % len(_MACHINE_TYPES)],
+            group=index // _ENDPOINTS_PER_GROUP,
         )
         for index, name in enumerate(names)
     ]
--- a/scale/standins/registry.py
+++ b/scale/standins/registry.py
@@ -84,7 +84,7 @@
         """What went through a listener since the start."""
         return self._listeners[listener].traffic
 
-    def set_silent(self, listener: int, silent: bool) -> None:
+    def set_partitioned(self, listener: int, partitioned: bool) -> None:
         """Cut off those who come by a listener, or end that.
 
         Its connections stay open and nothing more is read or written on them; they are reset at the end, as
@@ -92,13 +92,13 @@
         them.
         """
         chosen = self._listeners[listener]
-        if chosen.silent and not silent:
+        if chosen.partitioned and not partitioned:
             for connection in list(chosen.connections):
                 connection.abort()
-        chosen.silent = silent
+        chosen.partitioned = partitioned
 
-    def strand_connections(self) -> None:
+    def blackhole_connections(self) -> None:
         """Let all open connections fall silent for good, as where another machine takes an address over."""
         for listener in self._listeners:
             for connection in listener.connections:
-                connection.silent = True
+                connection.blackholed = True
--- a/scale/standins/registry_commands.py
+++ b/scale/standins/registry_commands.py
@@ -34,7 +34,7 @@
     indexes: list[int]
 
 
-class Committed(Message):
+class CommittedChange(Message):
     """A change that was committed, with the moment (monotonic clock) before watches were answered."""
 
     version: int
@@ -48,21 +48,21 @@
     availability: Availability
 
 
-class SetSilent(Message):
+class SetPartitioned(Message):
     """Cut off those who come by a listener, or end that."""
 
     command: Literal["silent"] = "silent"
     listener: int
-    silent: bool
+    partitioned: bool
 
 
-class StrandConnections(Message):
+class BlackholeConnections(Message):
     """Let all open connections fall silent for good, while new ones are served."""
 
     command: Literal["strand"] = "strand"
 
 
-class ForgetChanges(Message):
+class DropChangeLog(Message):
     """Lose the change log, as by a restart of the registry."""
 
     command: Literal["forget_changes"] = "forget_changes"
@@ -106,15 +106,15 @@
     http_bytes: int
 
 
-class GetObserved(Message):
+class GetObservedDelays(Message):
     """Ask when the only sidecar of each observed listener was first seen to hold a version."""
 
     command: Literal["observed"] = "observed"
     listeners: list[int]
-    changes: list[Committed]
+    changes: list[CommittedChange]
 
 
-class Observed(Message):
+class ObservedDelays(Message):
     """For each change, the seconds until each sidecar was seen to hold it; None: not yet."""
 
     delays_s: list[list[float | None]]
@@ -123,12 +123,12 @@
 RegistryCommand = Annotated[
     ChangeEndpoints
     | SetAvailability
-    | SetSilent
-    | StrandConnections
-    | ForgetChanges
+    | SetPartitioned
+    | BlackholeConnections
+    | DropChangeLog
     | GetCounts
     | GetTraffic
-    | GetObserved,
+    | GetObservedDelays,
     Field(discriminator="command"),
 ]
 REGISTRY_COMMANDS: TypeAdapter[RegistryCommand] = TypeAdapter(RegistryCommand)
--- a/scale/standins/registry_connection.py
+++ b/scale/standins/registry_connection.py
@@ -13,9 +13,9 @@
 from scale.standins.tcp_info import count_segments
 
 OVERLOAD_WAIT_S = 2.0  # how long an overloaded registry lets a call wait before it ends it with 503
-_HEAD_MOST = 8 * 1024
-_PART = 64 * 1024  # of an answer, given to the kernel at once: bounds what a slow reader holds in memory
-_SAMPLED = 16  # the segments of one connection in so many are counted
+_MAXIMUM_HEAD_BYTES = 8 * 1024
+_CHUNK_BYTES = 64 * 1024  # given to the kernel at once: bounds what a slow reader holds in memory
+_SAMPLING_INTERVAL = 16  # the segments of one connection in so many are counted
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
 
     server: asyncio.Server
     address: Address
-    silent: bool = False
+    partitioned: bool = False
     observed: list[ObservedCall] | None = None  # what was called here, where that is noted
     traffic: ListenerTraffic = field(default_factory=ListenerTraffic)
     connections: set[RegistryConnection] = field(default_factory=set)
@@ -50,7 +50,7 @@
     """One connection: reads calls, one at a time, and answers them."""
 
     def __init__(self, state: RegistryState, listener: Listener) -> None:
-        self.silent = False  # whether nothing is read or written any more
+        self.blackholed = False  # whether nothing is read or written any more
         self._state = state
         self._listener = listener
         self._transport: asyncio.Transport | None = None
@@ -65,17 +65,17 @@
         """Count the connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        transport.set_write_buffer_limits(high=_PART)
+        transport.set_write_buffer_limits(high=_CHUNK_BYTES)
         self._listener.connections.add(self)
         counts = self._state.counts
         counts.connections += 1
-        self._sampled = counts.connections % _SAMPLED == 0
+        self._sampled = counts.connections % _SAMPLING_INTERVAL == 0
 
     def data_received(self, data: bytes) -> None:
         """Read the calls in what has arrived, unless the listener is cut off."""
         self._state.counts.bytes_in += len(data)
         self._listener.traffic.http_bytes += len(data)
-        if self.silent or self._listener.silent:
+        if self.blackholed or self._listener.partitioned:
             return
         self._unread += data
         self._read_call()
@@ -85,7 +85,7 @@
             return  # answered first: calls on a connection are taken in order
         head, end, rest = self._unread.partition(b"\r\n\r\n")
         if not end:
-            if len(self._unread) > _HEAD_MOST:
+            if len(self._unread) > _MAXIMUM_HEAD_BYTES:
                 self._reject(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
             return
         self._unread = rest
@@ -124,7 +124,7 @@
             self._timer.cancel()
             self._timer = None
         self._state.remove_watch(self)
-        if not (self.silent or self._listener.silent):
+        if not (self.blackholed or self._listener.partitioned):
             self._answer()
 
     def _answer(self) -> None:
@@ -151,7 +151,7 @@
         written = head % (status, status.phrase.encode(), close, len(body))
         self._state.counts.bytes_out += len(written) + len(body)
         self._listener.traffic.http_bytes += len(written) + len(body)
-        first = _PART - len(written)
+        first = _CHUNK_BYTES - len(written)
         self._body = memoryview(body)[first:]
         self._transport.write(written + body[:first])
         self._write_on()
@@ -159,7 +159,7 @@
     def _write_on(self) -> None:
         assert self._transport is not None
         while self._body and self._writable and not self._transport.is_closing():
-            part, self._body = self._body[:_PART], self._body[_PART:]
+            part, self._body = self._body[:_CHUNK_BYTES], self._body[_CHUNK_BYTES:]
             self._transport.write(part)
         if not self._body:
             self._end_call()
--- a/scale/standins/registry_process.py
+++ b/scale/standins/registry_process.py
@@ -17,18 +17,18 @@
 from scale.standins.registry import RegistryServer
 from scale.standins.registry_commands import (
     REGISTRY_COMMANDS,
+    BlackholeConnections,
     ChangeEndpoints,
-    Committed,
+    CommittedChange,
     Counts,
-    ForgetChanges,
+    DropChangeLog,
     GetCounts,
-    GetObserved,
+    GetObservedDelays,
     GetTraffic,
-    Observed,
+    ObservedDelays,
     RegistryOptions,
     SetAvailability,
-    SetSilent,
-    StrandConnections,
+    SetPartitioned,
     TrafficTotals,
 )
 
@@ -48,12 +48,12 @@
                 return self._change(command)
             case SetAvailability():
                 self._server.set_availability(command.availability)
-            case SetSilent():
-                self._server.set_silent(command.listener, command.silent)
-            case StrandConnections():
-                self._server.strand_connections()
-            case ForgetChanges():
-                self._server.change_log.forget_changes()
+            case SetPartitioned():
+                self._server.set_partitioned(command.listener, command.partitioned)
+            case BlackholeConnections():
+                self._server.blackhole_connections()
+            case DropChangeLog():
+                self._server.change_log.drop_changes()
             case GetCounts():
                 return self._counts()
             case GetTraffic():
@@ -62,11 +62,11 @@
                     calls=sum(each.calls for each in traffic),
                     http_bytes=sum(each.http_bytes for each in traffic),
                 )
-            case GetObserved():
+            case GetObservedDelays():
                 return self._observed(command)
         return Done()
 
-    def _change(self, command: ChangeEndpoints) -> Committed:
+    def _change(self, command: ChangeEndpoints) -> CommittedChange:
         log, at_s = self._server.change_log, time.monotonic()
         names = [self._fleet[index].name for index in command.indexes]
         match command.change:
@@ -78,22 +78,22 @@
                 version = log.remove(names)
             case "add":
                 version = log.commit([self._fleet[index] for index in command.indexes])
-        return Committed(version=version, at_s=at_s)
+        return CommittedChange(version=version, at_s=at_s)
 
     def _counts(self) -> Counts:
         counts = self._server.counts
         figures = {name: getattr(counts, name) for name in Counts.model_fields if name != "version"}
         return Counts(version=self._server.change_log.version, **figures)
 
-    def _observed(self, command: GetObserved) -> Observed:
-        return Observed(
+    def _observed(self, command: GetObservedDelays) -> ObservedDelays:
+        return ObservedDelays(
             delays_s=[
-                [self._seen_after(change, listener) for listener in command.listeners]
+                [self._first_seen_after(change, listener) for listener in command.listeners]
                 for change in command.changes
             ]
         )
 
-    def _seen_after(self, change: Committed, listener: int) -> float | None:
+    def _first_seen_after(self, change: CommittedChange, listener: int) -> float | None:
         for call in self._server.observed_calls(listener):
             if call.after >= change.version and call.at_s >= change.at_s:
                 return call.at_s - change.at_s
--- a/scale/standins/registry_protocol.py
+++ b/scale/standins/registry_protocol.py
@@ -8,7 +8,7 @@
 from urllib.parse import parse_qsl
 
 PATH = "/registry/instances"
-WAIT_MOST_MS = 60_000
+MAXIMUM_WAIT_MS = 60_000
 _REQUEST_LINE = re.compile(rb"([A-Z]+) (/[!-~]*) HTTP/1\.([01])")
 _HEADER_LINE = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+):[ \t]*(.*?)[ \t]*")
 _BODY_HEADERS = frozenset((b"content-length", b"transfer-encoding"))
@@ -65,4 +65,4 @@
     after, wait_ms = values.get("after"), values.get("wait_ms", 0)
     if values.keys() - {"after", "wait_ms"} or wait_ms < 0 or (after is None and wait_ms):
         raise MalformedCallError(HTTPStatus.BAD_REQUEST)
-    return after, min(wait_ms, WAIT_MOST_MS)
+    return after, min(wait_ms, MAXIMUM_WAIT_MS)
--- a/tests/scale/test_control.py
+++ b/tests/scale/test_control.py
@@ -28,17 +28,17 @@
 
 ROOT = Path(__file__).parent.parent.parent
 SMALL = ROOT / "scale" / "experiments" / "control-small.toml"
-PATIENCE_S = 30.0
+TIMEOUT_S = 30.0
 
 
 def test_delay_counts_from_the_commit_to_the_first_newer_version() -> None:
     log = AppliedLog()
     for version, at_s in ((1, 10.0), (4, 12.0), (4, 20.0), (5, 21.0)):
         log.add(version, at_s)
-    assert log.in_force_after(2, 11.5) == 0.5  # told together with later changes
-    assert log.in_force_after(4, 15.0) == 5.0  # the whole list was told again
-    assert log.in_force_after(5, 15.0) == 6.0
-    assert log.in_force_after(6, 15.0) is None
+    assert log.delay_until_applied(2, 11.5) == 0.5  # told together with later changes
+    assert log.delay_until_applied(4, 15.0) == 5.0  # the whole list was told again
+    assert log.delay_until_applied(5, 15.0) == 6.0
+    assert log.delay_until_applied(6, 15.0) is None
     assert log.version() == 5
 
 
@@ -49,14 +49,14 @@
     [first, second] = await server.start(listeners=2)
     sidecar = StubSidecar(settings_from_wire(sidecar_settings("z00")), 1, first)
     try:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             sidecar.start()
             await wait_until(lambda: sidecar.applied.version() >= 1)
             log.drain(leave)
             await wait_until(lambda: sidecar.applied.version() >= 2)
             for request in range(8):
                 assert sent_to(sidecar, request) == [stays]
-            sidecar.move(second)
+            sidecar.migrate(second)
             log.remove([stays])
             await wait_until(lambda: sidecar.applied.version() >= 3)
             assert sent_to(sidecar, 8) == []
--- a/tests/scale/test_demo.py
+++ b/tests/scale/test_demo.py
@@ -30,11 +30,11 @@
 
 DEMO = [sys.executable, "-m", "scale", "demo", "--duration", "4", "--rate", "30"]
 CONFIGURATION_PAGE = SAMPLE_CONFIG.parents[2] / "docs" / "CONFIGURATION.md"
-PATIENCE_S = 60.0
+TIMEOUT_S = 60.0
 
 
 def test_demo_shows_calls_served_through_a_drain_and_a_kill() -> None:
-    ended = subprocess.run(DEMO, capture_output=True, text=True, check=False, timeout=PATIENCE_S)
+    ended = subprocess.run(DEMO, capture_output=True, text=True, check=False, timeout=TIMEOUT_S)
     assert ended.returncode == 0, ended.stdout + ended.stderr
     assert "all went as it should" in ended.stdout
     assert "refused 0, failed 0" in ended.stdout
@@ -47,7 +47,7 @@
         first_line = demo.stdout.readline()
         sidecar = psutil.Process(int(first_line.split("process ")[1].split(",")[0]))
         demo.send_signal(signal.SIGINT)
-        assert demo.wait(PATIENCE_S) != 0
+        assert demo.wait(TIMEOUT_S) != 0
         assert not sidecar.is_running()
         demo.stdout.close()
     finally:
--- a/tests/scale/test_latency.py
+++ b/tests/scale/test_latency.py
@@ -24,7 +24,7 @@
 from scale.results import Measurement, ResultWriter, read_results
 from scale.standins.server import ServedBody
 
-PATIENCE_S = 60.0
+TIMEOUT_S = 60.0
 EXPERIMENTS = Path(__file__).resolve().parents[2] / "scale" / "experiments"
 GIVEN: dict[str, Any] = {
     "name": "a",
@@ -194,7 +194,7 @@
             assert run.poll() is None
             started = psutil.Process(run.pid).children()
         run.send_signal(signal.SIGINT)
-        assert run.wait(PATIENCE_S) != 0
+        assert run.wait(TIMEOUT_S) != 0
         assert not any(each.is_running() for each in started)
         run.stderr.close()
     finally:
--- a/tests/scale/test_registry_standin.py
+++ b/tests/scale/test_registry_standin.py
@@ -18,7 +18,7 @@
 from scale.standins.registry_state import Availability
 from topazbank.net.discovery import parse_registry
 
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 ENDPOINTS = [Endpoint("s-1", "10.0.0.1:80", "a"), Endpoint("s-2", "10.0.0.2:80", "b", weight=2.0)]
 
 
@@ -26,7 +26,7 @@
 async def registry(log: ChangeLog, listeners: int = 1) -> AsyncIterator[tuple[RegistryServer, list[Address]]]:
     server = RegistryServer(log)
     try:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             yield server, await server.start(listeners)
     finally:
         await server.stop()
@@ -123,9 +123,9 @@
     assert not log.since(log.version).is_snapshot
 
 
-def test_registry_that_lost_its_log_tells_all_anew() -> None:
+def test_registry_without_its_change_log_sends_a_snapshot() -> None:
     log = ChangeLog(ENDPOINTS)
-    log.forget_changes()
+    log.drop_changes()
     assert log.since(1).is_snapshot
     assert not log.since(log.version).is_snapshot
 
@@ -156,12 +156,12 @@
     asyncio.run(check_outage())
 
 
-async def check_silence() -> None:
+async def check_partition() -> None:
     async with registry(ChangeLog(ENDPOINTS), listeners=2) as (server, [first, second]):
-        server.set_silent(1, True)
+        server.set_partitioned(1, True)
         reader, writer = await send(second, call())
         assert (await ask(first))[0] == 200
-        server.set_silent(1, False)
+        server.set_partitioned(1, False)
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
             await read_answer(reader)
         assert (await ask(second))[0] == 200
@@ -169,24 +169,24 @@
         writer.close()
 
 
-def test_silenced_listener_answers_nothing_until_it_is_back() -> None:
-    asyncio.run(check_silence())
+def test_partitioned_listener_answers_nothing_until_it_is_back() -> None:
+    asyncio.run(check_partition())
 
 
-async def check_stranded() -> None:
+async def check_blackholed() -> None:
     log = ChangeLog(ENDPOINTS)
     async with registry(log) as (server, [address]):
         _, writer = await send(address, call("?after=1&wait_ms=60000"))
         await until_watching(server, 1)
-        server.strand_connections()
+        server.blackhole_connections()
         log.restart(["s-1"], 5)
         assert (await ask(address, "?after=1"))[1]["index"] == 2
         assert server.counts.deltas == 1  # and none to the watch
         writer.close()
 
 
-def test_stranded_watch_hears_nothing_while_new_calls_are_served() -> None:
-    asyncio.run(check_stranded())
+def test_blackholed_watch_gets_nothing_while_new_calls_are_served() -> None:
+    asyncio.run(check_blackholed())
 
 
 async def check_kept_connection() -> None:
--- a/tests/scale/test_server_standin.py
+++ b/tests/scale/test_server_standin.py
@@ -17,7 +17,7 @@
 from scale.open_loop import poisson_arrivals, run_open_loop
 from scale.standins.server import ServedBody, ServerMode, ServerStandin, exponential_service_times
 
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 CALL = format_call("read", "0000000000000001", 2.0)
 
 
@@ -27,14 +27,14 @@
     await server.start()
     client = HttpClient(server.address)
     try:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             yield server, client
     finally:
         client.close()
         server.die()
 
 
-async def call(client: HttpClient, request: bytes = CALL, limit_s: float = PATIENCE_S) -> CallResult:
+async def call(client: HttpClient, request: bytes = CALL, limit_s: float = TIMEOUT_S) -> CallResult:
     return await client.call(request, 0.0, limit_s)
 
 
@@ -108,7 +108,7 @@
 
 def test_dead_server_resets_its_connections_and_refuses_new_ones() -> None:
     async def scene() -> None:
-        async with server_and_client(service_s=PATIENCE_S) as (server, client):
+        async with server_and_client(service_s=TIMEOUT_S) as (server, client):
             held = asyncio.create_task(call(client))
             await wait_until(lambda: server.counters.requests == 1)
             server.die()
@@ -137,7 +137,7 @@
 
 def test_request_over_a_busy_connection_breaks_the_protocol() -> None:
     async def scene() -> None:
-        async with server_and_client(service_s=PATIENCE_S) as (server, client):
+        async with server_and_client(service_s=TIMEOUT_S) as (server, client):
             assert (await call(client, CALL + CALL)).status == NO_ANSWER
             assert server.counters.overlapping == 1
 
@@ -167,7 +167,7 @@
             await last_started.wait()  # the first call is answered only once the last has been sent
             return CallResult(arrived_at, arrived_at, arrived_at, 200, b"")
 
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             results = await run_open_loop([0.0, 0.0, 0.001], start_call)
         assert started == [0, 1, 2]
         assert len(results) == 3
