--- a/scale/capacity/evaluation.py
+++ b/scale/capacity/evaluation.py
@@ -15,37 +15,39 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class Evaluation:
     """What a figure came to."""
 
     value: float
-    least: float
-    most: float
-    how: str
+    minimum: float
+    maximum: float
+    derivation: str
     run: str
-    at_least: bool = False  # whether the run ended before what was timed
+    is_lower_bound: bool = False  # whether the run ended before what was timed
 
 
-def find_figure(figure: Figure, results: Results) -> Found | None:
+def evaluate_figure(figure: Figure, results: Results) -> Evaluation | None:
     """Work a figure out of its files' measurements; None if no run gave it yet."""
-    chosen: list[Measurement] = []
+    selected: list[Measurement] = []
     runs = []
     for name in figure.results:
-        run = [each for each in _choose_run(figure, results.get(name, ())) if _matches(figure, each)]
-        chosen.extend(run)
+        run = [each for each in _select_run(figure, results.get(name, ())) if _matches(figure, each)]
+        selected.extend(run)
         if run:
             runs.append(_describe_run(name, run))
-    if not chosen:
+    if not selected:
         return None
     if figure.against is not None and figure.at is not None:
-        return _fitted(figure, figure.against, figure.at, chosen, "; ".join(runs))
-    values = [each.value * figure.times for each in chosen]
-    how = "measured" if len(values) == 1 else f"measured, median of {len(values)}"
+        return _evaluate_line(figure, figure.against, figure.at, selected, "; ".join(runs))
+    values = [each.value * figure.times for each in selected]
+    derivation = "measured" if len(values) == 1 else f"measured, median of {len(values)}"
     if figure.processes:
         one = format_number(statistics.median(values) / figure.times)
-        how = f"worked out: {one} {chosen[0].unit} x {figure.processes}"
-    ended_early = any(each.labels.get("recovered") is False for each in chosen)
-    return Found(statistics.median(values), min(values), max(values), how, "; ".join(runs), ended_early)
+        derivation = f"worked out: {one} {selected[0].unit} x {figure.processes}"
+    is_lower_bound = any(each.labels.get("recovered") is False for each in selected)
+    return Evaluation(
+        statistics.median(values), min(values), max(values), derivation, "; ".join(runs), is_lower_bound
+    )
 
 
 def _describe_run(name: str, run: Sequence[Measurement]) -> str:
@@ -53,7 +55,7 @@
     return f"{name}, {run[0].commit}, seed {', '.join(map(str, seeds))}"
 
 
-def _choose_run(figure: Figure, measurements: Sequence[Measurement]) -> list[Measurement]:
+def _select_run(figure: Figure, measurements: Sequence[Measurement]) -> list[Measurement]:
     commits = [each.commit for each in measurements if each.commit not in figure.not_commits]
     commit = figure.commit or (commits[-1] if commits else None)
     return [each for each in measurements if each.commit == commit]
@@ -70,22 +72,24 @@
     return isinstance(size, int | float) and (figure.up_to is None or size <= figure.up_to)
 
 
-def _fitted(figure: Figure, against: str, at: float, chosen: Sequence[Measurement], run: str) -> Found | None:
-    sizes = [float(each.labels[against]) for each in chosen]
+def _evaluate_line(
+    figure: Figure, against: str, at: float, selected: Sequence[Measurement], run: str
+) -> Evaluation | None:
+    sizes = [float(each.labels[against]) for each in selected]
     if len(set(sizes)) == 1:
         return None
-    slope = fit_slope(sizes, [each.value for each in chosen])
+    slope = fit_slope(sizes, [each.value for each in selected])
     value = slope.at(at) * figure.times
-    return Found(value, value, value, _describe_line(figure, slope, against, at, chosen[0].unit), run)
+    return Evaluation(value, value, value, _describe_line(figure, slope, against, at, selected[0].unit), run)
 
 
 def _describe_line(figure: Figure, slope: Slope, against: str, at: float, unit: str) -> str:
-    reach = f"measured to {format_number(slope.largest)}"
+    measured_range = f"measured to {format_number(slope.largest)}"
     if at > slope.largest:
-        reach += ", beyond that extrapolated"
+        measured_range += ", beyond that extrapolated"
     name = against.replace("_", " ")
     line = f"{format_number(slope.per_unit)} x {format_number(at)} {name}"
     line += f" {'-' if slope.at_zero < 0.0 else '+'} {format_number(abs(slope.at_zero))} {unit}"
     if figure.processes:
         line = f"({line}) x {figure.processes}"
-    return f"worked out: {line}; {reach}, r2 {slope.r_squared:.2f}"
+    return f"worked out: {line}; {measured_range}, r2 {slope.r_squared:.2f}"
--- a/scale/capacity/page.py
+++ b/scale/capacity/page.py
@@ -15,7 +15,7 @@
 _BLOCK = re.compile(r"(<!-- table: (?P<name>[a-z-]+) -->\n).*?(<!-- end of table -->)", re.DOTALL)
 
 
-def _rank(figures: Sequence[Figure]) -> list[Figure]:
+def _ranked_figures(figures: Sequence[Figure]) -> list[Figure]:
     """The figures of what is missing, in order, as rows of a table of their own."""
     ranked = sorted((figure.rank, index) for index, figure in enumerate(figures) if figure.rank is not None)
     return [
@@ -33,14 +33,14 @@
     for name in {name for figure in figures for name in figure.results}:
         path = folder / f"{name}.jsonl"
         results[name] = read_results([path]) if path.exists() else []
-    shown = [*figures, *_rank(figures)]
-    wanted = {match["name"] for match in _BLOCK.finditer(text)}
-    known = {figure.table for figure in shown}
-    if wanted != known:
-        raise UnmatchedTableError(wanted ^ known)
+    displayed = [*figures, *_ranked_figures(figures)]
+    marked = {match["name"] for match in _BLOCK.finditer(text)}
+    known = {figure.table for figure in displayed}
+    if marked != known:
+        raise UnmatchedTableError(marked ^ known)
 
     def fill(match: re.Match[str]) -> str:
-        chosen = [figure for figure in shown if figure.table == match["name"]]
-        return f"{match[1]}{format_figures(chosen, results)}{match[3]}"
+        selected = [figure for figure in displayed if figure.table == match["name"]]
+        return f"{match[1]}{format_figures(selected, results)}{match[3]}"
 
     return _BLOCK.sub(fill, text)
--- a/scale/cli.py
+++ b/scale/cli.py
@@ -21,7 +21,7 @@
 from scale.report import format_table
 from scale.results import ResultWriter, read_results
 from scale.slopes import fit_slopes, format_slopes
-from scale.suite import EXPERIMENTS, LIMIT_S, RESULTS, find_experiments, run_suite
+from scale.suite import EXPERIMENTS, RESULTS, TIME_LIMIT_S, find_experiments, run_suite
 
 EXIT_FAULT = 1
 EXIT_BAD_INPUT = 2
@@ -59,9 +59,9 @@
     experiments: Annotated[Path, typer.Option(help="Folder of the experiment files.")] = EXPERIMENTS,
 ) -> None:
     """Run the whole set of experiments, without the small ones for tests."""
-    took_s = run_suite(find_experiments(experiments), results)
-    note = log.warning if took_s > LIMIT_S else log.info
-    note("suite ended", took_s=round(took_s, 1), limit_s=LIMIT_S, results=str(results))
+    elapsed_s = run_suite(find_experiments(experiments), results)
+    note = log.warning if elapsed_s > TIME_LIMIT_S else log.info
+    note("suite ended", elapsed_s=round(elapsed_s, 1), limit_s=TIME_LIMIT_S, results=str(results))
 
 
 @app.command()
--- a/scale/control/measure.py
+++ b/scale/control/measure.py
@@ -118,7 +118,9 @@
     writer.add("discovery", "calls", traffic.calls / traffic.seconds, "1/s", labels)
     writer.add("discovery", "http bytes", traffic.http_bytes / traffic.seconds, "bytes/s", labels)
     writer.add("discovery", "snapshots", after.counts.snapshots - before.counts.snapshots, "answers", labels)
-    writer.add("discovery", "refused", after.counts.refused - before.counts.refused, "answers", labels)
+    writer.add(
+        "discovery", "refused", after.counts.unavailable - before.counts.unavailable, "answers", labels
+    )
     stub_cores = sum(map(_cores, before.stubs, after.stubs)) / fleet.stubs.count
     writer.add(STUB_ROLE, "cpu", stub_cores, "cores", labels)
     busiest = max(map(_cores, before.stubs, after.stubs))
--- a/scale/demo/outcome.py
+++ b/scale/demo/outcome.py
@@ -13,7 +13,7 @@
 
 DRAINED, KILLED = 1, 2  # numbers of the servers
 DRAIN_GRACE_S = 1.0  # drainGraceUs of the sample configuration
-_REJECTED_STATUSES = frozenset((HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE))
+_SHED_STATUSES = frozenset((HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE))
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
     results: Sequence[CallResult]
     phases: Sequence[Phase]
     servers: Sequence[ServerOutcome]
-    drain_told_at: float  # monotonic clock
+    drain_notified_at: float  # monotonic clock
     exit_code: int | None  # of the sidecar, after SIGTERM; None: it had to be killed
     log: Sequence[str] = field(default_factory=list)
 
@@ -49,13 +49,13 @@
         """Calls answered 200."""
         return [each for each in self.results if each.status == HTTPStatus.OK]
 
-    def refused(self) -> int:
+    def shed(self) -> int:
         """How many calls were answered 429 or 503."""
-        return sum(each.status in _REJECTED_STATUSES for each in self.results)
+        return sum(each.status in _SHED_STATUSES for each in self.results)
 
     def failed(self) -> int:
         """How many calls got any other answer, or none."""
-        return len(self.results) - len(self.served()) - self.refused()
+        return len(self.results) - len(self.served()) - self.shed()
 
     def served_by_phase(self) -> list[Counter[str]]:
         """Calls served in each phase, by server."""
@@ -71,7 +71,7 @@
     def added_us(self) -> LatencyHistogram:
         """What each served call took beyond the time that its server held it."""
         return LatencyHistogram(
-            [each.latency_us - ServedBody.decode(each.body).held_us for each in self.served()]
+            [each.latency_us - ServedBody.decode(each.body).service_time_us for each in self.served()]
         )
 
     def faults(self) -> list[str]:
@@ -81,10 +81,10 @@
         survivors = [each for n, each in enumerate(self.servers) if n not in (DRAINED, KILLED)]
         checks = [
             (not self.results, "no calls were made"),
-            (bool(self.refused()), f"{self.refused()} calls were refused"),
+            (bool(self.shed()), f"{self.shed()} calls were shed"),
             (bool(self.failed()), f"{self.failed()} calls failed"),
             (
-                drained.last_request_at > self.drain_told_at + DRAIN_GRACE_S,
+                drained.last_request_at > self.drain_notified_at + DRAIN_GRACE_S,
                 f"{drained.name} got calls later than {DRAIN_GRACE_S:.0f} s after the registry drained it",
             ),
             (
--- a/scale/demo/report.py
+++ b/scale/demo/report.py
@@ -17,11 +17,11 @@
     lines = align_columns(rows, str.rjust)
     added = outcome.added_us()
     drained = outcome.servers[DRAINED]
-    stopped_after_ms = max((drained.last_request_at - outcome.drain_told_at) * 1000, 0.0)
+    stopped_after_ms = max((drained.last_request_at - outcome.drain_notified_at) * 1000, 0.0)
     attempts = sum(server.requests for server in outcome.servers)
     lines += [
         "",
-        f"calls: {len(outcome.results)}, served {len(outcome.served())}, refused {outcome.refused()},"
+        f"calls: {len(outcome.results)}, served {len(outcome.served())}, shed {outcome.shed()},"
         f" failed {outcome.failed()}; attempts that reached servers: {attempts}",
         f"{drained.name} got its last call {stopped_after_ms:.0f} ms after the registry had drained it",
         f"time beyond the server's own: {added.quantile(50) / 1000:.2f} ms for 50 in 100 calls,"
--- a/scale/demo/run.py
+++ b/scale/demo/run.py
@@ -25,46 +25,46 @@
 _CLASS = "read"  # of the sample configuration: safe to repeat
 _BUDGET_S = 2.0
 _CALL_TIMEOUT_S = 2.5
-_DRAIN_AT, _KILL_AT = 1 / 3, 2 / 3  # of the duration
-_KILL_TOLD_AFTER_S = 0.5  # how late the registry learns of a death
+_DRAIN_FRACTION, _KILL_FRACTION = 1 / 3, 2 / 3  # of the duration
+_REMOVAL_DELAY_S = 0.5  # how late the registry learns of a death
 _STOP_TIMEOUT_S = 10.0
 
-Say = Callable[[str], None]
+Echo = Callable[[str], None]
 
 
-def run_demo(duration_s: float, rate_per_s: float, seed: int, say: Say) -> DemoOutcome:
+def run_demo(duration_s: float, rate_per_s: float, seed: int, echo: Echo) -> DemoOutcome:
     """Run the demonstration; raise SidecarError if the sidecar does not start."""
     with tempfile.TemporaryDirectory() as folder, ReservedAddress() as listen, ProcessGroup() as group:
-        demo = _Demo(Path(folder), group, listen.address, seed, say)
+        demo = _Demo(Path(folder), group, listen.address, seed, echo)
         return asyncio.run(demo.run(duration_s, rate_per_s))
 
 
 class _Demo:
     """The parts of one run."""
 
-    def __init__(self, folder: Path, group: ProcessGroup, listen: Address, seed: int, say: Say) -> None:
+    def __init__(self, folder: Path, group: ProcessGroup, listen: Address, seed: int, echo: Echo) -> None:
         self._folder = folder
         self._group = group
         self._listen = listen
         self._seed = seed
-        self._say = say
+        self._echo = echo
         self._servers = [
             ServerStandin(f"s-{number}", exponential_service_times(_SERVICE_MEAN_S, seed + number))
             for number in range(SERVERS)
         ]
         self._change_log = ChangeLog()
         self._registry = RegistryServer(self._change_log)
-        self._drain_told_at = 0.0
+        self._drain_notified_at = 0.0
 
     async def run(self, duration_s: float, rate_per_s: float) -> DemoOutcome:
         discovery = await self._start_standins()
         listen = self._listen
         sidecar = start_sidecar(self._group, sample_config(listen, discovery), self._folder)
-        self._say(f"sidecar started: process {sidecar.pid}, listening at {format_address(listen)}")
+        self._echo(f"sidecar started: process {sidecar.pid}, listening at {format_address(listen)}")
         await asyncio.to_thread(await_ready, sidecar, listen, self._folder)
-        self._say(f"sidecar is ready; {rate_per_s:.0f} calls a second for {duration_s:.0f} s")
-        faults = asyncio.create_task(self._play_faults(duration_s))
-        began = time.monotonic()
+        self._echo(f"sidecar is ready; {rate_per_s:.0f} calls a second for {duration_s:.0f} s")
+        faults = asyncio.create_task(self._inject_faults(duration_s))
+        started_at = time.monotonic()
         results = await self._send_calls(listen, poisson_arrivals(rate_per_s, duration_s, self._seed))
         await faults
         exit_code = await asyncio.to_thread(_stop, sidecar)
@@ -72,15 +72,15 @@
         for server in self._servers:
             server.close()
         phases = [
-            Phase("all up", began + duration_s * _DRAIN_AT),
-            Phase(f"s-{DRAINED} drained", began + duration_s * _KILL_AT),
-            Phase(f"s-{KILLED} killed", began + duration_s),
+            Phase("all up", started_at + duration_s * _DRAIN_FRACTION),
+            Phase(f"s-{DRAINED} drained", started_at + duration_s * _KILL_FRACTION),
+            Phase(f"s-{KILLED} killed", started_at + duration_s),
         ]
         return DemoOutcome(
             results,
             phases,
             [_server_outcome(server) for server in self._servers],
-            self._drain_told_at,
+            self._drain_notified_at,
             exit_code,
             log_path(self._folder).read_text(encoding="utf-8", errors="replace").splitlines(),
         )
@@ -105,19 +105,21 @@
         finally:
             client.close()
 
-    async def _play_faults(self, duration_s: float) -> None:
-        began = time.monotonic()
-        await asyncio.sleep(duration_s * _DRAIN_AT)
+    async def _inject_faults(self, duration_s: float) -> None:
+        started_at = time.monotonic()
+        await asyncio.sleep(duration_s * _DRAIN_FRACTION)
         drained, killed = self._servers[DRAINED], self._servers[KILLED]
-        self._say(f"{time.monotonic() - began:.1f} s: registry drains {drained.name}")
+        self._echo(f"{time.monotonic() - started_at:.1f} s: registry drains {drained.name}")
         drained.drain()
-        self._drain_told_at = time.monotonic()
+        self._drain_notified_at = time.monotonic()
         self._change_log.drain([drained.name])
-        await asyncio.sleep(duration_s * (_KILL_AT - _DRAIN_AT))
-        self._say(f"{time.monotonic() - began:.1f} s: {killed.name} is killed")
-        killed.die()
-        await asyncio.sleep(_KILL_TOLD_AFTER_S)
-        self._say(f"{time.monotonic() - began:.1f} s: registry removes {drained.name} and {killed.name}")
+        await asyncio.sleep(duration_s * (_KILL_FRACTION - _DRAIN_FRACTION))
+        self._echo(f"{time.monotonic() - started_at:.1f} s: {killed.name} is killed")
+        killed.kill()
+        await asyncio.sleep(_REMOVAL_DELAY_S)
+        self._echo(
+            f"{time.monotonic() - started_at:.1f} s: registry removes {drained.name} and {killed.name}"
+        )
         self._change_log.remove([drained.name, killed.name])
 
 
--- a/scale/http1.py
+++ b/scale/http1.py
@@ -67,7 +67,7 @@
     return _format(f"{method} {target} HTTP/1.1", headers, body)
 
 
-def format_answer(status: HTTPStatus, headers: Mapping[str, str], body: bytes = b"") -> bytes:
+def format_response(status: HTTPStatus, headers: Mapping[str, str], body: bytes = b"") -> bytes:
     """The bytes of an answer."""
     return _format(f"HTTP/1.1 {status.value} {status.phrase}", headers, body)
 
--- a/scale/http_client.py
+++ b/scale/http_client.py
@@ -9,7 +9,7 @@
 from scale.http1 import Message, MessageReader, format_request
 
 Address = tuple[str, int]
-NO_ANSWER = 0  # in place of a status: the connection failed or the time was over
+NO_RESPONSE = 0  # in place of a status: the connection failed or the time was over
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
         return (self.ended_at - self.sent_at) * 1e6
 
     @property
-    def late_us(self) -> float:
+    def start_lag_us(self) -> float:
         """How late the client itself was."""
         return (self.sent_at - self.arrived_at) * 1e6
 
@@ -41,47 +41,47 @@
         self._address = address
         self._idle: list[_ClientConnection] = []
 
-    async def call(self, request: bytes, arrived_at: float, limit_s: float) -> CallResult:
+    async def call(self, request: bytes, arrived_at: float, timeout_s: float) -> CallResult:
         """Send a request; one that a closing connection left unread goes once more, on a new connection."""
         sent_at = time.monotonic()
-        connection = self._take_idle()
+        connection = self._acquire_idle()
         connected = connection is None
         try:
-            async with asyncio.timeout(limit_s):
+            async with asyncio.timeout(timeout_s):
                 if connection is not None:
                     try:
-                        answer = await self._ask(connection, request)
+                        response = await self._exchange(connection, request)
                     except ConnectionError:  # it was closed between requests: once more on a new one
-                        connected, answer = True, await self._ask_anew(request)
+                        connected, response = True, await self._exchange_on_new_connection(request)
                 else:
-                    answer = await self._ask_anew(request)
+                    response = await self._exchange_on_new_connection(request)
         except (OSError, TimeoutError):
-            return CallResult(arrived_at, sent_at, time.monotonic(), NO_ANSWER, b"", connected)
-        return CallResult(arrived_at, sent_at, time.monotonic(), answer.status, answer.body, connected)
+            return CallResult(arrived_at, sent_at, time.monotonic(), NO_RESPONSE, b"", connected)
+        return CallResult(arrived_at, sent_at, time.monotonic(), response.status, response.body, connected)
 
-    async def _ask_anew(self, request: bytes) -> Message:
+    async def _exchange_on_new_connection(self, request: bytes) -> Message:
         loop = asyncio.get_running_loop()
         _, connection = await loop.create_connection(_ClientConnection, *self._address)
-        return await self._ask(connection, request)
+        return await self._exchange(connection, request)
 
-    def _take_idle(self) -> _ClientConnection | None:
+    def _acquire_idle(self) -> _ClientConnection | None:
         while self._idle:
             connection = self._idle.pop()
             if connection.is_open():
                 return connection
         return None
 
-    async def _ask(self, connection: _ClientConnection, request: bytes) -> Message:
+    async def _exchange(self, connection: _ClientConnection, request: bytes) -> Message:
         try:
-            answer = await connection.ask(request)
+            response = await connection.send(request)
         except (asyncio.CancelledError, ConnectionError):
             connection.close()
             raise
-        if answer.headers.get("connection", "").lower() == "close":
+        if response.headers.get("connection", "").lower() == "close":
             connection.close()
         else:
             self._idle.append(connection)
-        return answer
+        return response
 
     def close(self) -> None:
         """Close the idle connections."""
@@ -96,29 +96,29 @@
     def __init__(self) -> None:
         self._reader = MessageReader()
         self._transport: asyncio.Transport | None = None
-        self._answer: asyncio.Future[Message] | None = None
+        self._response: asyncio.Future[Message] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        if self._answer is not None and not self._answer.done():
-            self._answer.set_exception(ConnectionResetError("the connection broke"))
+        if self._response is not None and not self._response.done():
+            self._response.set_exception(ConnectionResetError("the connection broke"))
 
     def data_received(self, data: bytes) -> None:
-        for answer in self._reader.feed(data):
-            if self._answer is not None and not self._answer.done():
-                self._answer.set_result(answer)
+        for response in self._reader.feed(data):
+            if self._response is not None and not self._response.done():
+                self._response.set_result(response)
 
     def is_open(self) -> bool:
         return self._transport is not None and not self._transport.is_closing()
 
-    def ask(self, request: bytes) -> asyncio.Future[Message]:
+    def send(self, request: bytes) -> asyncio.Future[Message]:
         assert self._transport is not None
-        self._answer = asyncio.get_running_loop().create_future()
+        self._response = asyncio.get_running_loop().create_future()
         self._transport.write(request)
-        return self._answer
+        return self._response
 
     def close(self) -> None:
         if self._transport is not None:
--- a/scale/latency/analysis.py
+++ b/scale/latency/analysis.py
@@ -27,12 +27,12 @@
     @property
     def overhead_us(self) -> float:
         """The latency without the time that the server held the call."""
-        return self.result.latency_us - self.body.held_us
+        return self.result.latency_us - self.body.service_time_us
 
     @property
     def is_on_new_connection(self) -> bool:
         """Whether it was the first request that its server got over its connection."""
-        return self.body.connection_call == 1
+        return self.body.connection_request_number == 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,16 +48,16 @@
         return self.through_sidecar.overhead_us - self.direct.overhead_us
 
 
-def served(result: CallResult) -> ServedCall | None:
+def parse_served(result: CallResult) -> ServedCall | None:
     """The call with what its server said; None if it was not served."""
     return ServedCall(result, ServedBody.decode(result.body)) if result.status == HTTPStatus.OK else None
 
 
-def pair_up(results: Sequence[CallResult]) -> list[Pair]:
+def pair_calls(results: Sequence[CallResult]) -> list[Pair]:
     """Each call through the sidecar with the direct call behind it, where both were served."""
     pairs = []
     for through_sidecar, direct in zip(results[::2], results[1::2], strict=False):
-        both = served(through_sidecar), served(direct)
+        both = parse_served(through_sidecar), parse_served(direct)
         if both[0] is not None and both[1] is not None:
             pairs.append(Pair(both[0], both[1]))
     return pairs
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sources:
+class OverheadSources:
     """Where each call's overhead went, in microseconds; the parts sum up to the overhead.
 
     Time without the CPU inside a callback is `preempted`; collections and registry answers are CPU time.  A
@@ -107,27 +107,27 @@
         }
 
 
-def tell_sources_apart(calls: Sequence[ServedCall], trace: Trace) -> Sources:
+def attribute_overhead(calls: Sequence[ServedCall], trace: Trace) -> OverheadSources:
     """Split each call's overhead by what the sidecar's event loop did before and after its server held it."""
     sent = np.array([call.result.sent_at for call in calls])
-    begun = np.array([call.body.began_at for call in calls])
-    answered = begun + np.array([call.body.held_us for call in calls]) / 1e6
+    service_started = np.array([call.body.started_at for call in calls])
+    service_ended = service_started + np.array([call.body.service_time_us for call in calls]) / 1e6
     ended = np.array([call.result.ended_at for call in calls])
     new = np.array([call.is_on_new_connection for call in calls], dtype=bool)
 
-    def in_windows(measure: str, name: str) -> Times:
+    def time_in_windows(measure: str, name: str) -> Times:
         between = getattr(getattr(trace, name), measure)
-        both: Times = (between(sent, begun) + between(answered, ended)) * 1e6
+        both: Times = (between(sent, service_started) + between(service_ended, ended)) * 1e6
         return both
 
-    busy = in_windows("wall_s", "callbacks")
-    cpu = in_windows("cpu_s", "callbacks")
-    collections = in_windows("cpu_s", "collections")
-    registry = in_windows("cpu_s", "registry") - in_windows("cpu_s", "collections_in_registry")
+    wall = time_in_windows("wall_s", "callbacks")
+    cpu = time_in_windows("cpu_s", "callbacks")
+    collections = time_in_windows("cpu_s", "collections")
+    registry = time_in_windows("cpu_s", "registry") - time_in_windows("cpu_s", "collections_in_registry")
     work = cpu - collections - registry
     own = np.minimum(work, _typical_work(work, new))
     overhead = np.array([call.overhead_us for call in calls])
-    return Sources(own, work - own, collections, registry, busy - cpu, overhead - busy)
+    return OverheadSources(own, work - own, collections, registry, wall - cpu, overhead - wall)
 
 
 def _typical_work(work: Times, new: np.ndarray[tuple[int], np.dtype[np.bool_]]) -> Times:
--- a/scale/latency/figures.py
+++ b/scale/latency/figures.py
@@ -10,11 +10,11 @@
 from scale.latency.analysis import (
     PERCENTS,
     SLOWEST_PERCENT,
+    attribute_overhead,
     histogram_quantiles_us,
-    pair_up,
+    pair_calls,
+    parse_served,
     quantiles_us,
-    served,
-    tell_sources_apart,
 )
 from scale.latency.experiment import LatencyExperiment, LatencyPoint
 from scale.latency.point import PointOutcome
@@ -41,8 +41,8 @@
         self._budget_us = experiment.budget_ms * 1000
         self._writer = writer
         self._labels: dict[str, Label] = point.model_dump(mode="json")
-        self._calls = [call for call in map(served, outcome.results[::2]) if call is not None]
-        self._direct = [call for call in map(served, outcome.results[1::2]) if call is not None]
+        self._calls = [call for call in map(parse_served, outcome.results[::2]) if call is not None]
+        self._direct = [call for call in map(parse_served, outcome.results[1::2]) if call is not None]
 
     def _add(self, role: str, metric: str, value: float, unit: str, **labels: Label) -> None:
         self._writer.add(role, metric, value, unit, self._labels | labels)
@@ -77,7 +77,7 @@
 
     def _write_added(self) -> None:
         """Overhead is latency without the time that the server held the call."""
-        pairs = pair_up(self._outcome.results)
+        pairs = pair_calls(self._outcome.results)
         if not pairs:
             return
         through_sidecar, direct = histogram_quantiles_us(self._calls), histogram_quantiles_us(self._direct)
@@ -93,8 +93,8 @@
 
     def _write_connections(self) -> None:
         new = [call for call in self._calls if call.is_on_new_connection]
-        kept = [call for call in self._calls if not call.is_on_new_connection]
-        for name, group in (("new", new), ("kept", kept)):
+        reused = [call for call in self._calls if not call.is_on_new_connection]
+        for name, group in (("new", new), ("kept", reused)):
             if group:
                 self._add(
                     "sidecar", "share of calls", len(group) / len(self._calls) * 100, "%", connection=name
@@ -108,8 +108,8 @@
         lag = self._outcome.lag
         for percent in PERCENTS:
             self._add("client", f"event loop lag p{percent:g}", lag.quantile(percent), "us")
-        late = LatencyHistogram([result.late_us for result in self._outcome.results])
-        self._add("client", "calls started late p99", late.quantile(99.0), "us")
+        start_lag = LatencyHistogram([result.start_lag_us for result in self._outcome.results])
+        self._add("client", "calls started late p99", start_lag.quantile(99.0), "us")
         for moment, load in zip(("before", "after"), self._outcome.load_averages, strict=True):
             self._add("machine", "load average", load, "processes", moment=moment)
         self._add("machine", "cores", os.cpu_count() or 0, "cores")
@@ -117,7 +117,7 @@
     def _write_sources(self, trace: Trace) -> None:
         overhead = np.array([call.overhead_us for call in self._calls])
         slowest = overhead >= np.percentile(overhead, SLOWEST_PERCENT)
-        sources = tell_sources_apart(self._calls, trace)
+        sources = attribute_overhead(self._calls, trace)
         for percent, value in quantiles_us(sources.event_loop_cpu()).items():
             self._add("sidecar", f"event loop CPU while a call waits p{percent:g}", value, "us")
         for source, times in sources.parts().items():
--- a/scale/latency/point.py
+++ b/scale/latency/point.py
@@ -103,7 +103,7 @@
             Endpoint(server_name(index), format_address(address), zone="a")
             for index, address in enumerate(self._addresses)
         )
-        self._generator = np.random.default_rng(experiment.seed)
+        self._rng = np.random.default_rng(experiment.seed)
         self._direct = [HttpClient(address) for address in self._addresses[:DIRECT_SERVERS]]
         self._calls = 0
 
@@ -150,7 +150,7 @@
     async def _call(self, through_sidecar: HttpClient, duration_s: float, seed: int) -> list[CallResult]:
         """Call in turn through the sidecar and direct."""
         arrivals = poisson_arrivals(2 * self._experiment.calls_per_s, duration_s, seed)
-        direct = self._generator.integers(len(self._direct), size=len(arrivals))
+        direct = self._rng.integers(len(self._direct), size=len(arrivals))
 
         async def start_call(number: int, arrived_at: float) -> CallResult:
             client = self._direct[direct[number]] if number % 2 else through_sidecar
@@ -179,7 +179,7 @@
             await asyncio.gather(*tasks, return_exceptions=True)
 
     def _restart_a_server(self) -> None:
-        index = int(self._generator.integers(self._point.servers))
+        index = int(self._rng.integers(self._point.servers))
         self._change_log.restart([server_name(index)], time.time_ns() // 1_000_000)
 
     def _force_a_snapshot(self) -> None:
@@ -190,11 +190,11 @@
     def _stop(self, sidecar: ManagedProcess) -> None:
         sidecar.popen.terminate()
         try:
-            code = sidecar.popen.wait(_STOP_TIMEOUT_S)
-        except subprocess.TimeoutExpired as late:
-            raise SidecarStopTimeoutError(_STOP_TIMEOUT_S) from late
-        if code != 0:
-            raise SidecarExitError(code)
+            exit_code = sidecar.popen.wait(_STOP_TIMEOUT_S)
+        except subprocess.TimeoutExpired as timeout:
+            raise SidecarStopTimeoutError(_STOP_TIMEOUT_S) from timeout
+        if exit_code != 0:
+            raise SidecarExitError(exit_code)
 
 
 async def _repeat(rate_per_s: float, change: Callable[[], None]) -> None:
--- a/scale/latency/traced_sidecar.py
+++ b/scale/latency/traced_sidecar.py
@@ -19,7 +19,7 @@
 from topazbank.net.discovery import Discovery
 from topazbank.net.sidecar import Sidecar
 
-_NEVER = (0, 1, 1)  # the first threshold 0 turns collection off
+_COLLECTION_DISABLED = (0, 1, 1)  # the first threshold 0 turns collection off
 
 
 def set_collector(collector: Collector) -> None:
@@ -27,7 +27,7 @@
     if collector is Collector.DEFAULT:
         program._COLLECTED = gc.get_threshold()
     elif collector is Collector.OFF:
-        program._COLLECTED = _NEVER
+        program._COLLECTED = _COLLECTION_DISABLED
 
 
 def trace_registry(tracer: Tracer) -> None:
--- a/scale/latency/tracing.py
+++ b/scale/latency/tracing.py
@@ -31,12 +31,12 @@
         """The same function, with each of its calls noted."""
 
         @functools.wraps(function)
-        def call(*arguments: Any, **named: Any) -> Any:
-            began, cpu_began = time.monotonic(), time.thread_time()
+        def call(*arguments: Any, **keywords: Any) -> Any:
+            started_at, cpu_started_at = time.monotonic(), time.thread_time()
             try:
-                return function(*arguments, **named)
+                return function(*arguments, **keywords)
             finally:
-                self.spans.append((began, time.monotonic(), time.thread_time() - cpu_began))
+                self.spans.append((started_at, time.monotonic(), time.thread_time() - cpu_started_at))
 
         return call
 
@@ -46,18 +46,18 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._began = (0.0, 0.0)
+        self._collection_started = (0.0, 0.0)
 
     def install(self) -> None:
         """Note every collection from now on."""
-        gc.callbacks.append(self._note)
+        gc.callbacks.append(self._record)
 
-    def _note(self, phase: str, _info: dict[str, int]) -> None:
+    def _record(self, phase: str, _info: dict[str, int]) -> None:
         if phase == "start":
-            self._began = (time.monotonic(), time.thread_time())
+            self._collection_started = (time.monotonic(), time.thread_time())
         else:
-            began, cpu_began = self._began
-            self.spans.append((began, time.monotonic(), time.thread_time() - cpu_began))
+            started_at, cpu_started_at = self._collection_started
+            self.spans.append((started_at, time.monotonic(), time.thread_time() - cpu_started_at))
 
 
 class Tracer:
@@ -129,4 +129,8 @@
 
 def _inside(inner: list[Span], outer: list[Span]) -> list[Span]:
     """The spans that lie inside one of the others."""
-    return [span for span in inner if any(began <= span[0] and span[1] <= ended for began, ended, _ in outer)]
+    return [
+        span
+        for span in inner
+        if any(started_at <= span[0] and span[1] <= ended for started_at, ended, _ in outer)
+    ]
--- a/scale/open_loop.py
+++ b/scale/open_loop.py
@@ -30,11 +30,11 @@
 
     `start_call` is given the call's number and its arrival time on the monotonic clock.
     """
-    began = time.monotonic()
+    started_at = time.monotonic()
     tasks: list[asyncio.Future[CallResult]] = []
     try:
         for number, after_s in enumerate(arrivals_s):
-            arrives_at = began + after_s
+            arrives_at = started_at + after_s
             await asyncio.sleep(max(arrives_at - time.monotonic(), 0.0))
             tasks.append(asyncio.ensure_future(start_call(number, arrives_at)))
         return list(await asyncio.gather(*tasks))
--- a/scale/standins/change_log.py
+++ b/scale/standins/change_log.py
@@ -8,7 +8,7 @@
 from dataclasses import asdict, dataclass, replace
 from enum import StrEnum
 
-LOG_LENGTH = 8_192  # changed entries kept: a delta that reaches back further becomes a snapshot
+MAXIMUM_CHANGES = 8_192  # changed entries kept: a delta that reaches back further becomes a snapshot
 
 
 class EndpointStatus(StrEnum):
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RegistryAnswer:
+class SerializedResponse:
     """What a call is told, serialized."""
 
     body: bytes
@@ -52,14 +52,16 @@
 class ChangeLog:
     """Endpoints by name, each change of them a version; a commit of many entries is one version."""
 
-    def __init__(self, endpoints: Iterable[Endpoint] = (), length: int = LOG_LENGTH) -> None:
+    def __init__(self, endpoints: Iterable[Endpoint] = (), length: int = MAXIMUM_CHANGES) -> None:
         self._endpoints = {each.name: each for each in endpoints}
         self._changes: deque[Change] = deque()
         self._length = length
         self._version = 1
-        self._reaches_back_to = 1  # the oldest version from which a delta can be told
-        self._snapshot: RegistryAnswer | None = None
-        self._deltas: dict[int, RegistryAnswer] = {}  # by the version they start from, up to the present one
+        self._oldest_delta_base = 1  # the oldest version from which a delta can be told
+        self._snapshot: SerializedResponse | None = None
+        self._deltas: dict[
+            int, SerializedResponse
+        ] = {}  # by the version they start from, up to the present one
         self.on_commit: Callable[[], None] = lambda: None
 
     @property
@@ -116,19 +118,19 @@
         """Lose the log, as a registry that was started anew: whoever asks next is told the whole list."""
         self._version += 1
         self._changes.clear()
-        self._reaches_back_to = self._version
+        self._oldest_delta_base = self._version
         self._snapshot = None
         self._deltas.clear()
 
-    def snapshot(self) -> RegistryAnswer:
+    def snapshot(self) -> SerializedResponse:
         """The whole list, in the protocol's form."""
         if self._snapshot is None:
             self._snapshot = _serialize(self._version, True, self._endpoints.values())
         return self._snapshot
 
-    def since(self, version: int) -> RegistryAnswer:
+    def delta_since(self, version: int) -> SerializedResponse:
         """What changed after a version; the whole list where the log does not reach back so far."""
-        if not self._reaches_back_to <= version <= self._version:
+        if not self._oldest_delta_base <= version <= self._version:
             return self.snapshot()
         delta = self._deltas.get(version)
         if delta is None:
@@ -149,9 +151,9 @@
             dropped = self._changes[0].version
             while self._changes and self._changes[0].version == dropped:
                 self._changes.popleft()
-            self._reaches_back_to = dropped
+            self._oldest_delta_base = dropped
 
 
-def _serialize(version: int, is_snapshot: bool, endpoints: Iterable[Endpoint]) -> RegistryAnswer:
-    told = {"index": version, "snapshot": is_snapshot, "endpoints": [asdict(each) for each in endpoints]}
-    return RegistryAnswer(json.dumps(told, separators=(",", ":")).encode(), is_snapshot)
+def _serialize(version: int, is_snapshot: bool, endpoints: Iterable[Endpoint]) -> SerializedResponse:
+    payload = {"index": version, "snapshot": is_snapshot, "endpoints": [asdict(each) for each in endpoints]}
+    return SerializedResponse(json.dumps(payload, separators=(",", ":")).encode(), is_snapshot)
--- a/scale/standins/registry_commands.py
+++ b/scale/standins/registry_commands.py
@@ -83,7 +83,7 @@
     snapshots: int
     deltas: int
     empty: int
-    refused: int
+    unavailable: int
     malformed: int
     bytes_in: int
     bytes_out: int
--- a/scale/standins/registry_connection.py
+++ b/scale/standins/registry_connection.py
@@ -96,52 +96,52 @@
         except MalformedCallError as error:
             self._reject(error.status)
         else:
-            self._take(self._call)
+            self._dispatch(self._call)
 
     def _reject(self, status: HTTPStatus) -> None:
         self._state.counts.malformed += 1
         self._call = Call(None, 0, False)
         self._write(status, b"")
 
-    def _take(self, call: Call) -> None:
+    def _dispatch(self, call: Call) -> None:
         loop = asyncio.get_running_loop()
         if self._listener.observed is not None and call.after is not None:
             self._listener.observed.append(ObservedCall(time.monotonic(), call.after))
         availability = self._state.availability
         if availability is Availability.DOWN:
-            self._answer()
+            self._respond()
         elif availability is Availability.OVERLOADED:
-            self._timer = loop.call_later(OVERLOAD_WAIT_S, self.end_watch)
+            self._timer = loop.call_later(OVERLOAD_WAIT_S, self.complete_watch)
         elif call.after == self._state.change_log.version and call.wait_ms:
             self._state.add_watch(self)
-            self._timer = loop.call_later(call.wait_ms / 1000, self.end_watch)
+            self._timer = loop.call_later(call.wait_ms / 1000, self.complete_watch)
         else:
-            self._answer()
+            self._respond()
 
-    def end_watch(self) -> None:
+    def complete_watch(self) -> None:
         """Answer the call that waits, whatever there is to tell."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         self._state.remove_watch(self)
         if not (self.blackholed or self._listener.partitioned):
-            self._answer()
+            self._respond()
 
-    def _answer(self) -> None:
+    def _respond(self) -> None:
         call, counts, change_log = self._call, self._state.counts, self._state.change_log
         assert call is not None
         if self._state.availability is not Availability.UP:
-            counts.refused += 1
+            counts.unavailable += 1
             self._write(HTTPStatus.SERVICE_UNAVAILABLE, b"")
             return
-        answer = change_log.snapshot() if call.after is None else change_log.since(call.after)
-        if answer.is_snapshot:
+        response = change_log.snapshot() if call.after is None else change_log.delta_since(call.after)
+        if response.is_snapshot:
             counts.snapshots += 1
         elif call.after == change_log.version:
             counts.empty += 1
         else:
             counts.deltas += 1
-        self._write(HTTPStatus.OK, answer.body)
+        self._write(HTTPStatus.OK, response.body)
 
     def _write(self, status: HTTPStatus, body: bytes) -> None:
         assert self._transport is not None
--- a/scale/standins/registry_state.py
+++ b/scale/standins/registry_state.py
@@ -26,7 +26,7 @@
     snapshots: int = 0  # answers with the whole list
     deltas: int = 0  # answers with at least one changed entry
     empty: int = 0  # watches that ended with nothing new
-    refused: int = 0  # answers 503
+    unavailable: int = 0  # answers 503
     malformed: int = 0  # answers 400, 404 and 405
     bytes_in: int = 0  # HTTP, without the headers of TCP and IP
     bytes_out: int = 0
@@ -38,7 +38,7 @@
 class Watch(Protocol):
     """A call that waits for a change."""
 
-    def end_watch(self) -> None:
+    def complete_watch(self) -> None:
         """Answer the call now, whether or not anything changed."""
 
 
@@ -50,7 +50,7 @@
         self.counts = RegistryCounts()
         self._availability = Availability.UP
         self._watches: dict[Watch, None] = {}  # in the order in which they came
-        change_log.on_commit = self._end_watches
+        change_log.on_commit = self._complete_watches
 
     @property
     def availability(self) -> Availability:
@@ -61,12 +61,12 @@
         """Go down, become overloaded or come back; watches end unless the registry is up."""
         self._availability = availability
         if availability is not Availability.UP:
-            self._end_watches()
+            self._complete_watches()
 
-    def _end_watches(self) -> None:
+    def _complete_watches(self) -> None:
         watches, self._watches = self._watches, {}
         for watch in watches:
-            watch.end_watch()
+            watch.complete_watch()
 
     def add_watch(self, watch: Watch) -> None:
         """Add a watch that waits for the next change."""
--- a/scale/standins/server.py
+++ b/scale/standins/server.py
@@ -19,9 +19,9 @@
 
 import numpy as np
 
-from scale.http1 import Message, MessageReader, format_answer
+from scale.http1 import Message, MessageReader, format_response
 
-_LIVE_PATH = "/health/live"
+_LIVENESS_PATH = "/health/live"
 _BACKLOG = 512
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for 0 s
 _REJECTION = {"X-Rejected": "1"}
@@ -60,9 +60,9 @@
     """What the body of a 200 answer says."""
 
     server: str
-    connection_call: int  # 1 for the first request of its connection
-    began_at: float  # when the request's last byte had come, in seconds on the machine's monotonic clock
-    held_us: float  # from then to the answer
+    connection_request_number: int  # 1 for the first request of its connection
+    started_at: float  # when the request's last byte had come, in seconds on the machine's monotonic clock
+    service_time_us: float  # from then to the answer
 
     def encode(self) -> bytes:
         """The body's bytes, as JSON."""
@@ -107,7 +107,7 @@
         """Serve what is held, and reject what comes."""
         self.mode = ServerMode.DRAIN
 
-    def die(self) -> None:
+    def kill(self) -> None:
         """End as a killed process does: connections are reset and new ones refused."""
         self.close()
         for connection in list(self.connections):
@@ -128,7 +128,7 @@
         self._reader = MessageReader()
         self._transport: asyncio.Transport | None = None
         self._calls = 0
-        self._held: asyncio.TimerHandle | None = None
+        self._response_timer: asyncio.TimerHandle | None = None
         self._is_hanging = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -141,17 +141,17 @@
     def connection_lost(self, _exc: Exception | None) -> None:
         """Forget the connection, and the request that it held."""
         self._server.connections.discard(self)
-        if self._held is not None or self._is_hanging:
+        if self._response_timer is not None or self._is_hanging:
             self._server.counters.abandoned += 1
-        if self._held is not None:
-            self._held.cancel()
-            self._held = None
+        if self._response_timer is not None:
+            self._response_timer.cancel()
+            self._response_timer = None
 
     def data_received(self, data: bytes) -> None:
         """Begin each request whose last byte has come."""
         try:
             for request in self._reader.feed(data):
-                self._begin(request)
+                self._receive(request)
         except ValueError:
             self.reset()
 
@@ -163,12 +163,12 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         self._transport.abort()
 
-    def _begin(self, request: Message) -> None:
+    def _receive(self, request: Message) -> None:
         server, counters = self._server, self._server.counters
-        if self._held is not None or self._is_hanging:
+        if self._response_timer is not None or self._is_hanging:
             counters.overlapping += 1
             self.reset()
-        elif request.target == _LIVE_PATH and server.allow_probes:
+        elif request.target == _LIVENESS_PATH and server.allow_probes:
             counters.probes += 1
             is_healthy = server.mode is ServerMode.SERVE
             self._write(HTTPStatus.OK if is_healthy else HTTPStatus.SERVICE_UNAVAILABLE)
@@ -179,9 +179,9 @@
             counters.requests += 1
             self._calls += 1
             server.last_request_at = time.monotonic()
-            self._take_call(server.mode)
+            self._handle_call(server.mode)
 
-    def _take_call(self, mode: ServerMode) -> None:
+    def _handle_call(self, mode: ServerMode) -> None:
         counters = self._server.counters
         if mode is ServerMode.REJECT:
             counters.rejected += 1
@@ -195,22 +195,22 @@
             counters.hung += 1
             self._is_hanging = True
         else:
-            began_at = time.monotonic()
+            started_at = time.monotonic()
             service_s = self._server.service_time_s()
             loop = asyncio.get_running_loop()
-            self._held = loop.call_later(service_s, self._answer, mode, began_at)
+            self._response_timer = loop.call_later(service_s, self._respond, mode, started_at)
 
-    def _answer(self, mode: ServerMode, began_at: float) -> None:
-        self._held = None
+    def _respond(self, mode: ServerMode, started_at: float) -> None:
+        self._response_timer = None
         if mode is ServerMode.ERROR:
             self._server.counters.errors += 1
             self._write(HTTPStatus.INTERNAL_SERVER_ERROR)
             return
         self._server.counters.served += 1
-        held_us = (time.monotonic() - began_at) * 1e6
-        served = ServedBody(self._server.name, self._calls, began_at, held_us)
+        service_time_us = (time.monotonic() - started_at) * 1e6
+        served = ServedBody(self._server.name, self._calls, started_at, service_time_us)
         self._write(HTTPStatus.OK, body=served.encode())
 
     def _write(self, status: HTTPStatus, headers: dict[str, str] | None = None, body: bytes = b"") -> None:
         if self._transport is not None:
-            self._transport.write(format_answer(status, headers or {}, body))
+            self._transport.write(format_response(status, headers or {}, body))
--- a/scale/suite.py
+++ b/scale/suite.py
@@ -14,16 +14,16 @@
 
 EXPERIMENTS = Path(__file__).resolve().parent / "experiments"
 RESULTS = Path(__file__).resolve().parent.parent / "docs" / "capacity" / "results"
-LIMIT_S = 15 * 60.0  # what the whole set may take
+TIME_LIMIT_S = 15 * 60.0  # what the whole set may take
 
-_FOR_TESTS = "-small"  # ends the names of experiments that give no figures to keep
+_SMALL_SUFFIX = "-small"  # ends the names of experiments that give no figures to keep
 
 log = structlog.get_logger()
 
 
 def find_experiments(folder: Path = EXPERIMENTS) -> list[Path]:
     """List a folder's experiment files except the small ones; raise NoExperimentsError if there are none."""
-    found = sorted(path for path in folder.glob("*.toml") if not path.stem.endswith(_FOR_TESTS))
+    found = sorted(path for path in folder.glob("*.toml") if not path.stem.endswith(_SMALL_SUFFIX))
     if not found:
         raise NoExperimentsError(folder)
     return found
@@ -37,12 +37,12 @@
     """
     experiments = [load_experiment(path) for path in paths]
     commit = current_commit()
-    began = time.monotonic()
+    started_at = time.monotonic()
     for path, experiment in zip(paths, experiments, strict=True):
         experiment_began = time.monotonic()
         log.info("experiment started", experiment=experiment.name, kind=experiment.kind, seed=experiment.seed)
         with ResultWriter(results / f"{path.stem}.jsonl", experiment, commit) as writer:
             run_experiment(experiment, writer)
-        took_s = round(time.monotonic() - experiment_began, 1)
-        log.info("experiment ended", experiment=experiment.name, took_s=took_s)
-    return time.monotonic() - began
+        elapsed_s = round(time.monotonic() - experiment_began, 1)
+        log.info("experiment ended", experiment=experiment.name, elapsed_s=elapsed_s)
+    return time.monotonic() - started_at
--- a/tests/scale/test_capacity.py
+++ b/tests/scale/test_capacity.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from scale.capacity.evaluation import find_figure
+from scale.capacity.evaluation import evaluate_figure
 from scale.capacity.figures import Figure, read_figures
 from scale.capacity.numbers import format_number
 from scale.capacity.page import fill_page
@@ -37,8 +37,8 @@
 
 def test_last_run_of_a_file_counts_unless_another_is_asked_for() -> None:
     measurements = [measured(1.0, "old"), measured(2.0, "new")]
-    latest = find_figure(BYTES, {"small": measurements})
-    former = find_figure(BYTES.model_copy(update={"commit": "old"}), {"small": measurements})
+    latest = evaluate_figure(BYTES, {"small": measurements})
+    former = evaluate_figure(BYTES.model_copy(update={"commit": "old"}), {"small": measurements})
     assert latest is not None
     assert (latest.value, latest.run) == (2.0, "small, new, seed 3")
     assert former is not None
@@ -47,19 +47,19 @@
 
 def test_figure_after_a_change_is_not_taken_from_the_run_before_it() -> None:
     after = BYTES.model_copy(update={"not_commits": ["old"]})
-    assert find_figure(after, {"small": [measured(1.0, "old")]}) is None
+    assert evaluate_figure(after, {"small": [measured(1.0, "old")]}) is None
     assert "not run yet" in format_figures([after], {"small": [measured(1.0, "old")]})
-    found = find_figure(after, {"small": [measured(2.0, "new"), measured(1.0, "old")]})
-    assert found is not None
-    assert found.value == 2.0
+    evaluation = evaluate_figure(after, {"small": [measured(2.0, "new"), measured(1.0, "old")]})
+    assert evaluation is not None
+    assert evaluation.value == 2.0
 
 
 def test_several_seeds_give_the_median_and_the_range() -> None:
     figure = BYTES.model_copy(update={"unit": "B", "budget": 4.0})
     measurements = [measured(value, seed=seed) for seed, value in enumerate((1.0, 5.0, 2.0))]
-    found = find_figure(figure, {"small": measurements})
-    assert found is not None
-    assert (found.value, found.least, found.most) == (2.0, 1.0, 5.0)
+    evaluation = evaluate_figure(figure, {"small": measurements})
+    assert evaluation is not None
+    assert (evaluation.value, evaluation.minimum, evaluation.maximum) == (2.0, 1.0, 5.0)
     assert "| **2 (1 to 5) B** | 4 B (x 1.25) | measured, median of 3 | small, new, seed 0, 1, 2 |" in (
         format_figures([figure], {"small": measurements})
     )
@@ -68,27 +68,27 @@
 def test_several_files_are_several_runs_each_with_its_latest_commit() -> None:
     figure = BYTES.model_copy(update={"results": ["small", "again", "never"]})
     files = {"small": [measured(9.0, "old"), measured(1.0, "new")], "again": [measured(3.0, "older", seed=4)]}
-    found = find_figure(figure, files)
-    assert found is not None
-    assert (found.value, found.least, found.most) == (2.0, 1.0, 3.0)
-    assert found.run == "small, new, seed 3; again, older, seed 4"
+    evaluation = evaluate_figure(figure, files)
+    assert evaluation is not None
+    assert (evaluation.value, evaluation.minimum, evaluation.maximum) == (2.0, 1.0, 3.0)
+    assert evaluation.run == "small, new, seed 3; again, older, seed 4"
 
 
 def test_line_is_fitted_within_bounds_and_says_where_it_is_extrapolated() -> None:
     figure = BYTES.model_copy(update={"against": "servers", "at": 100.0, "up_to": 20.0, "times": 2.0})
     measurements = [measured(10.0 + 3.0 * size, servers=size) for size in (10, 20)]
-    found = find_figure(figure, {"small": [*measurements, measured(9_000.0, servers=30)]})
-    assert found is not None
-    assert found.value == pytest.approx(620.0)
-    assert "3 x 100 servers + 10 bytes; measured to 20, beyond that extrapolated" in found.how
+    evaluation = evaluate_figure(figure, {"small": [*measurements, measured(9_000.0, servers=30)]})
+    assert evaluation is not None
+    assert evaluation.value == pytest.approx(620.0)
+    assert "3 x 100 servers + 10 bytes; measured to 20, beyond that extrapolated" in evaluation.derivation
 
 
 def test_labels_choose_the_measurements() -> None:
     figure = BYTES.model_copy(update={"where": {"phase": "release"}})
     measurements = [measured(1.0, phase="steady"), measured(7.0, phase="release")]
-    found = find_figure(figure, {"small": measurements})
-    assert found is not None
-    assert found.value == 7.0
+    evaluation = evaluate_figure(figure, {"small": measurements})
+    assert evaluation is not None
+    assert evaluation.value == 7.0
 
 
 def test_what_had_not_ended_with_its_run_is_a_lower_bound() -> None:
--- a/tests/scale/test_demo.py
+++ b/tests/scale/test_demo.py
@@ -16,7 +16,7 @@
 from scale.demo.report import format_outcome
 from scale.demo.run import SERVERS
 from scale.errors import SidecarError
-from scale.http_client import NO_ANSWER, CallResult
+from scale.http_client import NO_RESPONSE, CallResult
 from scale.ports import ReservedAddress
 from scale.processes import ProcessGroup
 from scale.sidecar_process import (
@@ -37,7 +37,7 @@
     ended = subprocess.run(DEMO, capture_output=True, text=True, check=False, timeout=TIMEOUT_S)
     assert ended.returncode == 0, ended.stdout + ended.stderr
     assert "all went as it should" in ended.stdout
-    assert "refused 0, failed 0" in ended.stdout
+    assert "shed 0, failed 0" in ended.stdout
 
 
 def test_interrupted_demo_ends_its_sidecar() -> None:
@@ -68,7 +68,7 @@
     ]
     phases = [Phase("all up", 1.0), Phase("drained", 2.0), Phase("killed", 3.0)]
     servers = [ServerOutcome(f"s-{number}", 3, 0, 1.0) for number in range(SERVERS)]
-    given: dict[str, Any] = {"results": calls, "phases": phases, "servers": servers, "drain_told_at": 1.0}
+    given: dict[str, Any] = {"results": calls, "phases": phases, "servers": servers, "drain_notified_at": 1.0}
     return DemoOutcome(**(given | {"exit_code": 0, "log": ["drained"]} | changes))
 
 
@@ -76,17 +76,17 @@
     good = outcome()
     assert good.faults() == []
     assert [dict(each) for each in good.served_by_phase()][2] == {"s-0": 1, "s-3": 1}
-    assert "calls: 9, served 9, refused 0, failed 0" in format_outcome(good)
+    assert "calls: 9, served 9, shed 0, failed 0" in format_outcome(good)
 
 
 @pytest.mark.parametrize(
     ("changes", "fault"),
     [
-        ({"results": [*outcome().results, result("s-0", 2.5, 503)]}, "1 calls were refused"),
-        ({"results": [*outcome().results, result("s-0", 2.5, NO_ANSWER)]}, "1 calls failed"),
+        ({"results": [*outcome().results, result("s-0", 2.5, 503)]}, "1 calls were shed"),
+        ({"results": [*outcome().results, result("s-0", 2.5, NO_RESPONSE)]}, "1 calls failed"),
         ({"results": outcome().results[:-1]}, "that stayed up got no calls"),
         ({"results": []}, "no calls were made"),
-        ({"drain_told_at": -1.0}, f"s-{DRAINED} got calls later than 1 s"),
+        ({"drain_notified_at": -1.0}, f"s-{DRAINED} got calls later than 1 s"),
         ({"exit_code": 1}, "exit code after SIGTERM was 1"),
         ({"exit_code": None}, "exit code after SIGTERM was None"),
     ],
--- a/tests/scale/test_latency.py
+++ b/tests/scale/test_latency.py
@@ -16,9 +16,9 @@
 
 from scale.errors import ExperimentError
 from scale.experiment import validate_experiment
-from scale.http_client import NO_ANSWER, CallResult
+from scale.http_client import NO_RESPONSE, CallResult
 from scale.kinds import load_experiment, run_experiment
-from scale.latency.analysis import ServedCall, pair_up, served, tell_sources_apart
+from scale.latency.analysis import ServedCall, attribute_overhead, pair_calls, parse_served
 from scale.latency.experiment import LatencyExperiment
 from scale.latency.tracing import BusyTime, Trace, Tracer
 from scale.results import Measurement, ResultWriter, read_results
@@ -60,21 +60,25 @@
 
 
 def call(
-    sent_at: float, held_us: float, latency_us: float, connection_call: int = 2, status: int = 200
+    sent_at: float,
+    service_time_us: float,
+    latency_us: float,
+    request_number: int = 2,
+    status: int = 200,
 ) -> CallResult:
     """A call that its server began 1 ms after it was sent."""
-    body = ServedBody("s-0", connection_call, sent_at + 0.001, held_us).encode()
+    body = ServedBody("s-0", request_number, sent_at + 0.001, service_time_us).encode()
     return CallResult(sent_at, sent_at, sent_at + latency_us / 1e6, status, body)
 
 
 def served_calls(*results: CallResult) -> Sequence[ServedCall]:
-    return [each for each in map(served, results) if each is not None]
+    return [each for each in map(parse_served, results) if each is not None]
 
 
 def test_pairs_hold_calls_that_were_both_served() -> None:
-    results = [call(0, 100, 900), call(0, 300, 500), call(1, 0, 9, status=NO_ANSWER), call(1, 0, 5)]
-    assert [pair.added_us for pair in pair_up(results)] == [pytest.approx(600.0)]
-    assert pair_up([]) == pair_up(results[:1]) == []
+    results = [call(0, 100, 900), call(0, 300, 500), call(1, 0, 9, status=NO_RESPONSE), call(1, 0, 5)]
+    assert [pair.added_us for pair in pair_calls(results)] == [pytest.approx(600.0)]
+    assert pair_calls([]) == pair_calls(results[:1]) == []
 
 
 def test_busy_time_counts_the_covered_part_of_an_interval() -> None:
@@ -85,7 +89,7 @@
     assert BusyTime([]).wall_s(starts, ends) == pytest.approx(np.zeros(4))
 
 
-def test_sources_of_the_overhead_are_told_apart() -> None:
+def test_overhead_is_attributed_to_its_sources() -> None:
     """Calls of 5 ms, held by their servers for 2 ms from 1 ms on: the sidecar has 1 ms before, 2 ms after."""
     calls = served_calls(*(call(at, 2_000, 5_000) for at in (0.0, 10.0, 20.0, 30.0, 40.0)))
     own = [(at + 0.0002, at + 0.0005, 0.0003) for at in (0.0, 10.0, 20.0, 30.0, 40.0)]
@@ -102,7 +106,7 @@
             "registry": [(30.0035, 30.0045, 0.001)],
         }
     )
-    sources = tell_sources_apart(calls, trace)
+    sources = attribute_overhead(calls, trace)
     assert sources.event_loop_cpu() == pytest.approx([300, 1_800, 700, 1_300, 300], abs=0.1)
     parts = sources.parts()
     assert parts["garbage collection"] == pytest.approx([0, 1_000, 0, 0, 0], abs=0.1)
@@ -117,16 +121,16 @@
     calls = served_calls(call(0.0, 2_000, 5_000))
     answer, collection = (0.003, 0.0045, 0.0015), (0.0035, 0.004, 0.0005)
     trace = Trace({"callbacks": [answer], "collections": [collection], "registry": [answer]})
-    parts = tell_sources_apart(calls, trace).parts()
+    parts = attribute_overhead(calls, trace).parts()
     assert parts["garbage collection"] == pytest.approx([500], abs=0.1)
     assert parts["registry answers"] == pytest.approx([1_000], abs=0.1)
     assert parts["own work"] == pytest.approx([0], abs=0.1)
 
 
-def test_work_on_a_new_connection_is_compared_with_its_like() -> None:
-    calls = served_calls(call(0, 2_000, 5_000, connection_call=1), call(10, 2_000, 5_000))
+def test_work_on_a_new_connection_is_compared_with_other_new_connections() -> None:
+    calls = served_calls(call(0, 2_000, 5_000, request_number=1), call(10, 2_000, 5_000))
     trace = Trace({"callbacks": [(0.0, 0.0008, 0.0008)], "collections": [], "registry": []})
-    parts = tell_sources_apart(calls, trace).parts()
+    parts = attribute_overhead(calls, trace).parts()
     assert parts["own work"] == pytest.approx([800, 0], abs=0.1)
     assert parts["other work in the event loop"] == pytest.approx([0, 0], abs=0.1)
 
@@ -137,13 +141,13 @@
     try:
         gc.collect()
     finally:
-        gc.callbacks.remove(tracer.collections._note)
+        gc.callbacks.remove(tracer.collections._record)
     assert tracer.registry.timed(lambda value: value + 1)(1) == 2
     tracer.write(tmp_path / "trace.json")
     trace = Trace.read(tmp_path / "trace.json")
     assert trace.collection_count >= 1
     assert trace.registry_count == 1
-    assert all(ended >= began for began, ended, _ in tracer.collections.spans)
+    assert all(ended >= started_at for started_at, ended, _ in tracer.collections.spans)
 
 
 def figures(measurements: Sequence[Measurement], servers: int) -> dict[str, float]:
--- a/tests/scale/test_registry_standin.py
+++ b/tests/scale/test_registry_standin.py
@@ -43,19 +43,19 @@
     return f"GET /registry/instances{query} HTTP/1.1\r\nHost: d\r\n{connection}\r\n"
 
 
-async def read_answer(reader: asyncio.StreamReader) -> tuple[int, Any]:
+async def read_response(reader: asyncio.StreamReader) -> tuple[int, Any]:
     head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
     length = int(head.partition("content-length: ")[2].partition("\r\n")[0])
     body = await reader.readexactly(length)
     return int(head.split(" ")[1]), json.loads(body) if body else None
 
 
-async def ask(address: Address, query: str = "") -> tuple[int, Any]:
+async def request(address: Address, query: str = "") -> tuple[int, Any]:
     reader, writer = await send(address, call(query))
     try:
-        answer = await read_answer(reader)
+        response = await read_response(reader)
         assert await reader.read() == b""  # closed, as asked for
-        return answer
+        return response
     finally:
         writer.close()
 
@@ -64,46 +64,51 @@
     await wait_until(lambda: server.counts.watching == count)
 
 
-def names(told: Any) -> list[str]:
-    return [each["name"] for each in told["endpoints"]]
+def names(payload: Any) -> list[str]:
+    return [each["name"] for each in payload["endpoints"]]
 
 
 async def check_snapshot_and_delta() -> None:
     log = ChangeLog(ENDPOINTS)
     async with registry(log) as (server, [address]):
-        status, told = await ask(address)
-        assert (status, told["index"], told["snapshot"], names(told)) == (200, 1, True, ["s-1", "s-2"])
-        heard = parse_registry(told)
-        assert [(line.server.zone, line.server.nominal) for line in heard.lines] == [("a", 1.0), ("b", 2.0)]
+        status, payload = await request(address)
+        assert (status, payload["index"], payload["snapshot"], names(payload)) == (
+            200,
+            1,
+            True,
+            ["s-1", "s-2"],
+        )
+        parsed = parse_registry(payload)
+        assert [(line.server.zone, line.server.nominal) for line in parsed.lines] == [("a", 1.0), ("b", 2.0)]
 
         log.drain(["s-1"])
         log.remove(["s-1"])
         log.restart(["s-2"], since_ms=7)
-        _, told = await ask(address, "?after=1&wait_ms=60000")
-        assert (told["index"], told["snapshot"], sorted(names(told))) == (4, False, ["s-1", "s-2"])
-        by_name = {each["name"]: each for each in told["endpoints"]}
+        _, payload = await request(address, "?after=1&wait_ms=60000")
+        assert (payload["index"], payload["snapshot"], sorted(names(payload))) == (4, False, ["s-1", "s-2"])
+        by_name = {each["name"]: each for each in payload["endpoints"]}
         assert by_name["s-1"]["status"] == "left"
         assert by_name["s-2"]["since_ms"] == 7
-        assert (await ask(address))[1]["endpoints"] == [by_name["s-2"]]
+        assert (await request(address))[1]["endpoints"] == [by_name["s-2"]]
         counts = server.counts
         assert (counts.calls, counts.connections, counts.snapshots, counts.deltas) == (3, 3, 2, 1)
         assert counts.bytes_out > counts.bytes_in > 0
 
 
-def test_snapshot_and_delta_are_told_as_in_the_protocol() -> None:
+def test_snapshot_and_delta_follow_the_protocol() -> None:
     asyncio.run(check_snapshot_and_delta())
 
 
 async def check_watch() -> None:
     log = ChangeLog(ENDPOINTS)
     async with registry(log) as (server, [address]):
-        watch = asyncio.create_task(ask(address, "?after=1&wait_ms=60000"))
+        watch = asyncio.create_task(request(address, "?after=1&wait_ms=60000"))
         await until_watching(server, 1)
         log.add(Endpoint("s-3", "10.0.0.3:80"))
-        status, told = await watch
-        assert (status, told["index"], names(told)) == (200, 2, ["s-3"])
-        status, told = await ask(address, "?after=2&wait_ms=1")  # nothing new: it ends by itself
-        assert (status, told) == (200, {"index": 2, "snapshot": False, "endpoints": []})
+        status, payload = await watch
+        assert (status, payload["index"], names(payload)) == (200, 2, ["s-3"])
+        status, payload = await request(address, "?after=2&wait_ms=1")  # nothing new: it ends by itself
+        assert (status, payload) == (200, {"index": 2, "snapshot": False, "endpoints": []})
         assert (server.counts.empty, server.counts.watching) == (1, 0)
 
 
@@ -115,44 +120,44 @@
     log = ChangeLog(ENDPOINTS, length=3)
     for since_ms in (1, 2, 3, 4):
         log.restart(["s-1"], since_ms)
-    assert not log.since(2).is_snapshot
-    assert log.since(1).is_snapshot
-    assert log.since(log.version + 1).is_snapshot  # of a registry that was set back
+    assert not log.delta_since(2).is_snapshot
+    assert log.delta_since(1).is_snapshot
+    assert log.delta_since(log.version + 1).is_snapshot  # of a registry that was set back
     log.commit(ENDPOINTS * 2)  # more than the log holds
-    assert log.since(log.version - 1).is_snapshot
-    assert not log.since(log.version).is_snapshot
+    assert log.delta_since(log.version - 1).is_snapshot
+    assert not log.delta_since(log.version).is_snapshot
 
 
 def test_registry_without_its_change_log_sends_a_snapshot() -> None:
     log = ChangeLog(ENDPOINTS)
     log.drop_changes()
-    assert log.since(1).is_snapshot
-    assert not log.since(log.version).is_snapshot
+    assert log.delta_since(1).is_snapshot
+    assert not log.delta_since(log.version).is_snapshot
 
 
-def test_answers_are_serialized_once_a_version() -> None:
+def test_responses_are_serialized_once_a_version() -> None:
     log = ChangeLog(ENDPOINTS)
     assert log.snapshot() is log.snapshot()
     first = log.snapshot()
     log.restart(["s-1"], 1)
-    assert log.since(1) is log.since(1)
+    assert log.delta_since(1) is log.delta_since(1)
     assert log.snapshot() is not first
     assert log.endpoint("s-1").status is EndpointStatus.ACTIVE
 
 
 async def check_outage() -> None:
     async with registry(ChangeLog(ENDPOINTS)) as (server, [address]):
-        watch = asyncio.create_task(ask(address, "?after=1&wait_ms=60000"))
+        watch = asyncio.create_task(request(address, "?after=1&wait_ms=60000"))
         await until_watching(server, 1)
         server.set_availability(Availability.DOWN)
         assert (await watch)[0] == 503
-        assert (await ask(address))[0] == 503
+        assert (await request(address))[0] == 503
         server.set_availability(Availability.UP)
-        assert (await ask(address))[0] == 200
-        assert server.counts.refused == 2
+        assert (await request(address))[0] == 200
+        assert server.counts.unavailable == 2
 
 
-def test_outage_ends_watches_and_refuses_calls() -> None:
+def test_outage_completes_watches_and_fails_calls() -> None:
     asyncio.run(check_outage())
 
 
@@ -160,11 +165,11 @@
     async with registry(ChangeLog(ENDPOINTS), listeners=2) as (server, [first, second]):
         server.set_partitioned(1, True)
         reader, writer = await send(second, call())
-        assert (await ask(first))[0] == 200
+        assert (await request(first))[0] == 200
         server.set_partitioned(1, False)
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
-            await read_answer(reader)
-        assert (await ask(second))[0] == 200
+            await read_response(reader)
+        assert (await request(second))[0] == 200
         assert (server.traffic(0).calls, server.traffic(1).calls) == (1, 1)  # the silent call was never read
         writer.close()
 
@@ -180,7 +185,7 @@
         await until_watching(server, 1)
         server.blackhole_connections()
         log.restart(["s-1"], 5)
-        assert (await ask(address, "?after=1"))[1]["index"] == 2
+        assert (await request(address, "?after=1"))[1]["index"] == 2
         assert server.counts.deltas == 1  # and none to the watch
         writer.close()
 
@@ -189,19 +194,19 @@
     asyncio.run(check_blackholed())
 
 
-async def check_kept_connection() -> None:
+async def check_reused_connection() -> None:
     log = ChangeLog(make_endpoints(4_900, zones=18, seed=1))
     async with registry(log) as (server, [address]):
         reader, writer = await send(address, call(close=False) + call("?after=1", close=False))
-        _, told = await read_answer(reader)
-        assert len(set(names(told))) == len({each["address"] for each in told["endpoints"]}) == 4_900
-        assert (await read_answer(reader))[1]["endpoints"] == []
+        _, payload = await read_response(reader)
+        assert len(set(names(payload))) == len({each["address"] for each in payload["endpoints"]}) == 4_900
+        assert (await read_response(reader))[1]["endpoints"] == []
         assert (server.counts.connections, server.counts.calls) == (1, 2)
         writer.close()
 
 
-def test_kept_connection_carries_calls_in_order() -> None:
-    asyncio.run(check_kept_connection())
+def test_reused_connection_carries_calls_in_order() -> None:
+    asyncio.run(check_reused_connection())
 
 
 @pytest.mark.parametrize(
@@ -218,11 +223,11 @@
         ("GET /" + "x" * 9_000, 431),
     ],
 )
-def test_anything_else_is_refused(text: str, status: int) -> None:
+def test_anything_else_is_rejected(text: str, status: int) -> None:
     async def check() -> None:
         async with registry(ChangeLog()) as (server, [address]):
             reader, writer = await send(address, text)
-            assert (await read_answer(reader))[0] == status
+            assert (await read_response(reader))[0] == status
             assert server.counts.malformed == 1
             writer.close()
 
--- a/tests/scale/test_server_standin.py
+++ b/tests/scale/test_server_standin.py
@@ -12,8 +12,8 @@
 from polling import wait_until
 
 from scale.histogram import LatencyHistogram
-from scale.http1 import MessageReader, format_answer, format_request
-from scale.http_client import NO_ANSWER, CallResult, HttpClient, format_call
+from scale.http1 import MessageReader, format_request, format_response
+from scale.http_client import NO_RESPONSE, CallResult, HttpClient, format_call
 from scale.open_loop import poisson_arrivals, run_open_loop
 from scale.standins.server import ServedBody, ServerMode, ServerStandin, exponential_service_times
 
@@ -22,7 +22,7 @@
 
 
 @asynccontextmanager
-async def server_and_client(service_s: float = 0.0) -> AsyncIterator[tuple[ServerStandin, HttpClient]]:
+async def running_server(service_s: float = 0.0) -> AsyncIterator[tuple[ServerStandin, HttpClient]]:
     server = ServerStandin("s-0", lambda: service_s)
     await server.start()
     client = HttpClient(server.address)
@@ -31,19 +31,19 @@
             yield server, client
     finally:
         client.close()
-        server.die()
+        server.kill()
 
 
-async def call(client: HttpClient, request: bytes = CALL, limit_s: float = TIMEOUT_S) -> CallResult:
-    return await client.call(request, 0.0, limit_s)
+async def call(client: HttpClient, request: bytes = CALL, timeout_s: float = TIMEOUT_S) -> CallResult:
+    return await client.call(request, 0.0, timeout_s)
 
 
 def run(scene: Callable[[], Coroutine[Any, Any, None]]) -> None:
     asyncio.run(scene())
 
 
-def test_messages_are_cut_whatever_the_pieces() -> None:
-    written = format_request("POST", "/api/7", {"X-Call-Id": "a"}, b"body") + format_answer(
+def test_messages_are_parsed_from_any_fragments() -> None:
+    written = format_request("POST", "/api/7", {"X-Call-Id": "a"}, b"body") + format_response(
         HTTPStatus.OK, {}, b""
     )
     reader = MessageReader()
@@ -53,11 +53,11 @@
     assert read[1].body == b""
 
 
-def test_connection_is_kept_and_its_calls_are_counted() -> None:
+def test_connection_is_reused_and_its_calls_are_counted() -> None:
     async def scene() -> None:
-        async with server_and_client() as (server, client):
+        async with running_server() as (server, client):
             bodies = [ServedBody.decode((await call(client)).body) for _ in range(3)]
-            assert [each.connection_call for each in bodies] == [1, 2, 3]
+            assert [each.connection_request_number for each in bodies] == [1, 2, 3]
             assert {each.server for each in bodies} == {"s-0"}
             assert server.counters.connections == 1
             assert server.counters.served == 3
@@ -69,9 +69,9 @@
     ("mode", "status", "counter"),
     [(ServerMode.ERROR, 500, "errors"), (ServerMode.REJECT, 503, "rejected")],
 )
-def test_mode_decides_the_answer(mode: ServerMode, status: int, counter: str) -> None:
+def test_mode_decides_the_response(mode: ServerMode, status: int, counter: str) -> None:
     async def scene() -> None:
-        async with server_and_client() as (server, client):
+        async with running_server() as (server, client):
             server.mode = mode
             assert (await call(client)).status == status
             assert getattr(server.counters, counter) == 1
@@ -80,14 +80,14 @@
     run(scene)
 
 
-def test_draining_server_serves_what_it_holds_and_rejects_what_comes() -> None:
+def test_draining_server_serves_requests_in_flight_and_rejects_new_ones() -> None:
     async def scene() -> None:
-        async with server_and_client(service_s=0.05) as (server, client):
-            held = asyncio.create_task(call(client))
+        async with running_server(service_s=0.05) as (server, client):
+            in_flight = asyncio.create_task(call(client))
             await wait_until(lambda: server.counters.requests == 1)
             server.drain()
             assert (await call(client)).status == 503
-            assert (await held).status == 200
+            assert (await in_flight).status == 200
             assert (server.counters.rejected, server.counters.served) == (1, 1)
 
     run(scene)
@@ -95,25 +95,25 @@
 
 def test_hanging_server_keeps_the_connection_and_counts_the_abandoned_call() -> None:
     async def scene() -> None:
-        async with server_and_client() as (server, client):
+        async with running_server() as (server, client):
             server.mode = ServerMode.HANG
-            held = asyncio.create_task(call(client))
+            in_flight = asyncio.create_task(call(client))
             await wait_until(lambda: server.counters.hung == 1)
-            held.cancel()
+            in_flight.cancel()
             await wait_until(lambda: server.counters.abandoned == 1)
-            assert (await call(client, limit_s=0.01)).status == NO_ANSWER
+            assert (await call(client, timeout_s=0.01)).status == NO_RESPONSE
 
     run(scene)
 
 
 def test_dead_server_resets_its_connections_and_refuses_new_ones() -> None:
     async def scene() -> None:
-        async with server_and_client(service_s=TIMEOUT_S) as (server, client):
-            held = asyncio.create_task(call(client))
+        async with running_server(service_s=TIMEOUT_S) as (server, client):
+            in_flight = asyncio.create_task(call(client))
             await wait_until(lambda: server.counters.requests == 1)
-            server.die()
-            assert (await held).status == NO_ANSWER
-            assert (await call(client)).status == NO_ANSWER
+            server.kill()
+            assert (await in_flight).status == NO_RESPONSE
+            assert (await call(client)).status == NO_RESPONSE
             assert server.counters.requests == 1
 
     run(scene)
@@ -123,7 +123,7 @@
     probe = format_request("GET", "/health/live", {"Host": "s"})
 
     async def scene() -> None:
-        async with server_and_client() as (server, client):
+        async with running_server() as (server, client):
             assert (await call(client, probe)).status == 404
             server.allow_probes = True
             assert (await call(client, probe)).status == 200
@@ -137,8 +137,8 @@
 
 def test_request_over_a_busy_connection_breaks_the_protocol() -> None:
     async def scene() -> None:
-        async with server_and_client(service_s=TIMEOUT_S) as (server, client):
-            assert (await call(client, CALL + CALL)).status == NO_ANSWER
+        async with running_server(service_s=TIMEOUT_S) as (server, client):
+            assert (await call(client, CALL + CALL)).status == NO_RESPONSE
             assert server.counters.overlapping == 1
 
     run(scene)
@@ -154,7 +154,7 @@
     assert arrivals != poisson_arrivals(100.0, 2.0, 6)
 
 
-def test_open_loop_waits_for_no_answer() -> None:
+def test_open_loop_waits_for_no_response() -> None:
     started: list[int] = []
 
     async def scene() -> None:
