--- a/scale/callgraph/faults.py
+++ b/scale/callgraph/faults.py
@@ -12,29 +12,29 @@
     """Let the fault begin and end at its times."""
     if fault.kind is FaultKind.NONE:
         return
-    loop.call_at(int(fault.begin_s * MICROSECONDS), _begin, graph, fault)
-    loop.call_at(int(fault.end_s * MICROSECONDS), _end, graph, fault)
+    loop.call_at(int(fault.begin_s * MICROSECONDS), _begin_fault, graph, fault)
+    loop.call_at(int(fault.end_s * MICROSECONDS), _end_fault, graph, fault)
 
 
-def _begin(graph: CallGraph, fault: Fault) -> None:
+def _begin_fault(graph: CallGraph, fault: Fault) -> None:
     lost = graph.locations[0]
     match fault.kind:
         case FaultKind.ERRORS:
             _set_error_share(graph.service_at(fault.depth), fault.share)
         case FaultKind.SERVICE_LOST:
-            _stop(graph.service_at(fault.depth))
+            _stop_servers(graph.service_at(fault.depth))
         case FaultKind.ZONE_LOST:
             graph.network.lost_zones.add(lost.zone)
         case FaultKind.REGION_CUT:
             graph.network.lost_regions.add(lost.region)
 
 
-def _end(graph: CallGraph, fault: Fault) -> None:
+def _end_fault(graph: CallGraph, fault: Fault) -> None:
     match fault.kind:
         case FaultKind.ERRORS:
             _set_error_share(graph.service_at(fault.depth), 0.0)
         case FaultKind.SERVICE_LOST:
-            _start(graph.service_at(fault.depth))
+            _start_servers(graph.service_at(fault.depth))
         case FaultKind.ZONE_LOST:
             graph.network.lost_zones.clear()
         case FaultKind.REGION_CUT:
@@ -46,14 +46,14 @@
         server.error_share = share
 
 
-def _stop(service: Service) -> None:
+def _stop_servers(service: Service) -> None:
     for server in service.servers.values():
         server.stop()
         for caller in service.callers:
             caller.drop_connections(server)
 
 
-def _start(service: Service) -> None:
+def _start_servers(service: Service) -> None:
     for server in service.servers.values():
         server.start()
     service.announce(RegistryUpdateKind.DELTA)
--- a/scale/callgraph/graph.py
+++ b/scale/callgraph/graph.py
@@ -60,9 +60,9 @@
         self._policy = policy
         self._seeds = _seeds(np.random.SeedSequence(seed))
         self.services = [self._make_service(number) for number in range(1, depth + 1)]
-        for upper, lower in zip(self.services, self.services[1:], strict=False):
-            for server in upper.servers.values():
-                server.downstream = [self._make_sidecar(server.location, lower)] * experiment.fan_out
+        for caller, callee in zip(self.services, self.services[1:], strict=False):
+            for server in caller.servers.values():
+                server.downstream = [self._make_sidecar(server.location, callee)] * experiment.fan_out
         self.root_callers = [
             self._make_sidecar(self.locations[number % len(self.locations)], self.services[0])
             for number in range(experiment.root_callers)
--- a/scale/callgraph/measure.py
+++ b/scale/callgraph/measure.py
@@ -8,8 +8,8 @@
 from scale.callgraph.server import CallResult
 
 BIN_US = 250_000  # goodput is followed in bins of a quarter of a second
-RECOVERED_PART = 0.95  # of the goodput before the fault
-RECOVERED_BINS = 4  # so many bins in a row must reach that, taken together
+RECOVERY_SHARE = 0.95  # of the goodput before the fault
+RECOVERY_BINS = 4  # so many bins in a row must reach that, taken together
 
 
 @dataclass(slots=True)
@@ -27,7 +27,7 @@
 
     offered: int
     goodput: float  # served before the deadline
-    refused: float
+    shed: float
     failed: float
     unanswered: float
 
@@ -52,7 +52,7 @@
         return Shares(
             offered=len(calls),
             goodput=sum(self._is_good(call) for call in calls) / count,
-            refused=sum(call.result is CallResult.REFUSED for call in calls) / count,
+            shed=sum(call.result is CallResult.SHED for call in calls) / count,
             failed=sum(call.result is CallResult.FAILED for call in calls) / count,
             unanswered=sum(call.result is None for call in calls) / count,
         )
@@ -63,9 +63,9 @@
         It is back at the first bin that, together with the next ones, reaches the wanted part of the
         goodput before the fault.
         """
-        span = RECOVERED_BINS * BIN_US
+        span = RECOVERY_BINS * BIN_US
         for begin in range(fault_end, end - span + 1, BIN_US):
-            if self.shares(begin, begin + span).goodput >= RECOVERED_PART * before:
+            if self.shares(begin, begin + span).goodput >= RECOVERY_SHARE * before:
                 return begin - fault_end
         return None
 
--- a/scale/callgraph/policies.py
+++ b/scale/callgraph/policies.py
@@ -23,8 +23,8 @@
 )
 from topazbank.settings import Settings
 
-_TICKS_EARLY = 2  # an attempt is given up this many ticks before the caller's time is up
-_PLAIN_RETRIES = 2
+_DEADLINE_MARGIN_TICKS = 2  # an attempt is given up this many ticks before the caller's time is up
+_BASELINE_RETRIES = 2
 
 
 class Policy(Protocol):
@@ -35,23 +35,23 @@
 
 
 @dataclass(slots=True)
-class _PlainRequest:
+class _BaselineRequest:
     """A request that a plain policy has not answered yet."""
 
-    answer_by: int
-    tried: list[str] = field(default_factory=list)
+    deadline: int
+    attempted: list[str] = field(default_factory=list)
 
 
-class PlainPolicy:
+class BaselinePolicy:
     """The least loaded of a few random servers, and a fixed number of further attempts after failures."""
 
-    def __init__(self, settings: Settings, seed: int, drawn: int, retries: int) -> None:
+    def __init__(self, settings: Settings, seed: int, choices: int, retries: int) -> None:
         self._random = random.Random(seed)
-        self._early_us = _TICKS_EARLY * settings.tick_us
-        self._drawn = drawn
-        self._attempts = 1 + retries
+        self._deadline_margin_us = _DEADLINE_MARGIN_TICKS * settings.tick_us
+        self._choices = choices
+        self._maximum_attempts = 1 + retries
         self._in_flight: dict[str, int] = {}  # by ready server
-        self._requests: dict[int, _PlainRequest] = {}
+        self._requests: dict[int, _BaselineRequest] = {}
 
     def handle(self, now: int, event: Event) -> list[Action]:
         """Take one event; what it does not know of is passed over."""
@@ -59,7 +59,7 @@
             case RegistryUpdated():
                 self._update(event)
             case RequestArrived():
-                request = _PlainRequest(now + event.remaining_us - self._early_us)
+                request = _BaselineRequest(now + event.remaining_us - self._deadline_margin_us)
                 self._requests[event.request] = request
                 return self._attempt(now, event.request, request)
             case AttemptEnded():
@@ -73,16 +73,16 @@
             if endpoint.state is ServerState.READY:
                 self._in_flight.setdefault(endpoint.server, 0)
 
-    def _attempt(self, now: int, number: int, request: _PlainRequest) -> list[Action]:
-        left = [name for name in self._in_flight if name not in request.tried]
-        if not left or len(request.tried) >= self._attempts or now >= request.answer_by:
+    def _attempt(self, now: int, number: int, request: _BaselineRequest) -> list[Action]:
+        untried = [name for name in self._in_flight if name not in request.attempted]
+        if not untried or len(request.attempted) >= self._maximum_attempts or now >= request.deadline:
             del self._requests[number]
             return [Fail(number)]
-        drawn = self._random.sample(left, min(self._drawn, len(left)))
-        server = min(drawn, key=lambda name: self._in_flight[name])
-        request.tried.append(server)
+        candidates = self._random.sample(untried, min(self._choices, len(untried)))
+        server = min(candidates, key=lambda name: self._in_flight[name])
+        request.attempted.append(server)
         self._in_flight[server] += 1
-        return [Send(number, server, request.answer_by)]
+        return [Send(number, server, request.deadline)]
 
     def _attempt_ended(self, now: int, event: AttemptEnded) -> list[Action]:
         self._in_flight[event.server] -= 1
@@ -104,8 +104,8 @@
             limits = dataclasses.replace(settings.limits, max_attempts=1)
             return Balancer(dataclasses.replace(settings, limits=limits), seed)
         case PolicyName.NO_RETRY:
-            return PlainPolicy(settings, seed, drawn=2, retries=0)
+            return BaselinePolicy(settings, seed, choices=2, retries=0)
         case PolicyName.FIXED_RETRIES:
-            return PlainPolicy(settings, seed, drawn=2, retries=_PLAIN_RETRIES)
+            return BaselinePolicy(settings, seed, choices=2, retries=_BASELINE_RETRIES)
         case PolicyName.RANDOM_CHOICE:
-            return PlainPolicy(settings, seed, drawn=1, retries=0)
+            return BaselinePolicy(settings, seed, choices=1, retries=0)
--- a/scale/callgraph/root_load.py
+++ b/scale/callgraph/root_load.py
@@ -32,8 +32,8 @@
         if caller.location.zone in self._graph.network.lost_zones:
             return  # its application is lost as well
         call = self.recorder.offer(self._loop.now)
-        caller.call(self._deadline_us, lambda result: self._ended(call, result))
+        caller.call(self._deadline_us, lambda result: self._record_end(call, result))
 
-    def _ended(self, call: RootCall, result: CallResult) -> None:
+    def _record_end(self, call: RootCall, result: CallResult) -> None:
         call.ended_at = self._loop.now
         call.result = result
--- a/scale/callgraph/server.py
+++ b/scale/callgraph/server.py
@@ -16,7 +16,7 @@
 from topazbank.interface import Outcome
 
 _ERROR_TIME_US = 1_000  # a failing call is answered this soon: it holds no place in the queue
-_DRAWN_AT_ONCE = 256  # service times
+_SERVICE_TIME_BATCH = 256  # service times
 
 
 @unique
@@ -24,7 +24,7 @@
     """What a sidecar answered to its application."""
 
     SERVED = "served"
-    REFUSED = "refused"
+    SHED = "shed"
     FAILED = "failed"
 
 
@@ -39,10 +39,10 @@
 class ServerCall:
     """A call that a server has received."""
 
-    answer: Callable[[Outcome], None]
-    answer_by: int
+    respond: Callable[[Outcome], None]
+    deadline: int
     cancelled: bool = False
-    results_missing: int = 0
+    pending_results: int = 0
     failed: bool = False
 
 
@@ -54,41 +54,41 @@
     """
 
     def __init__(
-        self, loop: EventLoop, name: str, location: Location, size: Servers, seed: np.random.SeedSequence
+        self, loop: EventLoop, name: str, location: Location, capacity: Servers, seed: np.random.SeedSequence
     ) -> None:
         self.name = name
         self.location = location
         self.downstream: list[Sidecar] = []  # one entry for each call of its own
         self.is_up = True
         self.started_at: int | None = None
-        self.starts = 0
+        self.incarnation = 0
         self.error_share = 0.0
         self.calls_received = 0
         self._loop = loop
-        self._size = size
+        self._capacity = capacity
         self._random = np.random.default_rng(seed)
         self._service_times: list[int] = []
-        self._waiting: deque[ServerCall] = deque()
-        self._being_served = 0
+        self._queue: deque[ServerCall] = deque()
+        self._in_service = 0
 
     def receive(self, call: ServerCall) -> None:
         """Take a call, or turn it away where the queue is full."""
         self.calls_received += 1
         if self.error_share > 0.0 and self._random.random() < self.error_share:
-            self._loop.call_later(_ERROR_TIME_US, call.answer, Outcome.ERROR)
-        elif self._being_served < self._size.concurrency:
+            self._loop.call_later(_ERROR_TIME_US, call.respond, Outcome.ERROR)
+        elif self._in_service < self._capacity.concurrency:
             self._serve(call)
-        elif len(self._waiting) < self._size.queue_limit:
-            self._waiting.append(call)
+        elif len(self._queue) < self._capacity.queue_limit:
+            self._queue.append(call)
         else:
-            call.answer(Outcome.FULL)
+            call.respond(Outcome.FULL)
 
     def stop(self) -> None:
         """Die with all that is in hand."""
         self.is_up = False
-        self.starts += 1
-        self._waiting.clear()
-        self._being_served = 0
+        self.incarnation += 1
+        self._queue.clear()
+        self._in_service = 0
 
     def start(self) -> None:
         """Be there again, as a new process."""
@@ -96,32 +96,32 @@
         self.started_at = self._loop.now
 
     def _serve(self, call: ServerCall) -> None:
-        self._being_served += 1
-        self._loop.call_later(self._next_service_time(), self._served, call, self.starts)
+        self._in_service += 1
+        self._loop.call_later(self._next_service_time(), self._service_ended, call, self.incarnation)
 
     def _next_service_time(self) -> int:
         if not self._service_times:
-            mean_us = self._size.service_time_ms * 1_000
-            self._service_times = self._random.exponential(mean_us, _DRAWN_AT_ONCE).astype(int).tolist()
+            mean_us = self._capacity.service_time_ms * 1_000
+            self._service_times = self._random.exponential(mean_us, _SERVICE_TIME_BATCH).astype(int).tolist()
         return self._service_times.pop()
 
-    def _served(self, call: ServerCall, starts: int) -> None:
-        if starts != self.starts:
+    def _service_ended(self, call: ServerCall, incarnation: int) -> None:
+        if incarnation != self.incarnation:
             return  # the process died meanwhile
-        self._being_served -= 1
-        while self._waiting and self._being_served < self._size.concurrency:
-            waiting = self._waiting.popleft()
-            if not waiting.cancelled and waiting.answer_by > self._loop.now:
-                self._serve(waiting)
+        self._in_service -= 1
+        while self._queue and self._in_service < self._capacity.concurrency:
+            queued = self._queue.popleft()
+            if not queued.cancelled and queued.deadline > self._loop.now:
+                self._serve(queued)
         self._call_downstream(call)
 
     def _call_downstream(self, call: ServerCall) -> None:
         """Make the calls of its own, side by side, with what is left of the caller's time."""
-        remaining_us = call.answer_by - self._loop.now
+        remaining_us = call.deadline - self._loop.now
         if not self.downstream:
-            call.answer(Outcome.DELIVERED)
+            call.respond(Outcome.DELIVERED)
         elif remaining_us > 0:
-            call.results_missing = len(self.downstream)
+            call.pending_results = len(self.downstream)
             for sidecar in self.downstream:
                 sidecar.call(remaining_us, lambda result: self._downstream_ended(call, result))
 
@@ -130,7 +130,7 @@
 
         A 503 without `X-Rejected` would be the same to the caller's sidecar: the call may have run.
         """
-        call.results_missing -= 1
+        call.pending_results -= 1
         call.failed = call.failed or result is not CallResult.SERVED
-        if not call.results_missing:
-            call.answer(Outcome.ERROR if call.failed else Outcome.DELIVERED)
+        if not call.pending_results:
+            call.respond(Outcome.ERROR if call.failed else Outcome.DELIVERED)
--- a/scale/callgraph/sidecar.py
+++ b/scale/callgraph/sidecar.py
@@ -33,7 +33,7 @@
     index: int
     server: Server
     sent_at: int
-    starts: int  # of the server's process, when it was sent
+    incarnation: int  # of the server's process, when it was sent
     call: ServerCall | None = None  # once it has reached the server
 
 
@@ -43,8 +43,8 @@
 
     done: Callable[[CallResult], None]
     attempts_sent: int = 0
-    out: dict[int, _Attempt] = field(default_factory=dict)  # by index
-    answered: bool = False
+    in_flight: dict[int, _Attempt] = field(default_factory=dict)  # by index
+    responded: bool = False
 
 
 @dataclass(slots=True)
@@ -52,7 +52,7 @@
     """Connections to one server that are open and carry nothing."""
 
     count: int = 0
-    starts: int = 0  # of the process they lead to
+    incarnation: int = 0  # of the process they lead to
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,21 +103,23 @@
             case Send():
                 self._send(action)
             case Refuse():
-                self._answer(action.request, CallResult.REFUSED)
+                self._respond_to_caller(action.request, CallResult.SHED)
             case Fail():
-                self._answer(action.request, CallResult.FAILED)
+                self._respond_to_caller(action.request, CallResult.FAILED)
             case Cancel():
                 # Not at once: what the policy said first is carried out before it hears of the end.
-                self._loop.call_later(0, self._give_up, action.request, action.attempt, Outcome.CANCELLED)
+                self._loop.call_later(
+                    0, self._abort_attempt, action.request, action.attempt, Outcome.CANCELLED
+                )
             case SetTimer():
                 self._loop.call_later(action.in_us, self._handle, TimerFired(action.token))
 
-    def _answer(self, number: int, result: CallResult) -> None:
+    def _respond_to_caller(self, number: int, result: CallResult) -> None:
         request = self._requests.get(number)
-        if request is None or request.answered:
+        if request is None or request.responded:
             return
-        request.answered = True
-        if not request.out:
+        request.responded = True
+        if not request.in_flight:
             del self._requests[number]
         request.done(result)
 
@@ -126,22 +128,22 @@
     def _send(self, action: Send) -> None:
         request = self._requests[action.request]
         server = self._upstream.servers[action.server]
-        attempt = _Attempt(request.attempts_sent, server, self._loop.now, server.starts)
-        request.out[attempt.index] = attempt
+        attempt = _Attempt(request.attempts_sent, server, self._loop.now, server.incarnation)
+        request.in_flight[attempt.index] = attempt
         request.attempts_sent += 1
         until = max(action.until, self._loop.now)
-        self._loop.call_at(until, self._give_up, action.request, attempt.index, Outcome.EXPIRED)
+        self._loop.call_at(until, self._abort_attempt, action.request, attempt.index, Outcome.EXPIRED)
         one_way_us = self._network.delay_us(self.location, server.location)
-        if self._take_connection(server):
-            self._loop.call_later(one_way_us, self._arrive, action.request, attempt, until)
+        if self._acquire_connection(server):
+            self._loop.call_later(one_way_us, self._deliver, action.request, attempt, until)
         else:
             self._dial(action.request, attempt, until, one_way_us)
 
-    def _take_connection(self, server: Server) -> bool:
+    def _acquire_connection(self, server: Server) -> bool:
         """Take an idle connection, if one leads to the process that runs now."""
         idle = self._idle.setdefault(server.name, _IdleConnections())
-        if idle.starts != server.starts:
-            idle.starts, idle.count = server.starts, 0
+        if idle.incarnation != server.incarnation:
+            idle.incarnation, idle.count = server.incarnation, 0
         if not idle.count:
             return False
         idle.count -= 1
@@ -150,70 +152,72 @@
     def _dial(self, number: int, attempt: _Attempt, until: int, one_way_us: int) -> None:
         if not self._network.reaches(self.location, attempt.server.location):
             timeout_us = self._upstream.dial_timeout_us
-            self._loop.call_later(timeout_us, self._end, number, attempt, Outcome.DIAL_FAILED)
+            self._loop.call_later(timeout_us, self._end_attempt, number, attempt, Outcome.DIAL_FAILED)
         elif not attempt.server.is_up:
-            self._loop.call_later(2 * one_way_us, self._end, number, attempt, Outcome.DIAL_FAILED)
+            self._loop.call_later(2 * one_way_us, self._end_attempt, number, attempt, Outcome.DIAL_FAILED)
         else:
-            self._loop.call_later(3 * one_way_us, self._arrive, number, attempt, until)
+            self._loop.call_later(3 * one_way_us, self._deliver, number, attempt, until)
 
-    def _arrive(self, number: int, attempt: _Attempt, until: int) -> None:
+    def _deliver(self, number: int, attempt: _Attempt, until: int) -> None:
         """The attempt is at its server, unless it was given up or the network lost it."""
         server = attempt.server
-        if not self._is_out(number, attempt) or not self._network.reaches(self.location, server.location):
+        if not self._is_in_flight(number, attempt) or not self._network.reaches(
+            self.location, server.location
+        ):
             return
         if not server.is_up:
             self._respond(number, attempt, Outcome.DROPPED)
             return
-        attempt.starts = server.starts
+        attempt.incarnation = server.incarnation
         attempt.call = ServerCall(lambda outcome: self._respond(number, attempt, outcome), until)
         server.receive(attempt.call)
 
     def _respond(self, number: int, attempt: _Attempt, outcome: Outcome) -> None:
         """The server's answer leaves for the sidecar; a process that has died answers nothing."""
-        died = attempt.starts != attempt.server.starts and outcome is not Outcome.DROPPED
+        died = attempt.incarnation != attempt.server.incarnation and outcome is not Outcome.DROPPED
         if died or not self._network.reaches(attempt.server.location, self.location):
             return
         one_way_us = self._network.delay_us(attempt.server.location, self.location)
-        self._loop.call_later(one_way_us, self._end, number, attempt, outcome)
+        self._loop.call_later(one_way_us, self._end_attempt, number, attempt, outcome)
 
     def drop_connections(self, server: Server) -> None:
         """The server's process has died: attempts that were out there are reset."""
         for number, request in list(self._requests.items()):
-            for attempt in list(request.out.values()):
+            for attempt in list(request.in_flight.values()):
                 if attempt.server is server and attempt.call is not None:
                     self._respond(number, attempt, Outcome.DROPPED)
 
-    def _give_up(self, number: int, index: int, outcome: Outcome) -> None:
+    def _abort_attempt(self, number: int, index: int, outcome: Outcome) -> None:
         request = self._requests.get(number)
-        attempt = None if request is None else request.out.get(index)
+        attempt = None if request is None else request.in_flight.get(index)
         if attempt is None:
             return
         if attempt.call is not None:
             attempt.call.cancelled = True
-        self._end(number, attempt, outcome)
+        self._end_attempt(number, attempt, outcome)
 
-    def _is_out(self, number: int, attempt: _Attempt) -> bool:
+    def _is_in_flight(self, number: int, attempt: _Attempt) -> bool:
         request = self._requests.get(number)
-        return request is not None and request.out.get(attempt.index) is attempt
+        return request is not None and request.in_flight.get(attempt.index) is attempt
 
-    def _end(self, number: int, attempt: _Attempt, outcome: Outcome) -> None:
-        if not self._is_out(number, attempt):
+    def _end_attempt(self, number: int, attempt: _Attempt, outcome: Outcome) -> None:
+        if not self._is_in_flight(number, attempt):
             return
         request = self._requests[number]
-        del request.out[attempt.index]
+        del request.in_flight[attempt.index]
         if outcome in (Outcome.DELIVERED, Outcome.ERROR, Outcome.FULL):
-            self._keep_connection(attempt)
+            self._release_connection(attempt)
         if outcome is Outcome.DELIVERED:
-            self._answer(number, CallResult.SERVED)
+            self._respond_to_caller(number, CallResult.SERVED)
         elapsed_us = self._loop.now - attempt.sent_at
         event = AttemptEnded(
-            number, attempt.index, attempt.server.name, outcome, elapsed_us, request.answered
+            number, attempt.index, attempt.server.name, outcome, elapsed_us, request.responded
         )
         self._handle(event)
-        if request.answered and not request.out:
+        if request.responded and not request.in_flight:
             self._requests.pop(number, None)
 
-    def _keep_connection(self, attempt: _Attempt) -> None:
+    def _release_connection(self, attempt: _Attempt) -> None:
         idle = self._idle[attempt.server.name]
-        if idle.starts == attempt.starts:
+        if idle.incarnation == attempt.incarnation:
             idle.count += 1
--- a/scale/callgraph/sweep.py
+++ b/scale/callgraph/sweep.py
@@ -65,7 +65,7 @@
     labels = {**labels, "span": span}
     writer.add(_ROLE, "root calls offered", shares.offered, "calls", labels)
     writer.add(_ROLE, "goodput", shares.goodput, "part of offered", labels)
-    writer.add(_ROLE, "refused", shares.refused, "part of offered", labels)
+    writer.add(_ROLE, "refused", shares.shed, "part of offered", labels)
     writer.add(_ROLE, "failed", shares.failed, "part of offered", labels)
 
 
--- a/tests/scale/test_callgraph.py
+++ b/tests/scale/test_callgraph.py
@@ -66,7 +66,7 @@
     assert single == pytest.approx([1.0, 1.0, 1.0], rel=0.05)
 
 
-def test_overload_fills_queues_and_servers_turn_calls_away() -> None:
+def test_overload_fills_queues_and_servers_reject_calls() -> None:
     measured = run(PolicyName.NO_RETRY, loads=[1.5])
     assert 0.4 < measured.during().goodput < 0.9
     assert measured.during().failed > 0.1
@@ -81,7 +81,7 @@
         (FaultKind.REGION_CUT, 0.05, 0.95),
     ],
 )
-def test_fault_costs_goodput_only_while_it_lasts(kind: FaultKind, least: float, most: float) -> None:
+def test_fault_reduces_goodput_only_while_it_lasts(kind: FaultKind, least: float, most: float) -> None:
     measured = run(PolicyName.NO_RETRY, fault={"kind": kind.value, **FAULT})
     assert measured.before().goodput == 1.0
     assert least <= measured.during().goodput <= most
@@ -134,5 +134,5 @@
 
 
 @pytest.mark.parametrize("path", sorted(EXPERIMENTS.glob("callgraph-*.toml")), ids=lambda path: path.stem)
-def test_call_graph_experiments_that_are_kept_can_be_run(path: Path) -> None:
+def test_stored_call_graph_experiments_are_valid(path: Path) -> None:
     assert load_experiment(path).name == path.stem
