--- a/scale/callgraph/experiment.py
+++ b/scale/callgraph/experiment.py
@@ -1,4 +1,4 @@
-"""What an experiment of the kind "callgraph" names: the graph, the load, the faults and the policies."""
+"""The keys of a call graph experiment: graph, load, faults and policies."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from scale.errors import DurationTooShortError, FaultOrderError, FaultTooEarlyError, FaultTooLateError
 from scale.experiment import Experiment
 
-Depth = Annotated[int, Field(ge=1, le=16)]  # services one below the other
+Depth = Annotated[int, Field(ge=1, le=16)]  # services in a chain
 Load = Annotated[float, Field(gt=0.0, le=4.0)]  # of the capacity of a service
 Share = Annotated[float, Field(ge=0.0, le=1.0)]
 
 
 @unique
 class PolicyName(Enum):
-    """Who decides at each hop."""
+    """The load balancing policy at each hop."""
 
     BALANCER = "balancer"  # the sidecar's own Balancer
     BALANCER_ONE_ATTEMPT = "balancer-one-attempt"  # the same with max_attempts = 1
@@ -28,17 +28,17 @@
 
 @unique
 class FaultKind(Enum):
-    """What goes wrong."""
+    """The kinds of fault."""
 
     NONE = "none"
-    ERRORS = "errors"  # a share of the calls on one service is answered with an error
+    ERRORS = "errors"  # a share of the calls on one service fails with an error response
     SERVICE_LOST = "service-lost"  # all processes of one service are dead, and restarted at the end
-    ZONE_LOST = "zone-lost"  # a zone and the rest do not reach each other
-    REGION_CUT = "region-cut"  # a region and the others do not reach each other
+    ZONE_LOST = "zone-lost"  # a zone is partitioned from the others
+    REGION_CUT = "region-cut"  # a region is partitioned from the others
 
 
 class Part(BaseModel):
-    """A part of an experiment file: no key that the model does not name."""
+    """Base of the tables within an experiment file; unknown keys are rejected."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -56,30 +56,32 @@
 
     count: int = Field(default=6, ge=1, le=1_024)
     concurrency: int = Field(default=1, ge=1)
-    queue_limit: int = Field(default=20, ge=0)  # calls that wait; one more is turned away
+    queue_limit: int = Field(default=20, ge=0)  # queued calls; further ones are rejected
     service_time_ms: float = Field(default=5.0, gt=0.0)  # mean; exponentially distributed
 
 
 class Calls(Part):
-    """The root calls' one class, and the limits for attempts at each hop."""
+    """The class of all root calls, and the limits on attempts at each hop."""
 
     deadline_ms: int = Field(default=1_500, ge=1)
     latency_target_ms: int = Field(default=400, ge=1)
     max_attempts: int = Field(default=5, ge=1)
-    repeatable: bool = True  # whether an attempt that may have run may be repeated
+    repeatable: bool = True  # whether the calls are idempotent
 
 
 class SlowStart(Part):
-    """The rules for servers that have just started, as the sidecars' settings state them."""
+    """Slow start of new servers, as in the sidecars' settings."""
 
-    from_share: float = Field(default=0.3, gt=0.0, le=1.0)  # of its capacity, when a server starts
+    from_share: float = Field(
+        default=0.3, gt=0.0, le=1.0
+    )  # share of its capacity that a new server starts with
     duration_s: float = Field(default=4.0, ge=0.0)
     overload_multiple: float = Field(default=4.0, gt=0.0)
     overload_window_s: float = Field(default=1.0, gt=0.0)
 
 
 class Fault(Part):
-    """A fault with its begin and end, in seconds since the start of the run."""
+    """A fault; it begins and ends at seconds since the start of the run."""
 
     kind: FaultKind = FaultKind.NONE
     begin_s: float = Field(default=0.0, ge=0.0)
--- a/scale/callgraph/faults.py
+++ b/scale/callgraph/faults.py
@@ -1,4 +1,4 @@
-"""Faults: what is done to the graph when one begins and when it ends."""
+"""Injects faults into a call graph."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def schedule_fault(loop: EventLoop, graph: CallGraph, fault: Fault) -> None:
-    """Let the fault begin and end at its times."""
+    """Schedule the begin and the end of a fault in virtual time."""
     if fault.kind is FaultKind.NONE:
         return
     loop.call_at(int(fault.begin_s * MICROSECONDS), _begin_fault, graph, fault)
--- a/scale/callgraph/graph.py
+++ b/scale/callgraph/graph.py
@@ -1,4 +1,4 @@
-"""The call graph: services one below the other, a sidecar beside each server, and root callers above."""
+"""The call graph: a chain of services, a sidecar beside each server, and root callers at the top."""
 
 from __future__ import annotations
 
@@ -31,18 +31,18 @@
     callers: list[SimulatedSidecar]
 
     def calls_received(self) -> int:
-        """Calls that came to its servers so far, those turned away included."""
+        """Return how many calls its servers have received, rejected ones included."""
         return sum(server.calls_received for server in self.servers.values())
 
     def endpoints(self) -> list[Endpoint]:
-        """What the registry tells of it; the registry hears of no fault, only of restarts."""
+        """Return its registry entries; the registry is notified of restarts, not of faults."""
         return [
             Endpoint(server.name, server.location.zone, started_at=server.started_at)
             for server in self.servers.values()
         ]
 
     def announce(self, kind: RegistryUpdateKind) -> None:
-        """Tell all its callers of its servers."""
+        """Send a registry update with its servers to all its callers."""
         for caller in self.callers:
             caller.update_registry(kind, self.endpoints())
 
@@ -76,13 +76,13 @@
         return self.services[-1]
 
     def service_at(self, depth: int) -> Service:
-        """A service by its depth; 0 is the deepest."""
+        """Return the service at a depth; 0 is the deepest."""
         return self.services[depth - 1]
 
     def _make_service(self, depth: int) -> Service:
         servers = {}
         for number in range(self._experiment.servers.count):
-            # Shifted from service to service, so that no zone holds the first server of each.
+            # Shifted from service to service, so that no zone has the first server of each.
             location = self.locations[(number + depth) % len(self.locations)]
             name = f"service-{depth}-server-{number}"
             servers[name] = Server(self._loop, name, location, self._experiment.servers, next(self._seeds))
--- a/scale/callgraph/loop.py
+++ b/scale/callgraph/loop.py
@@ -10,7 +10,7 @@
 
 
 class EventLoop:
-    """Runs callbacks in the order of their times, and of their scheduling where the times are equal."""
+    """Runs callbacks in order of their due times; equal times run in order of scheduling."""
 
     def __init__(self) -> None:
         self.now = 0  # microseconds since the start of the run
@@ -18,7 +18,7 @@
         self._scheduled = 0
 
     def call_at(self, due: int, callback: Callable[..., None], *arguments: Any) -> None:
-        """Run a callback at a time in microseconds; at once, after what is due now, if that has passed."""
+        """Run a callback at a time in microseconds; a time in the past means now."""
         self._scheduled += 1
         heapq.heappush(self._queue, (max(due, self.now), self._scheduled, callback, arguments))
 
@@ -27,7 +27,7 @@
         self.call_at(self.now + delay_us, callback, *arguments)
 
     def run_until(self, end: int) -> None:
-        """Run all that is due up to a time, and leave the clock there."""
+        """Run all callbacks due by `end`, in microseconds, and set the clock to it."""
         while self._queue and self._queue[0][0] <= end:
             due, _, callback, arguments = heapq.heappop(self._queue)
             self.now = due
--- a/scale/callgraph/measure.py
+++ b/scale/callgraph/measure.py
@@ -1,4 +1,4 @@
-"""What is measured of root calls: goodput, refusals, and the time to recover after a fault."""
+"""Measures root calls: goodput, shed and failed calls, and the time to recover after a fault."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from scale.callgraph.loop import MICROSECONDS
 from scale.callgraph.server import CallResult
 
-BIN_US = 250_000  # goodput is followed in bins of a quarter of a second
+BIN_US = 250_000  # the resolution of the time to recover
 RECOVERY_SHARE = 0.95  # of the goodput before the fault
-RECOVERY_BINS = 4  # so many bins in a row must reach that, taken together
+RECOVERY_BINS = 4  # consecutive bins whose mean goodput must reach it
 
 
 @dataclass(slots=True)
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Shares:
-    """What became of the root calls offered in a span of time; parts of 1."""
+    """Outcomes of the root calls offered in a window of time, as shares from 0 to 1."""
 
     offered: int
     goodput: float  # served before the deadline
@@ -33,20 +33,20 @@
 
 
 class RootCallRecorder:
-    """Keeps all root calls of a run."""
+    """Records all root calls of a run."""
 
     def __init__(self, deadline_us: int) -> None:
         self.calls: list[RootCall] = []
         self._deadline_us = deadline_us
 
     def offer(self, now: int) -> RootCall:
-        """A root call is made."""
+        """Record a new root call, offered at `now` in microseconds."""
         call = RootCall(now)
         self.calls.append(call)
         return call
 
     def shares(self, begin: int, end: int) -> Shares:
-        """What became of those offered from `begin` until before `end`, in microseconds."""
+        """Return the outcomes of the calls offered from `begin` until before `end`, in microseconds."""
         calls = [call for call in self.calls if begin <= call.offered_at < end]
         count = max(len(calls), 1)
         return Shares(
@@ -58,10 +58,18 @@
         )
 
     def recovery_us(self, before: float, fault_end: int, end: int) -> int | None:
-        """Time from the fault's end until goodput is back; None if it is not back before `end`.
+        """Return the time from the fault's end until goodput has recovered, in microseconds.
 
-        It is back at the first bin that, together with the next ones, reaches the wanted part of the
-        goodput before the fault.
+        Goodput has recovered at the first bin that, together with the next ones, reaches
+        `RECOVERY_SHARE` of the goodput before the fault.
+
+        Args:
+            before: Goodput before the fault, from 0 to 1.
+            fault_end: End of the fault, in microseconds since the start of the run.
+            end: End of the measured time, on the same clock.
+
+        Returns:
+            The time to recover, or None if goodput did not recover before `end`.
         """
         span = RECOVERY_BINS * BIN_US
         for begin in range(fault_end, end - span + 1, BIN_US):
@@ -78,5 +86,5 @@
 
 
 def to_us(seconds: float) -> int:
-    """Seconds in whole microseconds."""
+    """Convert seconds to microseconds, rounded down."""
     return int(seconds * MICROSECONDS)
--- a/scale/callgraph/network.py
+++ b/scale/callgraph/network.py
@@ -1,4 +1,4 @@
-"""The network between sidecars and servers: delays by place, and places that cannot reach each other."""
+"""The network between sidecars and servers: latencies by location, and partitions."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Network:
-    """Says how long a message takes from one place to another, and whether it arrives at all."""
+    """Gives the latency between two locations, and whether they can reach each other."""
 
     def __init__(self, delays: Delays) -> None:
         self._same_zone_us = int(delays.same_zone_ms * 1_000)
@@ -26,13 +26,13 @@
         self.lost_regions: set[str] = set()  # regions whose links to all others are lost
 
     def delay_us(self, origin: Location, target: Location) -> int:
-        """One way, in microseconds."""
+        """Return the one-way latency in microseconds."""
         if origin.zone == target.zone:
             return self._same_zone_us
         return self._same_region_us if origin.region == target.region else self._other_region_us
 
     def reaches(self, origin: Location, target: Location) -> bool:
-        """Whether a message sent now would arrive."""
+        """Return whether a message sent now would arrive."""
         if origin.zone != target.zone and self.lost_zones & {origin.zone, target.zone}:
             return False
         return origin.region == target.region or not self.lost_regions & {origin.region, target.region}
--- a/scale/callgraph/policies.py
+++ b/scale/callgraph/policies.py
@@ -1,4 +1,4 @@
-"""Who decides at a hop: the sidecar's Balancer, or plain baselines with the same interface."""
+"""Load balancing policies: the sidecar's Balancer, and baselines with the same interface."""
 
 from __future__ import annotations
 
@@ -23,38 +23,38 @@
 )
 from topazbank.settings import Settings
 
-_DEADLINE_MARGIN_TICKS = 2  # an attempt is given up this many ticks before the caller's time is up
+_DEADLINE_MARGIN_TICKS = 2  # an attempt ends this many ticks before the caller's deadline
 _BASELINE_RETRIES = 2
 
 
 class Policy(Protocol):
-    """Takes events in order and says what to do."""
+    """Turns events into actions."""
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take one event at a time in microseconds; return the actions in order."""
+        """Handle one event at `now`, in microseconds; return the actions in order."""
 
 
 @dataclass(slots=True)
 class _BaselineRequest:
-    """A request that a plain policy has not answered yet."""
+    """A pending request of a baseline policy."""
 
     deadline: int
     attempted: list[str] = field(default_factory=list)
 
 
 class BaselinePolicy:
-    """The least loaded of a few random servers, and a fixed number of further attempts after failures."""
+    """Picks the least loaded of a few random servers, and retries failures a fixed number of times."""
 
     def __init__(self, settings: Settings, seed: int, choices: int, retries: int) -> None:
         self._random = random.Random(seed)
         self._deadline_margin_us = _DEADLINE_MARGIN_TICKS * settings.tick_us
         self._choices = choices
         self._maximum_attempts = 1 + retries
-        self._in_flight: dict[str, int] = {}  # by ready server
+        self._in_flight: dict[str, int] = {}  # attempts by ready server
         self._requests: dict[int, _BaselineRequest] = {}
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take one event; what it does not know of is passed over."""
+        """Handle one event; unknown kinds are ignored."""
         match event:
             case RegistryUpdated():
                 self._update(event)
@@ -96,7 +96,7 @@
 
 
 def make_policy(name: PolicyName, settings: Settings, seed: int) -> Policy:
-    """Make the policy of one sidecar."""
+    """Create the policy of one sidecar."""
     match name:
         case PolicyName.BALANCER:
             return Balancer(settings, seed)
--- a/scale/callgraph/root_load.py
+++ b/scale/callgraph/root_load.py
@@ -11,7 +11,7 @@
 
 
 class RootLoad:
-    """Root calls at random times, spread evenly over the root callers that the network does not cut off."""
+    """Makes root calls at random times, spread evenly over the root callers that are not partitioned."""
 
     def __init__(self, loop: EventLoop, graph: CallGraph, rate: float, deadline_us: int, seed: int) -> None:
         self.recorder = RootCallRecorder(deadline_us)
@@ -30,7 +30,7 @@
         callers = self._graph.root_callers
         caller = callers[int(self._random.integers(len(callers)))]
         if caller.location.zone in self._graph.network.lost_zones:
-            return  # its application is lost as well
+            return  # its application is in the lost zone as well
         call = self.recorder.offer(self._loop.now)
         caller.call(self._deadline_us, lambda result: self._record_end(call, result))
 
--- a/scale/callgraph/run.py
+++ b/scale/callgraph/run.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Spans:
-    """The times of a run that are measured, in microseconds: before, during and after the fault."""
+    """The measured windows of a run, in microseconds: before, during and after the fault."""
 
     begin: int
     before_end: int
@@ -48,24 +48,24 @@
     digest: str  # of all root calls and of all services' counts
 
     def calls_per_root_call(self) -> list[float]:
-        """Calls that each service received during the fault, for each root call of that time."""
+        """Return the calls that each service received during the fault, per root call offered then."""
         offered = self.recorder.shares(self.spans.fault_begin, self.spans.fault_end).offered
         return [received / max(offered, 1) for received in self.received_during]
 
     def during(self) -> Shares:
-        """The root calls offered during the fault; all that are measured where there is none."""
+        """Return the outcomes of the root calls offered during the fault; of all calls if there is none."""
         return self.recorder.shares(self.spans.fault_begin, self.spans.fault_end)
 
     def before(self) -> Shares:
-        """The root calls offered between the warm-up and the fault, whose time is up when it begins."""
+        """Return the outcomes of the root calls offered after warm-up with deadlines before the fault."""
         return self.recorder.shares(self.spans.begin, self.spans.before_end)
 
     def after(self) -> Shares:
-        """The root calls offered after the fault whose time is up by the end of the run."""
+        """Return the outcomes of the root calls offered after the fault with deadlines before the end."""
         return self.recorder.shares(self.spans.fault_end, self.spans.end)
 
     def recovery_us(self) -> int | None:
-        """Time from the fault's end until goodput is back; None if it is not."""
+        """Return the microseconds from the fault's end to recovery; None if goodput did not recover."""
         return self.recorder.recovery_us(self.before().goodput, self.spans.fault_end, self.spans.end)
 
 
@@ -93,14 +93,14 @@
 
 
 def _root_rate(experiment: CallGraphExperiment, point: Point) -> float:
-    """Root calls a second: a part of what the service with the most calls for each of them can serve."""
+    """Root calls a second: a share of the capacity of the service with the most calls per root call."""
     servers = experiment.servers
     served_per_s = servers.count * servers.concurrency * 1_000.0 / servers.service_time_ms
     return point.load * served_per_s / math.pow(experiment.fan_out, point.depth - 1)
 
 
 def _spans(experiment: CallGraphExperiment, fault: Fault) -> Spans:
-    """Root calls whose time is not up at the end of the run are not counted."""
+    """Leave out the root calls whose deadlines are after the end of the run."""
     begin, end = to_us(experiment.warm_up_s), to_us(experiment.duration_s)
     deadline_us = experiment.calls.deadline_ms * 1_000
     end -= deadline_us
@@ -121,7 +121,7 @@
 
 
 def points(experiment: CallGraphExperiment) -> Iterator[Point]:
-    """All runs of an experiment."""
+    """Yield a point for each combination of the swept keys."""
     fault = experiment.fault
     shares = experiment.fault_shares or [fault.share]
     seeds = range(experiment.seed, experiment.seed + experiment.seeds)
--- a/scale/callgraph/server.py
+++ b/scale/callgraph/server.py
@@ -1,4 +1,4 @@
-"""Servers: a queue with a limit, a number of calls served at once, and calls of their own further down."""
+"""Simulated servers: a bounded queue, limited concurrency, and downstream calls."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from scale.callgraph.network import Location
 from topazbank.interface import Outcome
 
-_ERROR_TIME_US = 1_000  # a failing call is answered this soon: it holds no place in the queue
-_SERVICE_TIME_BATCH = 256  # service times
+_ERROR_TIME_US = 1_000  # a failing call takes this long and no place in the queue
+_SERVICE_TIME_BATCH = 256  # service times drawn at once
 
 
 @unique
 class CallResult(Enum):
-    """What a sidecar answered to its application."""
+    """The result of a call, as the calling application sees it."""
 
     SERVED = "served"
     SHED = "shed"
@@ -29,10 +29,10 @@
 
 
 class Sidecar(Protocol):
-    """What an application sees of its sidecar."""
+    """The part of a sidecar that its application uses."""
 
     def call(self, remaining_us: int, done: Callable[[CallResult], None]) -> None:
-        """Make a call; `done` is told of its end once."""
+        """Make a call with a deadline in microseconds; `done` is called once with its result."""
 
 
 @dataclass(slots=True, eq=False)
@@ -49,8 +49,8 @@
 class Server:
     """One process of a service.
 
-    A call that waits longer than its caller does is dropped unanswered.  A call given up on by its caller is
-    taken out of the queue; once begun it runs on, as servers of the protocol do.
+        A queued call whose deadline has passed is dropped without a response.  A call cancelled by its caller
+    is removed from the queue; once in service it runs to its end, as servers of the protocol do.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         self._in_service = 0
 
     def receive(self, call: ServerCall) -> None:
-        """Take a call, or turn it away where the queue is full."""
+        """Serve or queue a call; reject it if the queue is full."""
         self.calls_received += 1
         if self.error_share > 0.0 and self._random.random() < self.error_share:
             self._loop.call_later(_ERROR_TIME_US, call.respond, Outcome.ERROR)
@@ -84,14 +84,14 @@
             call.respond(Outcome.FULL)
 
     def stop(self) -> None:
-        """Die with all that is in hand."""
+        """Stop as a killed process: all calls in service or queued are lost."""
         self.is_up = False
         self.incarnation += 1
         self._queue.clear()
         self._in_service = 0
 
     def start(self) -> None:
-        """Be there again, as a new process."""
+        """Start again, as a new process."""
         self.is_up = True
         self.started_at = self._loop.now
 
@@ -107,7 +107,7 @@
 
     def _service_ended(self, call: ServerCall, incarnation: int) -> None:
         if incarnation != self.incarnation:
-            return  # the process died meanwhile
+            return  # the process was stopped meanwhile
         self._in_service -= 1
         while self._queue and self._in_service < self._capacity.concurrency:
             queued = self._queue.popleft()
@@ -116,7 +116,7 @@
         self._call_downstream(call)
 
     def _call_downstream(self, call: ServerCall) -> None:
-        """Make the calls of its own, side by side, with what is left of the caller's time."""
+        """Make all downstream calls at once, with the caller's remaining time."""
         remaining_us = call.deadline - self._loop.now
         if not self.downstream:
             call.respond(Outcome.DELIVERED)
@@ -126,7 +126,7 @@
                 sidecar.call(remaining_us, lambda result: self._downstream_ended(call, result))
 
     def _downstream_ended(self, call: ServerCall, result: CallResult) -> None:
-        """Answer when all results are there: 200, or 500 if any call was refused or failed.
+        """Respond when all results are in: 200, or 500 if any call was shed or failed.
 
         A 503 without `X-Rejected` would be the same to the caller's sidecar: the call may have run.
         """
--- a/scale/callgraph/sidecar.py
+++ b/scale/callgraph/sidecar.py
@@ -1,4 +1,4 @@
-"""Hosts one policy: turns calls and their ends into events, and carries out its actions."""
+"""A simulated sidecar: turns calls and attempts into a policy's events, and performs its actions."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Attempt:
-    """An attempt that has not ended for its sidecar."""
+    """An attempt that has not ended, as seen by its sidecar."""
 
     index: int
     server: Server
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Request:
-    """A call of the application that has attempts out or no answer yet."""
+    """A call of the application that has attempts in flight or no response yet."""
 
     done: Callable[[CallResult], None]
     attempts_sent: int = 0
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class _IdleConnections:
-    """Connections to one server that are open and carry nothing."""
+    """Idle connections to one server."""
 
     count: int = 0
     incarnation: int = 0  # of the process they lead to
@@ -65,7 +65,7 @@
 
 
 class SimulatedSidecar:
-    """One sidecar towards one service."""
+    """One sidecar that calls one service."""
 
     def __init__(
         self,
@@ -85,11 +85,11 @@
         self._idle: dict[str, _IdleConnections] = {}
 
     def update_registry(self, kind: RegistryUpdateKind, endpoints: Sequence[Endpoint]) -> None:
-        """Tell the policy of the servers."""
+        """Pass a registry update to the policy."""
         self._handle(RegistryUpdated(kind, endpoints, 1))
 
     def call(self, remaining_us: int, done: Callable[[CallResult], None]) -> None:
-        """Make a call on the service; `done` is told of its end once."""
+        """Make a call with a deadline in microseconds; `done` is called once with its result."""
         number, self._next_request = self._next_request, self._next_request + 1
         self._requests[number] = _Request(done)
         self._handle(RequestArrived(number, self._upstream.service_class, None, None, remaining_us))
@@ -107,7 +107,7 @@
             case Fail():
                 self._respond_to_caller(action.request, CallResult.FAILED)
             case Cancel():
-                # Not at once: what the policy said first is carried out before it hears of the end.
+                # Not at once: the policy's earlier actions are performed before the attempt ends.
                 self._loop.call_later(
                     0, self._abort_attempt, action.request, action.attempt, Outcome.CANCELLED
                 )
@@ -140,7 +140,7 @@
             self._dial(action.request, attempt, until, one_way_us)
 
     def _acquire_connection(self, server: Server) -> bool:
-        """Take an idle connection, if one leads to the process that runs now."""
+        """Take an idle connection, if there is one to the server's current incarnation."""
         idle = self._idle.setdefault(server.name, _IdleConnections())
         if idle.incarnation != server.incarnation:
             idle.incarnation, idle.count = server.incarnation, 0
@@ -159,7 +159,7 @@
             self._loop.call_later(3 * one_way_us, self._deliver, number, attempt, until)
 
     def _deliver(self, number: int, attempt: _Attempt, until: int) -> None:
-        """The attempt is at its server, unless it was given up or the network lost it."""
+        """Deliver an attempt to its server, unless it was cancelled or the network lost it."""
         server = attempt.server
         if not self._is_in_flight(number, attempt) or not self._network.reaches(
             self.location, server.location
@@ -173,7 +173,7 @@
         server.receive(attempt.call)
 
     def _respond(self, number: int, attempt: _Attempt, outcome: Outcome) -> None:
-        """The server's answer leaves for the sidecar; a process that has died answers nothing."""
+        """Send the server's response to the sidecar; a process that was stopped sends none."""
         died = attempt.incarnation != attempt.server.incarnation and outcome is not Outcome.DROPPED
         if died or not self._network.reaches(attempt.server.location, self.location):
             return
@@ -181,7 +181,7 @@
         self._loop.call_later(one_way_us, self._end_attempt, number, attempt, outcome)
 
     def drop_connections(self, server: Server) -> None:
-        """The server's process has died: attempts that were out there are reset."""
+        """Reset the attempts in flight at a server whose process was stopped."""
         for number, request in list(self._requests.items()):
             for attempt in list(request.in_flight.values()):
                 if attempt.server is server and attempt.call is not None:
--- a/scale/callgraph/sweep.py
+++ b/scale/callgraph/sweep.py
@@ -70,7 +70,7 @@
 
 
 def _write_recovery(writer: ResultWriter, run: CallGraphRun, labels: Mapping[str, Label]) -> None:
-    """Where goodput does not come back, the time until the end of the run stands with `recovered=False`."""
+    """Without recovery, write the time until the end of the run, with the label `recovered=False`."""
     recovery_us = run.recovery_us()
     recovered = recovery_us is not None
     value_us = run.spans.end - run.spans.fault_end if recovery_us is None else recovery_us
--- a/scale/capacity/evaluation.py
+++ b/scale/capacity/evaluation.py
@@ -1,4 +1,4 @@
-"""Works figures out of the measurements of results files."""
+"""Evaluates figures from the measurements in results files."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Evaluation:
-    """What a figure came to."""
+    """The value of a figure, with its range and where it comes from."""
 
     value: float
     minimum: float
     maximum: float
     derivation: str
     run: str
-    is_lower_bound: bool = False  # whether the run ended before what was timed
+    is_lower_bound: bool = False  # whether the run ended before the timed event
 
 
 def evaluate_figure(figure: Figure, results: Results) -> Evaluation | None:
-    """Work a figure out of its files' measurements; None if no run gave it yet."""
+    """Evaluate a figure from its files' measurements; None if no run has measured it."""
     selected: list[Measurement] = []
     runs = []
     for name in figure.results:
--- a/scale/capacity/figures.py
+++ b/scale/capacity/figures.py
@@ -12,29 +12,29 @@
 
 
 class Figure(BaseModel):
-    """One row of a table: which measurements it takes, and what is made of them."""
+    """One row of a table: the measurements it uses, and how they are combined."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
     table: str
     what: str
-    results: list[str] = Field(min_length=1)  # names of results files without their ending, each a run
+    results: list[str] = Field(min_length=1)  # names of results files without their suffix, one run each
     role: str
     metric: str
     where: dict[str, Label] = {}  # labels that the measurements must have
     commit: str | None = None  # of the runs; otherwise that of each file's last line
     not_commits: list[str] = []  # runs that this figure must not come from
     against: str | None = None  # label of the size that a line is fitted to
-    at: float | None = None  # size at which the line is taken
+    at: float | None = None  # size at which the line is evaluated
     up_to: float | None = None  # largest size that the line is fitted to
-    times: float = 1.0  # unit, or how many processes there are
+    times: float = 1.0  # factor: a change of unit, or a number of processes
     processes: str = ""  # what the multiplication stands for, if it is more than a unit
     unit: str = ""
     budget: float | None = Field(default=None, gt=0.0)  # in the same unit
     budget_is_least: bool = False  # whether more than the budget is better than less
     carried_by: str
-    rank: int | None = None  # among what is missing; such figures stand in that table as well
-    missing: str = ""  # what they are called there
+    rank: int | None = None  # order in the table of what is missing
+    missing: str = ""  # the row's title in that table
 
 
 class FigureFile(BaseModel):
@@ -46,7 +46,13 @@
 
 
 def read_figures(path: Path) -> list[Figure]:
-    """Read the figures; raise ExperimentError in one line that names the key at fault."""
+    """Read the figures of the page.
+
+    Raises:
+        UnreadableExperimentError: The file cannot be read.
+        TomlSyntaxError: The file is not TOML.
+        InvalidKeyError: A key is missing, unknown or out of range.
+    """
     try:
         return FigureFile.model_validate(read_experiment_file(path)).figures
     except ValidationError as error:
--- a/scale/capacity/numbers.py
+++ b/scale/capacity/numbers.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 _SIGNIFICANT_DIGITS = 3
-_LEAST_WITHOUT_FRACTION = 100.0  # three digits are whole from here on
+_LEAST_WITHOUT_FRACTION = 100.0  # three digits have no fraction from here on
 _LEAST_ROUNDED = 10_000.0  # from here on, digits beyond the significant ones become zeros
 
 
 def format_number(value: float) -> str:
-    """A number with three significant digits, thousands apart, and no exponent."""
+    """Format a number with three significant digits, thousands separators and no exponent."""
     if value == 0.0:
         return "0"
     rounded = float(f"{value:.{_SIGNIFICANT_DIGITS}g}")
--- a/scale/capacity/page.py
+++ b/scale/capacity/page.py
@@ -11,12 +11,12 @@
 from scale.errors import UnmatchedTableError
 from scale.results import Measurement, read_results
 
-MISSING = "missing"  # the table of what has a rank
+MISSING = "missing"  # the table of the ranked figures
 _BLOCK = re.compile(r"(<!-- table: (?P<name>[a-z-]+) -->\n).*?(<!-- end of table -->)", re.DOTALL)
 
 
 def _ranked_figures(figures: Sequence[Figure]) -> list[Figure]:
-    """The figures of what is missing, in order, as rows of a table of their own."""
+    """Return the ranked figures in order, as rows of the table of what is missing."""
     ranked = sorted((figure.rank, index) for index, figure in enumerate(figures) if figure.rank is not None)
     return [
         figures[index].model_copy(update={"table": MISSING, "what": f"{rank}. {figures[index].missing}"})
@@ -25,9 +25,19 @@
 
 
 def fill_page(text: str, figures: Sequence[Figure], folder: Path) -> str:
-    """Put the tables between a page's marks.
+    """Replace the tables between a page's marks.
 
-    Raise ExperimentError for a mark without figures, or figures without a mark.
+    Args:
+        text: The page, in Markdown.
+        figures: All figures of the page.
+        folder: Folder of the results files.
+
+    Returns:
+        The page with its tables filled in.
+
+    Raises:
+        UnmatchedTableError: A mark has no figures, or figures have no mark.
+        ResultsError: A results file cannot be used.
     """
     results: dict[str, Sequence[Measurement]] = {}
     for name in {name for figure in figures for name in figure.results}:
--- a/scale/capacity/table.py
+++ b/scale/capacity/table.py
@@ -22,7 +22,7 @@
 
 
 def _exceeds_budget(figure: Figure, evaluation: Evaluation) -> bool:
-    """Whether any of the values is beyond the budget."""
+    """Return whether any of the values exceeds the budget."""
     if figure.budget is None:
         return False
     return (
@@ -41,7 +41,7 @@
 
 
 def format_figures(figures: Sequence[Figure], results: Results) -> str:
-    """A Markdown table; what is over its budget is bold."""
+    """Format a Markdown table; values that exceed their budget are bold."""
     rows = [_HEADER, tuple("---" for _ in _HEADER)]
     for figure in figures:
         evaluation = evaluate_figure(figure, results)
--- a/scale/cli.py
+++ b/scale/cli.py
@@ -58,7 +58,7 @@
     results: Annotated[Path, typer.Option(help="Folder of the results, one file each.")] = RESULTS,
     experiments: Annotated[Path, typer.Option(help="Folder of the experiment files.")] = EXPERIMENTS,
 ) -> None:
-    """Run the whole set of experiments, without the small ones for tests."""
+    """Run the complete set of experiments, without the small ones for tests."""
     elapsed_s = run_suite(find_experiments(experiments), results)
     note = log.warning if elapsed_s > TIME_LIMIT_S else log.info
     note("suite ended", elapsed_s=round(elapsed_s, 1), limit_s=TIME_LIMIT_S, results=str(results))
@@ -84,7 +84,7 @@
     against: Annotated[str, typer.Option(help="Label that was varied.")] = "servers",
     at: Annotated[float, typer.Option(help="Size at which each line is worked out.")] = 4_900.0,
 ) -> None:
-    """Fit a line through each metric against a size, and work it out at another size."""
+    """Fit a line through each metric against a size, and evaluate it at another size."""
     typer.echo(format_slopes(fit_slopes(read_results(results), against), at))
 
 
@@ -105,7 +105,7 @@
     rate: Annotated[float, typer.Option(min=10.0, max=500.0, help="Calls a second.")] = 100.0,
     seed: Annotated[int, typer.Option(min=0, help="Seed of arrivals and service times.")] = 1,
 ) -> None:
-    """Show one real sidecar while a server is drained and another killed; exit code 0 if all went well."""
+    """Show one real sidecar while a server is drained and another killed; exit code 0 if no call failed."""
     outcome = run_demo(duration, rate, seed, typer.echo)
     typer.echo(format_outcome(outcome))
     faults = outcome.faults()
@@ -117,7 +117,11 @@
 
 
 def main() -> int:
-    """Run the command; bad input is one line on standard error and exit code 2."""
+    """Run the command line.
+
+    Returns:
+        The exit code: 2 after bad input, which is reported in one line on standard error.
+    """
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     try:
         app()
--- a/scale/commands.py
+++ b/scale/commands.py
@@ -1,6 +1,6 @@
 """Commands to a process that the rig started: JSON lines over a loopback connection.
 
-The process prints one line, a `Ready`, once it listens; each command is then answered by one line.
+The process prints one line, a `Ready`, once it listens; each command then gets a response of one line.
 """
 
 from __future__ import annotations
@@ -21,27 +21,32 @@
 
 
 class Message(BaseModel):
-    """A command or an answer."""
+    """A command or a response."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class Ready(Message):
-    """What a process prints when it takes commands."""
+    """What a process prints once it accepts commands."""
 
     commands: tuple[str, int]
     addresses: list[tuple[str, int]] = []
 
 
 class Done(Message):
-    """The answer to a command that gives no figures."""
+    """The response to a command that has nothing to return."""
 
 
 AnyMessage = TypeVar("AnyMessage", bound=Message)
 
 
 async def serve_commands(handle: Callable[[bytes], Message], addresses: list[tuple[str, int]]) -> None:
-    """Print a `Ready`, then answer the commands of one connection until it ends."""
+    """Print a `Ready`, then serve the commands of one connection until it is closed.
+
+    Args:
+        handle: Handles one command, as a JSON line.
+        addresses: Addresses to print, for the other side to use.
+    """
     ended = asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -63,10 +68,14 @@
 
 
 class CommandClient:
-    """Gives commands to a process, one at a time."""
+    """Sends commands to a process, one at a time."""
 
     def __init__(self, popen: subprocess.Popen[bytes]) -> None:
-        """Wait until the process takes commands; raise ProcessEndedError if it ends first."""
+        """Wait until the process accepts commands.
+
+        Raises:
+            ProcessEndedError: The process ended first.
+        """
         assert popen.stdout is not None
         self._pid = popen.pid
         line = popen.stdout.readline()
@@ -77,7 +86,11 @@
         self._responses = self._socket.makefile("rb")
 
     def request(self, command: Message, response_type: type[AnyMessage]) -> AnyMessage:
-        """Give a command and return its answer; raise ProcessEndedError if there is none."""
+        """Send a command and return its response.
+
+        Raises:
+            ProcessEndedError: The process closed the connection.
+        """
         self._socket.sendall(command.model_dump_json().encode() + b"\n")
         line = self._responses.readline()
         if not line:
@@ -85,15 +98,19 @@
         return response_type.model_validate_json(line)
 
     def execute(self, command: Message) -> None:
-        """Give a command that has no figures to answer with."""
+        """Send a command that has nothing to return, and wait until it is done.
+
+        Raises:
+            ProcessEndedError: The process closed the connection.
+        """
         self.request(command, Done)
 
     def close(self) -> None:
-        """End the connection, and with it the process's work."""
+        """Close the connection; the process ends as a result."""
         self._responses.close()
         self._socket.close()
 
 
 def python_command(module: str, *arguments: object) -> list[str]:
-    """The command line that runs a module of this repository."""
+    """Return the command line that runs a module of this repository."""
     return [sys.executable, "-m", module, *(str(each) for each in arguments)]
--- a/scale/configuration/experiment.py
+++ b/scale/configuration/experiment.py
@@ -1,4 +1,4 @@
-"""What an experiment on configuration names: sizes, and how often files are replaced."""
+"""The keys of a configuration experiment: sizes, and how often files are replaced."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 class ConfigurationExperiment(Experiment):
     """Real sidecars whose configuration is replaced, at each combination of the sizes.
 
-    `duration_s` is how long each change is watched at most.
+    `duration_s` is the longest time that each change is observed.
     """
 
     servers: list[Annotated[int, Field(ge=2, le=MAXIMUM_SERVERS)]] = Field(min_length=1)
     sidecars: list[Annotated[int, Field(ge=1, le=MAXIMUM_SIDECARS)]] = Field(min_length=1)
-    changes: int = Field(default=2, ge=1, le=1_000)  # each watched until it is in force
-    metered_reloads: int = Field(default=5, ge=1, le=1_000)  # with no requests beside them
+    changes: int = Field(default=2, ge=1, le=1_000)  # each observed until it is applied
+    metered_reloads: int = Field(default=5, ge=1, le=1_000)  # while there is no other traffic
     reload_interval_s: float = Field(default=1.0, ge=0.05, le=60.0)  # between the metered ones
--- a/scale/configuration/run.py
+++ b/scale/configuration/run.py
@@ -1,4 +1,4 @@
-"""Runs an experiment on configuration, point by point."""
+"""Runs configuration experiments, point by point."""
 
 from __future__ import annotations
 
@@ -30,14 +30,20 @@
 PERCENTILES = (50.0, 99.0, 100.0)
 _LOAD_TIMEOUT_S = 60.0
 _POLL_INTERVAL_S = 0.05
-_SERVICE_TIME_S = 0.8  # how long the server holds a request that is in flight while its file is replaced
+_SERVICE_TIME_S = 0.8  # of the requests in flight while the file is replaced
 _BAD_FILE = b'{"settings": {"lanes": []}}'
 
 log = structlog.get_logger()
 
 
 def run_configuration(experiment: ConfigurationExperiment, writer: ResultWriter) -> None:
-    """Measure each size."""
+    """Measure each combination of sizes.
+
+    Raises:
+        EndpointListTimeoutError: Not all sidecars got the endpoint list in time.
+        RequestsInFlightTimeoutError: Not all requests reached the server in time.
+        SidecarStartError: A sidecar did not start.
+    """
     for servers in experiment.servers:
         for sidecars in experiment.sidecars:
             asyncio.run(_run_point(experiment, writer, servers, sidecars))
@@ -78,13 +84,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """What has been used by a moment."""
+    """Resource usage up to one moment."""
 
     sidecar_cpu_s: float  # of all sidecars together
     counts: Counts
 
     def http_bytes(self) -> int:
-        """What went between the registry and all sidecars."""
+        """Return the bytes between the registry and all sidecars, both ways."""
         return self.counts.bytes_in + self.counts.bytes_out
 
 
@@ -101,7 +107,7 @@
     version: int = 1  # of the configuration that was written last
 
     async def run(self) -> None:
-        """Wait for the list, then measure changes, a bad file, one taken back, and what reloads cost."""
+        """Wait for the endpoint list; measure changes, a bad file, a rollback and the cost of reloads."""
         await _wait_until(
             lambda: self._counts().watching >= len(self.sidecars),
             EndpointListTimeoutError("sidecars", _LOAD_TIMEOUT_S),
@@ -116,12 +122,12 @@
         return self.registry.request(GetCounts(), Counts)
 
     def _next_configurations(self, added_class: str) -> list[tuple[ConfiguredSidecar, bytes]]:
-        """The next version for each sidecar, with one class more than at the start."""
+        """Return the next version for each sidecar, with one class more than at the start."""
         self.version += 1
         return [(each, each.configuration(self.version, added_class)) for each in self.sidecars]
 
     async def _change(self, phase: str, added_class: str) -> None:
-        """Replace all files by a next version, and write the times until requests of a class were taken."""
+        """Replace all files by the next version, and write the times until a class was accepted."""
         timeout_s = self.experiment.duration_s
         configurations = self._next_configurations(added_class)
         changes = (each.change(content, added_class, timeout_s) for each, content in configurations)
@@ -155,7 +161,7 @@
         self._add("request in flight", "served", served / len(results), "share", "change")
 
     async def _measure_bad_file(self) -> None:
-        """Replace all files by one that cannot be used: what was in force has to stay so."""
+        """Replace all files by an invalid one: the active configuration has to stay active."""
         for sidecar in self.sidecars:
             await asyncio.to_thread(sidecar.replace_file, _BAD_FILE)
         await asyncio.sleep(self.experiment.reload_interval_s)
@@ -163,11 +169,11 @@
         self._add("configuration", "classes as before", sum(unchanged) / len(unchanged), "share", "bad file")
 
     async def _measure_rollback(self) -> None:
-        """Put what an earlier version said into force again, as a newer version."""
+        """Apply the content of an earlier version again, as a newer version."""
         await self._change("taken back", "added-2")
 
     async def _measure_cost(self) -> None:
-        """Compare a time with reloads, no request beside them, with as long a time without."""
+        """Compare a window with reloads, and no other traffic, with an idle window of the same length."""
         reloads, interval_s = self.experiment.metered_reloads, self.experiment.reload_interval_s
         start = self._read()
         await asyncio.sleep(reloads * interval_s)
@@ -193,7 +199,7 @@
 
 
 async def _wait_until(condition: Callable[[], bool], timeout_error: ScaleError) -> None:
-    """Poll a condition until it holds; raise the given error if it does not within 60 s."""
+    """Poll a condition until it holds; raise `timeout_error` after 60 s."""
     deadline = time.monotonic() + _LOAD_TIMEOUT_S
     while not condition():
         if time.monotonic() > deadline:
--- a/scale/configuration/sidecar.py
+++ b/scale/configuration/sidecar.py
@@ -1,4 +1,4 @@
-"""A real sidecar of these experiments: its file can be replaced, and its settings are seen from outside."""
+"""A real sidecar whose file can be replaced and whose active settings can be probed from outside."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from scale.processes import ProcessGroup
 from scale.sidecar_process import await_ready, sample_config, start_sidecar
 
-SAMPLE_CLASSES = ("read", "update", "send")  # classes of the sample configuration, one for each idempotency
+SAMPLE_CLASSES = ("read", "update", "send")  # of the sample configuration, one per idempotency
 _BUDGET_S = 1.5
 _CALL_TIMEOUT_S = 3.0
 _INITIAL_BACKOFF_S = 0.002
-_BACKOFF_FACTOR = 1.25  # so that a delay is known to a quarter of itself, by few requests
+_BACKOFF_FACTOR = 1.25  # measures a delay to a quarter of itself with few requests
 _MAXIMUM_BACKOFF_S = 0.25
 
 
@@ -34,24 +34,32 @@
         self.listen = listen
         self._config = sample_config(listen, discovery) | {"seed": f"{seed:x}", "version": 1}
         for each in self._config["settings"]["lanes"]:
-            each["promiseUs"] = each["giveUpUs"]  # requests that are held for the experiment are not late
+            each["promiseUs"] = each["giveUpUs"]  # requests delayed for the experiment are not late
         self.process = start_sidecar(group, self._config, folder)
         self._client = HttpClient(self.listen)
         self._calls = 0
 
     def await_ready(self) -> None:
-        """Wait until it serves; raise SidecarError if it does not start."""
+        """Wait until it is ready.
+
+        Raises:
+            SidecarStartError: It ended first, or took too long.
+        """
         await_ready(self.process, self.listen, self._folder)
 
     def configuration(self, version: int, added_class: str) -> bytes:
-        """A configuration with one class more than the sample's, safe to repeat."""
+        """Return a configuration with one idempotent class more than the sample's, as JSON."""
         settings: dict[str, Any] = self._config["settings"]
         lanes = [*settings["lanes"], settings["lanes"][0] | {"name": added_class}]
         changed = self._config | {"version": version, "settings": settings | {"lanes": lanes}}
         return json.dumps(changed).encode()
 
     def replace_file(self, content: bytes) -> float:
-        """Replace its file in one step, signal it, and return the moment before that (monotonic clock)."""
+        """Replace its file atomically and send SIGHUP.
+
+        Returns:
+            The moment before the replacement, in seconds on the monotonic clock.
+        """
         path = self._folder / "config.json"
         temporary = path.with_suffix(".new")
         temporary.write_bytes(content)
@@ -61,7 +69,7 @@
         return replaced_at
 
     async def call(self, service_class: str) -> CallResult:
-        """Make a request of a class."""
+        """Make a request of a service class."""
         self._calls += 1
         call_id = f"{self.process.pid:08x}{self._calls:08x}"
         data = format_call(service_class, call_id, _BUDGET_S, call_id if service_class == "update" else None)
@@ -70,14 +78,17 @@
         return await self._client.call(data, time.monotonic(), _CALL_TIMEOUT_S)
 
     async def knows_class(self, service_class: str) -> bool:
-        """Whether it takes requests of a class now: one that it does not know is a bad request."""
+        """Return whether it accepts requests of a class; an unknown class is a bad request."""
         return (await self.call(service_class)).status != HTTPStatus.BAD_REQUEST
 
     async def change(self, content: bytes, added_class: str, timeout_s: float) -> float | None:
-        """Replace its file, and return the seconds until a request of an added class was taken and answered.
+        """Replace its file and poll until it accepts requests of an added class.
+
+        Files may be slow, so they are replaced in a thread: the event loop goes on to serve the requests in
+        flight and to poll the other sidecars.
 
-        None: not in time.  Files may be slow, so they are replaced beside the event loop, which goes on to
-        answer the requests in flight and to ask the other sidecars.
+        Returns:
+            The seconds until the first accepted request was answered, or None if that took too long.
         """
         replaced_at = await asyncio.to_thread(self.replace_file, content)
         backoff_s = _INITIAL_BACKOFF_S
--- a/scale/control/__init__.py
+++ b/scale/control/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on control: sidecars that follow a registry over real sockets."""
+"""Control plane experiments: sidecars that watch a registry over real sockets."""
--- a/scale/control/faults.py
+++ b/scale/control/faults.py
@@ -1,4 +1,4 @@
-"""The faults of an experiment on control: what each does, and which changes it is measured by."""
+"""Injects the faults of a control plane experiment."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 )
 from scale.standins.registry_state import Availability
 
-_CUT_OFF = 1  # the half of the stub sidecars that is cut off
+_CUT_OFF = 1  # the half of the stub sidecars that is partitioned
 
 
 @dataclass(frozen=True, slots=True)
 class FaultOutcome:
-    """What a fault is measured by: the time from each of these until it is in force."""
+    """The changes whose propagation measures a fault."""
 
     changes: list[CommittedChange]
-    halves: tuple[int, ...] = HALVES  # of the stub sidecars that it was about
-    with_real: bool = True  # whether it was about the real sidecars, too
+    halves: tuple[int, ...] = HALVES  # of the stub sidecars that it affected
+    with_real: bool = True  # whether it affected the real sidecars, too
 
 
 def inject_fault(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
-    """Let a fault happen and end."""
+    """Inject a fault and end it, which takes the fault's `lasts_s`."""
     return _INJECTORS[fault.kind](fault, fleet, rng)
 
 
@@ -44,12 +44,12 @@
 
 
 def _current_version(fleet: Fleet) -> CommittedChange:
-    """The present version, as if it had been committed now."""
+    """Return the current version, as if it had been committed now."""
     return CommittedChange(version=fleet.registry.counts().version, at_s=time.monotonic())
 
 
 def _outage(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
-    """Discovery is gone; a change falls into the outage, and its time counts from discovery's return."""
+    """Take discovery down; a change is committed meanwhile, and measured from discovery's recovery."""
     is_overload = fault.kind is FaultKind.DISCOVERY_OVERLOADED
     availability = Availability.OVERLOADED if is_overload else Availability.DOWN
     client = fleet.registry.client
@@ -71,7 +71,7 @@
 
 
 def _failed_over(_fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
-    """Another machine takes discovery's address over: nobody hears of a change on an open connection."""
+    """Fail discovery's address over to another machine: open connections carry nothing any more."""
     fleet.registry.client.execute(BlackholeConnections())
     return FaultOutcome([_restart_one(fleet, rng)])
 
@@ -88,7 +88,7 @@
 
 
 def _zones_lost(fault: Fault, fleet: Fleet, zones: Collection[str]) -> FaultOutcome:
-    """All servers of some zones leave in one change, and come back in another."""
+    """Remove all servers of some zones in one change, and add them again in another."""
     endpoints = fleet.registry.endpoints
     indexes = [index for index, endpoint in enumerate(endpoints) if endpoint.zone in zones]
     removed = fleet.registry.change(ChangeEndpoints(change="remove", indexes=indexes))
@@ -98,7 +98,7 @@
 
 
 def _release(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
-    """Each server of a service drains, leaves and comes back; spread over the fault's time."""
+    """Drain, remove and add again each server of a service, spread over the fault's time."""
     service = rng.choice(fleet.registry.endpoints).group
     indexes = [index for index, each in enumerate(fleet.registry.endpoints) if each.group == service]
     started_at, changes = time.monotonic(), []
@@ -117,7 +117,7 @@
 
 
 def _sidecars_cut_off(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
-    """A change falls into the time of silence; for those who were cut off it counts from the end of it."""
+    """Partition half of the stub sidecars; a change made meanwhile is measured from the partition's end."""
     client = fleet.registry.client
     listener = fleet.registry.stub_listener(_CUT_OFF, fleet.migrated)
     client.execute(SetPartitioned(listener=listener, partitioned=True))
--- a/scale/control/measure.py
+++ b/scale/control/measure.py
@@ -1,4 +1,4 @@
-"""What the processes of an experiment on control used over a window of time, as figures for each role."""
+"""Measures what the processes of a control plane experiment used in a window, for each role."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """What all processes have used by a moment."""
+    """Resource usage of all processes up to one moment."""
 
     registry: Usage
     stubs: list[Usage]
@@ -42,26 +42,26 @@
     registry: Registry
     stubs: StubGroup
     real: list[RealSidecar]
-    migrated: bool = False  # whether the sidecars are at their second address of the registry
+    migrated: bool = False  # whether the sidecars use their second address of the registry
 
     @property
     def sidecars(self) -> int:
-        """How many sidecars follow the registry."""
+        """How many sidecars watch the registry."""
         return self.stubs.count + len(self.real)
 
     def migrate_discovery(self) -> None:
-        """Move all sidecars to their other address of the registry, at once."""
+        """Migrate all sidecars to their other address of the registry, at once."""
         self.migrated = not self.migrated
         self.stubs.migrate(self.migrated)
         for sidecar in self.real:
             sidecar.migrate(self.migrated)
 
     def real_delays(self, changes: list[CommittedChange]) -> ObservedDelays:
-        """When each real sidecar was first seen to hold each change."""
+        """Return the seconds until each real sidecar was first observed with each change."""
         return self.registry.real_delays(changes, len(self.real), self.migrated)
 
     def read(self) -> Reading:
-        """Read the meters of all processes."""
+        """Read the usage of all processes."""
         return Reading(
             self.registry.process.usage(),
             _usages(self.stubs.processes),
@@ -81,22 +81,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """What went between the registry and all sidecars in a window."""
+    """Traffic between the registry and all sidecars in a window."""
 
     seconds: float
     calls: int
     connections: int
     http_bytes: int
-    segments: float  # TCP segments, worked out from the connections that were sampled
+    segments: float  # TCP segments, estimated from the sampled connections
 
     @property
     def wire_bytes(self) -> float:
-        """HTTP with the headers of TCP and IP."""
+        """HTTP bytes with the headers of TCP and IP."""
         return self.http_bytes + self.segments * SEGMENT_HEADER_BYTES
 
 
 def traffic_between(before: Reading, after: Reading) -> Traffic:
-    """The traffic of a window."""
+    """Return the traffic between two readings."""
     first, last = before.counts, after.counts
     connections = last.connections - first.connections
     sampled = last.sampled_connections - first.sampled_connections
@@ -124,7 +124,9 @@
     stub_cores = sum(map(_cores, before.stubs, after.stubs)) / fleet.stubs.count
     writer.add(STUB_ROLE, "cpu", stub_cores, "cores", labels)
     busiest = max(map(_cores, before.stubs, after.stubs))
-    writer.add(STUB_PROCESS_ROLE, "cpu, largest", busiest, "cores", labels)  # near 1: its delays are its own
+    writer.add(
+        STUB_PROCESS_ROLE, "cpu, largest", busiest, "cores", labels
+    )  # near 1, the process itself delays its sidecars
     if fleet.real:
         _write_real_usage(writer, before, after, traffic.seconds, labels)
     each = traffic.seconds * fleet.sidecars
@@ -166,7 +168,7 @@
 def _write_percentiles(
     writer: ResultWriter, role: str, histogram: LatencyHistogram, missing: int, labels: Labels
 ) -> None:
-    """Write times to being in force; `missing` pairs of a change and a sidecar have none."""
+    """Write propagation times; `missing` pairs of a change and a sidecar have none."""
     writer.add(role, "in force, measured", histogram.count, "pairs", labels)
     writer.add(role, "in force, missing", missing, "pairs", labels)
     if histogram.count:
@@ -176,7 +178,7 @@
 
 
 def write_stub_delays(writer: ResultWriter, delays: Sequence[Delays], labels: Labels) -> None:
-    """Write the times to being in force in stub sidecars."""
+    """Write the times until changes were applied in stub sidecars."""
     histogram = LatencyHistogram()
     for each in delays:
         histogram.merge(LatencyHistogram.decode(each.histogram))
@@ -184,7 +186,7 @@
 
 
 def write_real_delays(writer: ResultWriter, observed: ObservedDelays, labels: Labels) -> None:
-    """Write the times to being in force in real sidecars, each seen by the call that followed it."""
+    """Write the times until changes were applied in real sidecars, as observed in their next calls."""
     histogram = LatencyHistogram()
     missing = 0
     for change in observed.delays_s:
--- a/scale/control/peak_sampler.py
+++ b/scale/control/peak_sampler.py
@@ -1,4 +1,4 @@
-"""Samples the memory of processes while something happens."""
+"""Samples the peak memory of processes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PeakSampler:
-    """Samples memory while something happens, and keeps the largest."""
+    """Samples memory in a thread while the block runs, and records the peak."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
@@ -38,7 +38,7 @@
             self._stub_bytes = max(self._stub_bytes, sum(each.usage().memory_bytes for each in stubs))
 
     def write(self, writer: ResultWriter, labels: Labels) -> None:
-        """Write the largest figures."""
+        """Write the peaks."""
         each = self._stub_bytes / self._fleet.stubs.count
         writer.add("discovery", "memory, largest", self._registry_bytes, "bytes", labels)
         writer.add(STUB_ROLE, "memory, largest, with its process's", each, "bytes", labels)
--- a/scale/control/processes.py
+++ b/scale/control/processes.py
@@ -1,4 +1,4 @@
-"""The processes of an experiment on control: the registry, stub sidecars and real ones."""
+"""The processes of a control plane experiment: the registry, stub sidecars and real ones."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
     registry_command,
 )
 
-HALVES = (0, 1)  # stub sidecars call at two addresses, so that one half can be cut off
-_STUB_LISTENERS = 2 * len(HALVES)  # and each half has another address to be moved to
+HALVES = (0, 1)  # stub sidecars use two addresses, so that one half can be partitioned
+_STUB_LISTENERS = 2 * len(HALVES)  # each half has another address to migrate to
 _POLL_INTERVAL_S = 0.2
 
 
@@ -59,15 +59,15 @@
         self.endpoints: list[Endpoint] = make_endpoints(servers, experiment.zones, experiment.seed)
 
     def stub_listener(self, half: int, migrated: bool) -> int:
-        """The listener at which a half of the stub sidecars calls, before or after a move."""
+        """Return the listener that a half of the stub sidecars uses, before or after a migration."""
         return half + len(HALVES) * migrated
 
     def real_listener(self, sidecar: int, migrated: bool) -> int:
-        """The listener at which one real sidecar alone calls, before or after a move."""
+        """Return the listener that only one real sidecar uses, before or after a migration."""
         return _STUB_LISTENERS + 2 * sidecar + migrated
 
     def address(self, listener: int) -> Address:
-        """Where a listener is."""
+        """Return the address of a listener."""
         return self.client.ready.addresses[listener]
 
     def change(self, command: ChangeEndpoints) -> CommittedChange:
@@ -75,11 +75,11 @@
         return self.client.request(command, CommittedChange)
 
     def counts(self) -> Counts:
-        """What it has done so far."""
+        """Return its counters."""
         return self.client.request(GetCounts(), Counts)
 
     def real_traffic(self, real_sidecars: int) -> TrafficTotals:
-        """What went between the registry and all real sidecars so far."""
+        """Return the traffic between the registry and all real sidecars so far."""
         listeners = [
             self.real_listener(index, migrated)
             for index in range(real_sidecars)
@@ -90,7 +90,7 @@
     def real_delays(
         self, changes: list[CommittedChange], real_sidecars: int, migrated: bool
     ) -> ObservedDelays:
-        """When each real sidecar was first seen to hold each change."""
+        """Return the seconds until each real sidecar was first observed with each change."""
         listeners = [self.real_listener(index, migrated) for index in range(real_sidecars)]
         return self.client.request(GetObservedDelays(listeners=listeners, changes=changes), ObservedDelays)
 
@@ -118,23 +118,23 @@
         self._clients = [CommandClient(process.popen) for process in self.processes]
 
     def start(self, spread_s: float) -> None:
-        """Start all sidecars, or start them anew, spread over a time."""
+        """Start or restart all sidecars, spread over a time in seconds."""
         for client in self._clients:
             client.execute(StartSidecars(spread_s=spread_s))
 
     def migrate(self, migrated: bool) -> None:
-        """Move all to their other address of the registry, or back."""
+        """Migrate all to their other address of the registry, or back."""
         for index, client in enumerate(self._clients):
             listener = self._registry.stub_listener(index % len(HALVES), migrated)
             client.execute(MigrateDiscovery(address=self._registry.address(listener)))
 
     def is_applied(self, change: CommittedChange, halves: tuple[int, ...] = HALVES) -> bool:
-        """Whether all sidecars of these halves hold a change."""
+        """Return whether all sidecars of these halves have applied a change."""
         progress = [client.request(GetProgress(change=change), Progress) for client in self._of(halves)]
         return all(each.applied == each.sidecars for each in progress)
 
     def delays(self, changes: list[CommittedChange], halves: tuple[int, ...] = HALVES) -> list[Delays]:
-        """The times until changes were in force, by process, of the sidecars of these halves."""
+        """Return the times until the sidecars of these halves applied changes, by process."""
         return [client.request(GetDelays(changes=changes), Delays) for client in self._of(halves)]
 
     def _of(self, halves: tuple[int, ...]) -> list[CommandClient]:
@@ -142,7 +142,7 @@
 
 
 def real_sidecar_config(experiment: ControlExperiment, index: int, listen: Address) -> dict[str, Any]:
-    """The configuration of a real sidecar, without the address of discovery."""
+    """Return the configuration of a real sidecar, without the address of discovery."""
     return {
         "name": f"n{index}",
         "listen": format_address(listen),
@@ -174,13 +174,13 @@
         return {**self._config, "discovery": format_address(address)}
 
     def migrate(self, migrated: bool) -> None:
-        """Move it to its other address, or back, by its configuration and SIGHUP."""
+        """Migrate it to its other address of the registry, or back, by a reload of its configuration."""
         write_config(self._config_at(migrated), self._folder)
         self.process.popen.send_signal(signal.SIGHUP)
 
 
 def wait_until(condition: Callable[[], bool], timeout_s: float) -> bool:
-    """Wait until a condition holds, and say whether it came to."""
+    """Poll a condition until it holds; return False if it does not within `timeout_s` seconds."""
     deadline = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() >= deadline:
--- a/scale/control/run.py
+++ b/scale/control/run.py
@@ -1,4 +1,4 @@
-"""Runs an experiment on control, point by point."""
+"""Runs control plane experiments, point by point."""
 
 from __future__ import annotations
 
@@ -37,7 +37,11 @@
 
 
 def run_control(experiment: ControlExperiment, writer: ResultWriter) -> None:
-    """Measure each size, each with the change rates and then the faults."""
+    """Measure each combination of sizes, each with the change rates and then the faults.
+
+    Raises:
+        EndpointListTimeoutError: Not all sidecars got the endpoint list in time.
+    """
     for servers in experiment.servers:
         for stub_count in experiment.stub_sidecars:
             with _started_fleet(experiment, servers, stub_count) as fleet:
@@ -48,7 +52,7 @@
 def _started_fleet(experiment: ControlExperiment, servers: int, stub_count: int) -> Iterator[Fleet]:
     with ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
-        # Held from before the first process on: the connections of thousands of sidecars use up ports.
+        # Reserved before the first process starts: the connections of thousands of sidecars use up ports.
         listen = [stack.enter_context(ReservedAddress()) for _ in range(experiment.real_sidecars)]
         group = stack.enter_context(ProcessGroup())
         registry = Registry(group, experiment, servers)
@@ -72,7 +76,7 @@
     servers: int
 
     def run(self) -> None:
-        """Load the list into all sidecars, measure the change rates, then the faults."""
+        """Load the endpoint list into all sidecars, measure the change rates, then the faults."""
         rng = random.Random(self.experiment.seed)
         self._load()
         for rate in self.experiment.changes_per_second:
@@ -100,7 +104,7 @@
         log.info("sidecars loaded", servers=self.servers, sidecars=self.fleet.sidecars)
 
     def _await_change(self, change: CommittedChange, timeout_s: float) -> bool:
-        """Wait until a change is in force in all sidecars, stub and real; say whether it came to be."""
+        """Wait until all sidecars, stub and real, have applied a change; return False if they do not."""
 
         def is_applied() -> bool:
             return self.fleet.stubs.is_applied(change) and self._is_applied_in_real(change)
@@ -124,7 +128,7 @@
         log.info("rate measured", servers=self.servers, sidecars=self.fleet.sidecars, rate=rate)
 
     def _commit_spread(self, count: int, duration_s: float, rng: random.Random) -> list[CommittedChange]:
-        """Restart servers at random moments of a window, and return at its end."""
+        """Restart servers at random times in a window, and return at its end."""
         started_at = time.monotonic()
         changes = []
         for moment in sorted(rng.uniform(0.0, duration_s) for _ in range(count)):
--- a/scale/control/stub_commands.py
+++ b/scale/control/stub_commands.py
@@ -1,4 +1,4 @@
-"""Commands to a process of stub sidecars, and its answers."""
+"""Commands to a process of stub sidecars, and its responses."""
 
 from __future__ import annotations
 
@@ -11,42 +11,42 @@
 
 
 class StartSidecars(Message):
-    """Start all sidecars, or stop them and start them anew, spread over a time."""
+    """Start or restart all sidecars, spread over a time in seconds."""
 
     command: Literal["start"] = "start"
     spread_s: float
 
 
 class MigrateDiscovery(Message):
-    """Move all sidecars to another address of the registry, at once."""
+    """Migrate all sidecars to another address of the registry, at once."""
 
     command: Literal["move"] = "move"
     address: tuple[str, int]
 
 
 class GetProgress(Message):
-    """Ask in how many sidecars a change is in force."""
+    """Get how many sidecars have applied a change."""
 
     command: Literal["progress"] = "progress"
     change: CommittedChange
 
 
 class Progress(Message):
-    """In how many sidecars it is in force, of how many."""
+    """How many sidecars there are, and how many have applied the change."""
 
     sidecars: int
     applied: int
 
 
 class GetDelays(Message):
-    """Ask for the times from changes to their being in force."""
+    """Get the times from changes until they were applied."""
 
     command: Literal["delays"] = "delays"
     changes: list[CommittedChange]
 
 
 class Delays(Message):
-    """The times over all changes and sidecars, and how many of these pairs are not in force yet."""
+    """The times over all pairs of a change and a sidecar, and how many pairs are still missing."""
 
     histogram: str  # HdrHistogram's encoding, in microseconds
     missing: int
--- a/scale/control/stub_process.py
+++ b/scale/control/stub_process.py
@@ -1,7 +1,6 @@
 """A process of stub sidecars, hundreds of them.
 
-Run as `python -m scale.control.stub_process`; it prints that it is ready and then
-takes commands.
+Run as `python -m scale.control.stub_process`; it prints a `Ready` and then accepts commands.
 """
 
 from __future__ import annotations
@@ -34,7 +33,7 @@
 
 
 class StubProcess:
-    """Carries out the commands on the sidecars of one process."""
+    """Handles the commands to the sidecars of one process."""
 
     def __init__(self, count: int, zone: str, seed: int, discovery: Address) -> None:
         self._settings = settings_from_wire(sidecar_settings(zone))
@@ -44,7 +43,11 @@
         self._sidecars: list[StubSidecar] = []
 
     def handle(self, line: bytes) -> Message:
-        """Carry out one command; raise ValueError on what is none."""
+        """Handle one command, as a JSON line, and return its response.
+
+        Raises:
+            ValueError: The line is not a command.
+        """
         command = STUB_COMMANDS.validate_json(line)
         match command:
             case StartSidecars():
--- a/scale/control/stub_sidecar.py
+++ b/scale/control/stub_sidecar.py
@@ -1,4 +1,4 @@
-"""One stub sidecar: the real discovery client, balancer and table of servers, without a front end."""
+"""A stub sidecar: the real discovery client, balancer and upstream table, without a front end."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from topazbank.net.upstream import Address, Upstream
 from topazbank.settings import Settings
 
-_SOCKETS_PER_SIDECAR = 480  # what a sidecar with the usual 1,024 descriptors keeps for servers
+_SOCKETS_PER_SIDECAR = 480  # for servers, of a sidecar with the usual 1,024 descriptors
 
 
 def sidecar_settings(zone: str) -> dict[str, Any]:
-    """Settings of a sidecar, in the wire's names."""
+    """Return the settings of a sidecar, as in its configuration file."""
     return {
         "lanes": [{"name": "look", "giveUpUs": 2_000_000, "repeat": "read_like"}],
         "bounds": {"sendCap": 3, "mayCancel": True},
@@ -37,10 +37,10 @@
 
 
 class StubSidecar:
-    """One sidecar without a front end: it follows the registry as a real one does, and serves nobody."""
+    """A sidecar without a front end: it watches the registry as a real one does, and serves no requests."""
 
     def __init__(self, settings: Settings, seed: int, discovery: Address) -> None:
-        self.applied = AppliedLog()  # what it held when
+        self.applied = AppliedLog()  # the versions it applied, with their times
         self._clock = Clock()
         self.balancer = Balancer(settings, seed)
         limits = settings.limits
@@ -51,16 +51,16 @@
         self._stopped = False
 
     def start(self) -> None:
-        """Hear of an empty list, as a real one without a list of its own does, and begin to watch."""
+        """Start with an empty cached endpoint list, and watch the registry."""
         self._handle(RegistryUpdated(RegistryUpdateKind.CACHED))
 
     def stop(self) -> None:
-        """End all calls, as a process that is killed."""
+        """Drop all calls, as a killed process does."""
         self._stopped = True
         self._discovery.stop()
 
     def migrate(self, address: Address) -> None:
-        """Follow the registry at another address."""
+        """Migrate to another address of the registry."""
         self._discovery.move(address)
 
     def _on_registry_response(self, response: RegistryResponse | None) -> None:
@@ -73,7 +73,7 @@
             self.applied.add(response.version, time.monotonic())
 
     def _apply(self, response: RegistryResponse) -> None:
-        """Put a list into force as `Sidecar` does: addresses first, then the balancer."""
+        """Apply an update in the order of `Sidecar`: addresses first, then the balancer."""
         if response.complete:
             self._upstream.retain({line.server.server for line in response.lines})
         for line in response.lines:
--- a/scale/demo/outcome.py
+++ b/scale/demo/outcome.py
@@ -1,4 +1,4 @@
-"""What came of a demonstration, and the judgement on it."""
+"""The outcome of a demonstration, and its checks."""
 
 from __future__ import annotations
 
@@ -26,39 +26,39 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerOutcome:
-    """What one server saw."""
+    """What one server received."""
 
     name: str
-    requests: int  # attempts whose last byte came
+    requests: int  # attempts received to their last byte
     rejected: int
-    last_request_at: float  # monotonic clock; 0.0: none ever came
+    last_request_at: float  # monotonic clock; 0.0 if there was none
 
 
 @dataclass(slots=True)
 class DemoOutcome:
-    """What came of the run, and the judgement on it."""
+    """The outcome of the run, and its checks."""
 
     results: Sequence[CallResult]
     phases: Sequence[Phase]
     servers: Sequence[ServerOutcome]
     drain_notified_at: float  # monotonic clock
-    exit_code: int | None  # of the sidecar, after SIGTERM; None: it had to be killed
+    exit_code: int | None  # of the sidecar after SIGTERM; None if it had to be killed
     log: Sequence[str] = field(default_factory=list)
 
     def served(self) -> list[CallResult]:
-        """Calls answered 200."""
+        """Return the calls with status 200."""
         return [each for each in self.results if each.status == HTTPStatus.OK]
 
     def shed(self) -> int:
-        """How many calls were answered 429 or 503."""
+        """Return how many calls got status 429 or 503."""
         return sum(each.status in _SHED_STATUSES for each in self.results)
 
     def failed(self) -> int:
-        """How many calls got any other answer, or none."""
+        """Return how many calls got any other response, or none."""
         return len(self.results) - len(self.served()) - self.shed()
 
     def served_by_phase(self) -> list[Counter[str]]:
-        """Calls served in each phase, by server."""
+        """Return how many calls each server served, for each phase."""
         counters: list[Counter[str]] = [Counter() for _ in self.phases]
         for result in self.served():
             number = next(
@@ -69,13 +69,13 @@
         return counters
 
     def added_us(self) -> LatencyHistogram:
-        """What each served call took beyond the time that its server held it."""
+        """Return the latencies of the served calls without their servers' service times."""
         return LatencyHistogram(
             [each.latency_us - ServedBody.decode(each.body).service_time_us for each in self.served()]
         )
 
     def faults(self) -> list[str]:
-        """What did not go as it should; empty: all did."""
+        """Return a line for each failed check; none if all passed."""
         drained = self.servers[DRAINED]
         at_end = self.served_by_phase()[-1]
         survivors = [each for n, each in enumerate(self.servers) if n not in (DRAINED, KILLED)]
--- a/scale/demo/report.py
+++ b/scale/demo/report.py
@@ -7,7 +7,7 @@
 
 
 def format_outcome(outcome: DemoOutcome) -> str:
-    """The outcome as a table and a few sentences."""
+    """Format the outcome as a table and a few sentences."""
     phases = outcome.served_by_phase()
     header = ["served by", *(phase.name for phase in outcome.phases), "rejected"]
     rows = [header]
--- a/scale/demo/run.py
+++ b/scale/demo/run.py
@@ -1,4 +1,4 @@
-"""Runs the demonstration: starts the sidecar and the stand-ins, makes the calls and plays the faults."""
+"""Runs the demonstration: starts the sidecar and the stand-ins, makes the calls and injects the faults."""
 
 from __future__ import annotations
 
@@ -26,14 +26,24 @@
 _BUDGET_S = 2.0
 _CALL_TIMEOUT_S = 2.5
 _DRAIN_FRACTION, _KILL_FRACTION = 1 / 3, 2 / 3  # of the duration
-_REMOVAL_DELAY_S = 0.5  # how late the registry learns of a death
+_REMOVAL_DELAY_S = 0.5  # from the kill until the registry removes the server
 _STOP_TIMEOUT_S = 10.0
 
 Echo = Callable[[str], None]
 
 
 def run_demo(duration_s: float, rate_per_s: float, seed: int, echo: Echo) -> DemoOutcome:
-    """Run the demonstration; raise SidecarError if the sidecar does not start."""
+    """Run the demonstration.
+
+    Args:
+        duration_s: How long calls are made, in seconds.
+        rate_per_s: Calls a second.
+        seed: Seed of arrivals and service times.
+        echo: Prints one line of progress.
+
+    Raises:
+        SidecarStartError: The sidecar did not start.
+    """
     with tempfile.TemporaryDirectory() as folder, ReservedAddress() as listen, ProcessGroup() as group:
         demo = _Demo(Path(folder), group, listen.address, seed, echo)
         return asyncio.run(demo.run(duration_s, rate_per_s))
@@ -129,7 +139,7 @@
 
 
 def _stop(sidecar: ManagedProcess) -> int | None:
-    """End a sidecar as the platform does, and give its exit code; None if it does not end within 10 s."""
+    """Send SIGTERM and return the exit code; None if the sidecar does not end within 10 s."""
     sidecar.popen.terminate()
     try:
         return sidecar.popen.wait(_STOP_TIMEOUT_S)
--- a/scale/experiment.py
+++ b/scale/experiment.py
@@ -1,4 +1,4 @@
-"""Experiment files: a TOML file names what is measured, at which size, for how long and with which seed."""
+"""Experiment files: TOML with the kind of experiment, its sizes, duration and seed."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Experiment(BaseModel):
-    """What every kind of experiment has; each kind adds its sizes and faults in a subclass."""
+    """The keys common to all kinds of experiment; each kind adds its own in a subclass."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -26,7 +26,12 @@
 
 
 def read_experiment_file(path: Path) -> dict[str, Any]:
-    """Read an experiment file; raise ExperimentError if it cannot be read or is not TOML."""
+    """Read an experiment file.
+
+    Raises:
+        UnreadableExperimentError: The file cannot be read.
+        TomlSyntaxError: The file is not TOML.
+    """
     try:
         with path.open("rb") as file:
             return tomllib.load(file)
@@ -37,7 +42,11 @@
 
 
 def validate_experiment(model: type[AnyExperiment], given: dict[str, Any]) -> AnyExperiment:
-    """Check an experiment against its model; raise ExperimentError, naming the first key at fault."""
+    """Validate an experiment against its model.
+
+    Raises:
+        InvalidKeyError: A key is missing, unknown or out of range; the first such key is named.
+    """
     try:
         return model.model_validate(given)
     except ValidationError as error:
--- a/scale/histogram.py
+++ b/scale/histogram.py
@@ -13,37 +13,37 @@
 
 
 class LatencyHistogram:
-    """Counts times from a microsecond to an hour, to three significant digits."""
+    """Records times from a microsecond to an hour, to three significant digits."""
 
     def __init__(self, times_us: Iterable[float] = ()) -> None:
-        """Count some times, in microseconds."""
+        """Record some times, in microseconds."""
         self._histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _SIGNIFICANT_DIGITS)
         for each in times_us:
             self.add(each)
 
     def add(self, time_us: float) -> None:
-        """Count one time in microseconds; those beyond the range count as its ends."""
+        """Record one time in microseconds; times out of range are clamped to it."""
         self._histogram.record_value(int(min(max(time_us, _LOWEST_US), _HIGHEST_US)))
 
     def add_seconds(self, time_s: float) -> None:
-        """Count one time in seconds."""
+        """Record one time in seconds."""
         self.add(round(time_s * _MICROSECONDS))
 
     def quantile(self, percent: float) -> float:
-        """Return the time that `percent` in 100 do not exceed, in microseconds; 0 if none was counted."""
+        """Return the time that `percent` in 100 do not exceed, in microseconds; 0 if there is none."""
         return float(self._histogram.get_value_at_percentile(percent))
 
     def quantile_seconds(self, percent: float) -> float:
-        """Return the time that `percent` in 100 do not exceed, in seconds; 0 if none was counted."""
+        """Return the time that `percent` in 100 do not exceed, in seconds; 0 if there is none."""
         return self.quantile(percent) / _MICROSECONDS
 
     @property
     def count(self) -> int:
-        """How many times were counted."""
+        """How many times were recorded."""
         return int(self._histogram.get_total_count())
 
     def merge(self, other: LatencyHistogram) -> None:
-        """Add all that another histogram has counted."""
+        """Add all times recorded by another histogram."""
         self._histogram.add(other._histogram)
 
     def encode(self) -> str:
@@ -52,7 +52,7 @@
 
     @classmethod
     def decode(cls, encoded: str) -> Self:
-        """Read what `encode` returned."""
+        """Create a histogram from what `encode` returned."""
         histogram = cls()
         histogram._histogram.add(HdrHistogram.decode(encoded))
         return histogram
--- a/scale/http1.py
+++ b/scale/http1.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 messages as the rig's own client and servers write them: a head, then a body of known length.
 
-Both sides of each connection are written by the rig, so this reads no more than they write; it is kept small
-because the time that it takes is part of every latency measured.
+The rig writes both sides of each connection, so this parses no more than they write; it is kept small
+because its own run time is part of every measured latency.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """A request or an answer."""
+    """A request or a response."""
 
     first_line: str
     headers: Mapping[str, str]  # names in lower case
@@ -23,7 +23,7 @@
 
     @property
     def status(self) -> int:
-        """The status of an answer."""
+        """The status of a response."""
         return int(self.first_line.split(" ", 2)[1])
 
     @property
@@ -33,13 +33,17 @@
 
 
 class MessageReader:
-    """Cuts the bytes of one connection into messages."""
+    """Splits the bytes of one connection into messages."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """Take what was read, and yield each message that is whole; raise ValueError on a broken head."""
+        """Add received bytes, and yield each complete message.
+
+        Raises:
+            ValueError: A head is malformed.
+        """
         self._buffer += data
         while (message := self._next()) is not None:
             yield message
@@ -63,12 +67,12 @@
 
 
 def format_request(method: str, target: str, headers: Mapping[str, str], body: bytes = b"") -> bytes:
-    """The bytes of a request."""
+    """Encode a request."""
     return _format(f"{method} {target} HTTP/1.1", headers, body)
 
 
 def format_response(status: HTTPStatus, headers: Mapping[str, str], body: bytes = b"") -> bytes:
-    """The bytes of an answer."""
+    """Encode a response."""
     return _format(f"HTTP/1.1 {status.value} {status.phrase}", headers, body)
 
 
--- a/scale/http_client.py
+++ b/scale/http_client.py
@@ -1,4 +1,4 @@
-"""The load client's HTTP side: one call at a time on each connection, and as many connections as it takes."""
+"""The load client: one call at a time on each connection, and as many connections as needed."""
 
 from __future__ import annotations
 
@@ -9,40 +9,49 @@
 from scale.http1 import Message, MessageReader, format_request
 
 Address = tuple[str, int]
-NO_RESPONSE = 0  # in place of a status: the connection failed or the time was over
+NO_RESPONSE = 0  # in place of a status: the connection failed or the call timed out
 
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """What came of one call; times are seconds on the monotonic clock."""
+    """The result of one call; times are seconds on the monotonic clock."""
 
-    arrived_at: float  # when it was due
+    arrived_at: float  # when it was scheduled
     sent_at: float
     ended_at: float
     status: int
     body: bytes
-    connected: bool = False  # whether it opened a connection of its own
+    connected: bool = False  # whether it opened a new connection
 
     @property
     def latency_us(self) -> float:
-        """From the request's writing to the answer's last byte."""
+        """Microseconds from writing the request to the response's last byte."""
         return (self.ended_at - self.sent_at) * 1e6
 
     @property
     def start_lag_us(self) -> float:
-        """How late the client itself was."""
+        """Microseconds from the scheduled start to writing the request."""
         return (self.sent_at - self.arrived_at) * 1e6
 
 
 class HttpClient:
-    """Calls one address over connections that it keeps, and opens more when all of them are busy."""
+    """Calls one address over pooled connections, and opens more when all of them are busy."""
 
     def __init__(self, address: Address) -> None:
         self._address = address
         self._idle: list[_ClientConnection] = []
 
     async def call(self, request: bytes, arrived_at: float, timeout_s: float) -> CallResult:
-        """Send a request; one that a closing connection left unread goes once more, on a new connection."""
+        """Send a request; retry it once on a new connection if a reused one was being closed.
+
+        Args:
+            request: The encoded request.
+            arrived_at: When the call was scheduled, in seconds on the monotonic clock.
+            timeout_s: How long to wait for the response, in seconds.
+
+        Returns:
+            The result; its status is `NO_RESPONSE` if the connection failed or the call timed out.
+        """
         sent_at = time.monotonic()
         connection = self._acquire_idle()
         connected = connection is None
@@ -51,7 +60,7 @@
                 if connection is not None:
                     try:
                         response = await self._exchange(connection, request)
-                    except ConnectionError:  # it was closed between requests: once more on a new one
+                    except ConnectionError:  # it was closed between requests
                         connected, response = True, await self._exchange_on_new_connection(request)
                 else:
                     response = await self._exchange_on_new_connection(request)
@@ -91,7 +100,7 @@
 
 
 class _ClientConnection(asyncio.Protocol):
-    """One connection, with one request out at most."""
+    """One connection, with one request in flight at most."""
 
     def __init__(self) -> None:
         self._reader = MessageReader()
@@ -128,7 +137,14 @@
 def format_call(
     service_class: str, call_id: str, budget_s: float, idempotency_key: str | None = None
 ) -> bytes:
-    """A call as the application sends it; without a key it is one that is safe to repeat."""
+    """Encode a call as the application sends it.
+
+    Args:
+        service_class: The class of the call.
+        call_id: Its unique id.
+        budget_s: How long the caller waits, in seconds.
+        idempotency_key: The key of a POST; without one the call is an idempotent GET.
+    """
     headers = {
         "Host": "app.svc",
         "X-Call-Id": call_id,
--- a/scale/kinds.py
+++ b/scale/kinds.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExperimentKind:
-    """How experiments of one kind are described and run."""
+    """The model and the runner of one kind of experiment."""
 
     model: type[Experiment]
     run: Callable[[Any, ResultWriter], None]
@@ -37,7 +37,14 @@
 
 
 def load_experiment(path: Path) -> Experiment:
-    """Read and check an experiment file; raise ExperimentError in one line that names the key."""
+    """Read and validate an experiment file.
+
+    Raises:
+        UnreadableExperimentError: The file cannot be read.
+        TomlSyntaxError: The file is not TOML.
+        UnknownKindError: The rig does not know the kind of experiment.
+        InvalidKeyError: A key is missing, unknown or out of range.
+    """
     given = read_experiment_file(path)
     kind = KINDS.get(str(given.get("kind")))
     if kind is None:
@@ -46,5 +53,5 @@
 
 
 def run_experiment(experiment: Experiment, writer: ResultWriter) -> None:
-    """Run an experiment and write what it measures."""
+    """Run an experiment and write its measurements."""
     KINDS[experiment.kind].run(experiment, writer)
--- a/scale/lag_probe.py
+++ b/scale/lag_probe.py
@@ -11,9 +11,9 @@
 
 
 class LagProbe:
-    """Measures how late this process's event loop wakes a sleeper, while the block runs.
+    """Measures how late this process's event loop runs its timers, while the block runs.
 
-    The loop's timers tick by the millisecond, so that half of one is there at rest.
+    The loop's timers have a resolution of a millisecond, so half of one is normal in an idle loop.
     """
 
     def __init__(self) -> None:
--- a/scale/latency/analysis.py
+++ b/scale/latency/analysis.py
@@ -1,4 +1,4 @@
-"""Figures from the calls of one point: what was added, and where the time of the slowest calls went."""
+"""Analyses the calls of one point: the added latency, and the sources of the slowest calls' overhead."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ServedCall:
-    """A call that a server answered."""
+    """A call with status 200, and what its server reported."""
 
     result: CallResult
     body: ServedBody
 
     @property
     def overhead_us(self) -> float:
-        """The latency without the time that the server held the call."""
+        """The latency without the server's service time, in microseconds."""
         return self.result.latency_us - self.body.service_time_us
 
     @property
     def is_on_new_connection(self) -> bool:
-        """Whether it was the first request that its server got over its connection."""
+        """Whether it was the first request on the sidecar's connection to the server."""
         return self.body.connection_request_number == 1
 
 
@@ -44,17 +44,17 @@
 
     @property
     def added_us(self) -> float:
-        """The difference of the two overheads; it may be negative."""
+        """The difference of the two overheads in microseconds; it may be negative."""
         return self.through_sidecar.overhead_us - self.direct.overhead_us
 
 
 def parse_served(result: CallResult) -> ServedCall | None:
-    """The call with what its server said; None if it was not served."""
+    """Parse the body of a call; None if it was not served."""
     return ServedCall(result, ServedBody.decode(result.body)) if result.status == HTTPStatus.OK else None
 
 
 def pair_calls(results: Sequence[CallResult]) -> list[Pair]:
-    """Each call through the sidecar with the direct call behind it, where both were served."""
+    """Pair each call through the sidecar with the direct call after it, where both were served."""
     pairs = []
     for through_sidecar, direct in zip(results[::2], results[1::2], strict=False):
         both = parse_served(through_sidecar), parse_served(direct)
@@ -64,39 +64,39 @@
 
 
 def quantiles_us(values_us: Sequence[float] | Times) -> dict[float, float]:
-    """The quantiles that are reported, in microseconds; none of no values."""
+    """Return the reported quantiles by percentage, in microseconds; empty if there are no values."""
     if not len(values_us):
         return {}
     return {percent: float(np.percentile(values_us, percent)) for percent in PERCENTS}
 
 
 def histogram_quantiles_us(calls: Sequence[ServedCall]) -> dict[float, float]:
-    """The quantiles of the overheads of calls."""
+    """Return the reported quantiles of the calls' overheads by percentage, in microseconds."""
     histogram = LatencyHistogram([call.overhead_us for call in calls])
     return {percent: histogram.quantile(percent) for percent in PERCENTS}
 
 
 @dataclass(frozen=True, slots=True)
 class OverheadSources:
-    """Where each call's overhead went, in microseconds; the parts sum up to the overhead.
+    """The sources of each call's overhead, in microseconds; they sum up to the overhead.
 
-    Time without the CPU inside a callback is `preempted`; collections and registry answers are CPU time.  A
-    collection that reading an answer sets off counts as a collection.
+    Time without the CPU inside a callback is `preempted`; collections and registry responses are CPU time.  A
+    collection triggered while a registry response is read counts as a collection.
     """
 
     own_work: Times  # callbacks of the event loop, as long as those of a typical call
-    other_work: Times  # callbacks beyond that: other calls and timers that this one waited for
+    other_work: Times  # callbacks beyond that: other calls and timers that delayed this one
     collections: Times
     registry: Times
     preempted: Times
-    outside: Times  # the kernel, the network, the client, and waking the sidecar up
+    outside: Times  # the kernel, the network, the client, and the sidecar's wake-up
 
     def event_loop_cpu(self) -> Times:
-        """CPU time of the event loop while the call waited: about what a quiet machine would leave."""
+        """Return the event loop's CPU time during each call: about its overhead on an idle machine."""
         return self.own_work + self.other_work + self.collections + self.registry
 
     def parts(self) -> dict[str, Times]:
-        """The sources by name."""
+        """Return the sources by name."""
         return {
             "own work": self.own_work,
             "other work in the event loop": self.other_work,
@@ -108,7 +108,7 @@
 
 
 def attribute_overhead(calls: Sequence[ServedCall], trace: Trace) -> OverheadSources:
-    """Split each call's overhead by what the sidecar's event loop did before and after its server held it."""
+    """Split each call's overhead by what the event loop ran before and after the server's service time."""
     sent = np.array([call.result.sent_at for call in calls])
     service_started = np.array([call.body.started_at for call in calls])
     service_ended = service_started + np.array([call.body.service_time_us for call in calls]) / 1e6
@@ -131,7 +131,7 @@
 
 
 def _typical_work(work: Times, new: np.ndarray[tuple[int], np.dtype[np.bool_]]) -> Times:
-    """The median work of calls on a kept connection and on a new one, for each call."""
+    """Return, for each call, the median work of the calls on its kind of connection, new or reused."""
     typical = np.zeros_like(work)
     for group in (new, ~new):
         if group.any():
--- a/scale/latency/experiment.py
+++ b/scale/latency/experiment.py
@@ -1,4 +1,4 @@
-"""What an experiment on latency names: the load, and the points at which it is measured."""
+"""The keys of a latency experiment: the load, and the points to measure."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class Collector(StrEnum):
-    """How the sidecar's garbage collection is set."""
+    """The garbage collection thresholds of the sidecar."""
 
-    PROGRAM = "program"  # as the program sets it
+    PROGRAM = "program"  # as the program sets them
     DEFAULT = "default"  # the interpreter's thresholds
     OFF = "off"
 
@@ -26,9 +26,9 @@
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
-    servers: int = Field(ge=1, le=MAXIMUM_SERVERS)  # in the list, each with a listener
-    changes_per_s: float = Field(default=0.0, ge=0.0, le=100.0)  # restarts of single servers in the list
-    snapshots_per_s: float = Field(default=0.0, ge=0.0, le=10.0)  # the registry forgets what changed
+    servers: int = Field(ge=1, le=MAXIMUM_SERVERS)  # in the endpoint list, each with a listener
+    changes_per_s: float = Field(default=0.0, ge=0.0, le=100.0)  # restarts of single servers
+    snapshots_per_s: float = Field(default=0.0, ge=0.0, le=10.0)  # the registry drops its change log
     collector: Collector = Collector.PROGRAM
     traced: bool = False  # whether the sidecar's event loop and collections are timed from inside
 
@@ -40,7 +40,7 @@
 
 
 class LatencyExperiment(Experiment):
-    """Direct calls and calls through one sidecar in turn; each point lasts `duration_s` after its warm-up."""
+    """Alternates direct calls and calls through a sidecar, for `duration_s` at each point after warm-up."""
 
     calls_per_s: float = Field(gt=0.0, le=1_000.0)  # through the sidecar, and as many direct ones
     warm_up_s: float = Field(ge=0.0, le=120.0)
--- a/scale/latency/figures.py
+++ b/scale/latency/figures.py
@@ -76,7 +76,7 @@
         self._add("sidecar", "memory", after.memory_bytes / _MEBIBYTE, "MiB")
 
     def _write_added(self) -> None:
-        """Overhead is latency without the time that the server held the call."""
+        """Write overheads, which are latencies without the server's service time."""
         pairs = pair_calls(self._outcome.results)
         if not pairs:
             return
--- a/scale/latency/point.py
+++ b/scale/latency/point.py
@@ -1,4 +1,4 @@
-"""Measures one point: direct calls and calls through one real sidecar, in turn."""
+"""Measures one point: alternating direct calls and calls through one real sidecar."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 from scale.standins.change_log import ChangeLog, Endpoint
 from scale.standins.registry import RegistryServer
 
-DIRECT_SERVERS = 35  # direct calls go to so many of the servers, over connections that are kept
+DIRECT_SERVERS = 35  # that get direct calls, over pooled connections
 
 _CLASS = "read"  # of the sample configuration: safe to repeat
 _BUDGET_S = 2.0
@@ -46,9 +46,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PointOutcome:
-    """What was measured at one point, warm-up left out."""
+    """The measurements of one point, without warm-up."""
 
-    results: Sequence[CallResult]  # in turn through the sidecar and direct
+    results: Sequence[CallResult]  # alternating: through the sidecar, then direct
     before: Usage  # of the sidecar
     after: Usage
     lag: LatencyHistogram  # of the client's event loop
@@ -59,7 +59,11 @@
 
 
 def measure_point(experiment: LatencyExperiment, point: LatencyPoint) -> PointOutcome:
-    """Start the processes of one point, call, and end them."""
+    """Start the processes of one point, make the calls, and end the processes.
+
+    Raises:
+        SidecarError: The sidecar did not start or stop as it should.
+    """
     with tempfile.TemporaryDirectory() as folder, ReservedAddress() as listen, ProcessGroup() as group:
         command = python_command(
             "scale.latency.servers",
@@ -77,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _PointProcesses:
-    """The processes of one point, and where the sidecar finds its files and listens."""
+    """The processes of one point, and the sidecar's folder and address."""
 
     folder: Path
     group: ProcessGroup
@@ -86,7 +90,7 @@
 
 
 class _PointRun:
-    """The parts of one point."""
+    """Runs one point."""
 
     def __init__(
         self, experiment: LatencyExperiment, point: LatencyPoint, processes: _PointProcesses
@@ -148,7 +152,7 @@
         return self._servers.request(GetServerCounts(), ServerCounts)
 
     async def _call(self, through_sidecar: HttpClient, duration_s: float, seed: int) -> list[CallResult]:
-        """Call in turn through the sidecar and direct."""
+        """Alternate calls through the sidecar and direct calls."""
         arrivals = poisson_arrivals(2 * self._experiment.calls_per_s, duration_s, seed)
         direct = self._rng.integers(len(self._direct), size=len(arrivals))
 
@@ -162,7 +166,7 @@
 
     @contextlib.asynccontextmanager
     async def _registry_changes(self) -> AsyncIterator[None]:
-        """Let the list change at the point's rates while the block runs."""
+        """Change the endpoint list at the point's rates while the block runs."""
         tasks = [
             asyncio.create_task(_repeat(rate, change))
             for rate, change in (
@@ -183,7 +187,7 @@
         self._change_log.restart([server_name(index)], time.time_ns() // 1_000_000)
 
     def _force_a_snapshot(self) -> None:
-        """Lose the log of changes and commit one, so that the watch is answered with the whole list."""
+        """Drop the change log and commit a change, so that the watch gets a snapshot."""
         self._change_log.drop_changes()
         self._change_log.commit([self._change_log.endpoint(server_name(0))])
 
@@ -205,7 +209,7 @@
 
 @contextlib.asynccontextmanager
 async def _collection_paused() -> AsyncIterator[None]:
-    """Keep the client's own garbage collection out of what is measured."""
+    """Keep the client's own garbage collection out of the measurement."""
     gc.collect()
     gc.disable()
     try:
--- a/scale/latency/servers.py
+++ b/scale/latency/servers.py
@@ -1,6 +1,6 @@
-"""Server stand-ins in a process of their own, so that neither the client nor the sidecar waits for them.
+"""Server stand-ins in their own process, so that they delay neither the client nor the sidecar.
 
-Run as `python -m scale.latency.servers`; it prints its addresses and then takes commands.
+Run as `python -m scale.latency.servers`; it prints its addresses and then accepts commands.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class GetServerCounts(Message):
-    """Ask what all servers together have seen."""
+    """Get the sums of all servers' counters."""
 
     command: Literal["counts"] = "counts"
 
@@ -33,7 +33,7 @@
 
 
 def server_name(index: int) -> str:
-    """The name of a server, by its place among the addresses."""
+    """Return the name of the server with an index in the list of addresses."""
     return f"s-{index:04d}"
 
 
@@ -46,13 +46,13 @@
 
 
 async def serve(servers: int, service_mean_s: float, seed: int) -> None:
-    """Serve until the command connection ends."""
+    """Serve until the command connection is closed."""
     service_time_s = exponential_service_times(service_mean_s, seed)
     standins = [ServerStandin(server_name(index), service_time_s) for index in range(servers)]
     for each in standins:
         await each.start()
     gc.freeze()
-    gc.disable()  # the process lives for a point of an experiment: its collections are not what is measured
+    gc.disable()  # the process runs for one point only, and collections would distort it
 
     def handle(line: bytes) -> Message:
         GetServerCounts.model_validate_json(line)
--- a/scale/latency/traced_sidecar.py
+++ b/scale/latency/traced_sidecar.py
@@ -1,7 +1,7 @@
 """Runs the sidecar's own program with its event loop timed, and writes the trace at its end.
 
 Run as `python -m scale.latency.traced_sidecar`, with RELAY_CONFIG as for `python -m topazbank`.  The program
-itself is not changed: what is timed is wrapped from outside.
+itself is not changed: the timed functions are wrapped from outside.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def set_collector(collector: Collector) -> None:
-    """Replace the thresholds that the program is going to set."""
+    """Replace the collection thresholds that the program is going to set."""
     if collector is Collector.DEFAULT:
         program._COLLECTED = gc.get_threshold()
     elif collector is Collector.OFF:
@@ -31,7 +31,7 @@
 
 
 def trace_registry(tracer: Tracer) -> None:
-    """Time the reading and the applying of the registry's answers."""
+    """Time how registry responses are read and applied."""
     reader, sidecar = vars(Discovery), vars(Sidecar)
     read = tracer.registry.timed(reader["_read"].__func__)
     apply = tracer.registry.timed(sidecar["_list"])
--- a/scale/latency/tracing.py
+++ b/scale/latency/tracing.py
@@ -1,4 +1,4 @@
-"""Times, from inside a sidecar's process, what may hold its event loop up; and reads such a trace.
+"""Traces, inside a sidecar's process, what may block its event loop; and reads such a trace.
 
 All times are seconds on the machine's monotonic clock, so that they can be compared with the client's.
 """
@@ -18,7 +18,7 @@
 import numpy.typing as npt
 
 Times = npt.NDArray[np.float64]
-Span = tuple[float, float, float]  # began, ended, CPU seconds of the thread
+Span = tuple[float, float, float]  # start, end, CPU seconds of the thread
 
 
 class SpanLog:
@@ -28,7 +28,7 @@
         self.spans: list[Span] = []
 
     def timed(self, function: Callable[..., Any]) -> Callable[..., Any]:
-        """The same function, with each of its calls noted."""
+        """Wrap a function so that each of its calls is recorded."""
 
         @functools.wraps(function)
         def call(*arguments: Any, **keywords: Any) -> Any:
@@ -42,14 +42,14 @@
 
 
 class CollectionLog(SpanLog):
-    """Garbage collections."""
+    """Spans of garbage collections."""
 
     def __init__(self) -> None:
         super().__init__()
         self._collection_started = (0.0, 0.0)
 
     def install(self) -> None:
-        """Note every collection from now on."""
+        """Record every collection from now on."""
         gc.callbacks.append(self._record)
 
     def _record(self, phase: str, _info: dict[str, int]) -> None:
@@ -61,12 +61,12 @@
 
 
 class Tracer:
-    """All that is timed in a sidecar's process."""
+    """Records the spans of a sidecar's process."""
 
     def __init__(self) -> None:
-        self.callbacks = SpanLog()  # of the event loop: what runs while all else waits
+        self.callbacks = SpanLog()  # of the event loop: each blocks all others
         self.collections = CollectionLog()
-        self.registry = SpanLog()  # reading the registry's answers and applying them
+        self.registry = SpanLog()  # reading registry responses and applying them
 
     def trace_event_loop(self) -> None:
         """Time each callback of event loops, and each collection."""
@@ -81,7 +81,7 @@
 
 
 class BusyTime:
-    """How much of any interval is covered by spans that do not overlap."""
+    """Sums the time of non-overlapping spans over any interval."""
 
     def __init__(self, spans: list[Span]) -> None:
         ordered = np.array(sorted(spans), dtype=np.float64).reshape(-1, 3)
@@ -91,16 +91,16 @@
 
     @staticmethod
     def _cumulative(lengths: Times) -> Times:
-        """The sum up to each edge: a span's length is added between its beginning and its end."""
+        """Return the sums up to each edge: a span's length accrues between its start and its end."""
         after = np.cumsum(lengths)
         return np.column_stack((after - lengths, after)).ravel()
 
     def wall_s(self, starts: Times, ends: Times) -> Times:
-        """Seconds covered in each interval."""
+        """Return the seconds covered in each interval."""
         return self._between(self._wall, starts, ends)
 
     def cpu_s(self, starts: Times, ends: Times) -> Times:
-        """CPU seconds spent in each interval, taken as even over each span."""
+        """Return the CPU seconds spent in each interval, assumed to be even over each span."""
         return self._between(self._cpu, starts, ends)
 
     def _between(self, cumulative: Times, starts: Times, ends: Times) -> Times:
@@ -111,7 +111,7 @@
 
 
 class Trace:
-    """A trace as read back."""
+    """A trace that was read from a file."""
 
     def __init__(self, given: dict[str, list[Span]]) -> None:
         self.callbacks = BusyTime(given["callbacks"])
@@ -119,16 +119,21 @@
         self.registry = BusyTime(given["registry"])
         self.collections_in_registry = BusyTime(_inside(given["collections"], given["registry"]))
         self.collection_count = len(given["collections"])
-        self.registry_count = len(given["registry"])  # two for each answer: it is read, then applied
+        self.registry_count = len(given["registry"])  # two for each response: it is read, then applied
 
     @staticmethod
     def read(path: Path) -> Trace:
-        """Read what `Tracer.write` wrote; raise OSError or ValueError where that cannot be done."""
+        """Read a trace written by `Tracer.write`.
+
+        Raises:
+            OSError: The file cannot be read.
+            ValueError: The file is not JSON.
+        """
         return Trace(json.loads(path.read_text(encoding="utf-8")))
 
 
 def _inside(inner: list[Span], outer: list[Span]) -> list[Span]:
-    """The spans that lie inside one of the others."""
+    """Return the inner spans that lie within one of the outer spans."""
     return [
         span
         for span in inner
--- a/scale/open_loop.py
+++ b/scale/open_loop.py
@@ -1,8 +1,8 @@
-"""An open load loop: calls start at fixed times, whatever became of those before.
+"""Open-loop load: calls start at scheduled times, whatever the results of earlier calls.
 
-A slow answer holds up no later call, as each call takes an idle connection or opens a new one: the waiting
+A slow response delays no later call, as each call takes an idle connection or opens a new one: the queueing
 that a slow callee causes is measured, not left out (no coordinated omission).  Latency counts from the moment
-the request is written; how late that was against its arrival time is the client's lag, kept beside it.
+the request is written; the client's own lag behind the schedule is recorded separately.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def poisson_arrivals(rate_per_s: float, duration_s: float, seed: int) -> list[float]:
-    """Arrival times in seconds from 0 to the duration, the same for the same seed."""
+    """Draw arrival times in seconds from 0 to the duration; reproducible for a seed."""
     generator = np.random.default_rng(seed)
     count = generator.poisson(rate_per_s * duration_s)
     return [float(each) for each in np.sort(generator.uniform(0.0, duration_s, count))]
@@ -26,9 +26,14 @@
 async def run_open_loop(
     arrivals_s: Sequence[float], start_call: Callable[[int, float], Awaitable[CallResult]]
 ) -> list[CallResult]:
-    """Start call after call at its time from now; return the results in the order of the arrivals.
+    """Start each call at its time.
 
-    `start_call` is given the call's number and its arrival time on the monotonic clock.
+    Args:
+        arrivals_s: Start times in seconds from now, in order.
+        start_call: Makes a call, given its number and its start time on the monotonic clock.
+
+    Returns:
+        The results in the order of the start times.
     """
     started_at = time.monotonic()
     tasks: list[asyncio.Future[CallResult]] = []
--- a/scale/plots.py
+++ b/scale/plots.py
@@ -17,7 +17,16 @@
 
 
 def write_plots(measurements: Sequence[Measurement], against: str, folder: Path) -> list[Path]:
-    """Plot each metric that was measured at two or more values of the label `against`; one PNG each."""
+    """Plot each metric that was measured at two or more values of a label.
+
+    Args:
+        measurements: What was measured.
+        against: The label on the horizontal axis; its values must be numbers.
+        folder: Where to write the plots; created if it does not exist.
+
+    Returns:
+        The paths of the plots, one PNG for each metric.
+    """
     series: dict[tuple[str, str, str], list[Measurement]] = defaultdict(list)
     for each in measurements:
         if isinstance(each.labels.get(against), int | float):
--- a/scale/ports.py
+++ b/scale/ports.py
@@ -1,4 +1,4 @@
-"""Loopback ports for programs that must be told where to listen."""
+"""Loopback ports for programs that are configured with their port."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class ReservedAddress:
-    """A loopback address whose port the kernel picked, held until the block is left.
+    """A loopback address with a port that the kernel picked, reserved until the block is left.
 
-    A socket stays bound to it without listening: nobody else is given the port meanwhile, not for outgoing
-    connections either, while a program that binds with SO_REUSEADDR, as servers do, can listen there.  Until
+    A socket stays bound to it without listening: the kernel gives the port to no other process, not even for
+    outgoing connections, but a program that binds with SO_REUSEADDR, as servers do, can listen there.  Until
     one does, connections are refused.
     """
 
@@ -32,5 +32,5 @@
         self.close()
 
     def close(self) -> None:
-        """Give the port back."""
+        """Release the port."""
         self._socket.close()
--- a/scale/processes.py
+++ b/scale/processes.py
@@ -1,4 +1,4 @@
-"""Processes that an experiment starts, each ended by its id when the experiment is over."""
+"""Processes that an experiment starts, and ends when it is over."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 import psutil
 
-_TERMINATE_WAIT_S = 5.0  # how long a process may take to end after SIGTERM, before SIGKILL
+_TERMINATE_WAIT_S = 5.0  # from SIGTERM to SIGKILL
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a process has used by a moment."""
+    """Resource usage of a process up to one moment."""
 
     at_s: float  # monotonic clock
     cpu_s: float  # user and system time since its start
@@ -36,11 +36,15 @@
         return self.popen.pid
 
     def is_running(self) -> bool:
-        """Whether it has not ended yet."""
+        """Return whether it has not ended yet."""
         return self.popen.poll() is None
 
     def usage(self) -> Usage:
-        """What it has used so far; raise psutil.NoSuchProcess once it is gone."""
+        """Return its resource usage so far.
+
+        Raises:
+            psutil.NoSuchProcess: The process has ended.
+        """
         with self._process.oneshot():
             times = self._process.cpu_times()
             memory = self._process.memory_info().rss
@@ -48,7 +52,7 @@
 
 
 class ProcessGroup:
-    """Starts processes, and ends all that still run when the block is left, whatever the reason."""
+    """Starts processes, and ends all that still run when the block is left, also by an exception."""
 
     def __init__(self) -> None:
         self.processes: list[ManagedProcess] = []
@@ -68,7 +72,17 @@
         stdout: int | IO[bytes] | None = subprocess.DEVNULL,
         stderr: int | IO[bytes] | None = subprocess.DEVNULL,
     ) -> ManagedProcess:
-        """Start a process with no standard input; raise OSError if it cannot be started."""
+        """Start a process without standard input.
+
+        Args:
+            command: The program and its arguments.
+            environment: All environment variables; None inherits this process's.
+            stdout: Where its standard output goes, as for `subprocess.Popen`.
+            stderr: Where its standard error goes, likewise.
+
+        Raises:
+            OSError: The process cannot be started.
+        """
         popen = subprocess.Popen(
             list(command),
             env=None if environment is None else dict(environment),
@@ -81,7 +95,7 @@
         return process
 
     def end_all(self) -> None:
-        """Ask all to end with SIGTERM, and kill those that do not within 5 s."""
+        """Send SIGTERM to all, and SIGKILL to those that have not ended within 5 s."""
         running = [each.popen for each in self.processes if each.is_running()]
         for popen in running:
             popen.terminate()
--- a/scale/report.py
+++ b/scale/report.py
@@ -9,7 +9,7 @@
 
 
 def format_table(measurements: Sequence[Measurement]) -> str:
-    """All figures as a plain-text table, in the order they were measured."""
+    """Format all measurements as a plain-text table, in the order they were taken."""
     header = ("experiment", "commit", "seed", "role", "metric", "value", "unit", "point")
     rows = [header]
     for each in measurements:
--- a/scale/results.py
+++ b/scale/results.py
@@ -1,4 +1,4 @@
-"""Results: one JSON line for each measured figure, with the commit and the seed that gave it."""
+"""Results files: one JSON line for each measurement, with its commit and seed."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class Measurement(BaseModel):
-    """One measured figure."""
+    """One measured value, and how it was measured."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
     experiment: str
     kind: str
     seed: int
-    commit: str  # with "-dirty" behind it where the work tree differs from the commit
+    commit: str  # with the suffix "-dirty" if the work tree had changes
     role: str  # what was measured: "sidecar", "discovery", "server", "call graph", ...
     metric: str
     value: float
@@ -34,7 +34,7 @@
 
 
 def current_commit(repository: Path = _REPOSITORY) -> str:
-    """The commit that is checked out, abbreviated; "unknown" outside a git checkout."""
+    """Return the abbreviated commit of a checkout; "unknown" outside of git."""
 
     def git(*arguments: str) -> str:
         command = ["git", "-C", str(repository), *arguments]
@@ -49,7 +49,7 @@
 
 
 class ResultWriter:
-    """Appends the measurements of one experiment to a file, each written through at once."""
+    """Appends the measurements of one experiment to a file, and flushes each at once."""
 
     def __init__(self, path: Path, experiment: Experiment, commit: str | None = None) -> None:
         self._path = path
@@ -69,7 +69,15 @@
     def add(
         self, role: str, metric: str, value: float, unit: str, labels: Mapping[str, Label] | None = None
     ) -> None:
-        """Write one figure."""
+        """Write one measurement.
+
+        Args:
+            role: What was measured, e.g. "sidecar".
+            metric: The name of the metric.
+            value: Its value.
+            unit: The unit of the value.
+            labels: The point that was measured.
+        """
         measurement = Measurement(
             experiment=self._experiment.name,
             kind=self._experiment.kind,
@@ -86,7 +94,12 @@
 
 
 def read_results(paths: Iterable[Path]) -> list[Measurement]:
-    """Read results files; raise ResultsError, naming file and line, on anything else."""
+    """Read results files, one after another.
+
+    Raises:
+        UnreadableResultsError: A file cannot be read.
+        InvalidMeasurementError: A line is not a measurement.
+    """
     measurements = []
     for path in paths:
         try:
--- a/scale/sidecar_process.py
+++ b/scale/sidecar_process.py
@@ -1,4 +1,4 @@
-"""Starts one real sidecar, `python -m topazbank`, as a process of its own, from the sample configuration."""
+"""Starts a real sidecar, `python -m topazbank`, from the sample configuration."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 def sample_config(listen: Address, discovery: Address) -> dict[str, Any]:
-    """The sample configuration with addresses of this run."""
+    """Return the sample configuration with the addresses of this run."""
     config: dict[str, Any] = json.loads(SAMPLE_CONFIG.read_text(encoding="utf-8"))
     return config | {"listen": format_address(listen), "discovery": format_address(discovery)}
 
 
 def format_address(address: Address) -> str:
-    """An address as the configuration and the registry write it."""
+    """Format an address as host:port."""
     return f"{address[0]}:{address[1]}"
 
 
@@ -44,7 +44,11 @@
 def start_sidecar(
     group: ProcessGroup, config: Mapping[str, Any], folder: Path, program: Sequence[str] = PROGRAM
 ) -> ManagedProcess:
-    """Start a sidecar whose configuration and log stand in the folder."""
+    """Start a sidecar with its configuration and log in a folder.
+
+    Raises:
+        OSError: The process cannot be started.
+    """
     path = write_config(config, folder)
     inherited = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
     with log_path(folder).open("wb") as log:
@@ -52,12 +56,16 @@
 
 
 def log_path(folder: Path) -> Path:
-    """Where a sidecar's log stands."""
+    """Return the path of a sidecar's log."""
     return folder / "sidecar.log"
 
 
 def await_ready(sidecar: ManagedProcess, listen: Address, folder: Path) -> None:
-    """Wait until a sidecar is ready; raise SidecarStartError if it ends first or takes over 15 s."""
+    """Wait until a sidecar is ready.
+
+    Raises:
+        SidecarStartError: It ended first, or took longer than 15 s.
+    """
     deadline = time.monotonic() + READY_TIMEOUT_S
     while not _is_ready(listen):
         if not sidecar.is_running() or time.monotonic() > deadline:
--- a/scale/slope.py
+++ b/scale/slope.py
@@ -22,12 +22,16 @@
     largest: float  # largest size measured: beyond it the line is extrapolated
 
     def at(self, size: float) -> float:
-        """The value expected at a size."""
+        """Return the value expected at a size."""
         return self.at_zero + self.per_unit * size
 
 
 def fit_slope(sizes: Sequence[float], values: Sequence[float]) -> Slope:
-    """Fit a line by least squares; raise TooFewSizesError with fewer than two different sizes."""
+    """Fit a line by least squares.
+
+    Raises:
+        TooFewSizesError: All sizes are equal.
+    """
     if len(set(sizes)) < MINIMUM_SIZES:
         raise TooFewSizesError
     per_unit, at_zero = np.polyfit(sizes, values, 1)
--- a/scale/slopes.py
+++ b/scale/slopes.py
@@ -1,4 +1,4 @@
-"""Lines through all that was measured at two or more sizes, and what they foretell at another size."""
+"""Lines through all metrics measured at two or more sizes, and their values at another size."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """One metric of a role, measured at several sizes with all else alike."""
+    """One metric of a role, measured at several sizes with all other labels equal."""
 
     experiment: str
     commit: str
@@ -33,7 +33,7 @@
 
 
 def fit_slopes(measurements: Sequence[Measurement], against: str) -> list[FittedSeries]:
-    """Fit what was measured at two or more values of a label, with all other labels alike."""
+    """Fit a line to each metric measured at two or more values of a label, all other labels equal."""
     points: dict[Series, list[Measurement]] = defaultdict(list)
     for each in measurements:
         if isinstance(each.labels.get(against), int | float):
@@ -51,7 +51,7 @@
 
 
 def format_slopes(fitted: Sequence[FittedSeries], at: float) -> str:
-    """A plain-text table: slope, value at zero, fit, the largest size measured, and the value at `at`."""
+    """Format a plain-text table: slope, value at zero, fit, largest measured size, and value at `at`."""
     names = ("experiment", "commit", "role", "metric", "unit")
     figure_names = ("per unit", "at zero", "r2", "largest", "points", f"at {at:g}")
     rows = [[*names, *figure_names, "alike"]]
