--- a/scale/callgraph/graph.py
+++ b/scale/callgraph/graph.py
@@ -1,4 +1,4 @@
-"""The call graph: services one below the other, a sidecar beside each server, and root callers above."""
+"""The call graph: a chain of services, a sidecar beside each server, and root callers at the top."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from scale.callgraph.network import Location, Network
 from scale.callgraph.policies import make_policy
 from scale.callgraph.server import Server
-from scale.callgraph.sidecar import SimulatedSidecar
+from scale.callgraph.sidecar import SimulatedSidecar, UpstreamService
 from topazbank.interface import Endpoint, RegistryUpdateKind
 from topazbank.settings import Discovery, Idempotency, Limits, Rules, ServiceClass, Settings
 
@@ -31,18 +31,18 @@
     callers: list[SimulatedSidecar]
 
     def calls_received(self) -> int:
-        """Calls that came to its servers so far, those turned away included."""
+        """Return how many calls its servers have received, rejected ones included."""
         return sum(server.calls_received for server in self.servers.values())
 
     def endpoints(self) -> list[Endpoint]:
-        """What the registry tells of it; the registry hears of no fault, only of restarts."""
+        """Return its registry entries; the registry is notified of restarts, not of faults."""
         return [
             Endpoint(server.name, server.location.zone, started_at=server.started_at)
             for server in self.servers.values()
         ]
 
     def announce(self, kind: RegistryUpdateKind) -> None:
-        """Tell all its callers of its servers."""
+        """Send a registry update with its servers to all its callers."""
         for caller in self.callers:
             caller.update_registry(kind, self.endpoints())
 
@@ -60,9 +60,9 @@
         self._policy = policy
         self._seeds = _seeds(np.random.SeedSequence(seed))
         self.services = [self._make_service(number) for number in range(1, depth + 1)]
-        for upper, lower in zip(self.services, self.services[1:], strict=False):
-            for server in upper.servers.values():
-                server.downstream = [self._make_sidecar(server.location, lower)] * experiment.fan_out
+        for caller, callee in zip(self.services, self.services[1:], strict=False):
+            for server in caller.servers.values():
+                server.downstream = [self._make_sidecar(server.location, callee)] * experiment.fan_out
         self.root_callers = [
             self._make_sidecar(self.locations[number % len(self.locations)], self.services[0])
             for number in range(experiment.root_callers)
@@ -76,13 +76,13 @@
         return self.services[-1]
 
     def service_at(self, depth: int) -> Service:
-        """A service by its depth; 0 is the deepest."""
+        """Return the service at a depth; 0 is the deepest."""
         return self.services[depth - 1]
 
     def _make_service(self, depth: int) -> Service:
         servers = {}
         for number in range(self._experiment.servers.count):
-            # Shifted from service to service, so that no zone holds the first server of each.
+            # Shifted from service to service, so that no zone has the first server of each.
             location = self.locations[(number + depth) % len(self.locations)]
             name = f"service-{depth}-server-{number}"
             servers[name] = Server(self._loop, name, location, self._experiment.servers, next(self._seeds))
@@ -92,9 +92,8 @@
         settings = _settings(self._experiment, location)
         seed = int(next(self._seeds).generate_state(1, np.uint64)[0]) >> (64 - _SEED_BITS)
         policy = make_policy(self._policy, settings, seed)
-        sidecar = SimulatedSidecar(
-            self._loop, self.network, location, policy, service.servers, _SERVICE_CLASS, settings.limits
-        )
+        upstream = UpstreamService(service.servers, _SERVICE_CLASS, settings.limits.dial_timeout_us)
+        sidecar = SimulatedSidecar(self._loop, self.network, location, policy, upstream)
         service.callers.append(sidecar)
         return sidecar
 
--- a/scale/cli.py
+++ b/scale/cli.py
@@ -5,21 +5,23 @@
 import signal
 import sys
 from pathlib import Path
-from types import FrameType
 from typing import Annotated
 
 import structlog
 import typer
 
-from scale.capacity import fill_page, read_figures
-from scale.demo import format_outcome, run_demo
+from scale.capacity.figures import read_figures
+from scale.capacity.page import fill_page
+from scale.demo.report import format_outcome
+from scale.demo.run import run_demo
 from scale.errors import ScaleError
 from scale.kinds import load_experiment, run_experiment
 from scale.logs import configure_logs
-from scale.report import format_table, write_plots
+from scale.plots import write_plots
+from scale.report import format_table
 from scale.results import ResultWriter, read_results
 from scale.slopes import fit_slopes, format_slopes
-from scale.suite import EXPERIMENTS, LIMIT_S, RESULTS, find_experiments, run_suite
+from scale.suite import EXPERIMENTS, RESULTS, TIME_LIMIT_S, find_experiments, run_suite
 
 EXIT_FAULT = 1
 EXIT_BAD_INPUT = 2
@@ -56,10 +58,10 @@
     results: Annotated[Path, typer.Option(help="Folder of the results, one file each.")] = RESULTS,
     experiments: Annotated[Path, typer.Option(help="Folder of the experiment files.")] = EXPERIMENTS,
 ) -> None:
-    """Run the whole set of experiments, without the small ones for tests."""
-    took_s = run_suite(find_experiments(experiments), results)
-    note = log.warning if took_s > LIMIT_S else log.info
-    note("suite ended", took_s=round(took_s, 1), limit_s=LIMIT_S, results=str(results))
+    """Run the complete set of experiments, without the small ones for tests."""
+    elapsed_s = run_suite(find_experiments(experiments), results)
+    note = log.warning if elapsed_s > TIME_LIMIT_S else log.info
+    note("suite ended", elapsed_s=round(elapsed_s, 1), limit_s=TIME_LIMIT_S, results=str(results))
 
 
 @app.command()
@@ -82,7 +84,7 @@
     against: Annotated[str, typer.Option(help="Label that was varied.")] = "servers",
     at: Annotated[float, typer.Option(help="Size at which each line is worked out.")] = 4_900.0,
 ) -> None:
-    """Fit a line through each metric against a size, and work it out at another size."""
+    """Fit a line through each metric against a size, and evaluate it at another size."""
     typer.echo(format_slopes(fit_slopes(read_results(results), against), at))
 
 
@@ -103,7 +105,7 @@
     rate: Annotated[float, typer.Option(min=10.0, max=500.0, help="Calls a second.")] = 100.0,
     seed: Annotated[int, typer.Option(min=0, help="Seed of arrivals and service times.")] = 1,
 ) -> None:
-    """Show one real sidecar while a server is drained and another killed; exit code 0 if all went well."""
+    """Show one real sidecar while a server is drained and another killed; exit code 0 if no call failed."""
     outcome = run_demo(duration, rate, seed, typer.echo)
     typer.echo(format_outcome(outcome))
     faults = outcome.faults()
@@ -114,13 +116,13 @@
     typer.echo("all went as it should")
 
 
-def _interrupt(number: int, frame: FrameType | None) -> None:
-    raise KeyboardInterrupt
-
-
 def main() -> int:
-    """Run the command; bad input is one line on standard error and exit code 2."""
-    signal.signal(signal.SIGTERM, _interrupt)
+    """Run the command line.
+
+    Returns:
+        The exit code: 2 after bad input, which is reported in one line on standard error.
+    """
+    signal.signal(signal.SIGTERM, signal.default_int_handler)
     try:
         app()
     except ScaleError as error:
--- a/scale/commands.py
+++ b/scale/commands.py
@@ -1,6 +1,6 @@
 """Commands to a process that the rig started: JSON lines over a loopback connection.
 
-The process prints one line, a `Ready`, once it listens; each command is then answered by one line.
+The process prints one line, a `Ready`, once it listens; each command then gets a response of one line.
 """
 
 from __future__ import annotations
@@ -14,32 +14,39 @@
 
 from pydantic import BaseModel, ConfigDict
 
-LINE_MOST = 64 * 1024 * 1024  # a commit of thousands of entries is one line
-_ANSWER_WITHIN_S = 120.0
+from scale.errors import ProcessEndedError
+
+MAXIMUM_LINE_BYTES = 64 * 1024 * 1024  # a commit of thousands of entries is one line
+_RESPONSE_TIMEOUT_S = 120.0
 
 
 class Message(BaseModel):
-    """A command or an answer."""
+    """A command or a response."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class Ready(Message):
-    """What a process prints when it takes commands."""
+    """What a process prints once it accepts commands."""
 
     commands: tuple[str, int]
     addresses: list[tuple[str, int]] = []
 
 
 class Done(Message):
-    """The answer to a command that gives no figures."""
+    """The response to a command that has nothing to return."""
 
 
 AnyMessage = TypeVar("AnyMessage", bound=Message)
 
 
 async def serve_commands(handle: Callable[[bytes], Message], addresses: list[tuple[str, int]]) -> None:
-    """Print a `Ready`, then answer the commands of one connection until it ends."""
+    """Print a `Ready`, then serve the commands of one connection until it is closed.
+
+    Args:
+        handle: Handles one command, as a JSON line.
+        addresses: Addresses to print, for the other side to use.
+    """
     ended = asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -51,7 +58,7 @@
             writer.close()
             ended.set()
 
-    server = await asyncio.start_server(serve, "127.0.0.1", 0, limit=LINE_MOST)
+    server = await asyncio.start_server(serve, "127.0.0.1", 0, limit=MAXIMUM_LINE_BYTES)
     try:
         host, port = server.sockets[0].getsockname()
         print(Ready(commands=(host, port), addresses=addresses).model_dump_json(), flush=True)
@@ -61,36 +68,49 @@
 
 
 class CommandClient:
-    """Gives commands to a process, one at a time."""
+    """Sends commands to a process, one at a time."""
 
     def __init__(self, popen: subprocess.Popen[bytes]) -> None:
-        """Wait until the process takes commands; raise OSError if it ends first."""
+        """Wait until the process accepts commands.
+
+        Raises:
+            ProcessEndedError: The process ended first.
+        """
         assert popen.stdout is not None
+        self._pid = popen.pid
         line = popen.stdout.readline()
         if not line:
-            raise OSError(f"process {popen.pid} ended before it took commands")
+            raise ProcessEndedError(popen.pid)
         self.ready = Ready.model_validate_json(line)
-        self._socket = socket.create_connection(self.ready.commands, _ANSWER_WITHIN_S)
-        self._answers = self._socket.makefile("rb")
+        self._socket = socket.create_connection(self.ready.commands, _RESPONSE_TIMEOUT_S)
+        self._responses = self._socket.makefile("rb")
 
-    def ask(self, command: Message, answer: type[AnyMessage]) -> AnyMessage:
-        """Give a command and return its answer; raise OSError if there is none."""
+    def request(self, command: Message, response_type: type[AnyMessage]) -> AnyMessage:
+        """Send a command and return its response.
+
+        Raises:
+            ProcessEndedError: The process closed the connection.
+        """
         self._socket.sendall(command.model_dump_json().encode() + b"\n")
-        line = self._answers.readline()
+        line = self._responses.readline()
         if not line:
-            raise OSError("the process ended its command connection")
-        return answer.model_validate_json(line)
+            raise ProcessEndedError(self._pid)
+        return response_type.model_validate_json(line)
+
+    def execute(self, command: Message) -> None:
+        """Send a command that has nothing to return, and wait until it is done.
 
-    def tell(self, command: Message) -> None:
-        """Give a command that has no figures to answer with."""
-        self.ask(command, Done)
+        Raises:
+            ProcessEndedError: The process closed the connection.
+        """
+        self.request(command, Done)
 
     def close(self) -> None:
-        """End the connection, and with it the process's work."""
-        self._answers.close()
+        """Close the connection; the process ends as a result."""
+        self._responses.close()
         self._socket.close()
 
 
 def python_command(module: str, *arguments: object) -> list[str]:
-    """The command line that runs a module of this repository."""
+    """Return the command line that runs a module of this repository."""
     return [sys.executable, "-m", module, *(str(each) for each in arguments)]
--- a/scale/configuration/run.py
+++ b/scale/configuration/run.py
@@ -1,4 +1,4 @@
-"""Runs an experiment on configuration, point by point."""
+"""Runs configuration experiments, point by point."""
 
 from __future__ import annotations
 
@@ -14,34 +14,36 @@
 
 import structlog
 
-from scale.commands import CommandClient, python_command
+from scale.commands import CommandClient
 from scale.configuration.experiment import ConfigurationExperiment
-from scale.configuration.sidecar import KINDS, ConfiguredSidecar
-from scale.control.delays import new_histogram, record_seconds, seconds_at
-from scale.errors import ScaleError
-from scale.load import CallResult
+from scale.configuration.sidecar import SAMPLE_CLASSES, ConfiguredSidecar
+from scale.errors import EndpointListTimeoutError, RequestsInFlightTimeoutError, ScaleError
+from scale.histogram import LatencyHistogram
+from scale.http_client import CallResult
 from scale.ports import ReservedAddress
 from scale.processes import ManagedProcess, ProcessGroup
 from scale.results import Label, ResultWriter
 from scale.sidecar_process import format_address
-from scale.standins.registry_process import Counts, GetCounts
+from scale.standins.registry_commands import Counts, GetCounts, RegistryOptions, registry_command
 from scale.standins.server import ServerStandin
 
 PERCENTILES = (50.0, 99.0, 100.0)
-_LOADED_WITHIN_S = 60.0
-_LOOK_EVERY_S = 0.05
-_HELD_S = 0.8  # how long the server holds a request that is in flight while its file is replaced
+_LOAD_TIMEOUT_S = 60.0
+_POLL_INTERVAL_S = 0.05
+_SERVICE_TIME_S = 0.8  # of the requests in flight while the file is replaced
 _BAD_FILE = b'{"settings": {"lanes": []}}'
 
 log = structlog.get_logger()
 
 
-class ConfigurationTimeoutError(ScaleError):
-    """The sidecars did not come to hold the registry's list, or to send on what they took, in time."""
-
-
 def run_configuration(experiment: ConfigurationExperiment, writer: ResultWriter) -> None:
-    """Measure each size."""
+    """Measure each combination of sizes.
+
+    Raises:
+        EndpointListTimeoutError: Not all sidecars got the endpoint list in time.
+        RequestsInFlightTimeoutError: Not all requests reached the server in time.
+        SidecarStartError: A sidecar did not start.
+    """
     for servers in experiment.servers:
         for sidecars in experiment.sidecars:
             asyncio.run(_run_point(experiment, writer, servers, sidecars))
@@ -50,45 +52,45 @@
 async def _run_point(
     experiment: ConfigurationExperiment, writer: ResultWriter, servers: int, sidecars: int
 ) -> None:
-    with ExitStack() as held, ProcessGroup() as group, tempfile.TemporaryDirectory() as folder:
-        listen = [held.enter_context(ReservedAddress()).address for _ in range(sidecars)]
+    with ExitStack() as stack, ProcessGroup() as group, tempfile.TemporaryDirectory() as folder:
+        listen = [stack.enter_context(ReservedAddress()).address for _ in range(sidecars)]
         server = ServerStandin("s-0", lambda: 0.0)
         await server.start()
         registry = group.start(_registry_command(experiment, servers, server), stdout=subprocess.PIPE)
         client = CommandClient(registry.popen)
         discovery = client.ready.addresses[0]
-        started = [
+        configured = [
             ConfiguredSidecar(group, Path(folder) / f"n{index}", address, discovery, experiment.seed + index)
             for index, address in enumerate(listen)
         ]
-        for each in started:
+        for each in configured:
             each.await_ready()
-        point = Point(experiment, writer, server, client, started, {"servers": servers, "sidecars": sidecars})
+        point = Point(
+            experiment, writer, server, client, configured, {"servers": servers, "sidecars": sidecars}
+        )
         try:
             await point.run()
         finally:
-            for each in started:
+            for each in configured:
                 each.close()
             server.close()
     log.info("point measured", servers=servers, sidecars=sidecars)
 
 
 def _registry_command(experiment: ConfigurationExperiment, servers: int, server: ServerStandin) -> list[str]:
-    return python_command(
-        "scale.standins.registry_process",
-        *("--servers", servers, "--seed", experiment.seed, "--address", format_address(server.address)),
-    )
+    address = format_address(server.address)
+    return registry_command(RegistryOptions(servers=servers, seed=experiment.seed, endpoint_address=address))
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """What has been used by a moment."""
+    """Resource usage up to one moment."""
 
     sidecar_cpu_s: float  # of all sidecars together
     counts: Counts
 
     def http_bytes(self) -> int:
-        """What went between the registry and all sidecars."""
+        """Return the bytes between the registry and all sidecars, both ways."""
         return self.counts.bytes_in + self.counts.bytes_out
 
 
@@ -105,52 +107,53 @@
     version: int = 1  # of the configuration that was written last
 
     async def run(self) -> None:
-        """Wait for the list, then measure changes, a bad file, one taken back, and what reloads cost."""
-        await self._until(lambda: self._counts().watching >= len(self.sidecars))
+        """Wait for the endpoint list; measure changes, a bad file, a rollback and the cost of reloads."""
+        await _wait_until(
+            lambda: self._counts().watching >= len(self.sidecars),
+            EndpointListTimeoutError("sidecars", _LOAD_TIMEOUT_S),
+        )
         for _ in range(self.experiment.changes):
             await self._measure_change()
         await self._measure_bad_file()
-        await self._measure_taken_back()
+        await self._measure_rollback()
         await self._measure_cost()
 
-    async def _until(self, condition: Callable[[], bool]) -> None:
-        give_up_at = time.monotonic() + _LOADED_WITHIN_S
-        while not condition():
-            if time.monotonic() > give_up_at:
-                raise ConfigurationTimeoutError("sidecars: not all of them were under way within 60 s")
-            await asyncio.sleep(_LOOK_EVERY_S)
-
     def _counts(self) -> Counts:
-        return self.registry.ask(GetCounts(), Counts)
+        return self.registry.request(GetCounts(), Counts)
 
     def _next_configurations(self, added_class: str) -> list[tuple[ConfiguredSidecar, bytes]]:
-        """The next version for each sidecar, with one class more than at the start."""
+        """Return the next version for each sidecar, with one class more than at the start."""
         self.version += 1
         return [(each, each.configuration(self.version, added_class)) for each in self.sidecars]
 
     async def _change(self, phase: str, added_class: str) -> None:
-        """Replace all files by a next version, and write the times until requests of a class were taken."""
-        within_s = self.experiment.duration_s
+        """Replace all files by the next version, and write the times until a class was accepted."""
+        timeout_s = self.experiment.duration_s
         configurations = self._next_configurations(added_class)
-        changes = (each.change(content, added_class, within_s) for each, content in configurations)
+        changes = (each.change(content, added_class, timeout_s) for each, content in configurations)
         delays = [delay for delay in await asyncio.gather(*changes) if delay is not None]
         share = len(delays) / len(self.sidecars)
-        self._add("configuration", f"in force within {within_s:g} s", share, "share", phase)
-        histogram = new_histogram()
+        self._add("configuration", f"in force within {timeout_s:g} s", share, "share", phase)
+        histogram = LatencyHistogram()
         for delay in delays:
-            record_seconds(histogram, delay)
+            histogram.add_seconds(delay)
         for percentile in PERCENTILES if delays else ():
-            value = seconds_at(histogram, percentile)
+            value = histogram.quantile_seconds(percentile)
             self._add("configuration", f"in force, {percentile:g} in 100", value, "s", phase)
 
     async def _measure_change(self) -> None:
         """Replace all files while each sidecar has a request of each idempotency in flight."""
-        reached = self.server.counters.requests + len(self.sidecars) * len(KINDS)
-        self.server.service_time_s = lambda: _HELD_S
-        in_flight = [asyncio.ensure_future(each.call(kind)) for each in self.sidecars for kind in KINDS]
-        await self._until(lambda: self.server.counters.requests + _ended(in_flight) >= reached)
+        reached = self.server.counters.requests + len(self.sidecars) * len(SAMPLE_CLASSES)
+        self.server.service_time_s = lambda: _SERVICE_TIME_S
+        in_flight = [
+            asyncio.ensure_future(each.call(kind)) for each in self.sidecars for kind in SAMPLE_CLASSES
+        ]
+        await _wait_until(
+            lambda: self.server.counters.requests + _count_ended(in_flight) >= reached,
+            RequestsInFlightTimeoutError(_LOAD_TIMEOUT_S),
+        )
         self.server.service_time_s = lambda: 0.0
-        ended_before = _ended(in_flight)
+        ended_before = _count_ended(in_flight)
         await self._change("change", f"added-{self.version + 1}")
         results = await asyncio.gather(*in_flight)
         served = sum(each.status == HTTPStatus.OK for each in results)
@@ -158,19 +161,19 @@
         self._add("request in flight", "served", served / len(results), "share", "change")
 
     async def _measure_bad_file(self) -> None:
-        """Replace all files by one that cannot be used: what was in force has to stay so."""
+        """Replace all files by an invalid one: the active configuration has to stay active."""
         for sidecar in self.sidecars:
             await asyncio.to_thread(sidecar.replace_file, _BAD_FILE)
         await asyncio.sleep(self.experiment.reload_interval_s)
-        taken = [await each.knows_class(KINDS[0]) for each in self.sidecars]
-        self._add("configuration", "classes as before", sum(taken) / len(taken), "share", "bad file")
+        unchanged = [await each.knows_class(SAMPLE_CLASSES[0]) for each in self.sidecars]
+        self._add("configuration", "classes as before", sum(unchanged) / len(unchanged), "share", "bad file")
 
-    async def _measure_taken_back(self) -> None:
-        """Put what an earlier version said into force again, as a newer version."""
+    async def _measure_rollback(self) -> None:
+        """Apply the content of an earlier version again, as a newer version."""
         await self._change("taken back", "added-2")
 
     async def _measure_cost(self) -> None:
-        """Compare a time with reloads, no request beside them, with as long a time without."""
+        """Compare a window with reloads, and no other traffic, with an idle window of the same length."""
         reloads, interval_s = self.experiment.metered_reloads, self.experiment.reload_interval_s
         start = self._read()
         await asyncio.sleep(reloads * interval_s)
@@ -180,13 +183,13 @@
                 await asyncio.to_thread(sidecar.replace_file, content)
             await asyncio.sleep(interval_s)
         end = self._read()
-        each = reloads * len(self.sidecars)
+        reload_count = reloads * len(self.sidecars)
         cpu_s = (end.sidecar_cpu_s - idle.sidecar_cpu_s) - (idle.sidecar_cpu_s - start.sidecar_cpu_s)
-        read = (end.http_bytes() - idle.http_bytes()) - (idle.http_bytes() - start.http_bytes())
+        received_bytes = (end.http_bytes() - idle.http_bytes()) - (idle.http_bytes() - start.http_bytes())
         snapshots = end.counts.snapshots - idle.counts.snapshots
-        self._add("sidecar", "cpu of a reload", cpu_s / each, "s", "metered")
-        self._add("sidecar", "registry bytes of a reload", read / each, "bytes", "metered")
-        self._add("discovery", "whole lists for a reload", snapshots / each, "answers", "metered")
+        self._add("sidecar", "cpu of a reload", cpu_s / reload_count, "s", "metered")
+        self._add("sidecar", "registry bytes of a reload", received_bytes / reload_count, "bytes", "metered")
+        self._add("discovery", "whole lists for a reload", snapshots / reload_count, "answers", "metered")
 
     def _read(self) -> Reading:
         return Reading(sum(_cpu_s(each.process) for each in self.sidecars), self._counts())
@@ -195,7 +198,16 @@
         self.writer.add(role, metric, value, unit, {**self.labels, "phase": phase})
 
 
-def _ended(calls: Sequence[asyncio.Future[CallResult]]) -> int:
+async def _wait_until(condition: Callable[[], bool], timeout_error: ScaleError) -> None:
+    """Poll a condition until it holds; raise `timeout_error` after 60 s."""
+    deadline = time.monotonic() + _LOAD_TIMEOUT_S
+    while not condition():
+        if time.monotonic() > deadline:
+            raise timeout_error
+        await asyncio.sleep(_POLL_INTERVAL_S)
+
+
+def _count_ended(calls: Sequence[asyncio.Future[CallResult]]) -> int:
     return sum(each.done() for each in calls)
 
 
--- a/scale/control/measure.py
+++ b/scale/control/measure.py
@@ -1,4 +1,4 @@
-"""What the processes of an experiment on control used over a window of time, as figures for each role."""
+"""Measures what the processes of a control plane experiment used in a window, for each role."""
 
 from __future__ import annotations
 
@@ -6,27 +6,29 @@
 from dataclasses import dataclass
 
 import numpy as np
-from hdrh.histogram import HdrHistogram
 
-from scale.control.delays import new_histogram, record_seconds, seconds_at
 from scale.control.experiment import ControlExperiment
-from scale.control.hollow import Delays
-from scale.control.processes import HollowGroup, RealSidecar, Registry
+from scale.control.processes import RealSidecar, Registry, StubGroup
+from scale.control.stub_commands import Delays
+from scale.histogram import LatencyHistogram
 from scale.processes import ManagedProcess, Usage
 from scale.results import Label, ResultWriter
-from scale.standins.registry import SEGMENT_HEADER_BYTES
-from scale.standins.registry_process import Committed, Counts, Observed, TrafficTotals
+from scale.standins.registry_commands import CommittedChange, Counts, ObservedDelays, TrafficTotals
+from scale.standins.tcp_info import SEGMENT_HEADER_BYTES
 
 PERCENTILES = (50.0, 99.0, 100.0)
+STUB_ROLE = "hollow sidecar"  # stored results use this word for a stub sidecar
+STUB_PROCESS_ROLE = "hollow process"
+
 Labels = Mapping[str, Label]
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """What all processes have used by a moment."""
+    """Resource usage of all processes up to one moment."""
 
     registry: Usage
-    hollow: list[Usage]
+    stubs: list[Usage]
     real: list[Usage]
     counts: Counts
     real_traffic: TrafficTotals
@@ -38,31 +40,31 @@
 
     experiment: ControlExperiment
     registry: Registry
-    hollow: HollowGroup
+    stubs: StubGroup
     real: list[RealSidecar]
-    moved: bool = False  # whether the sidecars are at their second address of the registry
+    migrated: bool = False  # whether the sidecars use their second address of the registry
 
     @property
     def sidecars(self) -> int:
-        """How many sidecars follow the registry."""
-        return self.hollow.count + len(self.real)
+        """How many sidecars watch the registry."""
+        return self.stubs.count + len(self.real)
 
-    def move_discovery(self) -> None:
-        """Move all sidecars to their other address of the registry, at once."""
-        self.moved = not self.moved
-        self.hollow.move(self.moved)
+    def migrate_discovery(self) -> None:
+        """Migrate all sidecars to their other address of the registry, at once."""
+        self.migrated = not self.migrated
+        self.stubs.migrate(self.migrated)
         for sidecar in self.real:
-            sidecar.move(self.moved)
+            sidecar.migrate(self.migrated)
 
-    def real_delays(self, changes: list[Committed]) -> Observed:
-        """When each real sidecar was first seen to hold each change."""
-        return self.registry.real_delays(changes, len(self.real), self.moved)
+    def real_delays(self, changes: list[CommittedChange]) -> ObservedDelays:
+        """Return the seconds until each real sidecar was first observed with each change."""
+        return self.registry.real_delays(changes, len(self.real), self.migrated)
 
     def read(self) -> Reading:
-        """Read the meters of all processes."""
+        """Read the usage of all processes."""
         return Reading(
             self.registry.process.usage(),
-            _usages(self.hollow.processes),
+            _usages(self.stubs.processes),
             _usages([each.process for each in self.real]),
             self.registry.counts(),
             self.registry.real_traffic(len(self.real)),
@@ -79,22 +81,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """What went between the registry and all sidecars in a window."""
+    """Traffic between the registry and all sidecars in a window."""
 
     seconds: float
     calls: int
     connections: int
     http_bytes: int
-    segments: float  # TCP segments, worked out from the connections that were sampled
+    segments: float  # TCP segments, estimated from the sampled connections
 
     @property
     def wire_bytes(self) -> float:
-        """HTTP with the headers of TCP and IP."""
+        """HTTP bytes with the headers of TCP and IP."""
         return self.http_bytes + self.segments * SEGMENT_HEADER_BYTES
 
 
 def traffic_between(before: Reading, after: Reading) -> Traffic:
-    """The traffic of a window."""
+    """Return the traffic between two readings."""
     first, last = before.counts, after.counts
     connections = last.connections - first.connections
     sampled = last.sampled_connections - first.sampled_connections
@@ -116,11 +118,15 @@
     writer.add("discovery", "calls", traffic.calls / traffic.seconds, "1/s", labels)
     writer.add("discovery", "http bytes", traffic.http_bytes / traffic.seconds, "bytes/s", labels)
     writer.add("discovery", "snapshots", after.counts.snapshots - before.counts.snapshots, "answers", labels)
-    writer.add("discovery", "refused", after.counts.refused - before.counts.refused, "answers", labels)
-    hollow = sum(map(_cores, before.hollow, after.hollow)) / fleet.hollow.count
-    writer.add("hollow sidecar", "cpu", hollow, "cores", labels)
-    busiest = max(map(_cores, before.hollow, after.hollow))
-    writer.add("hollow process", "cpu, largest", busiest, "cores", labels)  # near 1: its delays are its own
+    writer.add(
+        "discovery", "refused", after.counts.unavailable - before.counts.unavailable, "answers", labels
+    )
+    stub_cores = sum(map(_cores, before.stubs, after.stubs)) / fleet.stubs.count
+    writer.add(STUB_ROLE, "cpu", stub_cores, "cores", labels)
+    busiest = max(map(_cores, before.stubs, after.stubs))
+    writer.add(
+        STUB_PROCESS_ROLE, "cpu, largest", busiest, "cores", labels
+    )  # near 1, the process itself delays its sidecars
     if fleet.real:
         _write_real_usage(writer, before, after, traffic.seconds, labels)
     each = traffic.seconds * fleet.sidecars
@@ -148,45 +154,45 @@
     writer.add(role, "http bytes in the window", http_bytes / len(cores), "bytes", labels)
 
 
-def write_hollow_memory(
+def write_stub_memory(
     writer: ResultWriter, fleet: Fleet, empty: Reading, full: Reading, labels: Labels
 ) -> None:
-    """Write what a hollow sidecar adds to the memory of its process."""
+    """Write what a stub sidecar adds to the memory of its process."""
     grown = sum(
         after.memory_bytes - before.memory_bytes
-        for before, after in zip(empty.hollow, full.hollow, strict=True)
+        for before, after in zip(empty.stubs, full.stubs, strict=True)
     )
-    writer.add("hollow sidecar", "memory", grown / fleet.hollow.count, "bytes", labels)
+    writer.add(STUB_ROLE, "memory", grown / fleet.stubs.count, "bytes", labels)
 
 
 def _write_percentiles(
-    writer: ResultWriter, role: str, histogram: HdrHistogram, missing: int, labels: Labels
+    writer: ResultWriter, role: str, histogram: LatencyHistogram, missing: int, labels: Labels
 ) -> None:
-    """Write times to being in force; `missing` pairs of a change and a sidecar have none."""
-    writer.add(role, "in force, measured", histogram.get_total_count(), "pairs", labels)
+    """Write propagation times; `missing` pairs of a change and a sidecar have none."""
+    writer.add(role, "in force, measured", histogram.count, "pairs", labels)
     writer.add(role, "in force, missing", missing, "pairs", labels)
-    if histogram.get_total_count():
+    if histogram.count:
         for percentile in PERCENTILES:
-            delay_s = seconds_at(histogram, percentile)
+            delay_s = histogram.quantile_seconds(percentile)
             writer.add(role, f"in force, {percentile:g} in 100", delay_s, "s", labels)
 
 
-def write_hollow_delays(writer: ResultWriter, delays: Sequence[Delays], labels: Labels) -> None:
-    """Write the times to being in force in hollow sidecars."""
-    histogram = new_histogram()
+def write_stub_delays(writer: ResultWriter, delays: Sequence[Delays], labels: Labels) -> None:
+    """Write the times until changes were applied in stub sidecars."""
+    histogram = LatencyHistogram()
     for each in delays:
-        histogram.add(HdrHistogram.decode(each.histogram))
-    _write_percentiles(writer, "hollow sidecar", histogram, sum(each.missing for each in delays), labels)
+        histogram.merge(LatencyHistogram.decode(each.histogram))
+    _write_percentiles(writer, STUB_ROLE, histogram, sum(each.missing for each in delays), labels)
 
 
-def write_real_delays(writer: ResultWriter, observed: Observed, labels: Labels) -> None:
-    """Write the times to being in force in real sidecars, each seen by the call that followed it."""
-    histogram = new_histogram()
+def write_real_delays(writer: ResultWriter, observed: ObservedDelays, labels: Labels) -> None:
+    """Write the times until changes were applied in real sidecars, as observed in their next calls."""
+    histogram = LatencyHistogram()
     missing = 0
     for change in observed.delays_s:
         for delay_s in change:
             if delay_s is None:
                 missing += 1
             else:
-                record_seconds(histogram, delay_s)
+                histogram.add_seconds(delay_s)
     _write_percentiles(writer, "real sidecar", histogram, missing, labels)
--- /dev/null
+++ b/scale/control/peak_sampler.py
@@ -0,0 +1,44 @@
+"""Samples the peak memory of processes."""
+
+from __future__ import annotations
+
+from threading import Event, Thread
+from typing import Self
+
+from scale.control.measure import STUB_ROLE, Fleet, Labels
+from scale.results import ResultWriter
+
+_SAMPLE_INTERVAL_S = 0.25
+
+
+class PeakSampler:
+    """Samples memory in a thread while the block runs, and records the peak."""
+
+    def __init__(self, fleet: Fleet) -> None:
+        self._fleet = fleet
+        self._stopping = Event()
+        self._thread = Thread(target=self._sample)
+        self._registry_bytes = 0
+        self._stub_bytes = 0
+
+    def __enter__(self) -> Self:
+        self._thread.start()
+        return self
+
+    def __exit__(self, *error: object) -> None:
+        self._stopping.set()
+        self._thread.join()
+
+    def _sample(self) -> None:
+        registry, stubs = self._fleet.registry.process, self._fleet.stubs.processes
+        is_last_sample = False
+        while not is_last_sample:
+            is_last_sample = self._stopping.wait(_SAMPLE_INTERVAL_S)
+            self._registry_bytes = max(self._registry_bytes, registry.usage().memory_bytes)
+            self._stub_bytes = max(self._stub_bytes, sum(each.usage().memory_bytes for each in stubs))
+
+    def write(self, writer: ResultWriter, labels: Labels) -> None:
+        """Write the peaks."""
+        each = self._stub_bytes / self._fleet.stubs.count
+        writer.add("discovery", "memory, largest", self._registry_bytes, "bytes", labels)
+        writer.add(STUB_ROLE, "memory, largest, with its process's", each, "bytes", labels)
--- a/scale/control/processes.py
+++ b/scale/control/processes.py
@@ -1,99 +1,102 @@
-"""The processes of an experiment on control: the registry, hollow sidecars and real ones."""
+"""The processes of a control plane experiment: the registry, stub sidecars and real ones."""
 
 from __future__ import annotations
 
 import signal
 import subprocess
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from pathlib import Path
 from typing import Any
 
 from scale.commands import CommandClient, python_command
 from scale.control.experiment import ControlExperiment
-from scale.control.hollow import (
+from scale.control.stub_commands import (
     Delays,
     GetDelays,
     GetProgress,
-    MoveDiscovery,
+    MigrateDiscovery,
     Progress,
     StartSidecars,
-    sidecar_settings,
 )
-from scale.errors import ScaleError
+from scale.control.stub_sidecar import sidecar_settings
+from scale.http_client import Address
 from scale.processes import ManagedProcess, ProcessGroup
 from scale.sidecar_process import format_address, start_sidecar, write_config
 from scale.standins.change_log import Endpoint
 from scale.standins.fleet import make_endpoints, zone_name
-from scale.standins.registry import Address
-from scale.standins.registry_process import (
+from scale.standins.registry_commands import (
     ChangeEndpoints,
-    Committed,
+    CommittedChange,
     Counts,
     GetCounts,
-    GetObserved,
+    GetObservedDelays,
     GetTraffic,
-    Observed,
+    ObservedDelays,
+    RegistryOptions,
     TrafficTotals,
+    registry_command,
 )
 
-HALVES = (0, 1)  # hollow sidecars call at two addresses, so that one half can be cut off
-_HOLLOW_LISTENERS = 2 * len(HALVES)  # and each half has another address to be moved to
-_LOOK_EVERY_S = 0.2
-
-
-class ControlTimeoutError(ScaleError):
-    """The sidecars did not come to hold the registry's list in time."""
+HALVES = (0, 1)  # stub sidecars use two addresses, so that one half can be partitioned
+_STUB_LISTENERS = 2 * len(HALVES)  # each half has another address to migrate to
+_POLL_INTERVAL_S = 0.2
 
 
 class Registry:
     """The registry stand-in's process."""
 
     def __init__(self, group: ProcessGroup, experiment: ControlExperiment, servers: int) -> None:
-        command = python_command(
-            "scale.standins.registry_process",
-            *("--servers", servers, "--zones", experiment.zones, "--seed", experiment.seed),
-            *("--listeners", _HOLLOW_LISTENERS, "--observed", 2 * experiment.real_sidecars),
+        options = RegistryOptions(
+            servers=servers,
+            zones=experiment.zones,
+            seed=experiment.seed,
+            listeners=_STUB_LISTENERS,
+            observed_listeners=2 * experiment.real_sidecars,
         )
-        self.process = group.start(command, stdout=subprocess.PIPE)
+        self.process = group.start(registry_command(options), stdout=subprocess.PIPE)
         self.client = CommandClient(self.process.popen)
         self.endpoints: list[Endpoint] = make_endpoints(servers, experiment.zones, experiment.seed)
 
-    def hollow_listener(self, half: int, moved: bool) -> int:
-        """The listener at which a half of the hollow sidecars calls, before or after a move."""
-        return half + len(HALVES) * moved
+    def stub_listener(self, half: int, migrated: bool) -> int:
+        """Return the listener that a half of the stub sidecars uses, before or after a migration."""
+        return half + len(HALVES) * migrated
 
-    def real_listener(self, sidecar: int, moved: bool) -> int:
-        """The listener at which one real sidecar alone calls, before or after a move."""
-        return _HOLLOW_LISTENERS + 2 * sidecar + moved
+    def real_listener(self, sidecar: int, migrated: bool) -> int:
+        """Return the listener that only one real sidecar uses, before or after a migration."""
+        return _STUB_LISTENERS + 2 * sidecar + migrated
 
     def address(self, listener: int) -> Address:
-        """Where a listener is."""
+        """Return the address of a listener."""
         return self.client.ready.addresses[listener]
 
-    def change(self, command: ChangeEndpoints) -> Committed:
+    def change(self, command: ChangeEndpoints) -> CommittedChange:
         """Commit a change."""
-        return self.client.ask(command, Committed)
+        return self.client.request(command, CommittedChange)
 
     def counts(self) -> Counts:
-        """What it has done so far."""
-        return self.client.ask(GetCounts(), Counts)
+        """Return its counters."""
+        return self.client.request(GetCounts(), Counts)
 
     def real_traffic(self, real_sidecars: int) -> TrafficTotals:
-        """What went between the registry and all real sidecars so far."""
+        """Return the traffic between the registry and all real sidecars so far."""
         listeners = [
-            self.real_listener(index, moved) for index in range(real_sidecars) for moved in (False, True)
+            self.real_listener(index, migrated)
+            for index in range(real_sidecars)
+            for migrated in (False, True)
         ]
-        return self.client.ask(GetTraffic(listeners=listeners), TrafficTotals)
+        return self.client.request(GetTraffic(listeners=listeners), TrafficTotals)
 
-    def real_delays(self, changes: list[Committed], real_sidecars: int, moved: bool) -> Observed:
-        """When each real sidecar was first seen to hold each change."""
-        listeners = [self.real_listener(index, moved) for index in range(real_sidecars)]
-        return self.client.ask(GetObserved(listeners=listeners, changes=changes), Observed)
+    def real_delays(
+        self, changes: list[CommittedChange], real_sidecars: int, migrated: bool
+    ) -> ObservedDelays:
+        """Return the seconds until each real sidecar was first observed with each change."""
+        listeners = [self.real_listener(index, migrated) for index in range(real_sidecars)]
+        return self.client.request(GetObservedDelays(listeners=listeners, changes=changes), ObservedDelays)
 
 
-class HollowGroup:
-    """All processes with hollow sidecars."""
+class StubGroup:
+    """All processes with stub sidecars."""
 
     def __init__(
         self, group: ProcessGroup, registry: Registry, experiment: ControlExperiment, count: int
@@ -101,12 +104,12 @@
         self.count = count
         self._registry = registry
         self.processes: list[ManagedProcess] = []
-        for first in range(0, count, experiment.hollow_per_process):
+        for first in range(0, count, experiment.stubs_per_process):
             index = len(self.processes)
-            discovery = registry.address(registry.hollow_listener(index % len(HALVES), moved=False))
+            discovery = registry.address(registry.stub_listener(index % len(HALVES), migrated=False))
             command = python_command(
-                "scale.control.hollow",
-                *("--count", min(experiment.hollow_per_process, count - first)),
+                "scale.control.stub_process",
+                *("--count", min(experiment.stubs_per_process, count - first)),
                 *("--discovery", format_address(discovery)),
                 *("--zone", zone_name(index % experiment.zones)),
                 *("--seed", experiment.seed + index),
@@ -114,30 +117,40 @@
             self.processes.append(group.start(command, stdout=subprocess.PIPE))
         self._clients = [CommandClient(process.popen) for process in self.processes]
 
-    def start(self, within_s: float) -> None:
-        """Start all sidecars, or start them anew, spread over a time."""
+    def start(self, spread_s: float) -> None:
+        """Start or restart all sidecars, spread over a time in seconds."""
         for client in self._clients:
-            client.tell(StartSidecars(within_s=within_s))
+            client.execute(StartSidecars(spread_s=spread_s))
 
-    def move(self, moved: bool) -> None:
-        """Move all to their other address of the registry, or back."""
+    def migrate(self, migrated: bool) -> None:
+        """Migrate all to their other address of the registry, or back."""
         for index, client in enumerate(self._clients):
-            listener = self._registry.hollow_listener(index % len(HALVES), moved)
-            client.tell(MoveDiscovery(address=self._registry.address(listener)))
+            listener = self._registry.stub_listener(index % len(HALVES), migrated)
+            client.execute(MigrateDiscovery(address=self._registry.address(listener)))
 
-    def is_in_force(self, change: Committed, halves: tuple[int, ...] = HALVES) -> bool:
-        """Whether all sidecars of these halves hold a change."""
-        progress = [client.ask(GetProgress(change=change), Progress) for client in self._of(halves)]
-        return all(each.in_force == each.sidecars for each in progress)
+    def is_applied(self, change: CommittedChange, halves: tuple[int, ...] = HALVES) -> bool:
+        """Return whether all sidecars of these halves have applied a change."""
+        progress = [client.request(GetProgress(change=change), Progress) for client in self._of(halves)]
+        return all(each.applied == each.sidecars for each in progress)
 
-    def delays(self, changes: list[Committed], halves: tuple[int, ...] = HALVES) -> list[Delays]:
-        """The times until changes were in force, by process, of the sidecars of these halves."""
-        return [client.ask(GetDelays(changes=changes), Delays) for client in self._of(halves)]
+    def delays(self, changes: list[CommittedChange], halves: tuple[int, ...] = HALVES) -> list[Delays]:
+        """Return the times until the sidecars of these halves applied changes, by process."""
+        return [client.request(GetDelays(changes=changes), Delays) for client in self._of(halves)]
 
     def _of(self, halves: tuple[int, ...]) -> list[CommandClient]:
         return [client for index, client in enumerate(self._clients) if index % len(HALVES) in halves]
 
 
+def real_sidecar_config(experiment: ControlExperiment, index: int, listen: Address) -> dict[str, Any]:
+    """Return the configuration of a real sidecar, without the address of discovery."""
+    return {
+        "name": f"n{index}",
+        "listen": format_address(listen),
+        "seed": f"{experiment.seed + index:x}",
+        "settings": sidecar_settings(zone_name(index % experiment.zones)),
+    }
+
+
 class RealSidecar:
     """One `python -m topazbank` process."""
 
@@ -145,38 +158,32 @@
         self,
         group: ProcessGroup,
         registry: Registry,
-        experiment: ControlExperiment,
         index: int,
-        listen: Address,
+        config: Mapping[str, Any],
         folder: Path,
     ) -> None:
         self._registry = registry
         self._index = index
+        self._config = config
         self._folder = folder / f"sidecar-{index}"
         self._folder.mkdir()
-        self._config: dict[str, Any] = {
-            "name": f"n{index}",
-            "listen": format_address(listen),
-            "seed": f"{experiment.seed + index:x}",
-            "settings": sidecar_settings(zone_name(index % experiment.zones)),
-        }
-        self.process = start_sidecar(group, self._config_at(moved=False), self._folder)
-
-    def _config_at(self, moved: bool) -> dict[str, Any]:
-        address = self._registry.address(self._registry.real_listener(self._index, moved))
-        return self._config | {"discovery": format_address(address)}
-
-    def move(self, moved: bool) -> None:
-        """Move it to its other address, or back, by its configuration and SIGHUP."""
-        write_config(self._config_at(moved), self._folder)
+        self.process = start_sidecar(group, self._config_at(migrated=False), self._folder)
+
+    def _config_at(self, migrated: bool) -> dict[str, Any]:
+        address = self._registry.address(self._registry.real_listener(self._index, migrated))
+        return {**self._config, "discovery": format_address(address)}
+
+    def migrate(self, migrated: bool) -> None:
+        """Migrate it to its other address of the registry, or back, by a reload of its configuration."""
+        write_config(self._config_at(migrated), self._folder)
         self.process.popen.send_signal(signal.SIGHUP)
 
 
-def wait_for(condition: Callable[[], bool], within_s: float) -> bool:
-    """Wait until a condition holds, and say whether it came to."""
-    give_up_at = time.monotonic() + within_s
+def wait_until(condition: Callable[[], bool], timeout_s: float) -> bool:
+    """Poll a condition until it holds; return False if it does not within `timeout_s` seconds."""
+    deadline = time.monotonic() + timeout_s
     while not condition():
-        if time.monotonic() >= give_up_at:
+        if time.monotonic() >= deadline:
             return False
-        time.sleep(_LOOK_EVERY_S)
+        time.sleep(_POLL_INTERVAL_S)
     return True
--- /dev/null
+++ b/scale/control/stub_process.py
@@ -0,0 +1,108 @@
+"""A process of stub sidecars, hundreds of them.
+
+Run as `python -m scale.control.stub_process`; it prints a `Ready` and then accepts commands.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import logging
+import random
+from typing import Annotated
+
+import typer
+
+from scale.commands import Done, Message, serve_commands
+from scale.control.stub_commands import (
+    STUB_COMMANDS,
+    Delays,
+    GetDelays,
+    GetProgress,
+    MigrateDiscovery,
+    Progress,
+    StartSidecars,
+)
+from scale.control.stub_sidecar import StubSidecar, sidecar_settings
+from scale.histogram import LatencyHistogram
+from scale.standins.registry_commands import CommittedChange
+from topazbank.net.upstream import Address, parse_address
+from topazbank.wire_settings import settings_from_wire
+
+_GC_THRESHOLDS = (700, 5, 2)  # as the sidecar's own program sets them
+
+
+class StubProcess:
+    """Handles the commands to the sidecars of one process."""
+
+    def __init__(self, count: int, zone: str, seed: int, discovery: Address) -> None:
+        self._settings = settings_from_wire(sidecar_settings(zone))
+        self._random = random.Random(seed)
+        self._discovery = discovery
+        self._count = count
+        self._sidecars: list[StubSidecar] = []
+
+    def handle(self, line: bytes) -> Message:
+        """Handle one command, as a JSON line, and return its response.
+
+        Raises:
+            ValueError: The line is not a command.
+        """
+        command = STUB_COMMANDS.validate_json(line)
+        match command:
+            case StartSidecars():
+                self._start(command.spread_s)
+            case MigrateDiscovery():
+                self._discovery = command.address
+                for sidecar in self._sidecars:
+                    sidecar.migrate(command.address)
+            case GetProgress():
+                return self._progress(command.change)
+            case GetDelays():
+                return self._delays(command.changes)
+        return Done()
+
+    def _start(self, spread_s: float) -> None:
+        for sidecar in self._sidecars:
+            sidecar.stop()
+        self._sidecars = [
+            StubSidecar(self._settings, self._random.getrandbits(64), self._discovery)
+            for _ in range(self._count)
+        ]
+        loop = asyncio.get_running_loop()
+        for sidecar in self._sidecars:
+            loop.call_later(spread_s * self._random.random(), sidecar.start)
+
+    def _progress(self, change: CommittedChange) -> Progress:
+        delays = [each.applied.delay_until_applied(change.version, change.at_s) for each in self._sidecars]
+        return Progress(sidecars=len(delays), applied=sum(delay is not None for delay in delays))
+
+    def _delays(self, changes: list[CommittedChange]) -> Delays:
+        histogram = LatencyHistogram()
+        missing = 0
+        for change in changes:
+            for sidecar in self._sidecars:
+                delay_s = sidecar.applied.delay_until_applied(change.version, change.at_s)
+                if delay_s is None:
+                    missing += 1
+                else:
+                    histogram.add_seconds(delay_s)
+        return Delays(histogram=histogram.encode(), missing=missing)
+
+
+def main(
+    count: Annotated[int, typer.Option(help="Sidecars in this process.")],
+    discovery: Annotated[str, typer.Option(help="Address of the registry, host:port.")],
+    zone: Annotated[str, typer.Option(help="Zone of the sidecars.")] = "",
+    seed: Annotated[int, typer.Option(help="Seed of the sidecars.")] = 0,
+) -> None:
+    """Run stub sidecars until the command connection ends."""
+    logging.basicConfig(level=logging.ERROR)
+    process = StubProcess(count, zone, seed, parse_address(discovery))
+    gc.freeze()
+    gc.set_threshold(*_GC_THRESHOLDS)
+    asyncio.run(serve_commands(process.handle, []))
+
+
+if __name__ == "__main__":
+    typer.run(main)
--- /dev/null
+++ b/scale/control/stub_sidecar.py
@@ -0,0 +1,98 @@
+"""A stub sidecar: the real discovery client, balancer and upstream table, without a front end."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from typing import Any
+
+from scale.control.applied_log import AppliedLog
+from topazbank.balancer import Balancer
+from topazbank.interface import (
+    Endpoint,
+    FetchRegistry,
+    RegistryUpdated,
+    RegistryUpdateKind,
+    ServerState,
+    SetTimer,
+    TimerFired,
+    WatchRegistry,
+)
+from topazbank.net.discovery import Discovery, RegistryResponse
+from topazbank.net.sidecar import Clock
+from topazbank.net.upstream import Address, Upstream
+from topazbank.settings import Settings
+
+_SOCKETS_PER_SIDECAR = 480  # for servers, of a sidecar with the usual 1,024 descriptors
+
+
+def sidecar_settings(zone: str) -> dict[str, Any]:
+    """Return the settings of a sidecar, as in its configuration file."""
+    return {
+        "lanes": [{"name": "look", "giveUpUs": 2_000_000, "repeat": "read_like"}],
+        "bounds": {"sendCap": 3, "mayCancel": True},
+        "discovery": "on_request",
+        "zone": zone,
+    }
+
+
+class StubSidecar:
+    """A sidecar without a front end: it watches the registry as a real one does, and serves no requests."""
+
+    def __init__(self, settings: Settings, seed: int, discovery: Address) -> None:
+        self.applied = AppliedLog()  # the versions it applied, with their times
+        self._clock = Clock()
+        self.balancer = Balancer(settings, seed)
+        limits = settings.limits
+        self._upstream = Upstream(
+            limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, _SOCKETS_PER_SIDECAR
+        )
+        self._discovery = Discovery(discovery, 0, self._on_registry_response)
+        self._stopped = False
+
+    def start(self) -> None:
+        """Start with an empty cached endpoint list, and watch the registry."""
+        self._handle(RegistryUpdated(RegistryUpdateKind.CACHED))
+
+    def stop(self) -> None:
+        """Drop all calls, as a killed process does."""
+        self._stopped = True
+        self._discovery.stop()
+
+    def migrate(self, address: Address) -> None:
+        """Migrate to another address of the registry."""
+        self._discovery.move(address)
+
+    def _on_registry_response(self, response: RegistryResponse | None) -> None:
+        if response is None:
+            self._handle(RegistryUpdated(RegistryUpdateKind.FAILED))
+            return
+        is_update = response.complete or response.version > self.applied.version()
+        self._apply(response)
+        if is_update:
+            self.applied.add(response.version, time.monotonic())
+
+    def _apply(self, response: RegistryResponse) -> None:
+        """Apply an update in the order of `Sidecar`: addresses first, then the balancer."""
+        if response.complete:
+            self._upstream.retain({line.server.server for line in response.lines})
+        for line in response.lines:
+            server = line.server
+            self._upstream.update(server.server, line.address, server.started_at, server.state)
+        servers = [line.server for line in response.lines]
+        servers += [Endpoint(name, state=ServerState.GONE) for name in self._upstream.displace()]
+        kind = RegistryUpdateKind.SNAPSHOT if response.complete else RegistryUpdateKind.DELTA
+        self._handle(RegistryUpdated(kind, servers, response.version))
+
+    def _handle(self, event: RegistryUpdated | TimerFired) -> None:
+        if self._stopped:
+            return
+        for action in self.balancer.handle(self._clock.now(), event):
+            match action:
+                case SetTimer():
+                    loop = asyncio.get_running_loop()
+                    loop.call_later(action.in_us / 1e6, self._handle, TimerFired(action.token))
+                case WatchRegistry():
+                    self._discovery.follow(action.wanted)
+                case FetchRegistry():
+                    self._discovery.fetch()
--- /dev/null
+++ b/scale/http_client.py
@@ -0,0 +1,156 @@
+"""The load client: one call at a time on each connection, and as many connections as needed."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from dataclasses import dataclass
+
+from scale.http1 import Message, MessageReader, format_request
+
+Address = tuple[str, int]
+NO_RESPONSE = 0  # in place of a status: the connection failed or the call timed out
+
+
+@dataclass(frozen=True, slots=True)
+class CallResult:
+    """The result of one call; times are seconds on the monotonic clock."""
+
+    arrived_at: float  # when it was scheduled
+    sent_at: float
+    ended_at: float
+    status: int
+    body: bytes
+    connected: bool = False  # whether it opened a new connection
+
+    @property
+    def latency_us(self) -> float:
+        """Microseconds from writing the request to the response's last byte."""
+        return (self.ended_at - self.sent_at) * 1e6
+
+    @property
+    def start_lag_us(self) -> float:
+        """Microseconds from the scheduled start to writing the request."""
+        return (self.sent_at - self.arrived_at) * 1e6
+
+
+class HttpClient:
+    """Calls one address over pooled connections, and opens more when all of them are busy."""
+
+    def __init__(self, address: Address) -> None:
+        self._address = address
+        self._idle: list[_ClientConnection] = []
+
+    async def call(self, request: bytes, arrived_at: float, timeout_s: float) -> CallResult:
+        """Send a request; retry it once on a new connection if a reused one was being closed.
+
+        Args:
+            request: The encoded request.
+            arrived_at: When the call was scheduled, in seconds on the monotonic clock.
+            timeout_s: How long to wait for the response, in seconds.
+
+        Returns:
+            The result; its status is `NO_RESPONSE` if the connection failed or the call timed out.
+        """
+        sent_at = time.monotonic()
+        connection = self._acquire_idle()
+        connected = connection is None
+        try:
+            async with asyncio.timeout(timeout_s):
+                if connection is not None:
+                    try:
+                        response = await self._exchange(connection, request)
+                    except ConnectionError:  # it was closed between requests
+                        connected, response = True, await self._exchange_on_new_connection(request)
+                else:
+                    response = await self._exchange_on_new_connection(request)
+        except (OSError, TimeoutError):
+            return CallResult(arrived_at, sent_at, time.monotonic(), NO_RESPONSE, b"", connected)
+        return CallResult(arrived_at, sent_at, time.monotonic(), response.status, response.body, connected)
+
+    async def _exchange_on_new_connection(self, request: bytes) -> Message:
+        loop = asyncio.get_running_loop()
+        _, connection = await loop.create_connection(_ClientConnection, *self._address)
+        return await self._exchange(connection, request)
+
+    def _acquire_idle(self) -> _ClientConnection | None:
+        while self._idle:
+            connection = self._idle.pop()
+            if connection.is_open():
+                return connection
+        return None
+
+    async def _exchange(self, connection: _ClientConnection, request: bytes) -> Message:
+        try:
+            response = await connection.send(request)
+        except (asyncio.CancelledError, ConnectionError):
+            connection.close()
+            raise
+        if response.headers.get("connection", "").lower() == "close":
+            connection.close()
+        else:
+            self._idle.append(connection)
+        return response
+
+    def close(self) -> None:
+        """Close the idle connections."""
+        for connection in self._idle:
+            connection.close()
+        self._idle.clear()
+
+
+class _ClientConnection(asyncio.Protocol):
+    """One connection, with one request in flight at most."""
+
+    def __init__(self) -> None:
+        self._reader = MessageReader()
+        self._transport: asyncio.Transport | None = None
+        self._response: asyncio.Future[Message] | None = None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        assert isinstance(transport, asyncio.Transport)
+        self._transport = transport
+
+    def connection_lost(self, _exc: Exception | None) -> None:
+        if self._response is not None and not self._response.done():
+            self._response.set_exception(ConnectionResetError("the connection broke"))
+
+    def data_received(self, data: bytes) -> None:
+        for response in self._reader.feed(data):
+            if self._response is not None and not self._response.done():
+                self._response.set_result(response)
+
+    def is_open(self) -> bool:
+        return self._transport is not None and not self._transport.is_closing()
+
+    def send(self, request: bytes) -> asyncio.Future[Message]:
+        assert self._transport is not None
+        self._response = asyncio.get_running_loop().create_future()
+        self._transport.write(request)
+        return self._response
+
+    def close(self) -> None:
+        if self._transport is not None:
+            self._transport.abort()
+
+
+def format_call(
+    service_class: str, call_id: str, budget_s: float, idempotency_key: str | None = None
+) -> bytes:
+    """Encode a call as the application sends it.
+
+    Args:
+        service_class: The class of the call.
+        call_id: Its unique id.
+        budget_s: How long the caller waits, in seconds.
+        idempotency_key: The key of a POST; without one the call is an idempotent GET.
+    """
+    headers = {
+        "Host": "app.svc",
+        "X-Call-Id": call_id,
+        "X-Call-Class": service_class,
+        "X-Budget": f"{budget_s:.3f}",
+    }
+    if idempotency_key is None:
+        return format_request("GET", f"/api/{call_id}", headers)
+    return format_request("POST", f"/api/{call_id}", headers | {"Idempotency-Key": idempotency_key})
--- a/scale/kinds.py
+++ b/scale/kinds.py
@@ -8,12 +8,12 @@
 from typing import Any
 
 from scale.callgraph.experiment import CallGraphExperiment
-from scale.callgraph.run import run_call_graphs
+from scale.callgraph.sweep import run_call_graphs
 from scale.configuration.experiment import ConfigurationExperiment
 from scale.configuration.run import run_configuration
 from scale.control.experiment import ControlExperiment
 from scale.control.run import run_control
-from scale.errors import ExperimentError
+from scale.errors import UnknownKindError
 from scale.experiment import Experiment, read_experiment_file, validate_experiment
 from scale.latency.experiment import LatencyExperiment
 from scale.latency.run import run_latency
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExperimentKind:
-    """How experiments of one kind are described and run."""
+    """The model and the runner of one kind of experiment."""
 
     model: type[Experiment]
     run: Callable[[Any, ResultWriter], None]
@@ -37,14 +37,21 @@
 
 
 def load_experiment(path: Path) -> Experiment:
-    """Read and check an experiment file; raise ExperimentError in one line that names the key."""
+    """Read and validate an experiment file.
+
+    Raises:
+        UnreadableExperimentError: The file cannot be read.
+        TomlSyntaxError: The file is not TOML.
+        UnknownKindError: The rig does not know the kind of experiment.
+        InvalidKeyError: A key is missing, unknown or out of range.
+    """
     given = read_experiment_file(path)
     kind = KINDS.get(str(given.get("kind")))
     if kind is None:
-        raise ExperimentError(f"kind: one of {', '.join(sorted(KINDS)) or 'none yet'} is needed")
+        raise UnknownKindError(KINDS.keys())
     return validate_experiment(kind.model, given)
 
 
 def run_experiment(experiment: Experiment, writer: ResultWriter) -> None:
-    """Run an experiment and write what it measures."""
+    """Run an experiment and write its measurements."""
     KINDS[experiment.kind].run(experiment, writer)
--- /dev/null
+++ b/scale/open_loop.py
@@ -0,0 +1,48 @@
+"""Open-loop load: calls start at scheduled times, whatever the results of earlier calls.
+
+A slow response delays no later call, as each call takes an idle connection or opens a new one: the queueing
+that a slow callee causes is measured, not left out (no coordinated omission).  Latency counts from the moment
+the request is written; the client's own lag behind the schedule is recorded separately.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Awaitable, Callable, Sequence
+
+import numpy as np
+
+from scale.http_client import CallResult
+
+
+def poisson_arrivals(rate_per_s: float, duration_s: float, seed: int) -> list[float]:
+    """Draw arrival times in seconds from 0 to the duration; reproducible for a seed."""
+    generator = np.random.default_rng(seed)
+    count = generator.poisson(rate_per_s * duration_s)
+    return [float(each) for each in np.sort(generator.uniform(0.0, duration_s, count))]
+
+
+async def run_open_loop(
+    arrivals_s: Sequence[float], start_call: Callable[[int, float], Awaitable[CallResult]]
+) -> list[CallResult]:
+    """Start each call at its time.
+
+    Args:
+        arrivals_s: Start times in seconds from now, in order.
+        start_call: Makes a call, given its number and its start time on the monotonic clock.
+
+    Returns:
+        The results in the order of the start times.
+    """
+    started_at = time.monotonic()
+    tasks: list[asyncio.Future[CallResult]] = []
+    try:
+        for number, after_s in enumerate(arrivals_s):
+            arrives_at = started_at + after_s
+            await asyncio.sleep(max(arrives_at - time.monotonic(), 0.0))
+            tasks.append(asyncio.ensure_future(start_call(number, arrives_at)))
+        return list(await asyncio.gather(*tasks))
+    finally:
+        for task in tasks:
+            task.cancel()
--- a/scale/sidecar_process.py
+++ b/scale/sidecar_process.py
@@ -1,4 +1,4 @@
-"""Starts one real sidecar, `python -m topazbank`, as a process of its own, from the sample configuration."""
+"""Starts a real sidecar, `python -m topazbank`, from the sample configuration."""
 
 from __future__ import annotations
 
@@ -11,30 +11,26 @@
 from pathlib import Path
 from typing import Any
 
-from scale.errors import ScaleError
-from scale.load import Address
+from scale.errors import SidecarStartError
+from scale.http_client import Address
 from scale.processes import ManagedProcess, ProcessGroup
 
 SAMPLE_CONFIG = Path(__file__).resolve().parent.parent / "deploy" / "sample" / "config.json"
 PROGRAM = (sys.executable, "-m", "topazbank")
-READY_WITHIN_S = 15.0
+READY_TIMEOUT_S = 15.0
 
-_ASK_EVERY_S = 0.05
-_ASK_LIMIT_S = 1.0
-
-
-class SidecarError(ScaleError):
-    """A sidecar that did not start; the text holds the last line of its log."""
+_POLL_INTERVAL_S = 0.05
+_PROBE_TIMEOUT_S = 1.0
 
 
 def sample_config(listen: Address, discovery: Address) -> dict[str, Any]:
-    """The sample configuration with addresses of this run."""
+    """Return the sample configuration with the addresses of this run."""
     config: dict[str, Any] = json.loads(SAMPLE_CONFIG.read_text(encoding="utf-8"))
     return config | {"listen": format_address(listen), "discovery": format_address(discovery)}
 
 
 def format_address(address: Address) -> str:
-    """An address as the configuration and the registry write it."""
+    """Format an address as host:port."""
     return f"{address[0]}:{address[1]}"
 
 
@@ -48,7 +44,11 @@
 def start_sidecar(
     group: ProcessGroup, config: Mapping[str, Any], folder: Path, program: Sequence[str] = PROGRAM
 ) -> ManagedProcess:
-    """Start a sidecar whose configuration and log stand in the folder."""
+    """Start a sidecar with its configuration and log in a folder.
+
+    Raises:
+        OSError: The process cannot be started.
+    """
     path = write_config(config, folder)
     inherited = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
     with log_path(folder).open("wb") as log:
@@ -56,22 +56,26 @@
 
 
 def log_path(folder: Path) -> Path:
-    """Where a sidecar's log stands."""
+    """Return the path of a sidecar's log."""
     return folder / "sidecar.log"
 
 
 def await_ready(sidecar: ManagedProcess, listen: Address, folder: Path) -> None:
-    """Wait until a sidecar calls itself ready; raise SidecarError if it ends or takes longer than 15 s."""
-    give_up_at = time.monotonic() + READY_WITHIN_S
+    """Wait until a sidecar is ready.
+
+    Raises:
+        SidecarStartError: It ended first, or took longer than 15 s.
+    """
+    deadline = time.monotonic() + READY_TIMEOUT_S
     while not _is_ready(listen):
-        if not sidecar.is_running() or time.monotonic() > give_up_at:
+        if not sidecar.is_running() or time.monotonic() > deadline:
             lines = log_path(folder).read_text(encoding="utf-8", errors="replace").splitlines()
-            raise SidecarError(f"the sidecar did not start: {lines[-1] if lines else 'it logged nothing'}")
-        time.sleep(_ASK_EVERY_S)
+            raise SidecarStartError(lines)
+        time.sleep(_POLL_INTERVAL_S)
 
 
 def _is_ready(listen: Address) -> bool:
-    connection = http.client.HTTPConnection(*listen, timeout=_ASK_LIMIT_S)
+    connection = http.client.HTTPConnection(*listen, timeout=_PROBE_TIMEOUT_S)
     try:
         connection.request("GET", "/health/ready")
         return connection.getresponse().status == http.HTTPStatus.OK
--- a/scale/slopes.py
+++ b/scale/slopes.py
@@ -1,4 +1,4 @@
-"""Lines through all that was measured at two or more sizes, and what they foretell at another size."""
+"""Lines through all metrics measured at two or more sizes, and their values at another size."""
 
 from __future__ import annotations
 
@@ -6,15 +6,14 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from scale.report import Slope, fit_slope
 from scale.results import Measurement
-
-_LEAST_SIZES = 2
+from scale.slope import MINIMUM_SIZES, Slope, fit_slope
+from scale.text_table import align_columns
 
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """One metric of a role, measured at several sizes with all else alike."""
+    """One metric of a role, measured at several sizes with all other labels equal."""
 
     experiment: str
     commit: str
@@ -34,7 +33,7 @@
 
 
 def fit_slopes(measurements: Sequence[Measurement], against: str) -> list[FittedSeries]:
-    """Fit what was measured at two or more values of a label, with all other labels alike."""
+    """Fit a line to each metric measured at two or more values of a label, all other labels equal."""
     points: dict[Series, list[Measurement]] = defaultdict(list)
     for each in measurements:
         if isinstance(each.labels.get(against), int | float):
@@ -45,14 +44,14 @@
     fitted = []
     for series, measured in points.items():
         sizes = [float(each.labels[against]) for each in measured]
-        if len(set(sizes)) >= _LEAST_SIZES:
+        if len(set(sizes)) >= MINIMUM_SIZES:
             slope = fit_slope(sizes, [each.value for each in measured])
             fitted.append(FittedSeries(series, len(measured), slope))
     return fitted
 
 
 def format_slopes(fitted: Sequence[FittedSeries], at: float) -> str:
-    """A plain-text table: slope, value at zero, fit, the largest size measured, and the value at `at`."""
+    """Format a plain-text table: slope, value at zero, fit, largest measured size, and value at `at`."""
     names = ("experiment", "commit", "role", "metric", "unit")
     figure_names = ("per unit", "at zero", "r2", "largest", "points", f"at {at:g}")
     rows = [[*names, *figure_names, "alike"]]
@@ -61,6 +60,4 @@
         figures = (slope.per_unit, slope.at_zero, slope.r_squared, slope.largest, each.points, slope.at(at))
         labels = (series.experiment, series.commit, series.role, series.metric, series.unit)
         rows.append([*labels, *(f"{figure:.4g}" for figure in figures), series.alike])
-    widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
-    lines = ("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)) for row in rows)
-    return "\n".join(line.rstrip() for line in lines)
+    return "\n".join(align_columns(rows))
--- a/scale/standins/registry_process.py
+++ b/scale/standins/registry_process.py
@@ -7,123 +7,30 @@
 
 import asyncio
 import time
-from typing import Annotated, Literal
+from typing import Annotated
 
 import typer
-from pydantic import Field, TypeAdapter
 
 from scale.commands import Done, Message, serve_commands
 from scale.standins.change_log import ChangeLog
 from scale.standins.fleet import make_endpoints
-from scale.standins.registry import Availability, RegistryServer
-
-
-class ChangeEndpoints(Message):
-    """Restart, drain, remove or add again endpoints of the made-up fleet, by their place in it."""
-
-    command: Literal["change"] = "change"
-    change: Literal["restart", "drain", "remove", "add"]
-    indexes: list[int]
-
-
-class Committed(Message):
-    """A change that was committed, with the moment (monotonic clock) before watches were answered."""
-
-    version: int
-    at_s: float
-
-
-class SetAvailability(Message):
-    """Take the registry down, or bring it back."""
-
-    command: Literal["availability"] = "availability"
-    availability: Availability
-
-
-class SetSilent(Message):
-    """Cut off those who come by a listener, or end that."""
-
-    command: Literal["silent"] = "silent"
-    listener: int
-    silent: bool
-
-
-class StrandConnections(Message):
-    """Let all open connections fall silent for good, while new ones are served."""
-
-    command: Literal["strand"] = "strand"
-
-
-class ForgetChanges(Message):
-    """Lose the change log, as by a restart of the registry."""
-
-    command: Literal["forget_changes"] = "forget_changes"
-
-
-class GetCounts(Message):
-    """Ask what the registry has done so far."""
-
-    command: Literal["counts"] = "counts"
-
-
-class Counts(Message):
-    """The registry's counts, as in `RegistryCounts`."""
-
-    version: int
-    connections: int
-    calls: int
-    snapshots: int
-    deltas: int
-    empty: int
-    refused: int
-    malformed: int
-    bytes_in: int
-    bytes_out: int
-    sampled_connections: int
-    sampled_segments: int
-    watching: int
-
-
-class GetTraffic(Message):
-    """Ask what went through some listeners since the start."""
-
-    command: Literal["traffic"] = "traffic"
-    listeners: list[int]
-
-
-class TrafficTotals(Message):
-    """What went through the listeners asked for, together."""
-
-    calls: int
-    http_bytes: int
-
-
-class GetObserved(Message):
-    """Ask when the only sidecar of each observed listener was first seen to hold a version."""
-
-    command: Literal["observed"] = "observed"
-    listeners: list[int]
-    changes: list[Committed]
-
-
-class Observed(Message):
-    """For each change, the seconds until each sidecar was seen to hold it; None: not yet."""
-
-    delays_s: list[list[float | None]]
-
-
-RegistryCommand = Annotated[
-    ChangeEndpoints
-    | SetAvailability
-    | SetSilent
-    | StrandConnections
-    | ForgetChanges
-    | GetCounts
-    | GetTraffic
-    | GetObserved,
-    Field(discriminator="command"),
-]
-_COMMANDS: TypeAdapter[RegistryCommand] = TypeAdapter(RegistryCommand)
+from scale.standins.registry import RegistryServer
+from scale.standins.registry_commands import (
+    REGISTRY_COMMANDS,
+    BlackholeConnections,
+    ChangeEndpoints,
+    CommittedChange,
+    Counts,
+    DropChangeLog,
+    GetCounts,
+    GetObservedDelays,
+    GetTraffic,
+    ObservedDelays,
+    RegistryOptions,
+    SetAvailability,
+    SetPartitioned,
+    TrafficTotals,
+)
 
 
 class RegistryProcess:
@@ -135,18 +42,18 @@
 
     def handle(self, line: bytes) -> Message:
         """Carry out one command; raise ValueError on what is none."""
-        command = _COMMANDS.validate_json(line)
+        command = REGISTRY_COMMANDS.validate_json(line)
         match command:
             case ChangeEndpoints():
                 return self._change(command)
             case SetAvailability():
                 self._server.set_availability(command.availability)
-            case SetSilent():
-                self._server.set_silent(command.listener, command.silent)
-            case StrandConnections():
-                self._server.strand_connections()
-            case ForgetChanges():
-                self._server.change_log.forget_changes()
+            case SetPartitioned():
+                self._server.set_partitioned(command.listener, command.partitioned)
+            case BlackholeConnections():
+                self._server.blackhole_connections()
+            case DropChangeLog():
+                self._server.change_log.drop_changes()
             case GetCounts():
                 return self._counts()
             case GetTraffic():
@@ -155,11 +62,11 @@
                     calls=sum(each.calls for each in traffic),
                     http_bytes=sum(each.http_bytes for each in traffic),
                 )
-            case GetObserved():
+            case GetObservedDelays():
                 return self._observed(command)
         return Done()
 
-    def _change(self, command: ChangeEndpoints) -> Committed:
+    def _change(self, command: ChangeEndpoints) -> CommittedChange:
         log, at_s = self._server.change_log, time.monotonic()
         names = [self._fleet[index].name for index in command.indexes]
         match command.change:
@@ -171,50 +78,43 @@
                 version = log.remove(names)
             case "add":
                 version = log.commit([self._fleet[index] for index in command.indexes])
-        return Committed(version=version, at_s=at_s)
+        return CommittedChange(version=version, at_s=at_s)
 
     def _counts(self) -> Counts:
         counts = self._server.counts
         figures = {name: getattr(counts, name) for name in Counts.model_fields if name != "version"}
         return Counts(version=self._server.change_log.version, **figures)
 
-    def _observed(self, command: GetObserved) -> Observed:
-        return Observed(
+    def _observed(self, command: GetObservedDelays) -> ObservedDelays:
+        return ObservedDelays(
             delays_s=[
-                [self._seen_after(change, listener) for listener in command.listeners]
+                [self._first_seen_after(change, listener) for listener in command.listeners]
                 for change in command.changes
             ]
         )
 
-    def _seen_after(self, change: Committed, listener: int) -> float | None:
+    def _first_seen_after(self, change: CommittedChange, listener: int) -> float | None:
         for call in self._server.observed_calls(listener):
             if call.after >= change.version and call.at_s >= change.at_s:
                 return call.at_s - change.at_s
         return None
 
 
-async def serve(
-    servers: int, zones: int, seed: int, listeners: int, observed: int, address: str | None
-) -> None:
+async def serve(options: RegistryOptions) -> None:
     """Serve a made-up fleet until the command connection ends."""
-    server = RegistryServer(ChangeLog(make_endpoints(servers, zones, seed, address)))
-    addresses = await server.start(listeners + observed, observed)
+    endpoints = make_endpoints(options.servers, options.zones, options.seed, options.endpoint_address)
+    server = RegistryServer(ChangeLog(endpoints))
+    listeners = options.listeners + options.observed_listeners
+    addresses = await server.start(listeners, options.observed_listeners)
     try:
         await serve_commands(RegistryProcess(server).handle, addresses)
     finally:
         await server.stop()
 
 
-def main(
-    servers: Annotated[int, typer.Option(help="Endpoints in the registry.")],
-    zones: Annotated[int, typer.Option(help="Zones that they are spread over.")] = 1,
-    seed: Annotated[int, typer.Option(help="Seed of the endpoints' names.")] = 0,
-    listeners: Annotated[int, typer.Option(help="Addresses to listen at.")] = 1,
-    observed: Annotated[int, typer.Option(help="Further addresses, each for one sidecar.")] = 0,
-    address: Annotated[str | None, typer.Option(help="Address of all endpoints, host:port.")] = None,
-) -> None:
+def main(options: Annotated[str, typer.Argument(help="`RegistryOptions` as JSON.")]) -> None:
     """Run a registry of made-up endpoints on loopback."""
-    asyncio.run(serve(servers, zones, seed, listeners, observed, address))
+    asyncio.run(serve(RegistryOptions.model_validate_json(options)))
 
 
 if __name__ == "__main__":
--- a/tests/scale/test_control.py
+++ b/tests/scale/test_control.py
@@ -10,10 +10,11 @@
 from typing import Any
 
 import pytest
+from polling import wait_until
 
 from scale.control.applied_log import AppliedLog
 from scale.control.experiment import ControlExperiment
-from scale.control.hollow import HollowSidecar, sidecar_settings
+from scale.control.stub_sidecar import StubSidecar, sidecar_settings
 from scale.errors import ExperimentError
 from scale.experiment import validate_experiment
 from scale.kinds import load_experiment
@@ -27,40 +28,37 @@
 
 ROOT = Path(__file__).parent.parent.parent
 SMALL = ROOT / "scale" / "experiments" / "control-small.toml"
-PATIENCE_S = 30.0
+TIMEOUT_S = 30.0
 
 
 def test_delay_counts_from_the_commit_to_the_first_newer_version() -> None:
     log = AppliedLog()
     for version, at_s in ((1, 10.0), (4, 12.0), (4, 20.0), (5, 21.0)):
         log.add(version, at_s)
-    assert log.in_force_after(2, 11.5) == 0.5  # told together with later changes
-    assert log.in_force_after(4, 15.0) == 5.0  # the whole list was told again
-    assert log.in_force_after(5, 15.0) == 6.0
-    assert log.in_force_after(6, 15.0) is None
+    assert log.delay_until_applied(2, 11.5) == 0.5  # told together with later changes
+    assert log.delay_until_applied(4, 15.0) == 5.0  # the whole list was told again
+    assert log.delay_until_applied(5, 15.0) == 6.0
+    assert log.delay_until_applied(6, 15.0) is None
     assert log.version() == 5
 
 
-async def check_hollow_sidecar() -> None:
+async def check_stub_sidecar() -> None:
     log = ChangeLog(make_endpoints(3, zones=1, seed=5))
     stays, *leave = [each.name for each in log.endpoints()]
     server = RegistryServer(log)
     [first, second] = await server.start(listeners=2)
-    sidecar = HollowSidecar(settings_from_wire(sidecar_settings("z00")), 1, first)
+    sidecar = StubSidecar(settings_from_wire(sidecar_settings("z00")), 1, first)
     try:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             sidecar.start()
-            while sidecar.applied.version() < 1:
-                await asyncio.sleep(0)
+            await wait_until(lambda: sidecar.applied.version() >= 1)
             log.drain(leave)
-            while sidecar.applied.version() < 2:
-                await asyncio.sleep(0)
+            await wait_until(lambda: sidecar.applied.version() >= 2)
             for request in range(8):
                 assert sent_to(sidecar, request) == [stays]
-            sidecar.move(second)
+            sidecar.migrate(second)
             log.remove([stays])
-            while sidecar.applied.version() < 3:
-                await asyncio.sleep(0)
+            await wait_until(lambda: sidecar.applied.version() >= 3)
             assert sent_to(sidecar, 8) == []
             assert server.counts.snapshots == 2  # at the start and after the move
     finally:
@@ -68,13 +66,13 @@
         await server.stop()
 
 
-def sent_to(sidecar: HollowSidecar, request: int) -> list[str]:
+def sent_to(sidecar: StubSidecar, request: int) -> list[str]:
     arrived = RequestArrived(request, "look", None, None, 1_000_000)
     return [action.server for action in sidecar.balancer.handle(10**15, arrived) if isinstance(action, Send)]
 
 
-def test_hollow_sidecar_puts_the_registry_into_force() -> None:
-    asyncio.run(check_hollow_sidecar())
+def test_stub_sidecar_applies_the_registry() -> None:
+    asyncio.run(check_stub_sidecar())
 
 
 GIVEN: Mapping[str, Any] = {
@@ -162,7 +160,8 @@
     assert value(results, "release", "real sidecar", pairs) == 3 * 35
     assert value(results, "sidecars_cut_off", "hollow sidecar", pairs) == 4
     missing = [each.value for each in results if each.metric == "in force, missing"]
-    assert missing and set(missing) == {0.0}
+    assert missing
+    assert set(missing) == {0.0}
 
     assert (
         value(results, "release", "real sidecar", "http bytes in the window") > 35 * 100
--- a/tests/scale/test_rig.py
+++ b/tests/scale/test_rig.py
@@ -10,9 +10,11 @@
 
 from scale.errors import ExperimentError, ResultsError
 from scale.experiment import Experiment, read_experiment_file, validate_experiment
+from scale.plots import write_plots
 from scale.processes import ProcessGroup
-from scale.report import fit_slope, format_table, write_plots
+from scale.report import format_table
 from scale.results import ResultWriter, read_results
+from scale.slope import fit_slope
 
 EXPERIMENT = Experiment(name="small", kind="control", seed=3, duration_s=1.0)
 WAIT_FOREVER = [sys.executable, "-c", "import signal; print(flush=True); signal.pause()"]
@@ -76,7 +78,8 @@
     output = process.popen.stdout
     assert output is not None
     output.readline()
-    assert process.is_running() and process.usage().memory_bytes > 0
+    assert process.is_running()
+    assert process.usage().memory_bytes > 0
     with pytest.raises(RuntimeError), group:
         raise RuntimeError
     assert not process.is_running()
@@ -90,5 +93,6 @@
     command = [sys.executable, "-m", "scale", "run", str(path), "--results", str(tmp_path / "out.jsonl")]
     ended = subprocess.run(command, capture_output=True, text=True, check=False)
     assert ended.returncode == 2
-    assert ended.stderr.startswith("scale: kind: ") and ended.stderr.count("\n") == 1
+    assert ended.stderr.startswith("scale: kind: ")
+    assert ended.stderr.count("\n") == 1
     assert not (tmp_path / "out.jsonl").exists()
