--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -12,4 +12,4 @@
     .venv/bin/pip install -q --disable-pip-version-check -r requirements.txt
     (echo "# $python"; cat requirements.txt) > .venv/installed.txt
 fi
-.venv/bin/python -m compileall -q topazbank
+.venv/bin/python -m compileall -q sidecar
--- a/scale/callgraph/faults.py
+++ b/scale/callgraph/faults.py
@@ -5,7 +5,7 @@
 from scale.callgraph.experiment import Fault, FaultKind
 from scale.callgraph.graph import CallGraph, Service
 from scale.callgraph.loop import MICROSECONDS, EventLoop
-from topazbank.interface import RegistryUpdateKind
+from sidecar.balancer.events import RegistryUpdateKind
 
 
 def schedule_fault(loop: EventLoop, graph: CallGraph, fault: Fault) -> None:
--- a/scale/callgraph/graph.py
+++ b/scale/callgraph/graph.py
@@ -13,8 +13,8 @@
 from scale.callgraph.policies import make_policy
 from scale.callgraph.server import Server
 from scale.callgraph.sidecar import SimulatedSidecar, UpstreamService
-from topazbank.interface import Endpoint, RegistryUpdateKind
-from topazbank.settings import Discovery, Idempotency, Limits, Rules, ServiceClass, Settings
+from sidecar.balancer.events import Endpoint, RegistryUpdateKind
+from sidecar.settings import Discovery, Idempotency, Limits, Rules, ServiceClass, Settings
 
 _SERVICE_CLASS = "call"
 _TICK_US = 1_000
--- a/scale/callgraph/policies.py
+++ b/scale/callgraph/policies.py
@@ -8,20 +8,18 @@
 from typing import Protocol
 
 from scale.callgraph.experiment import PolicyName
-from topazbank.balancer import Balancer
-from topazbank.interface import (
-    Action,
+from sidecar.balancer.actions import Action, Fail, Send
+from sidecar.balancer.balancer import Balancer
+from sidecar.balancer.events import (
     AttemptEnded,
     Event,
-    Fail,
     Outcome,
     RegistryUpdated,
     RegistryUpdateKind,
     RequestArrived,
-    Send,
     ServerState,
 )
-from topazbank.settings import Settings
+from sidecar.settings import Settings
 
 _DEADLINE_MARGIN_TICKS = 2  # an attempt ends this many ticks before the caller's deadline
 _BASELINE_RETRIES = 2
--- a/scale/callgraph/server.py
+++ b/scale/callgraph/server.py
@@ -13,7 +13,7 @@
 from scale.callgraph.experiment import Servers
 from scale.callgraph.loop import EventLoop
 from scale.callgraph.network import Location
-from topazbank.interface import Outcome
+from sidecar.balancer.events import Outcome
 
 _ERROR_TIME_US = 1_000  # a failing call takes this long and no place in the queue
 _SERVICE_TIME_BATCH = 256  # service times drawn at once
--- a/scale/callgraph/sidecar.py
+++ b/scale/callgraph/sidecar.py
@@ -9,19 +9,14 @@
 from scale.callgraph.network import Location, Network
 from scale.callgraph.policies import Policy
 from scale.callgraph.server import CallResult, Server, ServerCall
-from topazbank.interface import (
-    Action,
+from sidecar.balancer.actions import Action, Cancel, Fail, Refuse, Send, SetTimer
+from sidecar.balancer.events import (
     AttemptEnded,
-    Cancel,
     Endpoint,
-    Fail,
     Outcome,
-    Refuse,
     RegistryUpdated,
     RegistryUpdateKind,
     RequestArrived,
-    Send,
-    SetTimer,
     TimerFired,
 )
 
--- a/scale/configuration/sidecar.py
+++ b/scale/configuration/sidecar.py
@@ -24,7 +24,7 @@
 
 
 class ConfiguredSidecar:
-    """One `python -m topazbank` process."""
+    """One `python -m sidecar` process."""
 
     def __init__(
         self, group: ProcessGroup, folder: Path, listen: Address, discovery: Address, seed: int
--- a/scale/control/processes.py
+++ b/scale/control/processes.py
@@ -152,7 +152,7 @@
 
 
 class RealSidecar:
-    """One `python -m topazbank` process."""
+    """One `python -m sidecar` process."""
 
     def __init__(
         self,
--- a/scale/control/stub_process.py
+++ b/scale/control/stub_process.py
@@ -26,8 +26,8 @@
 from scale.control.stub_sidecar import StubSidecar, sidecar_settings
 from scale.histogram import LatencyHistogram
 from scale.standins.registry_commands import CommittedChange
-from topazbank.net.upstream import Address, parse_address
-from topazbank.wire_settings import settings_from_wire
+from sidecar.proxy.upstream import Address, parse_address
+from sidecar.wire_settings import settings_from_wire
 
 _GC_THRESHOLDS = (700, 5, 2)  # as the sidecar's own program sets them
 
--- a/scale/control/stub_sidecar.py
+++ b/scale/control/stub_sidecar.py
@@ -7,21 +7,13 @@
 from typing import Any
 
 from scale.control.applied_log import AppliedLog
-from topazbank.balancer import Balancer
-from topazbank.interface import (
-    Endpoint,
-    FetchRegistry,
-    RegistryUpdated,
-    RegistryUpdateKind,
-    ServerState,
-    SetTimer,
-    TimerFired,
-    WatchRegistry,
-)
-from topazbank.net.discovery import Discovery, RegistryResponse
-from topazbank.net.sidecar import Clock
-from topazbank.net.upstream import Address, Upstream
-from topazbank.settings import Settings
+from sidecar.balancer.actions import FetchRegistry, SetTimer, WatchRegistry
+from sidecar.balancer.balancer import Balancer
+from sidecar.balancer.events import Endpoint, RegistryUpdated, RegistryUpdateKind, ServerState, TimerFired
+from sidecar.proxy.discovery import Discovery, RegistryResponse
+from sidecar.proxy.driver import Clock
+from sidecar.proxy.upstream import Address, Upstream
+from sidecar.settings import Settings
 
 _SOCKETS_PER_SIDECAR = 480  # for servers, of a sidecar with the usual 1,024 descriptors
 
--- a/scale/latency/traced_sidecar.py
+++ b/scale/latency/traced_sidecar.py
@@ -1,6 +1,6 @@
 """Runs the sidecar's own program with its event loop timed, and writes the trace at its end.
 
-Run as `python -m scale.latency.traced_sidecar`, with RELAY_CONFIG as for `python -m topazbank`.  The program
+Run as `python -m scale.latency.traced_sidecar`, with RELAY_CONFIG as for `python -m sidecar`.  The program
 itself is not changed: the timed functions are wrapped from outside.
 """
 
@@ -15,9 +15,9 @@
 
 from scale.latency.experiment import Collector
 from scale.latency.tracing import Tracer
-from topazbank import __main__ as program
-from topazbank.net.discovery import Discovery
-from topazbank.net.sidecar import Sidecar
+from sidecar import __main__ as program
+from sidecar.proxy.discovery import Discovery
+from sidecar.proxy.driver import Sidecar
 
 _COLLECTION_DISABLED = (0, 1, 1)  # the first threshold 0 turns collection off
 
--- a/scale/sidecar_process.py
+++ b/scale/sidecar_process.py
@@ -1,4 +1,4 @@
-"""Starts a real sidecar, `python -m topazbank`, from the sample configuration."""
+"""Starts a real sidecar, `python -m sidecar`, from the sample configuration."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from scale.processes import ManagedProcess, ProcessGroup
 
 SAMPLE_CONFIG = Path(__file__).resolve().parent.parent / "deploy" / "sample" / "config.json"
-PROGRAM = (sys.executable, "-m", "topazbank")
+PROGRAM = (sys.executable, "-m", "sidecar")
 READY_TIMEOUT_S = 15.0
 
 _POLL_INTERVAL_S = 0.05
--- a/topazbank/__main__.py
+++ b/sidecar/__main__.py
@@ -1,6 +1,6 @@
 """Starts one sidecar: serves by its configuration, and drains on SIGTERM.
 
-Run as `python -m topazbank`, with RELAY_CONFIG naming the configuration.  A bad one ends the start with one
+Run as `python -m sidecar`, with RELAY_CONFIG naming the configuration.  A bad one ends the start with one
 line on standard error and exit code 2.  SIGHUP puts it into force as it is now; a bad one changes nothing.
 """
 
@@ -13,10 +13,10 @@
 import signal
 import sys
 
-from topazbank.configuration import read_config
-from topazbank.net.event_loop import EventLoop
-from topazbank.net.sidecar import Config, Sidecar
-from topazbank.reload import UNUSABLE, Reloader, ReloadSignal
+from sidecar.configuration import read_config
+from sidecar.proxy.driver import Config, Sidecar
+from sidecar.proxy.event_loop import EventLoop
+from sidecar.reload import UNUSABLE, Reloader, ReloadSignal
 
 # An asyncio transport refers to itself, so what a closed connection leaves is freed by full collections
 # alone.  They are cheap here, and by the defaults come once in a minute and 2 MB or so.
--- /dev/null
+++ b/sidecar/balancer/actions.py
@@ -0,0 +1,95 @@
+"""What the balancer asks of its host: actions, as plain slotted dataclasses to be treated as values.
+
+Times are whole microseconds.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+
+@dataclass(slots=True)
+class Send:
+    """Start an attempt; a request's attempts are numbered from 0 in the order they are sent."""
+
+    request: int
+    server: str
+    until: int  # clock time at which the attempt is abandoned
+    write_by: int | None = None  # and before which it is written whole if another one was begun; None: always
+
+
+@dataclass(slots=True)
+class Refuse:
+    """Final answer: refused; trying again is harmless."""
+
+    request: int
+    retry_after_us: int = 0
+
+
+@dataclass(slots=True)
+class Fail:
+    """Final answer: failed; nothing is promised."""
+
+    request: int
+
+
+@dataclass(slots=True)
+class Cancel:
+    """Stop waiting for an attempt."""
+
+    request: int
+    attempt: int
+
+
+@dataclass(slots=True)
+class SetTimer:
+    """Ask for a TimerFired."""
+
+    in_us: int
+    token: str
+
+
+@dataclass(slots=True)
+class Probe:
+    """Test a server."""
+
+    server: str
+
+
+@dataclass(slots=True)
+class CloseIdle:
+    """Close the idle connections to a server."""
+
+    server: str
+
+
+@dataclass(slots=True)
+class Tell:
+    """Send a message to one balancer of the tier, or to all (None)."""
+
+    receiver: int | None
+    payload: bytes
+
+
+@dataclass(slots=True)
+class WatchRegistry:
+    """Subscribe to changes of the server list, or end that."""
+
+    wanted: bool = True
+
+
+@dataclass(slots=True)
+class FetchRegistry:
+    """Ask once for the complete server list."""
+
+
+@dataclass(slots=True)
+class Log:
+    """A line for the operators."""
+
+    text: str
+
+
+Action = (
+    Send | Refuse | Fail | Cancel | SetTimer | Probe | CloseIdle | Tell | WatchRegistry | FetchRegistry | Log
+)
--- a/topazbank/balancer.py
+++ b/sidecar/balancer/balancer.py
@@ -7,23 +7,24 @@
 import math
 import random
 
-from topazbank import interface
-from topazbank.interface import Action, Event, Outcome, RegistryUpdateKind, ServerState
-from topazbank.policy import probing, retries
-from topazbank.policy.admission import AdmissionControl
-from topazbank.policy.concurrency_limit import CORES_BUSY, LATE_RATIO, ConcurrencyLimit
-from topazbank.policy.connections import IdleConnections
-from topazbank.policy.key_order import KeyOrder
-from topazbank.policy.latency import LatencyTracker
-from topazbank.policy.outliers import OutlierDetector
-from topazbank.policy.overdue import OverdueDetector
-from topazbank.policy.refresh import RegistryRefresh
-from topazbank.policy.selection import Selector
-from topazbank.policy.slow_start import SlowStart
-from topazbank.policy.sparsity import sparsity
-from topazbank.policy.start_times import StartTimes
-from topazbank.settings import Idempotency, Settings
-from topazbank.state import Attempt, Context, LinearFit, Request, Server, timers
+from sidecar.balancer import actions, events
+from sidecar.balancer.actions import Action
+from sidecar.balancer.events import Event, Outcome, RegistryUpdateKind, ServerState
+from sidecar.balancer.policy import probing, retries
+from sidecar.balancer.policy.admission import AdmissionControl
+from sidecar.balancer.policy.concurrency_limit import CORES_BUSY, LATE_RATIO, ConcurrencyLimit
+from sidecar.balancer.policy.connections import IdleConnections
+from sidecar.balancer.policy.key_order import KeyOrder
+from sidecar.balancer.policy.latency import LatencyTracker
+from sidecar.balancer.policy.outliers import OutlierDetector
+from sidecar.balancer.policy.overdue import OverdueDetector
+from sidecar.balancer.policy.refresh import RegistryRefresh
+from sidecar.balancer.policy.selection import Selector
+from sidecar.balancer.policy.slow_start import SlowStart
+from sidecar.balancer.policy.sparsity import sparsity
+from sidecar.balancer.policy.start_times import StartTimes
+from sidecar.balancer.state import Attempt, Context, LinearFit, Request, Server, timers
+from sidecar.settings import Idempotency, Settings
 
 STALL_CHECK_TARGETS = 0.1  # while an attempt is active a timer checks so often, in shortest latency targets
 ANSWER_EARLY_TICKS = 2  # a final answer leaves this many ticks before the client's time is up
@@ -81,30 +82,30 @@
             self._begun = True
             self._refresh.watch()
         match event:  # messages: none are sent, so none are awaited
-            case interface.AttemptEnded():
+            case events.AttemptEnded():
                 self._attempt_ended(event)
-            case interface.RequestArrived():
+            case events.RequestArrived():
                 self._request_arrived(event)
-            case interface.TimerFired():
+            case events.TimerFired():
                 self._timer_fired()
-            case interface.RegistryUpdated():
+            case events.RegistryUpdated():
                 self._registry_updated(event)
-            case interface.SettingsChanged(settings):
+            case events.SettingsChanged(settings):
                 self._settings_changed(settings)
-            case interface.RequestGone():
+            case events.RequestGone():
                 if (request := self._unanswered(event.request)) is not None:
                     self._close(request)
-            case interface.AnswerStarted():
+            case events.AnswerStarted():
                 if (request := self._requests.get(event.request)) is not None:
                     request.answer_started(event.attempt)
-            case interface.ProbeEnded():
+            case events.ProbeEnded():
                 for request in self._prober.probe_ended(event):
                     self._send_probed(request)
         while (request := self._key_order.next_request()) is not None:
             self._place(request)
         return context.end(self._wanted_at)
 
-    def _registry_updated(self, update: interface.RegistryUpdated) -> None:
+    def _registry_updated(self, update: events.RegistryUpdated) -> None:
         if update.kind is RegistryUpdateKind.FAILED:
             self._refresh.failed()
             return
@@ -114,7 +115,7 @@
             self._take_over(self._start_times.on_own_clock(update))
         self._start_times.heard(update)
 
-    def _take_over(self, update: interface.RegistryUpdated) -> None:
+    def _take_over(self, update: events.RegistryUpdated) -> None:
         """Go by a list or changes of it from now on."""
         self._slow_start.warm_capacity()  # all that are warm may be leaving
         for server in self._context.registry.apply(update):
@@ -127,7 +128,7 @@
                 self._context.registry.forget(server)
         self._latency.set_unknown_weights(self._context.registry.ready)
 
-    def _request_arrived(self, event: interface.RequestArrived) -> None:
+    def _request_arrived(self, event: events.RequestArrived) -> None:
         now = self._context.now
         service_class = self._context.class_named(event.service_class, event.remaining_us)
         self._slow_start.arrivals.add(now)
@@ -210,7 +211,7 @@
         self._overdue.watch(request, attempt)
         keyed = request.service_class.idempotency is Idempotency.KEYED
         write_by = retries.repeat_by(request, now, self._context.settings.tick_us) if keyed else None
-        self._context.actions.append(interface.Send(request.ident, server.name, request.answer_by, write_by))
+        self._context.actions.append(actions.Send(request.ident, server.name, request.answer_by, write_by))
         return True
 
     def _may_run_again(self, request: Request) -> bool:
@@ -223,9 +224,9 @@
         limits = self._context.settings.limits  # jitter, or those refused at once would be back at once
         back_us = RETRY_AFTER_TARGETS * request.service_class.latency_target_us
         back_us = min(back_us * (0.5 + self._context.rng.random()), limits.max_retry_after_us)
-        refusal = interface.Refuse(request.ident, int(back_us) if limits.retry_after else 0)
+        refusal = actions.Refuse(request.ident, int(back_us) if limits.retry_after else 0)
         is_refused = retries.is_harmless_to_client(request)
-        self._context.actions.append(refusal if is_refused else interface.Fail(request.ident))
+        self._context.actions.append(refusal if is_refused else actions.Fail(request.ident))
         self._close(request)
 
     def _close(self, request: Request) -> None:
@@ -233,7 +234,7 @@
         request.answered = True
         for attempt in request.attempts:
             if attempt.pending and not attempt.started and request.limits.allow_cancel:
-                self._context.actions.append(interface.Cancel(request.ident, attempt.index))
+                self._context.actions.append(actions.Cancel(request.ident, attempt.index))
         self._forget_if_over(request)
 
     def _forget_if_over(self, request: Request) -> None:
@@ -241,7 +242,7 @@
             self._requests.pop(request.ident, None)
             self._key_order.look_again(request.key)
 
-    def _attempt_ended(self, event: interface.AttemptEnded) -> None:
+    def _attempt_ended(self, event: events.AttemptEnded) -> None:
         request = self._requests.get(event.request)
         attempt = None if request is None else request.pending_attempt(event.attempt)
         if request is None or attempt is None:
@@ -263,7 +264,7 @@
         self._retry_budget.attempt_ended(event.outcome)
         self._forget_if_over(request)
 
-    def _learn(self, request: Request, attempt: Attempt, event: interface.AttemptEnded) -> None:
+    def _learn(self, request: Request, attempt: Attempt, event: events.AttemptEnded) -> None:
         """Learn of latency and overload from the end of an attempt."""
         server, elapsed_us, catching_up = attempt.server, event.elapsed_us, self._context.is_catching_up()
         match event.outcome:
@@ -311,7 +312,7 @@
                 self._place(request)
         elif limits.allow_cancel and self._retry_budget.has_room():
             # Its end draws again.
-            self._context.actions.append(interface.Cancel(request.ident, attempt.index))
+            self._context.actions.append(actions.Cancel(request.ident, attempt.index))
 
     def _wanted_at(self, due: int, timer: timers.Timer) -> int | None:
         """When that which a timer was set for wants it; None: no longer."""
--- a/topazbank/policy/admission.py
+++ b/sidecar/balancer/policy/admission.py
@@ -2,10 +2,10 @@
 
 import math
 
-from topazbank.policy.concurrency_limit import ALLOWED_RATIO, FREE_FILL, ConcurrencyLimit
-from topazbank.policy.sparsity import FEW_ACTIVE
-from topazbank.settings import ServiceClass
-from topazbank.state import Context, DecayingRate, Flow, Request, Traffic
+from sidecar.balancer.policy.concurrency_limit import ALLOWED_RATIO, FREE_FILL, ConcurrencyLimit
+from sidecar.balancer.policy.sparsity import FEW_ACTIVE
+from sidecar.balancer.state import Context, DecayingRate, Flow, Request, Traffic
+from sidecar.settings import ServiceClass
 
 TRAFFIC_TARGETS = 4.0  # traffic is averaged over this many of the longest latency target
 STEEPNESS = 4.0  # pressure at a full limit: of the typical requests one in fifty is admitted
--- a/topazbank/policy/concurrency_limit.py
+++ b/sidecar/balancer/policy/concurrency_limit.py
@@ -3,8 +3,8 @@
 import math
 from collections.abc import Mapping
 
-from topazbank.policy.sparsity import FEW_ACTIVE, MAX_SPARSITY, sparsity
-from topazbank.state import Context, DecayingRate
+from sidecar.balancer.policy.sparsity import FEW_ACTIVE, MAX_SPARSITY, sparsity
+from sidecar.balancer.state import Context, DecayingRate
 
 ALLOWED_RATIO = 0.3  # the typical answer may take this part of its latency target; beyond is overload
 ALLOWED_RATIO_FEW = 0.4  # or this, where so few are active that much of the median is chance
--- a/topazbank/policy/connections.py
+++ b/sidecar/balancer/policy/connections.py
@@ -1,8 +1,8 @@
 """Idle connections: where they are priced, those are closed that cost more than opening new ones."""
 
-from topazbank.interface import CloseIdle
-from topazbank.state import Context, DecayingRate, LinearFit, Server
-from topazbank.state.timers import IdleCloseDue
+from sidecar.balancer.actions import CloseIdle
+from sidecar.balancer.state import Context, DecayingRate, LinearFit, Server
+from sidecar.balancer.state.timers import IdleCloseDue
 
 
 class IdleConnections:
--- a/topazbank/policy/key_order.py
+++ b/sidecar/balancer/policy/key_order.py
@@ -2,9 +2,9 @@
 
 from collections import deque
 
-from topazbank.interface import Outcome
-from topazbank.state import Context, KeyQueue, Request
-from topazbank.state.timers import KeyRested
+from sidecar.balancer.events import Outcome
+from sidecar.balancer.state import Context, KeyQueue, Request
+from sidecar.balancer.state.timers import KeyRested
 
 MAY_STILL_RUN = (Outcome.EXPIRED, Outcome.DROPPED, Outcome.CANCELLED)  # the key rests after these
 
--- a/topazbank/policy/latency.py
+++ b/sidecar/balancer/policy/latency.py
@@ -1,8 +1,8 @@
 """Usual latency and cost of each class and size of requests, and how servers compare with it."""
 
-from topazbank.policy.sparsity import sparsity
-from topazbank.settings import ServiceClass
-from topazbank.state import Context, Request, Server
+from sidecar.balancer.policy.sparsity import sparsity
+from sidecar.balancer.state import Context, Request, Server
+from sidecar.settings import ServiceClass
 
 WEIGHT_STEP = 0.1  # a latency weight follows the last ten answers or so, or fewer where few are active
 WEIGHT_CLIP = 4.0  # one answer counts for at most this many usual ones: heavy requests say little of a server
--- a/topazbank/policy/outliers.py
+++ b/sidecar/balancer/policy/outliers.py
@@ -1,11 +1,12 @@
 """Outlier ejection: servers that fail or fall silent are left, and come back by half-open attempts."""
 
-from topazbank.interface import Log, Outcome, ServerState
-from topazbank.policy.retries import FAILURES, may_run_again
-from topazbank.policy.slow_start import SlowStart
-from topazbank.policy.sparsity import subset_size
-from topazbank.settings import Idempotency
-from topazbank.state import Attempt, Backoff, Context, Request, Server
+from sidecar.balancer.actions import Log
+from sidecar.balancer.events import Outcome, ServerState
+from sidecar.balancer.policy.retries import FAILURES, may_run_again
+from sidecar.balancer.policy.slow_start import SlowStart
+from sidecar.balancer.policy.sparsity import subset_size
+from sidecar.balancer.state import Attempt, Backoff, Context, Request, Server
+from sidecar.settings import Idempotency
 
 FAILURES_TO_EJECT = 3  # in a row, none answered between: networks break a few by chance
 BACKOFF_TARGETS = 2.0  # a first ejection lasts this many of the longest latency target; it doubles each time
--- a/topazbank/policy/overdue.py
+++ b/sidecar/balancer/policy/overdue.py
@@ -2,12 +2,12 @@
 
 from dataclasses import dataclass
 
-from topazbank.policy.admission import AdmissionControl
-from topazbank.policy.concurrency_limit import LATE_RATIO, ConcurrencyLimit
-from topazbank.policy.latency import LatencyTracker
-from topazbank.policy.outliers import MAX_EJECTED_SILENT, OutlierDetector
-from topazbank.state import Attempt, Context, Request, Server
-from topazbank.state.timers import AttemptOverdue
+from sidecar.balancer.policy.admission import AdmissionControl
+from sidecar.balancer.policy.concurrency_limit import LATE_RATIO, ConcurrencyLimit
+from sidecar.balancer.policy.latency import LatencyTracker
+from sidecar.balancer.policy.outliers import MAX_EJECTED_SILENT, OutlierDetector
+from sidecar.balancer.state import Attempt, Context, Request, Server
+from sidecar.balancer.state.timers import AttemptOverdue
 
 USUAL_TIMES = 2.5  # usual latencies (at this server's weight) after which an attempt is overdue
 LEAST_TARGETS = 0.1  # but never less than this part of the latency target: short times are all jitter
--- a/topazbank/policy/probing.py
+++ b/sidecar/balancer/policy/probing.py
@@ -3,14 +3,15 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from topazbank.interface import Outcome, Probe, ProbeEnded
-from topazbank.policy.concurrency_limit import LATE_RATIO
-from topazbank.policy.connections import IdleConnections
-from topazbank.policy.selection import CANDIDATES, Selector
-from topazbank.policy.slow_start import SlowStart
-from topazbank.settings import ReportSource, Settings
-from topazbank.state import Attempt, Context, LinearFit, Request, Server
-from topazbank.state.timers import ProbesDue
+from sidecar.balancer.actions import Probe
+from sidecar.balancer.events import Outcome, ProbeEnded
+from sidecar.balancer.policy.concurrency_limit import LATE_RATIO
+from sidecar.balancer.policy.connections import IdleConnections
+from sidecar.balancer.policy.selection import CANDIDATES, Selector
+from sidecar.balancer.policy.slow_start import SlowStart
+from sidecar.balancer.state import Attempt, Context, LinearFit, Request, Server
+from sidecar.balancer.state.timers import ProbesDue
+from sidecar.settings import ReportSource, Settings
 
 MAX_SPEND = 0.01  # probes for a request may cost this part of its worth
 WAIT_PROBE_TIMES = 3.0  # a tie waits this many usual probe times for its probes
--- a/topazbank/policy/refresh.py
+++ b/sidecar/balancer/policy/refresh.py
@@ -1,9 +1,9 @@
 """When the registry is asked: at the start, after failed calls, and again where a call is never answered."""
 
-from topazbank.interface import WatchRegistry
-from topazbank.settings import Discovery
-from topazbank.state import Context
-from topazbank.state.timers import RegistryPoll
+from sidecar.balancer.actions import WatchRegistry
+from sidecar.balancer.state import Context
+from sidecar.balancer.state.timers import RegistryPoll
+from sidecar.settings import Discovery
 
 KNOWN_WITHIN_US = 6_000_000  # after a failed call changes count as known so soon, whatever the settings allow
 FIRST_WAIT = 0.05  # before asking again, of the time allowed without asking; it doubles with each failure
--- a/topazbank/policy/retries.py
+++ b/sidecar/balancer/policy/retries.py
@@ -1,8 +1,8 @@
 """Retries: which requests may be attempted again, at which servers, and the budget for that."""
 
-from topazbank.interface import Outcome
-from topazbank.settings import DedupScope, Idempotency
-from topazbank.state import Request, Server
+from sidecar.balancer.events import Outcome
+from sidecar.balancer.state import Request, Server
+from sidecar.settings import DedupScope, Idempotency
 
 RETRIES_PER_ANSWER = 0.2  # retries after failures, for each attempt that was answered: no retry storms
 RETRIES_LOST_PER_FAILURE = 0.3  # so none are left while more than two attempts in five fail
--- a/topazbank/policy/selection.py
+++ b/sidecar/balancer/policy/selection.py
@@ -3,12 +3,12 @@
 import math
 from dataclasses import dataclass
 
-from topazbank.policy.concurrency_limit import FREE_FILL, LATE_ALLOWED, ConcurrencyLimit
-from topazbank.policy.latency import WEIGHT_CLIP
-from topazbank.policy.retries import is_deduplicated_at
-from topazbank.policy.slow_start import SlowStart
-from topazbank.policy.sparsity import subset_size
-from topazbank.state import Context, Request, Server
+from sidecar.balancer.policy.concurrency_limit import FREE_FILL, LATE_ALLOWED, ConcurrencyLimit
+from sidecar.balancer.policy.latency import WEIGHT_CLIP
+from sidecar.balancer.policy.retries import is_deduplicated_at
+from sidecar.balancer.policy.slow_start import SlowStart
+from sidecar.balancer.policy.sparsity import subset_size
+from sidecar.balancer.state import Context, Request, Server
 
 CANDIDATES = 4  # k: counts are mostly small here, where two looks find too little
 MAX_WEIGHT_POWER = 3.0  # of the latency weight, for a request of four times the mean cost or more
--- a/topazbank/policy/slow_start.py
+++ b/sidecar/balancer/policy/slow_start.py
@@ -3,8 +3,8 @@
 import math
 from dataclasses import dataclass
 
-from topazbank.policy.sparsity import subset_size
-from topazbank.state import Context, Server
+from sidecar.balancer.policy.sparsity import subset_size
+from sidecar.balancer.state import Context, Server
 
 BUDGET_FILL = 0.15  # part of the overloading rate at which a cold budget fills: its true size is not known
 BUDGET_BURST = 0.18  # part of what overloads a server that may be sent at once
--- a/topazbank/policy/sparsity.py
+++ b/sidecar/balancer/policy/sparsity.py
@@ -1,6 +1,6 @@
 """How much this balancer's own traffic can tell: by its mean load, step sizes and a subset of the servers."""
 
-from topazbank.state import ActiveLoad
+from sidecar.balancer.state import ActiveLoad
 
 FEW_ACTIVE = 8.0  # where fewer are active than this, their number is chance for a good part
 MAX_SPARSITY = 4.0  # so the fewer, the longer loads are averaged and the larger the steps, up to this
--- a/topazbank/policy/start_times.py
+++ b/sidecar/balancer/policy/start_times.py
@@ -8,9 +8,9 @@
 from dataclasses import replace
 from typing import NamedTuple
 
-from topazbank.interface import Endpoint, RegistryUpdated, RegistryUpdateKind
-from topazbank.settings import Discovery
-from topazbank.state import Context
+from sidecar.balancer.events import Endpoint, RegistryUpdated, RegistryUpdateKind
+from sidecar.balancer.state import Context
+from sidecar.settings import Discovery
 
 REMEMBERED = 500  # servers that are gone whose start times are still known, should they be listed again
 
--- /dev/null
+++ b/sidecar/balancer/state/__init__.py
@@ -0,0 +1,23 @@
+"""What the balancer keeps between events: plain records, the registry's copy, timers, running statistics.
+
+Nothing here decides: `sidecar.balancer.policy` has what follows from this state and every constant of that.
+"""
+
+from sidecar.balancer.state.context import Context
+from sidecar.balancer.state.load import ActiveLoad
+from sidecar.balancer.state.records import Attempt, Backoff, Flow, KeyQueue, Request, Server, Traffic
+from sidecar.balancer.state.statistics import DecayingRate, LinearFit
+
+__all__ = [
+    "ActiveLoad",
+    "Attempt",
+    "Backoff",
+    "Context",
+    "DecayingRate",
+    "Flow",
+    "KeyQueue",
+    "LinearFit",
+    "Request",
+    "Server",
+    "Traffic",
+]
--- a/topazbank/state/context.py
+++ b/sidecar/balancer/state/context.py
@@ -4,13 +4,14 @@
 from collections.abc import Callable
 from typing import Any, TypeVar
 
-from topazbank.interface import Action, Event, Outcome, TimerFired
-from topazbank.settings import ServiceClass, Settings
-from topazbank.state.load import ActiveLoad
-from topazbank.state.records import Flow
-from topazbank.state.registry import ServerRegistry
-from topazbank.state.statistics import DecayingRate
-from topazbank.state.timers import StallCheck, Timer, TimerQueue
+from sidecar.balancer.actions import Action
+from sidecar.balancer.events import Event, Outcome, TimerFired
+from sidecar.balancer.state.load import ActiveLoad
+from sidecar.balancer.state.records import Flow
+from sidecar.balancer.state.registry import ServerRegistry
+from sidecar.balancer.state.statistics import DecayingRate
+from sidecar.balancer.state.timers import StallCheck, Timer, TimerQueue
+from sidecar.settings import ServiceClass, Settings
 
 NEVER_RAN = frozenset((Outcome.DIAL_FAILED, Outcome.UNSENT))  # prove that an attempt did not run
 
--- a/topazbank/state/load.py
+++ b/sidecar/balancer/state/load.py
@@ -6,10 +6,10 @@
 import math
 from typing import TYPE_CHECKING
 
-from topazbank.state.records import Attempt, Server
+from sidecar.balancer.state.records import Attempt, Server
 
 if TYPE_CHECKING:
-    from topazbank.state.context import Context
+    from sidecar.balancer.state.context import Context
 
 
 class ActiveLoad:
--- a/topazbank/state/records.py
+++ b/sidecar/balancer/state/records.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field, replace
 from typing import NamedTuple
 
-from topazbank.interface import Outcome, ServerState
-from topazbank.settings import Limits, ServiceClass
-from topazbank.state.statistics import DecayingRate
+from sidecar.balancer.events import Outcome, ServerState
+from sidecar.balancer.state.statistics import DecayingRate
+from sidecar.settings import Limits, ServiceClass
 
 Flow = tuple[str, str | None]  # the class and tenant of a request
 
--- a/topazbank/state/registry.py
+++ b/sidecar/balancer/state/registry.py
@@ -2,8 +2,8 @@
 
 import random
 
-from topazbank.interface import Endpoint, RegistryUpdated, RegistryUpdateKind, ServerState
-from topazbank.state.records import Server
+from sidecar.balancer.events import Endpoint, RegistryUpdated, RegistryUpdateKind, ServerState
+from sidecar.balancer.state.records import Server
 
 
 class ServerRegistry:
--- a/topazbank/state/timers.py
+++ b/sidecar/balancer/state/timers.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
-from topazbank.interface import SetTimer
-from topazbank.state.records import Server
+from sidecar.balancer.actions import SetTimer
+from sidecar.balancer.state.records import Server
 
 
 class RequestDeadline(NamedTuple):
--- a/topazbank/configuration.py
+++ b/sidecar/configuration.py
@@ -6,10 +6,10 @@
 from collections.abc import Mapping
 from typing import Any
 
-from topazbank.net.discovery import RegistryResponse, parse_registry
-from topazbank.net.sidecar import Config
-from topazbank.net.upstream import parse_address
-from topazbank.wire_settings import settings_from_wire
+from sidecar.proxy.discovery import RegistryResponse, parse_registry
+from sidecar.proxy.driver import Config
+from sidecar.proxy.upstream import parse_address
+from sidecar.wire_settings import settings_from_wire
 
 _SOCKETS = 1024  # unless the configuration tells
 
--- a/topazbank/net/discovery.py
+++ b/sidecar/proxy/discovery.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from topazbank.interface import Endpoint, ServerState
-from topazbank.net.upstream import Address, Connection, Response, connect, message, parse_address
+from sidecar.balancer.events import Endpoint, ServerState
+from sidecar.proxy.upstream import Address, Connection, Response, connect, message, parse_address
 
 log = logging.getLogger(__name__)
 
--- a/topazbank/net/sidecar.py
+++ b/sidecar/proxy/driver.py
@@ -16,38 +16,40 @@
 from functools import partial
 from typing import Any
 
-from topazbank.balancer import Balancer
-from topazbank.interface import (
+from sidecar.balancer.actions import (
     Action,
-    AttemptEnded,
     Cancel,
     CloseIdle,
-    Endpoint,
-    Event,
     Fail,
     FetchRegistry,
     Log,
-    Outcome,
     Probe,
-    ProbeEnded,
     Refuse,
+    Send,
+    SetTimer,
+    WatchRegistry,
+)
+from sidecar.balancer.balancer import Balancer
+from sidecar.balancer.events import (
+    AttemptEnded,
+    Endpoint,
+    Event,
+    Outcome,
+    ProbeEnded,
     RegistryUpdated,
     RegistryUpdateKind,
     RequestArrived,
     RequestGone,
-    Send,
     ServerState,
-    SetTimer,
     SettingsChanged,
     TimerFired,
-    WatchRegistry,
 )
-from topazbank.net import upstream
-from topazbank.net.discovery import Discovery, RegistryResponse
-from topazbank.net.frontend import Call, Frontend, Hooks, Phase, retry_after
-from topazbank.net.upstream import Address, Exchange, Headers, Response
-from topazbank.settings import Discovery as DiscoveryMode
-from topazbank.settings import Idempotency, ReportSource, Settings
+from sidecar.proxy import upstream
+from sidecar.proxy.discovery import Discovery, RegistryResponse
+from sidecar.proxy.frontend import Call, Frontend, Hooks, Phase, retry_after
+from sidecar.proxy.upstream import Address, Exchange, Headers, Response
+from sidecar.settings import Discovery as DiscoveryMode
+from sidecar.settings import Idempotency, ReportSource, Settings
 
 log = logging.getLogger(__name__)
 
--- a/topazbank/net/frontend.py
+++ b/sidecar/proxy/frontend.py
@@ -13,10 +13,10 @@
 
 import h11
 
-from topazbank.net.event_loop import NEGLIGIBLE_WAIT_S, arrived_after
-from topazbank.net.listener import BACKLOG, accept_connection, open_listener
-from topazbank.net.upstream import Address, Headers, Reader, end_to_end, has_ended, is_quiet, message
-from topazbank.settings import Idempotency, ServiceClass, Settings
+from sidecar.proxy.event_loop import NEGLIGIBLE_WAIT_S, arrived_after
+from sidecar.proxy.listener import BACKLOG, accept_connection, open_listener
+from sidecar.proxy.upstream import Address, Headers, Reader, end_to_end, has_ended, is_quiet, message
+from sidecar.settings import Idempotency, ServiceClass, Settings
 
 log = logging.getLogger(__name__)
 
--- a/topazbank/net/listener.py
+++ b/sidecar/proxy/listener.py
@@ -7,7 +7,7 @@
 import socket
 import time
 
-from topazbank.net.upstream import Address, has_ended
+from sidecar.proxy.upstream import Address, has_ended
 
 log = logging.getLogger(__name__)
 
--- a/topazbank/net/upstream.py
+++ b/sidecar/proxy/upstream.py
@@ -20,8 +20,8 @@
 
 import h11
 
-from topazbank.interface import Outcome, ServerState
-from topazbank.net.dialing import (
+from sidecar.balancer.events import Outcome, ServerState
+from sidecar.proxy.dialing import (
     LOCAL_ERRNOS,
     LocalDialError,
     close_quietly,
--- a/topazbank/reload.py
+++ b/sidecar/reload.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, fields
 
-from topazbank.net.sidecar import Config
-from topazbank.settings import Settings
+from sidecar.proxy.driver import Config
+from sidecar.settings import Settings
 
 log = logging.getLogger(__name__)
 
--- /dev/null
+++ b/sidecar/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""Hosts balancers on the wire of the operators' simulator."""
--- a/topazbank/wirehost.py
+++ b/sidecar/simulator/adapter.py
@@ -1,6 +1,6 @@
 """Puts balancers on the simulator's wire: a map of names, and no decision.
 
-Run as `python -m topazbank.wirehost`.  Input that breaks the wire's grammar ends the process with one line on
+Run as `python -m sidecar.simulator`.  Input that breaks the wire's grammar ends the process with one line on
 standard error and exit code 2.
 """
 
@@ -11,35 +11,37 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, TextIO
 
-from topazbank.balancer import Balancer
-from topazbank.interface import (
+from sidecar.balancer.actions import (
     Action,
-    AnswerStarted,
-    AttemptEnded,
     Cancel,
     CloseIdle,
-    Endpoint,
-    Event,
     Fail,
     FetchRegistry,
     Log,
+    Probe,
+    Refuse,
+    Send,
+    SetTimer,
+    Tell,
+    WatchRegistry,
+)
+from sidecar.balancer.balancer import Balancer
+from sidecar.balancer.events import (
+    AnswerStarted,
+    AttemptEnded,
+    Endpoint,
+    Event,
     MessageReceived,
     Outcome,
-    Probe,
     ProbeEnded,
-    Refuse,
     RegistryUpdated,
     RegistryUpdateKind,
     RequestArrived,
     RequestGone,
-    Send,
     ServerState,
-    SetTimer,
-    Tell,
     TimerFired,
-    WatchRegistry,
 )
-from topazbank.wire_settings import settings_from_wire
+from sidecar.wire_settings import settings_from_wire
 
 
 class WireError(Exception):
--- a/topazbank/wire_settings.py
+++ b/sidecar/wire_settings.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from topazbank.settings import Settings
+from sidecar.settings import Settings
 
 # Settings: wire name -> name in settings.py; what has no entry is passed over.
 _TOP = {
--- a/tests/balancer/balancer_stage.py
+++ b/tests/balancer/balancer_stage.py
@@ -5,14 +5,10 @@
 from helpers import MS as MILLISECOND_US
 from helpers import Stage, names
 
-from topazbank.interface import (
-    Endpoint,
-    Outcome,
-    Probe,
-    ProbeEnded,
-)
-from topazbank.settings import Settings
-from topazbank.state import Request, Server
+from sidecar.balancer.actions import Probe
+from sidecar.balancer.events import Endpoint, Outcome, ProbeEnded
+from sidecar.balancer.state import Request, Server
+from sidecar.settings import Settings
 
 
 def ready_stage(servers: int, given: Settings | None = None, seed: int = 7) -> Stage:
--- a/tests/balancer/policy_context.py
+++ b/tests/balancer/policy_context.py
@@ -8,13 +8,8 @@
 from helpers import START, settings
 from helpers import S as SECOND_US
 
-from topazbank.interface import (
-    Endpoint,
-    RegistryUpdated,
-    RegistryUpdateKind,
-    TimerFired,
-)
-from topazbank.state import Attempt, Context, Request, Server
+from sidecar.balancer.events import Endpoint, RegistryUpdated, RegistryUpdateKind, TimerFired
+from sidecar.balancer.state import Attempt, Context, Request, Server
 
 TARGET_US = 500 * MILLISECOND_US
 
--- a/tests/balancer/test_admission.py
+++ b/tests/balancer/test_admission.py
@@ -10,12 +10,8 @@
 from helpers import S as SECOND_US
 from helpers import Stage, names, settings
 
-from topazbank.interface import (
-    Cancel,
-    Fail,
-    Outcome,
-    Refuse,
-)
+from sidecar.balancer.actions import Cancel, Fail, Refuse
+from sidecar.balancer.events import Outcome
 
 
 @pytest.mark.parametrize(("at_once", "counted"), [(1, False), (8, False), (0, True)])
--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -8,8 +8,8 @@
 from helpers import Stage
 from policy_context import add_load, make_context
 
-from topazbank.policy.concurrency_limit import LEAST_LIMIT, ConcurrencyLimit
-from topazbank.state import Context
+from sidecar.balancer.policy.concurrency_limit import LEAST_LIMIT, ConcurrencyLimit
+from sidecar.balancer.state import Context
 
 
 def test_the_first_responses_after_a_restart_do_not_set_the_limit() -> None:
--- a/tests/balancer/test_connections.py
+++ b/tests/balancer/test_connections.py
@@ -8,14 +8,10 @@
 from helpers import names, settings
 from policy_context import make_context
 
-from topazbank.interface import (
-    CloseIdle,
-    Endpoint,
-    RegistryUpdated,
-    RegistryUpdateKind,
-)
-from topazbank.policy.connections import IdleConnections
-from topazbank.state import DecayingRate, LinearFit
+from sidecar.balancer.actions import CloseIdle
+from sidecar.balancer.events import Endpoint, RegistryUpdated, RegistryUpdateKind
+from sidecar.balancer.policy.connections import IdleConnections
+from sidecar.balancer.state import DecayingRate, LinearFit
 
 
 def test_an_idle_connection_is_closed_once_it_has_cost_as_much_as_a_handshake() -> None:
--- a/tests/balancer/test_deadlines.py
+++ b/tests/balancer/test_deadlines.py
@@ -7,14 +7,8 @@
 from helpers import START, Stage
 from helpers import S as SECOND_US
 
-from topazbank.interface import (
-    AttemptEnded,
-    Cancel,
-    Fail,
-    Outcome,
-    Refuse,
-    RequestGone,
-)
+from sidecar.balancer.actions import Cancel, Fail, Refuse
+from sidecar.balancer.events import AttemptEnded, Outcome, RequestGone
 
 
 def test_an_unanswered_request_fails_before_its_deadline() -> None:
--- a/tests/balancer/test_draining.py
+++ b/tests/balancer/test_draining.py
@@ -5,12 +5,7 @@
 from balancer_stage import ready_stage, server_without_attempt
 from helpers import Stage, names
 
-from topazbank.interface import (
-    AttemptEnded,
-    Outcome,
-    RegistryUpdateKind,
-    ServerState,
-)
+from sidecar.balancer.events import AttemptEnded, Outcome, RegistryUpdateKind, ServerState
 
 
 def test_draining_and_removed_servers_get_no_requests() -> None:
--- a/tests/balancer/test_hedging.py
+++ b/tests/balancer/test_hedging.py
@@ -6,10 +6,8 @@
 from helpers import MS as MILLISECOND_US
 from helpers import settings
 
-from topazbank.interface import (
-    Cancel,
-    Outcome,
-)
+from sidecar.balancer.actions import Cancel
+from sidecar.balancer.events import Outcome
 
 
 def test_a_hung_attempt_is_cancelled_before_its_retry_where_hedging_is_disabled() -> None:
--- a/tests/balancer/test_idempotency.py
+++ b/tests/balancer/test_idempotency.py
@@ -9,13 +9,9 @@
 from helpers import S as SECOND_US
 from policy_context import make_context, make_request, start_attempt
 
-from topazbank.interface import (
-    Endpoint,
-    Fail,
-    Outcome,
-    Refuse,
-)
-from topazbank.policy.retries import (
+from sidecar.balancer.actions import Fail, Refuse
+from sidecar.balancer.events import Endpoint, Outcome
+from sidecar.balancer.policy.retries import (
     is_deduplicated_at,
     may_run_again,
 )
--- a/tests/balancer/test_invariants.py
+++ b/tests/balancer/test_invariants.py
@@ -12,28 +12,23 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from topazbank import Balancer
-from topazbank.interface import (
+from sidecar import Balancer
+from sidecar.balancer.actions import Cancel, Fail, Probe, Refuse, Send, SetTimer
+from sidecar.balancer.events import (
     AttemptEnded,
-    Cancel,
     Endpoint,
     Event,
-    Fail,
     Outcome,
-    Probe,
     ProbeEnded,
-    Refuse,
     RegistryUpdated,
     RegistryUpdateKind,
     RequestArrived,
     RequestGone,
-    Send,
     ServerState,
-    SetTimer,
     SettingsChanged,
     TimerFired,
 )
-from topazbank.settings import Idempotency, ServiceClass
+from sidecar.settings import Idempotency, ServiceClass
 
 SERVERS = names(7)
 ZONES = ("east", "west")
--- a/tests/balancer/test_key_order.py
+++ b/tests/balancer/test_key_order.py
@@ -8,11 +8,8 @@
 from helpers import S as SECOND_US
 from helpers import Stage, settings
 
-from topazbank.interface import (
-    Outcome,
-    Refuse,
-    RequestGone,
-)
+from sidecar.balancer.actions import Refuse
+from sidecar.balancer.events import Outcome, RequestGone
 
 ORDERED_CLASSES = {
     "classes": [
--- a/tests/balancer/test_load_probing.py
+++ b/tests/balancer/test_load_probing.py
@@ -6,10 +6,7 @@
 from helpers import MS as MILLISECOND_US
 from helpers import Stage, names, settings
 
-from topazbank.interface import (
-    Probe,
-    Refuse,
-)
+from sidecar.balancer.actions import Probe, Refuse
 
 
 def test_a_tie_is_broken_by_the_lowest_load_in_health_checks() -> None:
--- a/tests/balancer/test_outliers.py
+++ b/tests/balancer/test_outliers.py
@@ -9,15 +9,11 @@
 from helpers import Stage, names
 from policy_context import TARGET_US, add_load, make_context, make_request, start_attempt
 
-from topazbank.interface import (
-    Endpoint,
-    Log,
-    Outcome,
-    RegistryUpdateKind,
-)
-from topazbank.policy.outliers import FAILURES_TO_EJECT, OutlierDetector
-from topazbank.policy.slow_start import SlowStart
-from topazbank.state import Context, Server
+from sidecar.balancer.actions import Log
+from sidecar.balancer.events import Endpoint, Outcome, RegistryUpdateKind
+from sidecar.balancer.policy.outliers import FAILURES_TO_EJECT, OutlierDetector
+from sidecar.balancer.policy.slow_start import SlowStart
+from sidecar.balancer.state import Context, Server
 
 
 def traffic_with_one_hung_server(stage: Stage, rounds: int) -> tuple[str, list[int]]:
--- a/tests/balancer/test_overload_recovery.py
+++ b/tests/balancer/test_overload_recovery.py
@@ -17,20 +17,16 @@
 from helpers import MS as MILLISECOND_US
 from helpers import START, names
 
-from topazbank import Balancer, Settings
-from topazbank.interface import (
-    Action,
+from sidecar import Balancer, Settings
+from sidecar.balancer.actions import Action, Fail, Refuse, Send, SetTimer
+from sidecar.balancer.events import (
     AttemptEnded,
     Endpoint,
     Event,
-    Fail,
     Outcome,
-    Refuse,
     RegistryUpdated,
     RegistryUpdateKind,
     RequestArrived,
-    Send,
-    SetTimer,
     TimerFired,
 )
 
--- a/tests/balancer/test_registry_refresh.py
+++ b/tests/balancer/test_registry_refresh.py
@@ -10,12 +10,8 @@
 from helpers import S as SECOND_US
 from helpers import Stage, names, settings
 
-from topazbank.interface import (
-    FetchRegistry,
-    RegistryUpdated,
-    RegistryUpdateKind,
-    WatchRegistry,
-)
+from sidecar.balancer.actions import FetchRegistry, WatchRegistry
+from sidecar.balancer.events import RegistryUpdated, RegistryUpdateKind
 
 
 def test_the_registry_is_watched_from_the_first_event() -> None:
--- a/tests/balancer/test_retries.py
+++ b/tests/balancer/test_retries.py
@@ -9,11 +9,9 @@
 from helpers import MS as MILLISECOND_US
 from helpers import settings
 
-from topazbank.interface import (
-    Outcome,
-    Refuse,
-)
-from topazbank.policy.retries import (
+from sidecar.balancer.actions import Refuse
+from sidecar.balancer.events import Outcome
+from sidecar.balancer.policy.retries import (
     MAX_BALANCE,
     RETRIES_PER_ANSWER,
     RetryBudget,
--- a/tests/balancer/test_selection.py
+++ b/tests/balancer/test_selection.py
@@ -10,13 +10,10 @@
 from helpers import S as SECOND_US
 from helpers import Stage, names, settings
 
-from topazbank.interface import (
-    Endpoint,
-    Outcome,
-    Refuse,
-)
-from topazbank.policy.selection import Selector
-from topazbank.state import Server
+from sidecar.balancer.actions import Refuse
+from sidecar.balancer.events import Endpoint, Outcome
+from sidecar.balancer.policy.selection import Selector
+from sidecar.balancer.state import Server
 
 
 def test_the_least_loaded_candidate_is_selected() -> None:
--- a/tests/balancer/test_settings_changed.py
+++ b/tests/balancer/test_settings_changed.py
@@ -10,17 +10,8 @@
 from helpers import MS as MILLISECOND_US
 from helpers import S as SECOND_US
 
-from topazbank.interface import (
-    Cancel,
-    Endpoint,
-    Fail,
-    Log,
-    Outcome,
-    Refuse,
-    RequestGone,
-    SettingsChanged,
-    WatchRegistry,
-)
+from sidecar.balancer.actions import Cancel, Fail, Log, Refuse, WatchRegistry
+from sidecar.balancer.events import Endpoint, Outcome, RequestGone, SettingsChanged
 
 COUNT = 1_024
 
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -9,13 +9,8 @@
 from helpers import names
 from policy_context import make_context
 
-from topazbank.interface import (
-    AttemptEnded,
-    Endpoint,
-    Outcome,
-    RegistryUpdateKind,
-)
-from topazbank.policy.slow_start import SlowStart
+from sidecar.balancer.events import AttemptEnded, Endpoint, Outcome, RegistryUpdateKind
+from sidecar.balancer.policy.slow_start import SlowStart
 
 
 @pytest.mark.parametrize(
--- a/tests/balancer/test_stalls.py
+++ b/tests/balancer/test_stalls.py
@@ -7,10 +7,8 @@
 from helpers import S as SECOND_US
 from helpers import Stage, names, settings
 
-from topazbank.interface import (
-    Log,
-    Outcome,
-)
+from sidecar.balancer.actions import Log
+from sidecar.balancer.events import Outcome
 
 
 def stall(stage: Stage, span_us: int) -> None:
--- a/tests/balancer/test_statistics.py
+++ b/tests/balancer/test_statistics.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from topazbank.state import DecayingRate, LinearFit
+from sidecar.balancer.state import DecayingRate, LinearFit
 
 
 def test_a_decaying_rate_falls_by_a_factor_of_e_in_its_time_constant() -> None:
--- a/tests/balancer/test_timers.py
+++ b/tests/balancer/test_timers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from topazbank.state.timers import KeyRested, Timer, TimerQueue
+from sidecar.balancer.state.timers import KeyRested, Timer, TimerQueue
 
 
 def test_timers_fire_by_due_time_and_then_in_insertion_order() -> None:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,8 +8,8 @@
 import pytest
 from virtual_time import Service
 
-from topazbank.net import discovery, upstream
-from topazbank.net.upstream import Address, Connection
+from sidecar.proxy import discovery, upstream
+from sidecar.proxy.upstream import Address, Connection
 
 
 @pytest.fixture
--- a/tests/decision_digest.py
+++ b/tests/decision_digest.py
@@ -18,28 +18,21 @@
 
 from decision_scenarios import MILLISECOND_US, SCENARIOS, SECOND_US, Scenario
 
-from topazbank import Balancer, Settings
-from topazbank.interface import (
-    Action,
+from sidecar import Balancer, Settings
+from sidecar.balancer.actions import Action, Cancel, Fail, Probe, Refuse, Send, SetTimer, WatchRegistry
+from sidecar.balancer.events import (
     AnswerStarted,
     AttemptEnded,
-    Cancel,
     Endpoint,
     Event,
-    Fail,
     Outcome,
-    Probe,
     ProbeEnded,
-    Refuse,
     RegistryUpdated,
     RegistryUpdateKind,
     RequestArrived,
     RequestGone,
-    Send,
     ServerState,
-    SetTimer,
     TimerFired,
-    WatchRegistry,
 )
 
 START = 50 * SECOND_US
--- a/tests/faulty_sockets.py
+++ b/tests/faulty_sockets.py
@@ -12,9 +12,9 @@
 import pytest
 from loopback import PATIENCE_S
 
-from topazbank.interface import Outcome
-from topazbank.net import upstream
-from topazbank.net.upstream import Upstream, message
+from sidecar.balancer.events import Outcome
+from sidecar.proxy import upstream
+from sidecar.proxy.upstream import Upstream, message
 
 Failures = Iterator[int | None]  # what a system call fails with, call by call; None: it works
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable
 from typing import Any, TypeVar
 
-from topazbank import Balancer, Settings
-from topazbank.interface import (
-    Action,
+from sidecar import Balancer, Settings
+from sidecar.balancer.actions import Action, Send, SetTimer
+from sidecar.balancer.events import (
     AttemptEnded,
     Endpoint,
     Event,
@@ -15,9 +15,7 @@
     RegistryUpdated,
     RegistryUpdateKind,
     RequestArrived,
-    Send,
     ServerState,
-    SetTimer,
     TimerFired,
 )
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -13,10 +13,10 @@
 import pytest
 from helpers import KEYED, SAFE, UNSAFE, S, settings
 
-from topazbank.net import upstream
-from topazbank.net.discovery import parse_registry
-from topazbank.net.sidecar import Config, Sidecar
-from topazbank.net.upstream import Address
+from sidecar.proxy import upstream
+from sidecar.proxy.discovery import parse_registry
+from sidecar.proxy.driver import Config, Sidecar
+from sidecar.proxy.upstream import Address
 
 PATIENCE_S = 20.0  # for what must come; no test takes it as proof of anything
 
--- a/tests/scale/test_control.py
+++ b/tests/scale/test_control.py
@@ -23,8 +23,9 @@
 from scale.standins.change_log import ChangeLog
 from scale.standins.fleet import make_endpoints
 from scale.standins.registry import RegistryServer
-from topazbank.interface import RequestArrived, Send
-from topazbank.wire_settings import settings_from_wire
+from sidecar.balancer.actions import Send
+from sidecar.balancer.events import RequestArrived
+from sidecar.wire_settings import settings_from_wire
 
 ROOT = Path(__file__).parent.parent.parent
 SMALL = ROOT / "scale" / "experiments" / "control-small.toml"
--- a/tests/scale/test_demo.py
+++ b/tests/scale/test_demo.py
@@ -26,7 +26,7 @@
     start_sidecar,
 )
 from scale.standins.server import ServedBody
-from topazbank.configuration import read_config
+from sidecar.configuration import read_config
 
 DEMO = [sys.executable, "-m", "scale", "demo", "--duration", "4", "--rate", "30"]
 CONFIGURATION_PAGE = SAMPLE_CONFIG.parents[2] / "docs" / "CONFIGURATION.md"
--- a/tests/test_accept_faults.py
+++ b/tests/test_accept_faults.py
@@ -12,7 +12,7 @@
 import pytest
 from loopback import World, play, served, until, world
 
-from topazbank.net import listener
+from sidecar.proxy import listener
 
 CONNECTION_ERRORS = [
     errno.EINTR,
@@ -180,7 +180,7 @@
         return create_server(*given, **named)
 
     monkeypatch.setattr(socket, "create_server", fail)
-    monkeypatch.setattr("topazbank.net.listener._OPEN_RETRY_S", 0.001)
+    monkeypatch.setattr("sidecar.proxy.listener._OPEN_RETRY_S", 0.001)
     return calls
 
 
@@ -212,7 +212,7 @@
 def test_a_listening_socket_that_can_t_be_had_ends_the_start(
     monkeypatch: pytest.MonkeyPatch, patience_s: float
 ) -> None:
-    monkeypatch.setattr("topazbank.net.listener._OPEN_PATIENCE_S", patience_s)
+    monkeypatch.setattr("sidecar.proxy.listener._OPEN_PATIENCE_S", patience_s)
     code = errno.EACCES if patience_s else errno.EADDRINUSE
     calls = let_opening_fail(monkeypatch, code, 1000)
     with pytest.raises(OSError) as raised:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -15,8 +15,8 @@
 from hypothesis import settings as how
 from hypothesis import strategies as st
 
-from topazbank.wire_settings import settings_from_wire
-from topazbank.wirehost import run
+from sidecar.simulator.adapter import run
+from sidecar.wire_settings import settings_from_wire
 
 BOOT: dict[str, Any] = {
     "bounds": {"sendCap": 3, "secondCopies": True, "mayCancel": True, "streamsPerConn": 1},
@@ -160,7 +160,7 @@
     text = "".join(json.dumps(each) + "\n" for each in script)
     replies = [
         subprocess.run(
-            [sys.executable, "-m", "topazbank.wirehost"],
+            [sys.executable, "-m", "sidecar.simulator"],
             input=text,
             capture_output=True,
             text=True,
--- a/tests/test_answers_without_length.py
+++ b/tests/test_answers_without_length.py
@@ -9,8 +9,8 @@
 import pytest
 from loopback import PATIENCE_S, FakeServer, hung, play, reset, until, world
 
-from topazbank.interface import Outcome, ServerState
-from topazbank.net.upstream import BODY_MOST, Response, Upstream, message
+from sidecar.balancer.events import Outcome, ServerState
+from sidecar.proxy.upstream import BODY_MOST, Response, Upstream, message
 
 _HEAD = b"HTTP/1.1 200 X\r\n\r\n"
 _HEADS = {
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -24,8 +24,9 @@
     world,
 )
 
-from topazbank.interface import Action, AttemptEnded, Event, Outcome, ServerState
-from topazbank.net.upstream import (
+from sidecar.balancer.actions import Action
+from sidecar.balancer.events import AttemptEnded, Event, Outcome, ServerState
+from sidecar.proxy.upstream import (
     Exchange,
     IdleAges,
     Order,
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -8,9 +8,9 @@
 import pytest
 from helpers import MS, START, S, Stage, names, settings
 
-from topazbank.interface import Endpoint, RegistryUpdated, RegistryUpdateKind, ServerState
-from topazbank.policy.start_times import REMEMBERED
-from topazbank.state import Server
+from sidecar.balancer.events import Endpoint, RegistryUpdated, RegistryUpdateKind, ServerState
+from sidecar.balancer.policy.start_times import REMEMBERED
+from sidecar.balancer.state import Server
 
 HOUR = 3_600 * S
 SLOW_START = 10 * S
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -12,8 +12,9 @@
 import pytest
 from helpers import MS, START, S, names
 
-from topazbank import Balancer, Settings
-from topazbank.interface import (
+from sidecar import Balancer, Settings
+from sidecar.balancer.actions import Send, SetTimer
+from sidecar.balancer.events import (
     AttemptEnded,
     Endpoint,
     Event,
@@ -21,8 +22,6 @@
     RegistryUpdated,
     RegistryUpdateKind,
     RequestArrived,
-    Send,
-    SetTimer,
     TimerFired,
 )
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -34,11 +34,11 @@
     world,
 )
 
-from topazbank.interface import Outcome, ServerState
-from topazbank.net import sidecar, upstream
-from topazbank.net.discovery import Discovery, RegistryResponse, parse_registry
-from topazbank.net.frontend import _LIMITS_S, Phase
-from topazbank.net.upstream import (
+from sidecar.balancer.events import Outcome, ServerState
+from sidecar.proxy import driver, upstream
+from sidecar.proxy.discovery import Discovery, RegistryResponse, parse_registry
+from sidecar.proxy.frontend import _LIMITS_S, Phase
+from sidecar.proxy.upstream import (
     Address,
     Connection,
     Exchange,
@@ -296,7 +296,7 @@
 def test_a_client_that_never_ends_behind_a_held_request_gets_its_answer_and_an_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("topazbank.net.frontend._DROPPED_MOST", 1024 * 1024)
+    monkeypatch.setattr("sidecar.proxy.frontend._DROPPED_MOST", 1024 * 1024)
 
     async def scene() -> None:
         async with world(hung) as w:
@@ -394,8 +394,8 @@
 
 
 def test_a_drain_stops_listening_while_a_connection_waits_for_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(sidecar, "_ACCEPT_S", 0.0)
-    monkeypatch.setattr(sidecar, "_DEADLINE_MOST_S", 600.0)
+    monkeypatch.setattr(driver, "_ACCEPT_S", 0.0)
+    monkeypatch.setattr(driver, "_DEADLINE_MOST_S", 600.0)
 
     async def scene() -> None:
         async with world(hung, sockets=66) as w:  # room for one client
--- a/tests/test_dedup_window.py
+++ b/tests/test_dedup_window.py
@@ -9,9 +9,9 @@
 from helpers import S
 from loopback import FakeServer, World, broken, play, served, shrink_send_buffers, unread, until, world
 
-from topazbank.interface import ServerState
-from topazbank.net import upstream
-from topazbank.net.upstream import Address, Connection
+from sidecar.balancer.events import ServerState
+from sidecar.proxy import upstream
+from sidecar.proxy.upstream import Address, Connection
 
 
 def other_than(w: World, first: FakeServer) -> str:
--- a/tests/test_dialing.py
+++ b/tests/test_dialing.py
@@ -12,9 +12,9 @@
 from helpers import S
 from loopback import LIMITS, PATIENCE_S, FakeServer, deaf, play, served, until, world
 
-from topazbank.interface import Outcome, ServerState
-from topazbank.net import upstream
-from topazbank.net.upstream import Upstream, connect
+from sidecar.balancer.events import Outcome, ServerState
+from sidecar.proxy import upstream
+from sidecar.proxy.upstream import Upstream, connect
 
 _LOCAL = (
     errno.EADDRNOTAVAIL,
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,9 +9,9 @@
 from loopback import FakeDiscovery, answer, play, served, until, world
 from virtual_time import play_in_virtual_time
 
-from topazbank.interface import ServerState
-from topazbank.net.discovery import _IDLE_S, Discovery, RegistryResponse, parse_registry
-from topazbank.net.upstream import Upstream
+from sidecar.balancer.events import ServerState
+from sidecar.proxy.discovery import _IDLE_S, Discovery, RegistryResponse, parse_registry
+from sidecar.proxy.upstream import Upstream
 
 
 def entry(name: Any = "s-1", **changes: Any) -> dict[str, Any]:
@@ -128,8 +128,8 @@
 ) -> None:
     # Guards rule 3: with no call out for a moment, or a pause before the next one, a sidecar counts as told
     # of drains that it has not heard of.  The module asks again too late here.
-    monkeypatch.setattr("topazbank.net.discovery._WAIT_MS", (20, 20))
-    monkeypatch.setattr("topazbank.net.discovery._LATE_S", 0.02)
+    monkeypatch.setattr("sidecar.proxy.discovery._WAIT_MS", (20, 20))
+    monkeypatch.setattr("sidecar.proxy.discovery._LATE_S", 0.02)
 
     async def scene() -> None:
         async with world(served, rules={"ask_within_us": 600 * S}) as w:
--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -13,8 +13,8 @@
 from loopback import answer, reset, served, until, world
 from virtual_time import Service, now_s, play_in_virtual_time, told_within
 
-from topazbank.net import discovery, upstream
-from topazbank.net.upstream import Address, Connection, Upstream
+from sidecar.proxy import discovery, upstream
+from sidecar.proxy.upstream import Address, Connection, Upstream
 
 TOLD_S = 6.0  # after discovery has a change and can be reached
 RULES = {"ask_within_us": 60 * S}
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -31,9 +31,10 @@
 )
 from virtual_time import now_s, play_in_virtual_time
 
-import topazbank
-from topazbank.interface import Action, Event, Refuse, RequestArrived, ServerState
-from topazbank.net.frontend import _LIMITS_S, ClientConnection, Frontend, Hooks, Phase
+import sidecar
+from sidecar.balancer.actions import Action, Refuse
+from sidecar.balancer.events import Event, RequestArrived, ServerState
+from sidecar.proxy.frontend import _LIMITS_S, ClientConnection, Frontend, Hooks, Phase
 
 BIG = bytes(64 * 1024 + 1)
 BAD_PEER_S = 3.0  # by when a client that breaks the protocol gets its error or a close
@@ -193,7 +194,7 @@
 
 def names_in_decisions() -> set[str]:
     """Every name that the decisions and their state use."""
-    package = Path(topazbank.__file__).parent
+    package = Path(sidecar.__file__).parent / "balancer"
     sources = [package / "balancer.py", *package.glob("policy/*.py"), *package.glob("state/*.py")]
     nodes = [node for path in sources for node in ast.walk(ast.parse(path.read_text(encoding="utf-8")))]
     names = {node.id for node in nodes if isinstance(node, ast.Name)}
@@ -501,7 +502,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # An answer to each: of requests whose connection is closed with none, more than a few count as lost.
-    monkeypatch.setattr("topazbank.net.frontend._BUSY_MORE", 1.0)  # so that it stays so until they have gone
+    monkeypatch.setattr("sidecar.proxy.frontend._BUSY_MORE", 1.0)  # so that it stays so until they have gone
     limits = LIMITS | {"retry_after": True, "max_retry_after_us": 750_000}
 
     async def scene() -> None:
@@ -535,7 +536,7 @@
 
 def test_idle_clients_do_not_count_as_load_after_the_program_lagged(monkeypatch: pytest.MonkeyPatch) -> None:
     # A table full of connections that say nothing is no sign of requests that the CPU can't keep up with.
-    monkeypatch.setattr("topazbank.net.frontend._BUSY_MORE", 1.0)  # so that a late sweep is not forgotten
+    monkeypatch.setattr("sidecar.proxy.frontend._BUSY_MORE", 1.0)  # so that a late sweep is not forgotten
     monkeypatch.setitem(_LIMITS_S, Phase.WAITING, 600.0)
 
     async def scene() -> None:
--- a/tests/test_hedge_crossings.py
+++ b/tests/test_hedge_crossings.py
@@ -7,8 +7,8 @@
 from loopback import request as request_bytes
 from test_crossings import Client, rested_everywhere
 
-from topazbank.policy.overdue import OverdueDetector
-from topazbank.state import Attempt, Request
+from sidecar.balancer.policy.overdue import OverdueDetector
+from sidecar.balancer.state import Attempt, Request
 
 HEDGING = LIMITS | {"allow_hedging": True}
 
--- a/tests/test_registry_crossings.py
+++ b/tests/test_registry_crossings.py
@@ -13,8 +13,8 @@
 from loopback import FakeServer, World, answer, ask, hung, read_answer, request, reset, served, until, world
 from virtual_time import STEP_S, Service, now_s, pass_s, play_in_virtual_time, told_within
 
-from topazbank.interface import ServerState
-from topazbank.net import sidecar
+from sidecar.balancer.events import ServerState
+from sidecar.proxy import driver
 
 TOLD_S = 6.0  # after a watch fell silent, or discovery has a change and can be reached
 RELOADED_S = 4.0  # after SIGHUP, what discovery's new place has counts as told
@@ -97,7 +97,7 @@
 def test_a_drain_told_after_sigterm_and_a_reload_keeps_late_requests_from_its_server(
     reload_first: bool, service: Callable[[], Service], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(sidecar, "_ACCEPT_S", 600.0)  # connections are taken for as long as the test needs
+    monkeypatch.setattr(driver, "_ACCEPT_S", 600.0)  # connections are taken for as long as the test needs
 
     async def scene() -> None:
         former, latter = service(), service()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -15,12 +15,13 @@
 from helpers import settings
 from loopback import CLASSES, LIMITS, FakeDiscovery, World, answer, play, until, world
 
-from topazbank.configuration import read_config
-from topazbank.interface import Action, Event, SettingsChanged
-from topazbank.net.discovery import RegistryResponse
-from topazbank.net.sidecar import Config
-from topazbank.reload import Applied, Rejected, Reload, Reloader, Unchanged
-from topazbank.settings import Settings
+from sidecar.balancer.actions import Action
+from sidecar.balancer.events import Event, SettingsChanged
+from sidecar.configuration import read_config
+from sidecar.proxy.discovery import RegistryResponse
+from sidecar.proxy.driver import Config
+from sidecar.reload import Applied, Rejected, Reload, Reloader, Unchanged
+from sidecar.settings import Settings
 
 ADDED = CLASSES[0] | {"name": "added"}
 MANY = 1_024
--- a/tests/test_remaining_time.py
+++ b/tests/test_remaining_time.py
@@ -9,9 +9,9 @@
 from helpers import S
 from loopback import CLASSES, LIMITS, Head, World, answer, full, hung, play, reset, served, until, world
 
-from topazbank.net import upstream
-from topazbank.net.upstream import Connection
-from topazbank.policy.overdue import OverdueDetector
+from sidecar.balancer.policy.overdue import OverdueDetector
+from sidecar.proxy import upstream
+from sidecar.proxy.upstream import Connection
 
 _BUDGET_S = 5.0
 _HELD_S = 0.4
--- a/tests/test_request_crossings.py
+++ b/tests/test_request_crossings.py
@@ -26,9 +26,9 @@
 )
 from virtual_time import now_s, pass_s, play_in_virtual_time
 
-from topazbank.interface import ServerState
-from topazbank.net import upstream
-from topazbank.net.upstream import Address, Connection, is_up
+from sidecar.balancer.events import ServerState
+from sidecar.proxy import upstream
+from sidecar.proxy.upstream import Address, Connection, is_up
 
 BAD_PEER_S = 3.0  # bad input is answered or its connection closed within this
 _GAP_S = 0.005  # between pieces: the event loop reads each by itself
--- a/tests/test_request_wait.py
+++ b/tests/test_request_wait.py
@@ -22,9 +22,9 @@
     world,
 )
 
-from topazbank.net import sidecar
-from topazbank.net.event_loop import EventLoop, PollTimingSelector
-from topazbank.net.upstream import Address
+from sidecar.proxy import driver
+from sidecar.proxy.event_loop import EventLoop, PollTimingSelector
+from sidecar.proxy.upstream import Address
 
 STALL_S = 0.4
 BUDGET_S = 1.0
@@ -52,11 +52,11 @@
         async with asyncio.timeout(60.0):
             await scene(clock)
 
-    def now(own: sidecar.Clock) -> int:
+    def now(own: driver.Clock) -> int:
         return int(clock() * 1e6) + own._offset_us
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(sidecar.Clock, "now", now)
+        patch.setattr(driver.Clock, "now", now)
         with asyncio.Runner(loop_factory=lambda: EventLoop(clock)) as runner:
             runner.run(bounded())
 
--- a/tests/test_selection_cost.py
+++ b/tests/test_selection_cost.py
@@ -8,10 +8,10 @@
 import pytest
 from helpers import MS, S, Stage, settings
 
-from topazbank.interface import Endpoint, RegistryUpdated, RegistryUpdateKind
-from topazbank.policy.selection import Selector
-from topazbank.policy.slow_start import SlowStart
-from topazbank.state import Server
+from sidecar.balancer.events import Endpoint, RegistryUpdated, RegistryUpdateKind
+from sidecar.balancer.policy.selection import Selector
+from sidecar.balancer.policy.slow_start import SlowStart
+from sidecar.balancer.state import Server
 
 REQUESTS = 320
 
--- a/tests/test_server_registry.py
+++ b/tests/test_server_registry.py
@@ -5,9 +5,9 @@
 import random
 from unittest.mock import patch
 
-from topazbank.interface import Endpoint, RegistryUpdated, RegistryUpdateKind, ServerState
-from topazbank.state import Server
-from topazbank.state.registry import ServerRegistry
+from sidecar.balancer.events import Endpoint, RegistryUpdated, RegistryUpdateKind, ServerState
+from sidecar.balancer.state import Server
+from sidecar.balancer.state.registry import ServerRegistry
 
 
 def name(number: int) -> str:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,9 +9,9 @@
 from hypothesis import settings as how
 from hypothesis import strategies as st
 
-from topazbank import Balancer, Settings
-from topazbank.interface import RequestArrived
-from topazbank.settings import Discovery, Idempotency
+from sidecar import Balancer, Settings
+from sidecar.balancer.events import RequestArrived
+from sidecar.settings import Discovery, Idempotency
 
 LEAST = {"classes": [{"name": "a", "deadline_us": 1_000_000}]}
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -13,8 +13,8 @@
 from loopback import CLASSES, World, hung, read_message, request, until, world
 from virtual_time import VirtualTimeLoop, now_s, pass_s, play_in_virtual_time
 
-from topazbank.net.sidecar import Live, Sidecar
-from topazbank.net.upstream import Headers
+from sidecar.proxy.driver import Live, Sidecar
+from sidecar.proxy.upstream import Headers
 
 KILL_AFTER_DEADLINE_S = 0.7
 OWED_S = 0.7  # what comes later after SIGTERM may stay without an answer
--- a/tests/test_socket_errors.py
+++ b/tests/test_socket_errors.py
@@ -10,8 +10,8 @@
 from faulty_sockets import Failures, failing, named, outcome_of, use_faulty
 from loopback import PATIENCE_S, FakeServer, answer, hung, play, served, until
 
-from topazbank.interface import Outcome, ServerState
-from topazbank.net.upstream import Exchange, Upstream, message
+from sidecar.balancer.events import Outcome, ServerState
+from sidecar.proxy.upstream import Exchange, Upstream, message
 
 _BROKEN = (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH)
 _LONG = bytes(20_000)  # a request that is written in two parts, the last byte alone
--- a/tests/test_wall_clock_steps.py
+++ b/tests/test_wall_clock_steps.py
@@ -10,8 +10,8 @@
 import pytest
 from loopback import hung, play, served, until, world
 
-from topazbank.__main__ import Flood
-from topazbank.net.sidecar import Clock
+from sidecar.__main__ import Flood
+from sidecar.proxy.driver import Clock
 
 HOUR_S = 3600.0
 STEPS_S = [-HOUR_S, -3.0, 3.0, HOUR_S]
