--- a/scale/callgraph/policies.py
+++ b/scale/callgraph/policies.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from scale.callgraph.experiment import PolicyName
-from sidecar.balancer.actions import Action, Fail, Send
+from sidecar.balancer.actions import Action, FailRequest, SendAttempt
 from sidecar.balancer.balancer import Balancer
 from sidecar.balancer.events import (
     AttemptEnded,
@@ -75,19 +75,19 @@
         untried = [name for name in self._in_flight if name not in request.attempted]
         if not untried or len(request.attempted) >= self._maximum_attempts or now >= request.deadline:
             del self._requests[number]
-            return [Fail(number)]
+            return [FailRequest(number)]
         candidates = self._random.sample(untried, min(self._choices, len(untried)))
         server = min(candidates, key=lambda name: self._in_flight[name])
         request.attempted.append(server)
         self._in_flight[server] += 1
-        return [Send(number, server, request.deadline)]
+        return [SendAttempt(number, server, request.deadline)]
 
     def _attempt_ended(self, now: int, event: AttemptEnded) -> list[Action]:
         self._in_flight[event.server] -= 1
         request = self._requests.get(event.request)
         if request is None:
             return []
-        if event.outcome is Outcome.DELIVERED:
+        if event.outcome is Outcome.SUCCEEDED:
             del self._requests[event.request]
             return []
         return self._attempt(now, event.request, request)
--- a/scale/callgraph/server.py
+++ b/scale/callgraph/server.py
@@ -81,7 +81,7 @@
         elif len(self._queue) < self._capacity.queue_limit:
             self._queue.append(call)
         else:
-            call.respond(Outcome.FULL)
+            call.respond(Outcome.REJECTED)
 
     def stop(self) -> None:
         """Stop as a killed process: all calls in service or queued are lost."""
@@ -119,7 +119,7 @@
         """Make all downstream calls at once, with the caller's remaining time."""
         remaining_us = call.deadline - self._loop.now
         if not self.downstream:
-            call.respond(Outcome.DELIVERED)
+            call.respond(Outcome.SUCCEEDED)
         elif remaining_us > 0:
             call.pending_results = len(self.downstream)
             for sidecar in self.downstream:
@@ -133,4 +133,4 @@
         call.pending_results -= 1
         call.failed = call.failed or result is not CallResult.SERVED
         if not call.pending_results:
-            call.respond(Outcome.ERROR if call.failed else Outcome.DELIVERED)
+            call.respond(Outcome.ERROR if call.failed else Outcome.SUCCEEDED)
--- a/scale/callgraph/sidecar.py
+++ b/scale/callgraph/sidecar.py
@@ -9,7 +9,7 @@
 from scale.callgraph.network import Location, Network
 from scale.callgraph.policies import Policy
 from scale.callgraph.server import CallResult, Server, ServerCall
-from sidecar.balancer.actions import Action, Cancel, Fail, Refuse, Send, SetTimer
+from sidecar.balancer.actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt, SetTimer
 from sidecar.balancer.events import (
     AttemptEnded,
     Endpoint,
@@ -95,13 +95,13 @@
 
     def _perform(self, action: Action) -> None:
         match action:
-            case Send():
+            case SendAttempt():
                 self._send(action)
-            case Refuse():
+            case RejectRequest():
                 self._respond_to_caller(action.request, CallResult.SHED)
-            case Fail():
+            case FailRequest():
                 self._respond_to_caller(action.request, CallResult.FAILED)
-            case Cancel():
+            case CancelAttempt():
                 # Not at once: the policy's earlier actions are performed before the attempt ends.
                 self._loop.call_later(
                     0, self._abort_attempt, action.request, action.attempt, Outcome.CANCELLED
@@ -120,14 +120,14 @@
 
     # -- Attempts -------------------------------------------------------------------------------------
 
-    def _send(self, action: Send) -> None:
+    def _send(self, action: SendAttempt) -> None:
         request = self._requests[action.request]
         server = self._upstream.servers[action.server]
         attempt = _Attempt(request.attempts_sent, server, self._loop.now, server.incarnation)
         request.in_flight[attempt.index] = attempt
         request.attempts_sent += 1
         until = max(action.until, self._loop.now)
-        self._loop.call_at(until, self._abort_attempt, action.request, attempt.index, Outcome.EXPIRED)
+        self._loop.call_at(until, self._abort_attempt, action.request, attempt.index, Outcome.TIMED_OUT)
         one_way_us = self._network.delay_us(self.location, server.location)
         if self._acquire_connection(server):
             self._loop.call_later(one_way_us, self._deliver, action.request, attempt, until)
@@ -147,9 +147,9 @@
     def _dial(self, number: int, attempt: _Attempt, until: int, one_way_us: int) -> None:
         if not self._network.reaches(self.location, attempt.server.location):
             timeout_us = self._upstream.dial_timeout_us
-            self._loop.call_later(timeout_us, self._end_attempt, number, attempt, Outcome.DIAL_FAILED)
+            self._loop.call_later(timeout_us, self._end_attempt, number, attempt, Outcome.CONNECT_FAILED)
         elif not attempt.server.is_up:
-            self._loop.call_later(2 * one_way_us, self._end_attempt, number, attempt, Outcome.DIAL_FAILED)
+            self._loop.call_later(2 * one_way_us, self._end_attempt, number, attempt, Outcome.CONNECT_FAILED)
         else:
             self._loop.call_later(3 * one_way_us, self._deliver, number, attempt, until)
 
@@ -161,7 +161,7 @@
         ):
             return
         if not server.is_up:
-            self._respond(number, attempt, Outcome.DROPPED)
+            self._respond(number, attempt, Outcome.RESET)
             return
         attempt.incarnation = server.incarnation
         attempt.call = ServerCall(lambda outcome: self._respond(number, attempt, outcome), until)
@@ -169,7 +169,7 @@
 
     def _respond(self, number: int, attempt: _Attempt, outcome: Outcome) -> None:
         """Send the server's response to the sidecar; a process that was stopped sends none."""
-        died = attempt.incarnation != attempt.server.incarnation and outcome is not Outcome.DROPPED
+        died = attempt.incarnation != attempt.server.incarnation and outcome is not Outcome.RESET
         if died or not self._network.reaches(attempt.server.location, self.location):
             return
         one_way_us = self._network.delay_us(attempt.server.location, self.location)
@@ -180,7 +180,7 @@
         for number, request in list(self._requests.items()):
             for attempt in list(request.in_flight.values()):
                 if attempt.server is server and attempt.call is not None:
-                    self._respond(number, attempt, Outcome.DROPPED)
+                    self._respond(number, attempt, Outcome.RESET)
 
     def _abort_attempt(self, number: int, index: int, outcome: Outcome) -> None:
         request = self._requests.get(number)
@@ -200,9 +200,9 @@
             return
         request = self._requests[number]
         del request.in_flight[attempt.index]
-        if outcome in (Outcome.DELIVERED, Outcome.ERROR, Outcome.FULL):
+        if outcome in (Outcome.SUCCEEDED, Outcome.ERROR, Outcome.REJECTED):
             self._release_connection(attempt)
-        if outcome is Outcome.DELIVERED:
+        if outcome is Outcome.SUCCEEDED:
             self._respond_to_caller(number, CallResult.SERVED)
         elapsed_us = self._loop.now - attempt.sent_at
         event = AttemptEnded(
--- a/scale/control/faults.py
+++ b/scale/control/faults.py
@@ -71,7 +71,7 @@
 
 
 def _failed_over(_fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
-    """Fail discovery's address over to another machine: open connections carry nothing any more."""
+    """FailRequest discovery's address over to another machine: open connections carry nothing any more."""
     fleet.registry.client.execute(BlackholeConnections())
     return FaultOutcome([_restart_one(fleet, rng)])
 
--- a/scale/control/stub_sidecar.py
+++ b/scale/control/stub_sidecar.py
@@ -72,7 +72,7 @@
             server = line.server
             self._upstream.update(server.server, line.address, server.started_at, server.state)
         servers = [line.server for line in response.lines]
-        servers += [Endpoint(name, state=ServerState.GONE) for name in self._upstream.displace()]
+        servers += [Endpoint(name, state=ServerState.REMOVED) for name in self._upstream.displace()]
         kind = RegistryUpdateKind.SNAPSHOT if response.complete else RegistryUpdateKind.DELTA
         self._handle(RegistryUpdated(kind, servers, response.version))
 
--- a/sidecar/balancer/actions.py
+++ b/sidecar/balancer/actions.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True)
-class Send:
+class SendAttempt:
     """Start an attempt; a request's attempts are numbered from 0 in the order they are sent."""
 
     request: int
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class Refuse:
+class RejectRequest:
     """Final answer: refused; trying again is harmless."""
 
     request: int
@@ -27,14 +27,14 @@
 
 
 @dataclass(slots=True)
-class Fail:
+class FailRequest:
     """Final answer: failed; nothing is promised."""
 
     request: int
 
 
 @dataclass(slots=True)
-class Cancel:
+class CancelAttempt:
     """Stop waiting for an attempt."""
 
     request: int
@@ -50,21 +50,21 @@
 
 
 @dataclass(slots=True)
-class Probe:
+class CheckHealth:
     """Test a server."""
 
     server: str
 
 
 @dataclass(slots=True)
-class CloseIdle:
+class CloseIdleConnections:
     """Close the idle connections to a server."""
 
     server: str
 
 
 @dataclass(slots=True)
-class Tell:
+class SendMessage:
     """Send a message to one balancer of the tier, or to all (None)."""
 
     receiver: int | None
@@ -91,5 +91,15 @@
 
 
 Action = (
-    Send | Refuse | Fail | Cancel | SetTimer | Probe | CloseIdle | Tell | WatchRegistry | FetchRegistry | Log
+    SendAttempt
+    | RejectRequest
+    | FailRequest
+    | CancelAttempt
+    | SetTimer
+    | CheckHealth
+    | CloseIdleConnections
+    | SendMessage
+    | WatchRegistry
+    | FetchRegistry
+    | Log
 )
--- a/sidecar/balancer/balancer.py
+++ b/sidecar/balancer/balancer.py
@@ -29,7 +29,7 @@
 STALL_CHECK_TARGETS = 0.1  # while an attempt is active a timer checks so often, in shortest latency targets
 ANSWER_EARLY_TICKS = 2  # a final answer leaves this many ticks before the client's time is up
 RETRY_AFTER_TARGETS = 0.1  # a refused client should come back after about this part of its latency target
-CONNECTED = (Outcome.DELIVERED, Outcome.ERROR, Outcome.FULL)  # the connection is still there after these
+CONNECTED = (Outcome.SUCCEEDED, Outcome.ERROR, Outcome.REJECTED)  # the connection is still there after these
 
 
 class Balancer:
@@ -92,13 +92,13 @@
                 self._registry_updated(event)
             case events.SettingsChanged(settings):
                 self._settings_changed(settings)
-            case events.RequestGone():
+            case events.ClientDisconnected():
                 if (request := self._unanswered(event.request)) is not None:
                     self._close(request)
-            case events.AnswerStarted():
+            case events.ResponseStarted():
                 if (request := self._requests.get(event.request)) is not None:
                     request.answer_started(event.attempt)
-            case events.ProbeEnded():
+            case events.HealthCheckEnded():
                 for request in self._prober.probe_ended(event):
                     self._send_probed(request)
         while (request := self._key_order.next_request()) is not None:
@@ -211,7 +211,9 @@
         self._overdue.watch(request, attempt)
         keyed = request.service_class.idempotency is Idempotency.KEYED
         write_by = retries.repeat_by(request, now, self._context.settings.tick_us) if keyed else None
-        self._context.actions.append(actions.Send(request.ident, server.name, request.answer_by, write_by))
+        self._context.actions.append(
+            actions.SendAttempt(request.ident, server.name, request.answer_by, write_by)
+        )
         return True
 
     def _may_run_again(self, request: Request) -> bool:
@@ -224,9 +226,9 @@
         limits = self._context.settings.limits  # jitter, or those refused at once would be back at once
         back_us = RETRY_AFTER_TARGETS * request.service_class.latency_target_us
         back_us = min(back_us * (0.5 + self._context.rng.random()), limits.max_retry_after_us)
-        refusal = actions.Refuse(request.ident, int(back_us) if limits.retry_after else 0)
+        refusal = actions.RejectRequest(request.ident, int(back_us) if limits.retry_after else 0)
         is_refused = retries.is_harmless_to_client(request)
-        self._context.actions.append(refusal if is_refused else actions.Fail(request.ident))
+        self._context.actions.append(refusal if is_refused else actions.FailRequest(request.ident))
         self._close(request)
 
     def _close(self, request: Request) -> None:
@@ -234,7 +236,7 @@
         request.answered = True
         for attempt in request.attempts:
             if attempt.pending and not attempt.started and request.limits.allow_cancel:
-                self._context.actions.append(actions.Cancel(request.ident, attempt.index))
+                self._context.actions.append(actions.CancelAttempt(request.ident, attempt.index))
         self._forget_if_over(request)
 
     def _forget_if_over(self, request: Request) -> None:
@@ -268,7 +270,7 @@
         """Learn of latency and overload from the end of an attempt."""
         server, elapsed_us, catching_up = attempt.server, event.elapsed_us, self._context.is_catching_up()
         match event.outcome:
-            case Outcome.EXPIRED | Outcome.CANCELLED:
+            case Outcome.TIMED_OUT | Outcome.CANCELLED:
                 if not (attempt.counted_late or request.answered or event.answered):
                     self._admission.count_late()
                 until = self._context.now + elapsed_us  # for as long as it was waited for
@@ -278,7 +280,7 @@
                     self._latency.weigh(request, server, elapsed_us)
             case Outcome.ERROR:
                 self._latency.weigh_error(request, server)
-            case Outcome.DELIVERED:
+            case Outcome.SUCCEEDED:
                 target_us = request.service_class.latency_target_us
                 self._limit.delivered(target_us)
                 if not catching_up:
@@ -287,7 +289,7 @@
                     if not attempt.counted_late:
                         self._admission.observe(elapsed_us / target_us)
                     server.backoff.pop(request.flow, None)
-            case Outcome.FULL:
+            case Outcome.REJECTED:
                 self._outliers.full(request, server)
                 if event.report is None or event.report.get("util", 1.0) >= CORES_BUSY:
                     self._admission.observe(LATE_RATIO)
@@ -295,8 +297,8 @@
     def _try_again(self, request: Request, server: Server, outcome: Outcome) -> None:
         """After an attempt that brought no answer: draw again where that is allowed."""
         request.failed_servers.append(server)
-        request.full_answers += outcome is Outcome.FULL
-        if outcome is Outcome.FULL or (self._may_run_again(request) and self._retry_budget.spend()):
+        request.full_answers += outcome is Outcome.REJECTED
+        if outcome is Outcome.REJECTED or (self._may_run_again(request) and self._retry_budget.spend()):
             self._place(request)
         elif not request.is_active():
             self._finish(request)
@@ -312,7 +314,7 @@
                 self._place(request)
         elif limits.allow_cancel and self._retry_budget.has_room():
             # Its end draws again.
-            self._context.actions.append(actions.Cancel(request.ident, attempt.index))
+            self._context.actions.append(actions.CancelAttempt(request.ident, attempt.index))
 
     def _wanted_at(self, due: int, timer: timers.Timer) -> int | None:
         """When that which a timer was set for wants it; None: no longer."""
--- a/sidecar/balancer/events.py
+++ b/sidecar/balancer/events.py
@@ -18,7 +18,7 @@
 
     READY = "ready"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 @unique
@@ -35,14 +35,14 @@
 class Outcome(Enum):
     """How an attempt ended."""
 
-    DELIVERED = "delivered"
+    SUCCEEDED = "succeeded"
     ERROR = "error"
-    FULL = "full"
-    EXPIRED = "expired"
-    DIAL_FAILED = "dial_failed"
-    DROPPED = "dropped"
+    REJECTED = "rejected"
+    TIMED_OUT = "timed_out"
+    CONNECT_FAILED = "connect_failed"
+    RESET = "reset"
     CANCELLED = "cancelled"
-    UNSENT = "unsent"
+    NOT_SENT = "not_sent"
 
 
 @dataclass(slots=True)
@@ -96,7 +96,7 @@
 
 
 @dataclass(slots=True)
-class AnswerStarted:
+class ResponseStarted:
     """The streamed answer of an attempt has begun; the attempt now belongs to the client."""
 
     request: int
@@ -119,7 +119,7 @@
 
 
 @dataclass(slots=True)
-class RequestGone:
+class ClientDisconnected:
     """The client went away; nothing is owed any more."""
 
     request: int
@@ -133,7 +133,7 @@
 
 
 @dataclass(slots=True)
-class ProbeEnded:
+class HealthCheckEnded:
     """A probe came back."""
 
     server: str
@@ -154,10 +154,10 @@
     RegistryUpdated
     | SettingsChanged
     | RequestArrived
-    | AnswerStarted
+    | ResponseStarted
     | AttemptEnded
-    | RequestGone
+    | ClientDisconnected
     | TimerFired
-    | ProbeEnded
+    | HealthCheckEnded
     | MessageReceived
 )
--- a/sidecar/balancer/policy/admission.py
+++ b/sidecar/balancer/policy/admission.py
@@ -101,7 +101,7 @@
         longest_us = max(self._longest_remaining_us.get(service_class.name, 0), remaining_us)
         self._longest_remaining_us[service_class.name] = longest_us
         waited_out = longest_us - remaining_us >= service_class.latency_target_us
-        return self._context.has_just_resumed() and service_class.late_worth <= 0.0 and waited_out
+        return self._context.has_just_resumed() and service_class.late_weight <= 0.0 and waited_out
 
     def _priority(self, own: Traffic) -> float:
         """The part of the traffic that is worth less, counting half of what is worth the same.
@@ -122,8 +122,11 @@
         return (below + 0.5 * same) / total if total > 0.0 else 0.5
 
     def _worth(self, traffic: Traffic, tenant_rate: float, total: float) -> float:
-        worth, share = traffic.service_class.worth, self._context.tenant_shares.get(traffic.tenant or "")
+        worth, share = (
+            traffic.service_class.priority_weight,
+            self._context.tenant_shares.get(traffic.tenant or ""),
+        )
         if share is None or tenant_rate <= 0.0:
             return worth
         inside = min(1.0, total * share / self._context.all_shares / tenant_rate)
-        return worth * (inside + (1.0 - inside) * self._context.settings.over_share_worth)
+        return worth * (inside + (1.0 - inside) * self._context.settings.over_share_weight)
--- a/sidecar/balancer/policy/connections.py
+++ b/sidecar/balancer/policy/connections.py
@@ -1,6 +1,6 @@
 """Idle connections: where they are priced, those are closed that cost more than opening new ones."""
 
-from sidecar.balancer.actions import CloseIdle
+from sidecar.balancer.actions import CloseIdleConnections
 from sidecar.balancer.state import Context, DecayingRate, LinearFit, Server
 from sidecar.balancer.state.timers import IdleCloseDue
 
@@ -39,7 +39,7 @@
         held_by_latency = self._latency_by_load.x_per_y()  # Little's law: what is held over the time it takes
         if held_by_latency is not None:
             return held_by_latency / self._context.longest_target_us
-        all_arrivals = self._arrivals.per_us(self._context.now) * self._context.settings.group_size
+        all_arrivals = self._arrivals.per_us(self._context.now) * self._context.settings.sidecar_count
         return all_arrivals / max(len(self._context.registry.ready), 1)
 
     def close_due(self, server: Server) -> int | None:
@@ -48,4 +48,4 @@
 
     def close(self, server: Server) -> None:
         server.idle_connections = 0
-        self._context.actions.append(CloseIdle(server.name))
+        self._context.actions.append(CloseIdleConnections(server.name))
--- a/sidecar/balancer/policy/key_order.py
+++ b/sidecar/balancer/policy/key_order.py
@@ -6,7 +6,7 @@
 from sidecar.balancer.state import Context, KeyQueue, Request
 from sidecar.balancer.state.timers import KeyRested
 
-MAY_STILL_RUN = (Outcome.EXPIRED, Outcome.DROPPED, Outcome.CANCELLED)  # the key rests after these
+MAY_STILL_RUN = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)  # the key rests after these
 
 
 class KeyOrder:
@@ -25,7 +25,7 @@
     def attempt_ended(self, request: Request, outcome: Outcome) -> None:
         """Let the key rest after an attempt that may still be running."""
         if request.key is not None and outcome in MAY_STILL_RUN:
-            rest_us = self._context.settings.rules.key_rest_us
+            rest_us = self._context.settings.rules.key_cooldown_us
             self.queues[request.key].rests_until = self._context.now + rest_us
 
     def look_again(self, key: int | None) -> None:
--- a/sidecar/balancer/policy/outliers.py
+++ b/sidecar/balancer/policy/outliers.py
@@ -30,7 +30,7 @@
         half_open = server.half_open_attempt is attempt
         if half_open:
             server.half_open_attempt = None
-        if outcome is Outcome.DELIVERED:
+        if outcome is Outcome.SUCCEEDED:
             server.consecutive_failures = server.consecutive_failed_dials = 0
             server.last_answer_at = self._context.now
             server.last_answered_sent_at = max(server.last_answered_sent_at, attempt.sent_at)
@@ -40,18 +40,18 @@
                 self.readmit(server)
         elif outcome in FAILURES:
             self._failed(attempt, outcome, half_open)
-        elif half_open and outcome is not Outcome.UNSENT:
+        elif half_open and outcome is not Outcome.NOT_SENT:
             self.eject(server, outcome.value)  # full, or cancelled when overdue: it is no better yet
 
     def _failed(self, attempt: Attempt, outcome: Outcome, half_open: bool) -> None:
         server = attempt.server
-        if outcome is Outcome.EXPIRED and server.last_answer_at > attempt.sent_at:
+        if outcome is Outcome.TIMED_OUT and server.last_answer_at > attempt.sent_at:
             return  # it is slow, not failing: it answered others meanwhile
-        timed_out = outcome in (Outcome.EXPIRED, Outcome.DIAL_FAILED)
+        timed_out = outcome in (Outcome.TIMED_OUT, Outcome.CONNECT_FAILED)
         if timed_out and self._context.is_catching_up() and not half_open:
             return  # this balancer was slow
         server.consecutive_failures += 1
-        dials = server.consecutive_failed_dials + 1 if outcome is Outcome.DIAL_FAILED else 0
+        dials = server.consecutive_failed_dials + 1 if outcome is Outcome.CONNECT_FAILED else 0
         server.consecutive_failed_dials = dials
         if half_open or (server.consecutive_failures >= FAILURES_TO_EJECT and server.ejected_until is None):
             self.eject(server, outcome.value)
@@ -60,7 +60,7 @@
 
     def eject(self, server: Server, reason: str, max_share: float = MAX_EJECTED) -> None:
         """Send nothing to a server for a while, unless too large a share is ejected already."""
-        if server.state is ServerState.GONE:
+        if server.state is ServerState.REMOVED:
             return
         if server.ejected_until is None:
             known = min(len(self._context.registry.ready), subset_size(self._context.load))
--- a/sidecar/balancer/policy/probing.py
+++ b/sidecar/balancer/policy/probing.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from sidecar.balancer.actions import Probe
-from sidecar.balancer.events import Outcome, ProbeEnded
+from sidecar.balancer.actions import CheckHealth
+from sidecar.balancer.events import HealthCheckEnded, Outcome
 from sidecar.balancer.policy.concurrency_limit import LATE_RATIO
 from sidecar.balancer.policy.connections import IdleConnections
 from sidecar.balancer.policy.selection import CANDIDATES, Selector
@@ -64,16 +64,16 @@
         for server in tied:
             if server.probe_sent_at is None:
                 server.probe_sent_at = self.context.now
-                self.context.actions.append(Probe(server.name))
+                self.context.actions.append(CheckHealth(server.name))
         self.context.timers.add(request.probes_due, ProbesDue(request.ident))
 
-    def probe_ended(self, event: ProbeEnded) -> Iterator[Request]:
+    def probe_ended(self, event: HealthCheckEnded) -> Iterator[Request]:
         """Take in a probe; give the requests that then wait for no further one."""
         server = self.context.registry.servers.get(event.server)
         if server is None:
             return
         server.probe_sent_at = server.reported_load = None
-        if event.outcome is Outcome.DELIVERED:
+        if event.outcome is Outcome.SUCCEEDED:
             usual = self._probe_time_us if self._probe_time_us is not None else float(event.elapsed_us)
             self._probe_time_us = usual + PROBE_TIME_STEP * (event.elapsed_us - usual)
             if event.report is not None:
--- a/sidecar/balancer/policy/refresh.py
+++ b/sidecar/balancer/policy/refresh.py
@@ -35,6 +35,6 @@
 
     def _ask_after(self, share: float) -> None:
         """Ask after this share of the time allowed, in place of any earlier plan."""
-        allowed_us = min(self._context.settings.rules.ask_within_us, KNOWN_WITHIN_US)
+        allowed_us = min(self._context.settings.rules.max_poll_interval_us, KNOWN_WITHIN_US)
         self.due = self._context.now + int(share * allowed_us)
         self._context.timers.add(self.due, RegistryPoll())
--- a/sidecar/balancer/policy/retries.py
+++ b/sidecar/balancer/policy/retries.py
@@ -7,7 +7,7 @@
 RETRIES_PER_ANSWER = 0.2  # retries after failures, for each attempt that was answered: no retry storms
 RETRIES_LOST_PER_FAILURE = 0.3  # so none are left while more than two attempts in five fail
 MAX_BALANCE = 2.0  # retries that may be saved up; when a fault begins, they multiply from hop to hop
-FAILURES = (Outcome.EXPIRED, Outcome.DROPPED, Outcome.DIAL_FAILED, Outcome.ERROR)
+FAILURES = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.ERROR)
 INITIAL_BALANCE = 4.0  # until the first answer: first connections fail by chance
 
 
@@ -18,7 +18,7 @@
         self._balance = INITIAL_BALANCE
 
     def attempt_ended(self, outcome: Outcome) -> None:
-        if outcome is Outcome.DELIVERED:
+        if outcome is Outcome.SUCCEEDED:
             self._balance = min(self._balance + RETRIES_PER_ANSWER, MAX_BALANCE)
         elif outcome in FAILURES:
             self._balance = max(self._balance - RETRIES_LOST_PER_FAILURE, 0.0)
--- a/sidecar/balancer/state/context.py
+++ b/sidecar/balancer/state/context.py
@@ -13,7 +13,7 @@
 from sidecar.balancer.state.timers import StallCheck, Timer, TimerQueue
 from sidecar.settings import ServiceClass, Settings
 
-NEVER_RAN = frozenset((Outcome.DIAL_FAILED, Outcome.UNSENT))  # prove that an attempt did not run
+NEVER_RAN = frozenset((Outcome.CONNECT_FAILED, Outcome.NOT_SENT))  # prove that an attempt did not run
 
 Key = TypeVar("Key")
 Value = TypeVar("Value")
@@ -48,7 +48,7 @@
         self._has_ordered_class = any(each.ordered_by_key for each in settings.classes)
         self.tenant_shares = {each.name: each.share for each in settings.tenants}
         self.all_shares = sum(self.tenant_shares.values()) or 1.0
-        self.never_ran = NEVER_RAN if settings.rules.late_shedding else NEVER_RAN | {Outcome.FULL}
+        self.never_ran = NEVER_RAN if settings.rules.late_shedding else NEVER_RAN | {Outcome.REJECTED}
         targets_us = [each.latency_target_us for each in settings.classes]
         self.longest_target_us = max(targets_us)
         self._stall_check_us = max(int(self._stall_check_targets * min(targets_us)), settings.tick_us)
--- a/sidecar/balancer/state/records.py
+++ b/sidecar/balancer/state/records.py
@@ -31,7 +31,7 @@
     cell: int = 0
     nominal: float = 1.0  # its capacity relative to the others', as the registry states it
     latency_weight: float = 1.0  # moving average of its latency relative to the usual
-    state: ServerState = ServerState.GONE
+    state: ServerState = ServerState.REMOVED
     started_at: int | None = None
     cold_since: int | None = None
     cold_budget: float = 0.0  # while cold: what may be sent to it now, in requests of mean cost
--- a/sidecar/balancer/state/registry.py
+++ b/sidecar/balancer/state/registry.py
@@ -28,7 +28,7 @@
             listed = {endpoint.server for endpoint in update.servers}
             for server in self.servers.values():
                 if server.name not in listed:
-                    server.state = ServerState.GONE
+                    server.state = ServerState.REMOVED
         restarted = [each for each in map(self._apply, update.servers) if each is not None]
         if len(self._by_rank) < len(self.servers):
             self._by_rank = sorted(self.servers.values(), key=lambda each: each.rank)
@@ -45,7 +45,7 @@
         server.zone = endpoint.zone
         server.is_local = endpoint.zone == self._local_zone
         server.cell = endpoint.cell
-        if server.state is ServerState.GONE or endpoint.nominal != server.nominal:
+        if server.state is ServerState.REMOVED or endpoint.nominal != server.nominal:
             server.latency_weight = 0.0  # unknown
         server.nominal = max(endpoint.nominal, 0.0)
         server.state = endpoint.state
@@ -56,7 +56,7 @@
 
     def gone(self) -> list[Server]:
         """The servers that are gone and not forgotten yet."""
-        return [each for each in self.servers.values() if each.state is ServerState.GONE]
+        return [each for each in self.servers.values() if each.state is ServerState.REMOVED]
 
     def forget(self, server: Server) -> None:
         """Drop the record of a server that is gone."""
--- a/sidecar/proxy/discovery.py
+++ b/sidecar/proxy/discovery.py
@@ -25,7 +25,7 @@
 _DIAL_S = 1.5  # what a connection may take to come up: longer than the first repeat of a lost SYN
 _IDLE_S = 0.1  # between watches that come back at once with nothing, well within the 200 ms of one watch
 _LIST_MOST = 8 * 1024 * 1024
-_STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
+_STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.REMOVED}
 
 
 @dataclass(slots=True)
--- a/sidecar/proxy/upstream.py
+++ b/sidecar/proxy/upstream.py
@@ -465,8 +465,8 @@
     def not_written(self) -> Outcome:
         """What it proves that the request was not written in time."""
         if self.connection is None and self.held_up:
-            return Outcome.UNSENT
-        return Outcome.DIAL_FAILED
+            return Outcome.NOT_SENT
+        return Outcome.CONNECT_FAILED
 
     def end(self, outcome: Outcome, response: Response | None = None) -> None:
         """Tell the outcome, once; what comes later is nobody's."""
@@ -476,7 +476,7 @@
         for timer in self.timers:
             timer.cancel()
         self.endpoint.dialling.discard(self)
-        if outcome in (Outcome.EXPIRED, Outcome.CANCELLED, Outcome.DIAL_FAILED, Outcome.UNSENT):
+        if outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT):
             if self.connection is not None:
                 self.connection.give_up()
             if self.dial is not None:
@@ -490,12 +490,14 @@
     A rejection with more behind it proves nothing: one of the two may answer the request before.
     """
     if response is not None and response.is_rejection() and not spoilt:
-        return Outcome.FULL
+        return Outcome.REJECTED
     if not written:
-        return Outcome.DIAL_FAILED  # a server begins a request with its last byte: what came answers another
+        return (
+            Outcome.CONNECT_FAILED
+        )  # a server begins a request with its last byte: what came answers another
     if response is None:
-        return Outcome.ERROR if spoilt else Outcome.DROPPED  # who answers with noise is still there
-    return Outcome.DELIVERED if response.status == 200 else Outcome.ERROR
+        return Outcome.ERROR if spoilt else Outcome.RESET  # who answers with noise is still there
+    return Outcome.SUCCEEDED if response.status == 200 else Outcome.ERROR
 
 
 class Upstream:
@@ -535,7 +537,7 @@
         """Note what the list says of a server; a new process or place makes its old connections useless."""
         known = self._endpoints.get(name)
         if known is None:
-            if state is not ServerState.GONE:
+            if state is not ServerState.REMOVED:
                 self._endpoints[name] = Endpoint(name, address or _NOWHERE, started_at, state)
             return
         address = address or known.address
@@ -545,17 +547,17 @@
             known.generation += 1
             self.close_idle(name)
             if moved:
-                self._withdraw(known, Outcome.UNSENT)  # who listens there now may be any other
+                self._withdraw(known, Outcome.NOT_SENT)  # who listens there now may be any other
         known.state = state
         if state is not ServerState.READY:
             self._withdraw(known)
-        if state is ServerState.GONE:
+        if state is ServerState.REMOVED:
             del self._endpoints[name]  # what is still out there holds it until it ends
 
     def retain(self, names: Collection[str]) -> None:
         """Drop all servers but these."""
         for name in [each for each in self._endpoints if each not in names]:
-            self.update(name, None, None, ServerState.GONE)
+            self.update(name, None, None, ServerState.REMOVED)
 
     def displace(self) -> list[str]:
         """Drop the servers whose address is that of one that started later: its process listens there now."""
@@ -568,10 +570,10 @@
                 former.append(older.name)
             latest[each.address] = newer
         for name in former:
-            self.update(name, None, None, ServerState.GONE)
+            self.update(name, None, None, ServerState.REMOVED)
         return former
 
-    def _withdraw(self, endpoint: Endpoint, outcome: Outcome = Outcome.DIAL_FAILED) -> None:
+    def _withdraw(self, endpoint: Endpoint, outcome: Outcome = Outcome.CONNECT_FAILED) -> None:
         """End what was not written to a server that takes nothing new: a slow dial may outlast the grace."""
         self.close_idle(endpoint.name)
         for exchange in list(endpoint.dialling):
@@ -584,7 +586,7 @@
         exchange = Exchange(endpoint, order, until, ended)
         if until <= loop.time() or endpoint.state is not ServerState.READY:
             # Not ready: the list has told so, and its news are still on their way to the balancer.
-            exchange.end(Outcome.UNSENT)
+            exchange.end(Outcome.NOT_SENT)
             return exchange
         exchange.timers.append(loop.call_at(until, self._time_up, exchange))
         connection = self._take_idle(exchange)
@@ -597,7 +599,7 @@
             exchange.dial.add_done_callback(self._dialled)
         else:
             log.warning("no connection to spare for %s", name)
-            exchange.end(Outcome.DIAL_FAILED)
+            exchange.end(Outcome.CONNECT_FAILED)
         return exchange
 
     def probe(self, name: str, target: str, ended: Ended) -> Exchange:
@@ -612,7 +614,7 @@
     def unsend(self, exchange: Exchange) -> None:
         """End an attempt that is not all written yet, so that it never will be."""
         if not exchange.is_written():
-            exchange.end(Outcome.UNSENT)
+            exchange.end(Outcome.NOT_SENT)
 
     def close_idle(self, name: str) -> None:
         endpoint = self._endpoints.get(name)
@@ -623,7 +625,7 @@
 
     @staticmethod
     def _time_up(exchange: Exchange) -> None:
-        exchange.end(Outcome.EXPIRED if exchange.is_written() else exchange.not_written())
+        exchange.end(Outcome.TIMED_OUT if exchange.is_written() else exchange.not_written())
 
     @staticmethod
     def _dial_time_up(exchange: Exchange) -> None:
@@ -678,7 +680,7 @@
             connection = await self._connect(exchange)
         except (OSError, UnicodeError) as fault:  # the latter of a host's name that is none
             log.debug("no connection to %s: %r", exchange.endpoint.name, fault)
-            exchange.end(Outcome.DIAL_FAILED)
+            exchange.end(Outcome.CONNECT_FAILED)
             return False
         connection.on_lost = self._lost
         if exchange.ended is None:
@@ -717,7 +719,7 @@
                 self._put_back(exchange, connection)
             else:
                 connection.abort()  # its idle time goes on at its server, and must not begin anew here
-            exchange.end(Outcome.UNSENT)
+            exchange.end(Outcome.NOT_SENT)
             return
         exchange.connection, exchange.written_at = connection, now
         connection.request(
@@ -729,18 +731,18 @@
         """Whether a long request may be written to its end, as its order tells; else it is given up."""
         left_s = exchange.until - asyncio.get_running_loop().time()
         if exchange.order(max(left_s, 0.0)) is None:
-            exchange.end(Outcome.UNSENT)
+            exchange.end(Outcome.NOT_SENT)
         return exchange.ended is not None
 
     def _answered(self, exchange: Exchange, connection: Connection, response: Response | None) -> None:
         self._put_back(exchange, connection)
         outcome = judge(response, connection.written, connection.spoilt)
-        if outcome is Outcome.DIAL_FAILED and connection.failed_locally:
-            outcome = Outcome.UNSENT  # the server has no part in it
+        if outcome is Outcome.CONNECT_FAILED and connection.failed_locally:
+            outcome = Outcome.NOT_SENT  # the server has no part in it
         if exchange.ended is not None:  # else it was given up on, which says nothing of its connection
             now = asyncio.get_running_loop().time()
             # A connection forgotten while idle breaks at once; later it is the server that broke.
-            broke = outcome is Outcome.DROPPED and now - exchange.written_at < self._dial_limit
+            broke = outcome is Outcome.RESET and now - exchange.written_at < self._dial_limit
             self._ages.note(exchange.idle_s, broke)
         exchange.end(outcome, response)
 
--- a/sidecar/settings.py
+++ b/sidecar/settings.py
@@ -41,7 +41,7 @@
 class Weights(Enum):
     """What a server's nominal figure means."""
 
-    SILENT = "silent"
+    NONE = "silent"
     NOMINAL = "nominal"
     ROUGH = "rough"
     LIVE = "live"
@@ -53,11 +53,11 @@
 
     ANSWERS = "answers"
     PROBES = "probes"
-    SILENT = "silent"
+    NONE = "silent"
 
 
 @unique
-class WorthBy(Enum):
+class WeightBasis(Enum):
     """What a class's worth is counted for."""
 
     REQUEST = "request"
@@ -71,8 +71,8 @@
     name: str
     deadline_us: int
     latency_target_us: int
-    worth: float = 1.0
-    late_worth: float = 0.0
+    priority_weight: float = 1.0
+    late_weight: float = 0.0
     idempotency: Idempotency = Idempotency.UNSAFE
     dedup_scope: DedupScope = DedupScope.CELL
     dedup_window_us: int = 0
@@ -98,7 +98,7 @@
     allow_hedging: bool = False
     allow_cancel: bool = False
     allow_probes: bool = False
-    may_message: bool = False
+    allow_messages: bool = False
     retry_after: bool = False
     max_retry_after_us: int = 0
     dial_timeout_us: int = 250_000
@@ -111,14 +111,14 @@
     """The figures of the rules.  The defaults are the cautious ends."""
 
     answer_slack_us: int = 0
-    ask_within_us: int = 10_000_000
+    max_poll_interval_us: int = 10_000_000
     drain_grace_us: int = 0
     slow_start_from: float = 0.1
     slow_start_us: int = 30_000_000
     overload_multiple: float = 1.0
     overload_window_us: int = 2_000_000
     late_shedding: bool = False  # servers also say "full" of work they had begun
-    key_rest_us: int = 0  # how long a key rests after an attempt that may still be running
+    key_cooldown_us: int = 0  # how long a key rests after an attempt that may still be running
 
 
 @dataclass(frozen=True, slots=True)
@@ -140,14 +140,14 @@
     classes: tuple[ServiceClass, ...]
     tenants: tuple[Tenant, ...] = ()
     zone: str = ""
-    me: int = 0
-    group_size: int = 1
+    instance_index: int = 0
+    sidecar_count: int = 1
     tick_us: int = 1_000
     discovery: Discovery = Discovery.ON_REQUEST
-    weights: Weights = Weights.SILENT
-    worth_by: WorthBy = WorthBy.REQUEST
-    over_share_worth: float = 1.0
-    report_source: ReportSource = ReportSource.SILENT
+    weights: Weights = Weights.NONE
+    weight_basis: WeightBasis = WeightBasis.REQUEST
+    over_share_weight: float = 1.0
+    report_source: ReportSource = ReportSource.NONE
     report_columns: tuple[str, ...] = ()
     warm_keys: bool = False  # a server that lately served a key serves it again with less work
     limits: Limits = field(default_factory=Limits)
@@ -174,14 +174,14 @@
             classes=classes,
             tenants=tenants,
             zone=top.text("zone", ""),
-            me=top.whole("me", 0),
-            group_size=top.whole("group_size", 1, low=1),
+            instance_index=top.whole("instance_index", 0),
+            sidecar_count=top.whole("sidecar_count", 1, low=1),
             tick_us=top.whole("tick_us", 1_000, low=1),
             discovery=top.choice("discovery", Discovery, Discovery.ON_REQUEST),
-            weights=top.choice("weights", Weights, Weights.SILENT),
-            worth_by=top.choice("worth_by", WorthBy, WorthBy.REQUEST),
-            over_share_worth=top.number("over_share_worth", 1.0, high=1.0),
-            report_source=report.choice("source", ReportSource, ReportSource.SILENT),
+            weights=top.choice("weights", Weights, Weights.NONE),
+            weight_basis=top.choice("weight_basis", WeightBasis, WeightBasis.REQUEST),
+            over_share_weight=top.number("over_share_weight", 1.0, high=1.0),
+            report_source=report.choice("source", ReportSource, ReportSource.NONE),
             report_columns=report.texts("columns"),
             warm_keys=top.flag("warm_keys", False),
             limits=Limits(
@@ -189,7 +189,7 @@
                 allow_hedging=limits.flag("allow_hedging", False),
                 allow_cancel=limits.flag("allow_cancel", False),
                 allow_probes=limits.flag("allow_probes", False),
-                may_message=limits.flag("may_message", False),
+                allow_messages=limits.flag("allow_messages", False),
                 retry_after=limits.flag("retry_after", False),
                 max_retry_after_us=limits.whole("max_retry_after_us", 0),
                 dial_timeout_us=limits.whole("dial_timeout_us", 250_000),
@@ -198,14 +198,14 @@
             ),
             rules=Rules(
                 answer_slack_us=rules.whole("answer_slack_us", 0),
-                ask_within_us=rules.whole("ask_within_us", 10_000_000, low=1),
+                max_poll_interval_us=rules.whole("max_poll_interval_us", 10_000_000, low=1),
                 drain_grace_us=rules.whole("drain_grace_us", 0),
                 slow_start_from=rules.number("slow_start_from", 0.1, low=0.001, high=1.0),
                 slow_start_us=rules.whole("slow_start_us", 30_000_000),
                 overload_multiple=rules.number("overload_multiple", 1.0, low=0.001),
                 overload_window_us=rules.whole("overload_window_us", 2_000_000, low=1),
                 late_shedding=rules.flag("late_shedding", False),
-                key_rest_us=rules.whole("key_rest_us", 0),
+                key_cooldown_us=rules.whole("key_cooldown_us", 0),
             ),
             prices=Prices(
                 cross_zone=prices.number("cross_zone", 0.0),
@@ -224,8 +224,8 @@
         name=each.text("name"),
         deadline_us=deadline,
         latency_target_us=min(each.whole("latency_target_us", deadline, low=1), deadline),
-        worth=each.number("worth", 1.0),
-        late_worth=each.number("late_worth", 0.0),
+        priority_weight=each.number("priority_weight", 1.0),
+        late_weight=each.number("late_weight", 0.0),
         idempotency=each.choice("idempotency", Idempotency, Idempotency.UNSAFE),
         dedup_scope=each.choice("dedup_scope", DedupScope, DedupScope.CELL),
         dedup_window_us=each.whole("dedup_window_us", 0),
