--- a/sidecar/balancer/balancer.py
+++ b/sidecar/balancer/balancer.py
@@ -12,7 +12,7 @@
 from sidecar.balancer.events import Event, Outcome, RegistryUpdateKind, ServerState
 from sidecar.balancer.policy import probing, retries
 from sidecar.balancer.policy.admission import AdmissionControl
-from sidecar.balancer.policy.concurrency_limit import CORES_BUSY, LATE_RATIO, ConcurrencyLimit
+from sidecar.balancer.policy.concurrency_limit import CORES_BUSY, FREE_FILL, LATE_RATIO, ConcurrencyLimit
 from sidecar.balancer.policy.connections import IdleConnections
 from sidecar.balancer.policy.key_order import KeyOrder
 from sidecar.balancer.policy.latency import LatencyTracker
@@ -298,11 +298,22 @@
         """After an attempt that brought no answer: draw again where that is allowed."""
         request.failed_servers.append(server)
         request.full_answers += outcome is Outcome.REJECTED
-        if outcome is Outcome.REJECTED or (self._may_run_again(request) and self._retry_budget.spend()):
+        is_free = self._is_retry_free(outcome)
+        if is_free or (self._may_run_again(request) and self._retry_budget.spend()):
             self._place(request)
         elif not request.is_active():
             self._finish(request)
 
+    def _is_retry_free(self, outcome: Outcome) -> bool:
+        """Whether a retry needs nothing of the retry budget, as its attempt put no work on any server.
+
+        Retries of such attempts cannot multiply from hop to hop.  Under overload, connections that fail are a
+        sign of full servers, and more dials would only add to that.
+        """
+        if outcome is Outcome.CONNECT_FAILED:
+            return self._limit.fill() <= FREE_FILL
+        return outcome is Outcome.REJECTED
+
     def _attempt_overdue(self, request: Request, attempt: Attempt) -> None:
         """Save a repeatable request from a silent server."""
         limits = request.limits
--- a/tests/balancer/test_retries.py
+++ b/tests/balancer/test_retries.py
@@ -5,11 +5,11 @@
 import math
 
 import pytest
-from balancer_stage import ready_stage
+from balancer_stage import ready_stage, serve_one_at_a_time
 from helpers import MS as MILLISECOND_US
 from helpers import settings
 
-from sidecar.balancer.actions import RejectRequest
+from sidecar.balancer.actions import FailRequest, RejectRequest
 from sidecar.balancer.events import Outcome
 from sidecar.balancer.policy.retries import (
     MAX_BALANCE,
@@ -28,6 +28,23 @@
     assert len(stage.sends()) <= 400 * 1.25 + 10
 
 
+@pytest.mark.parametrize("kind", ["look", "pay"])
+def test_a_server_that_refuses_connections_costs_no_request(kind: str) -> None:
+    stage = ready_stage(4)
+    serve_one_at_a_time(stage, 20)
+    requests = [stage.request(kind) for _ in range(12)]
+    stopped = stage.target(requests[0])
+    failed_connects = 0
+    for request in requests:
+        if stage.target(request) == stopped:
+            stage.end(request, Outcome.CONNECT_FAILED)
+            failed_connects += 1
+    for request in requests:
+        stage.end(request)
+    assert failed_connects >= 3  # more than the retry budget had saved
+    assert stage.said(RejectRequest) == stage.said(FailRequest) == []
+
+
 def test_a_request_is_rejected_where_no_attempts_are_allowed() -> None:
     stage = ready_stage(3, settings(limits={"max_attempts": 0}))
     request = stage.request("look")
