--- a/scale/callgraph/server.py
+++ b/scale/callgraph/server.py
@@ -49,7 +49,7 @@
 class Server:
     """One process of a service.
 
-        A queued call whose deadline has passed is dropped without a response.  A call cancelled by its caller
+    A queued call whose deadline has passed is dropped without a response.  A call cancelled by its caller
     is removed from the queue; once in service it runs to its end, as servers of the protocol do.
     """
 
--- a/scale/errors.py
+++ b/scale/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the rig; each class words its own message."""
+"""Errors of the rig; each class formats its own message."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     """An experiment file or figures file that cannot be used."""
 
     def __init__(self, subject: str, reason: str) -> None:
-        """Word the message.
+        """Format the message.
 
         Args:
             subject: The key, file or folder at fault.
@@ -199,7 +199,7 @@
     """Sidecars that did not come to hold the registry's endpoint list in time."""
 
     def __init__(self, key: str, timeout_s: float) -> None:
-        """Word the message.
+        """Format the message.
 
         Args:
             key: The experiment's key that says how many sidecars there are.
--- a/scale/logs.py
+++ b/scale/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line on standard error."""
+"""Structured logs: one JSON object per line on standard error."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def configure_logs(verbose: bool) -> None:
-    """Log from "info" on, or from "debug" on if verbose."""
+    """Log messages of level "info" and above, or "debug" and above if verbose."""
     level = logging.DEBUG if verbose else logging.INFO
     structlog.configure(
         processors=[
--- a/scale/standins/__init__.py
+++ b/scale/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins that this project writes itself for the systems a sidecar talks to."""
+"""Stand-ins for the systems that a sidecar talks to: the registry and the servers."""
--- a/scale/standins/change_log.py
+++ b/scale/standins/change_log.py
@@ -1,4 +1,4 @@
-"""The registry's state: endpoints, versions and a bounded log of changes, serialized once each."""
+"""The registry's state: endpoints, versions and a bounded change log, with cached responses."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from dataclasses import asdict, dataclass, replace
 from enum import StrEnum
 
-MAXIMUM_CHANGES = 8_192  # changed entries kept: a delta that reaches back further becomes a snapshot
+MAXIMUM_CHANGES = 8_192  # entries; a delta from before the oldest becomes a snapshot
 
 
 class EndpointStatus(StrEnum):
-    """What the registry says of an endpoint; LEFT stands among changes alone."""
+    """The status of an endpoint; LEFT occurs only in deltas."""
 
     ACTIVE = "active"
     LEAVING = "leaving"
@@ -30,12 +30,12 @@
     group: int = 0
     status: EndpointStatus = EndpointStatus.ACTIVE
     weight: float = 1.0
-    since_ms: int = 0  # Unix time of its start; 0: long ago
+    since_ms: int = 0  # Unix time of its start; 0: unknown, long ago
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """An entry as it became by a version."""
+    """An endpoint as of the version that changed it."""
 
     version: int
     endpoint: Endpoint
@@ -43,42 +43,46 @@
 
 @dataclass(frozen=True, slots=True)
 class SerializedResponse:
-    """What a call is told, serialized."""
+    """The body of a response, as JSON."""
 
     body: bytes
     is_snapshot: bool
 
 
 class ChangeLog:
-    """Endpoints by name, each change of them a version; a commit of many entries is one version."""
+    """Endpoints by name, and a log of their changes; each commit is one version."""
 
     def __init__(self, endpoints: Iterable[Endpoint] = (), length: int = MAXIMUM_CHANGES) -> None:
         self._endpoints = {each.name: each for each in endpoints}
         self._changes: deque[Change] = deque()
         self._length = length
         self._version = 1
-        self._oldest_delta_base = 1  # the oldest version from which a delta can be told
+        self._oldest_delta_base = 1  # the oldest version that a delta can start from
         self._snapshot: SerializedResponse | None = None
         self._deltas: dict[
             int, SerializedResponse
-        ] = {}  # by the version they start from, up to the present one
+        ] = {}  # to the current version, by the version they start from
         self.on_commit: Callable[[], None] = lambda: None
 
     @property
     def version(self) -> int:
-        """The present version."""
+        """The current version."""
         return self._version
 
     def endpoints(self) -> list[Endpoint]:
-        """All endpoints that have not left, the longest known first."""
+        """Return all endpoints that have not left, the oldest first."""
         return list(self._endpoints.values())
 
     def endpoint(self, name: str) -> Endpoint:
-        """The endpoint of this name; raise KeyError if there is none."""
+        """Return an endpoint by its name.
+
+        Raises:
+            KeyError: There is none of this name.
+        """
         return self._endpoints[name]
 
     def commit(self, changed: Iterable[Endpoint]) -> int:
-        """Put entries into force as one new version and return it; with no entries nothing changes."""
+        """Commit entries as one new version and return it; without entries, nothing changes."""
         entries = list(changed)
         if not entries:
             return self._version
@@ -96,26 +100,38 @@
         return self._version
 
     def add(self, endpoint: Endpoint) -> int:
-        """Add or replace an endpoint."""
+        """Add or replace an endpoint; return the new version."""
         return self.commit([endpoint])
 
     def drain(self, names: Iterable[str]) -> int:
-        """Mark endpoints as leaving; raise KeyError on an unknown name."""
+        """Mark endpoints as leaving; return the new version.
+
+        Raises:
+            KeyError: A name is unknown.
+        """
         return self.commit([replace(self._endpoints[name], status=EndpointStatus.LEAVING) for name in names])
 
     def remove(self, names: Iterable[str]) -> int:
-        """Let endpoints go; raise KeyError on an unknown name."""
+        """Remove endpoints; return the new version.
+
+        Raises:
+            KeyError: A name is unknown.
+        """
         return self.commit([replace(self._endpoints[name], status=EndpointStatus.LEFT) for name in names])
 
     def restart(self, names: Iterable[str], since_ms: int) -> int:
-        """Mark endpoints as started anew at a Unix time; raise KeyError on an unknown name."""
+        """Mark endpoints as restarted at a Unix time in milliseconds; return the new version.
+
+        Raises:
+            KeyError: A name is unknown.
+        """
         restarted = (
             replace(self._endpoints[name], status=EndpointStatus.ACTIVE, since_ms=since_ms) for name in names
         )
         return self.commit(restarted)
 
     def drop_changes(self) -> None:
-        """Lose the log, as a registry that was started anew: whoever asks next is told the whole list."""
+        """Drop the log, as a restarted registry does: the next response to each caller is a snapshot."""
         self._version += 1
         self._changes.clear()
         self._oldest_delta_base = self._version
@@ -123,13 +139,13 @@
         self._deltas.clear()
 
     def snapshot(self) -> SerializedResponse:
-        """The whole list, in the protocol's form."""
+        """Return all endpoints, as the protocol encodes them."""
         if self._snapshot is None:
             self._snapshot = _serialize(self._version, True, self._endpoints.values())
         return self._snapshot
 
     def delta_since(self, version: int) -> SerializedResponse:
-        """What changed after a version; the whole list where the log does not reach back so far."""
+        """Return the changes after a version, or a snapshot if the log does not reach back that far."""
         if not self._oldest_delta_base <= version <= self._version:
             return self.snapshot()
         delta = self._deltas.get(version)
@@ -146,7 +162,7 @@
         return latest.values()
 
     def _trim(self) -> None:
-        """Drop whole versions from the far end: half of a version's entries would be a false delta."""
+        """Drop the oldest versions, each completely: a part of a version's entries would be a wrong delta."""
         while len(self._changes) > self._length:
             dropped = self._changes[0].version
             while self._changes and self._changes[0].version == dropped:
--- a/scale/standins/fleet.py
+++ b/scale/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Made-up endpoints of a fleet: as many as wanted, spread over zones, the same for the same seed."""
+"""Synthetic endpoints of a fleet, spread over zones and reproducible for a seed."""
 
 from __future__ import annotations
 
@@ -12,14 +12,18 @@
 
 
 def zone_name(index: int) -> str:
-    """The name of a zone."""
+    """Return the name of a zone."""
     return f"z{index:02d}"
 
 
 def make_endpoints(count: int, zones: int, seed: int, address: str | None = None) -> list[Endpoint]:
-    """Endpoints in turn in each zone.
+    """Create endpoints, assigned to the zones in turn.
 
-    All have one address where it is given; else each has its own, at which nothing listens.
+    Args:
+        count: How many endpoints.
+        zones: How many zones.
+        seed: Seed of the names.
+        address: Address of all endpoints, host:port; without it each has its own, where nothing listens.
     """
     names = random.Random(seed).sample(range(2**32), count)
     return [
--- a/scale/standins/registry.py
+++ b/scale/standins/registry.py
@@ -1,7 +1,7 @@
 """A stand-in for discovery: the registry's protocol over HTTP/1.1 on loopback, for thousands of watchers.
 
-It answers calls in turn on one event loop.  Several listeners show one registry, so that sidecars can be
-moved from one address to another, and some of them be cut off while the others go on.
+It serves all calls on one event loop.  Several listeners share one registry, so that sidecars can migrate
+from one address to another, and some of them can be partitioned while the others go on.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
     @property
     def counts(self) -> RegistryCounts:
-        """What the registry has done since its start."""
+        """Counters since the registry's start."""
         return self._state.counts
 
     def set_availability(self, availability: Availability) -> None:
@@ -43,10 +43,15 @@
         self._state.set_availability(availability)
 
     async def start(self, listeners: int = 1, observed: int = 0) -> list[Address]:
-        """Listen on loopback at ports picked by the kernel, and return the addresses.
+        """Listen on loopback at ports picked by the kernel.
 
-        The calls at the last `observed` of the listeners are noted: where one sidecar alone uses such an
-        address, they tell when it held which version.
+        Args:
+            listeners: How many addresses to listen at.
+            observed: How many of the last listeners record their calls: if only one sidecar uses such an
+                address, the calls show when it had applied which version.
+
+        Returns:
+            The addresses of all listeners.
         """
         for index in range(listeners):
             await self._listen(index >= listeners - observed)
@@ -54,7 +59,7 @@
 
     async def _listen(self, observed: bool) -> None:
         loop = asyncio.get_running_loop()
-        accepted: list[Listener] = []  # filled before the loop can accept anything
+        accepted: list[Listener] = []  # filled before the loop can accept a connection
 
         def new_connection() -> RegistryConnection:
             return RegistryConnection(self._state, accepted[0])
@@ -77,19 +82,18 @@
         self._listeners.clear()
 
     def observed_calls(self, listener: int) -> list[ObservedCall]:
-        """The calls noted at a listener, the oldest first; empty where none are noted."""
+        """Return the calls recorded at a listener, the oldest first; empty if it records none."""
         return list(self._listeners[listener].observed or ())
 
     def traffic(self, listener: int) -> ListenerTraffic:
-        """What went through a listener since the start."""
+        """Return the traffic of a listener since the start."""
         return self._listeners[listener].traffic
 
     def set_partitioned(self, listener: int, partitioned: bool) -> None:
-        """Cut off those who come by a listener, or end that.
+        """Partition the callers of a listener from the registry, or end that.
 
-        Its connections stay open and nothing more is read or written on them; they are reset at the end, as
-        by a machine that is back.  Unlike on a network, new connections come up here: the kernel accepts
-        them.
+        Its connections stay open, but nothing is read or written on them; they are reset at the end, as by a
+        machine that is reachable again.  Unlike in a real partition, the kernel accepts new connections.
         """
         chosen = self._listeners[listener]
         if chosen.partitioned and not partitioned:
@@ -98,7 +102,7 @@
         chosen.partitioned = partitioned
 
     def blackhole_connections(self) -> None:
-        """Let all open connections fall silent for good, as where another machine takes an address over."""
+        """Ignore all open connections for good, as after the address has failed over to another machine."""
         for listener in self._listeners:
             for connection in listener.connections:
                 connection.blackholed = True
--- a/scale/standins/registry_commands.py
+++ b/scale/standins/registry_commands.py
@@ -1,4 +1,4 @@
-"""Commands to a registry's process, and its answers."""
+"""Commands to a registry's process, and its responses."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RegistryOptions(Message):
-    """What a registry's process is started with."""
+    """The options of a registry's process."""
 
     servers: int  # endpoints in the registry
     zones: int = 1  # that they are spread over
@@ -27,7 +27,7 @@
 
 
 class ChangeEndpoints(Message):
-    """Restart, drain, remove or add again endpoints of the made-up fleet, by their place in it."""
+    """Restart, drain, remove or add again endpoints of the synthetic fleet, by their index in it."""
 
     command: Literal["change"] = "change"
     change: Literal["restart", "drain", "remove", "add"]
@@ -35,21 +35,21 @@
 
 
 class CommittedChange(Message):
-    """A change that was committed, with the moment (monotonic clock) before watches were answered."""
+    """A committed change; `at_s` is the time just before, in seconds on the monotonic clock."""
 
     version: int
     at_s: float
 
 
 class SetAvailability(Message):
-    """Take the registry down, or bring it back."""
+    """Take the registry down, overload it, or bring it up again."""
 
     command: Literal["availability"] = "availability"
     availability: Availability
 
 
 class SetPartitioned(Message):
-    """Cut off those who come by a listener, or end that."""
+    """Partition the callers of a listener from the registry, or end that."""
 
     command: Literal["silent"] = "silent"
     listener: int
@@ -57,25 +57,25 @@
 
 
 class BlackholeConnections(Message):
-    """Let all open connections fall silent for good, while new ones are served."""
+    """Ignore all open connections for good, while new ones are served."""
 
     command: Literal["strand"] = "strand"
 
 
 class DropChangeLog(Message):
-    """Lose the change log, as by a restart of the registry."""
+    """Drop the change log, as a restarted registry does."""
 
     command: Literal["forget_changes"] = "forget_changes"
 
 
 class GetCounts(Message):
-    """Ask what the registry has done so far."""
+    """Get the registry's counters."""
 
     command: Literal["counts"] = "counts"
 
 
 class Counts(Message):
-    """The registry's counts, as in `RegistryCounts`."""
+    """The registry's version and counters, as in `RegistryCounts`."""
 
     version: int
     connections: int
@@ -93,21 +93,21 @@
 
 
 class GetTraffic(Message):
-    """Ask what went through some listeners since the start."""
+    """Get the traffic of some listeners since the start."""
 
     command: Literal["traffic"] = "traffic"
     listeners: list[int]
 
 
 class TrafficTotals(Message):
-    """What went through the listeners asked for, together."""
+    """The total traffic of the requested listeners."""
 
     calls: int
     http_bytes: int
 
 
 class GetObservedDelays(Message):
-    """Ask when the only sidecar of each observed listener was first seen to hold a version."""
+    """Get when the only sidecar of each observed listener was first observed with each change."""
 
     command: Literal["observed"] = "observed"
     listeners: list[int]
@@ -115,7 +115,7 @@
 
 
 class ObservedDelays(Message):
-    """For each change, the seconds until each sidecar was seen to hold it; None: not yet."""
+    """For each change, the seconds until each sidecar was observed with it; None: not yet."""
 
     delays_s: list[list[float | None]]
 
--- a/scale/standins/registry_connection.py
+++ b/scale/standins/registry_connection.py
@@ -1,4 +1,4 @@
-"""Connections to the registry: each reads calls, one at a time, and answers them."""
+"""Connections to the registry: each reads calls and responds to them, one at a time."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from scale.standins.registry_state import Availability, RegistryState
 from scale.standins.tcp_info import count_segments
 
-OVERLOAD_WAIT_S = 2.0  # how long an overloaded registry lets a call wait before it ends it with 503
+OVERLOAD_WAIT_S = 2.0  # how long an overloaded registry delays a 503
 _MAXIMUM_HEAD_BYTES = 8 * 1024
-_CHUNK_BYTES = 64 * 1024  # given to the kernel at once: bounds what a slow reader holds in memory
-_SAMPLING_INTERVAL = 16  # the segments of one connection in so many are counted
+_CHUNK_BYTES = 64 * 1024  # written at once: bounds the memory of a slow reader's response
+_SAMPLING_INTERVAL = 16  # TCP segments are counted on one of so many connections
 
 
 @dataclass(frozen=True, slots=True)
 class ObservedCall:
-    """A call that says which version its caller holds."""
+    """A call that shows which version its caller has applied."""
 
-    at_s: float  # monotonic clock, alike in all processes of the machine
+    at_s: float  # monotonic clock, which all processes of the machine share
     after: int
 
 
 @dataclass(slots=True)
 class ListenerTraffic:
-    """What went through one listener since the start."""
+    """The traffic of one listener since the start."""
 
     calls: int = 0
     http_bytes: int = 0  # both ways, without the headers of TCP and IP
@@ -41,23 +41,23 @@
     server: asyncio.Server
     address: Address
     partitioned: bool = False
-    observed: list[ObservedCall] | None = None  # what was called here, where that is noted
+    observed: list[ObservedCall] | None = None  # its calls; None if they are not recorded
     traffic: ListenerTraffic = field(default_factory=ListenerTraffic)
     connections: set[RegistryConnection] = field(default_factory=set)
 
 
 class RegistryConnection(asyncio.Protocol):
-    """One connection: reads calls, one at a time, and answers them."""
+    """One connection: reads calls and responds to them, one at a time."""
 
     def __init__(self, state: RegistryState, listener: Listener) -> None:
-        self.blackholed = False  # whether nothing is read or written any more
+        self.blackholed = False  # whether all input is ignored, and nothing is written
         self._state = state
         self._listener = listener
         self._transport: asyncio.Transport | None = None
         self._unread = b""
         self._call: Call | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._body = memoryview(b"")  # what is left to write of an answer
+        self._body = memoryview(b"")  # the unwritten rest of a response
         self._sampled = False
         self._writable = True
 
@@ -72,7 +72,7 @@
         self._sampled = counts.connections % _SAMPLING_INTERVAL == 0
 
     def data_received(self, data: bytes) -> None:
-        """Read the calls in what has arrived, unless the listener is cut off."""
+        """Read the calls received, unless the listener is partitioned."""
         self._state.counts.bytes_in += len(data)
         self._listener.traffic.http_bytes += len(data)
         if self.blackholed or self._listener.partitioned:
@@ -82,7 +82,7 @@
 
     def _read_call(self) -> None:
         if self._call is not None:
-            return  # answered first: calls on a connection are taken in order
+            return  # calls on a connection are served in order
         head, end, rest = self._unread.partition(b"\r\n\r\n")
         if not end:
             if len(self._unread) > _MAXIMUM_HEAD_BYTES:
@@ -119,7 +119,7 @@
             self._respond()
 
     def complete_watch(self) -> None:
-        """Answer the call that waits, whatever there is to tell."""
+        """Respond to the pending call, whether or not anything changed."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -178,13 +178,13 @@
         self._writable = False
 
     def resume_writing(self) -> None:
-        """Write what is left of the answer."""
+        """Write the rest of the response."""
         self._writable = True
         if self._body:
             self._write_on()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Forget the connection and its watch."""
+        """Remove the connection and its watch."""
         if self._sampled:
             self._count_segments()
         self._listener.connections.discard(self)
@@ -194,7 +194,7 @@
         self._body = memoryview(b"")
 
     def _count_segments(self) -> None:
-        """Count the segments so far; the few of a close that is under way are missed."""
+        """Count the segments so far, which leaves out a few of the close in progress."""
         assert self._transport is not None
         segments = count_segments(self._transport.get_extra_info("socket"))
         if segments is not None:
--- a/scale/standins/registry_process.py
+++ b/scale/standins/registry_process.py
@@ -1,6 +1,6 @@
-"""The registry stand-in as a process of its own, so that its processor time and memory stand apart.
+"""The registry stand-in in its own process, so that its CPU time and memory are measured separately.
 
-Run as `python -m scale.standins.registry_process`; it prints its addresses and then takes commands.
+Run as `python -m scale.standins.registry_process`; it prints its addresses and then accepts commands.
 """
 
 from __future__ import annotations
@@ -34,14 +34,18 @@
 
 
 class RegistryProcess:
-    """Carries out the commands on a registry."""
+    """Handles the commands to a registry."""
 
     def __init__(self, server: RegistryServer) -> None:
         self._server = server
         self._fleet = server.change_log.endpoints()
 
     def handle(self, line: bytes) -> Message:
-        """Carry out one command; raise ValueError on what is none."""
+        """Handle one command, as a JSON line, and return its response.
+
+        Raises:
+            ValueError: The line is not a command.
+        """
         command = REGISTRY_COMMANDS.validate_json(line)
         match command:
             case ChangeEndpoints():
@@ -101,7 +105,7 @@
 
 
 async def serve(options: RegistryOptions) -> None:
-    """Serve a made-up fleet until the command connection ends."""
+    """Serve a synthetic fleet until the command connection is closed."""
     endpoints = make_endpoints(options.servers, options.zones, options.seed, options.endpoint_address)
     server = RegistryServer(ChangeLog(endpoints))
     listeners = options.listeners + options.observed_listeners
@@ -113,7 +117,7 @@
 
 
 def main(options: Annotated[str, typer.Argument(help="`RegistryOptions` as JSON.")]) -> None:
-    """Run a registry of made-up endpoints on loopback."""
+    """Run a registry of synthetic endpoints on loopback."""
     asyncio.run(serve(RegistryOptions.model_validate_json(options)))
 
 
--- a/scale/standins/registry_protocol.py
+++ b/scale/standins/registry_protocol.py
@@ -1,4 +1,4 @@
-"""The registry's protocol: reads the head of one request."""
+"""The registry's protocol: parses the head of a request."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One request, as read."""
+    """A parsed request."""
 
-    after: int | None  # None: the whole list
+    after: int | None  # version to send the changes after; None: a snapshot
     wait_ms: int
     keep_alive: bool
 
 
 class MalformedCallError(Exception):
-    """A request that this registry does not serve, with the status that says so."""
+    """A request that this registry rejects, with the status of the response."""
 
     def __init__(self, status: HTTPStatus) -> None:
         super().__init__(status.phrase)
@@ -32,7 +32,11 @@
 
 
 def parse_call(head: bytes) -> Call:
-    """Read a head without its blank line; raise MalformedCallError on all but the protocol's GET."""
+    """Parse a request's head, without its blank line.
+
+    Raises:
+        MalformedCallError: The request is not the protocol's GET.
+    """
     first, *rest = head.split(b"\r\n")
     line = _REQUEST_LINE.fullmatch(first)
     if line is None:
--- a/scale/standins/registry_state.py
+++ b/scale/standins/registry_state.py
@@ -1,4 +1,4 @@
-"""What all connections to a registry share: its change log, availability, counters and pending watches."""
+"""The state shared by all connections to a registry."""
 
 from __future__ import annotations
 
@@ -10,51 +10,51 @@
 
 
 class Availability(StrEnum):
-    """How the registry treats calls."""
+    """Whether and how the registry serves calls."""
 
     UP = "up"
-    DOWN = "down"  # watches end and each call is answered 503 at once
-    OVERLOADED = "overloaded"  # calls wait, and then are answered 503
+    DOWN = "down"  # watches end, and each call gets 503 at once
+    OVERLOADED = "overloaded"  # calls wait, then get 503
 
 
 @dataclass(slots=True)
 class RegistryCounts:
-    """What the registry has done since its start."""
+    """Counters since the registry's start."""
 
     connections: int = 0
     calls: int = 0
-    snapshots: int = 0  # answers with the whole list
-    deltas: int = 0  # answers with at least one changed entry
-    empty: int = 0  # watches that ended with nothing new
-    unavailable: int = 0  # answers 503
-    malformed: int = 0  # answers 400, 404 and 405
+    snapshots: int = 0  # responses with all endpoints
+    deltas: int = 0  # responses with at least one changed entry
+    empty: int = 0  # watches that ended without a change
+    unavailable: int = 0  # responses with 503
+    malformed: int = 0  # responses with 400, 404, 405 and 431
     bytes_in: int = 0  # HTTP, without the headers of TCP and IP
     bytes_out: int = 0
     sampled_connections: int = 0
     sampled_segments: int = 0  # TCP segments, both ways, on the sampled connections
-    watching: int = 0  # watches that wait at this moment
+    watching: int = 0  # pending watches
 
 
 class Watch(Protocol):
-    """A call that waits for a change."""
+    """A pending call that waits for a change."""
 
     def complete_watch(self) -> None:
-        """Answer the call now, whether or not anything changed."""
+        """Respond now, whether or not anything changed."""
 
 
 class RegistryState:
-    """The state of one registry."""
+    """A registry's change log, availability, counters and pending watches."""
 
     def __init__(self, change_log: ChangeLog) -> None:
         self.change_log = change_log
         self.counts = RegistryCounts()
         self._availability = Availability.UP
-        self._watches: dict[Watch, None] = {}  # in the order in which they came
+        self._watches: dict[Watch, None] = {}  # in order of arrival
         change_log.on_commit = self._complete_watches
 
     @property
     def availability(self) -> Availability:
-        """How calls are treated."""
+        """Whether and how calls are served."""
         return self._availability
 
     def set_availability(self, availability: Availability) -> None:
--- a/scale/standins/server.py
+++ b/scale/standins/server.py
@@ -1,8 +1,8 @@
-"""A server stand-in: HTTP/1.1 on a loopback port, as the protocol describes what sidecars call.
+"""A server stand-in: HTTP/1.1 on a loopback port, as the protocol describes the servers of a service.
 
-Each connection carries one request at a time.  A served request's answer says in its body which server gave
-it, the how manieth request of its connection it was, and how long the server held it: the caller can tell the
-server's own time, and the price of a new connection, from what the sidecar added.
+Each connection carries one request at a time.  The body of a 200 response tells the server's name, the number
+of the request on its connection, and its service time: the caller can separate the server's own time, and the
+cost of a new connection, from the latency added by the sidecar.
 """
 
 from __future__ import annotations
@@ -28,61 +28,64 @@
 
 
 class ServerMode(Enum):
-    """How a server treats the requests that come."""
+    """How a server responds to requests."""
 
     SERVE = auto()  # 200 after the service time
     ERROR = auto()  # 500 after the service time: it may have run
     REJECT = auto()  # 503 with X-Rejected at once: it never ran
-    HANG = auto()  # nothing is answered, connections stay open
-    DRAIN = auto()  # what it holds is served, what comes is rejected and its connection closed
+    HANG = auto()  # no response; connections stay open
+    DRAIN = auto()  # requests in flight are served; new ones are rejected, and their connections closed
 
 
 @dataclass(slots=True)
 class ServerCounters:
-    """What a server has seen since its start."""
+    """Counters since a server's start."""
 
     connections: int = 0
-    requests: int = 0  # calls whose last byte came; probes are counted apart
+    requests: int = 0  # calls received to their last byte; probes are counted separately
     served: int = 0
     errors: int = 0
     rejected: int = 0
     hung: int = 0
-    abandoned: int = 0  # the caller closed the connection before the answer
-    overlapping: int = (
-        0  # requests that came while one was held on their connection: a breach of the protocol
-    )
+    abandoned: int = 0  # the caller closed the connection before the response
+    overlapping: int = 0  # requests received while their connection had one in flight, which is not allowed
     without_id: int = 0
     probes: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class ServedBody:
-    """What the body of a 200 answer says."""
+    """The body of a 200 response."""
 
     server: str
     connection_request_number: int  # 1 for the first request of its connection
-    started_at: float  # when the request's last byte had come, in seconds on the machine's monotonic clock
-    service_time_us: float  # from then to the answer
+    started_at: float  # when the request was received, in seconds on the machine's monotonic clock
+    service_time_us: float  # from then to the response
 
     def encode(self) -> bytes:
-        """The body's bytes, as JSON."""
+        """Encode the body as JSON."""
         return json.dumps(asdict(self)).encode()
 
     @staticmethod
     def decode(body: bytes) -> ServedBody:
-        """Read such a body; raise ValueError or TypeError on any other."""
+        """Decode a body.
+
+        Raises:
+            ValueError: The body is not JSON.
+            TypeError: The body has other keys.
+        """
         given = json.loads(body)
         return ServedBody(**given)
 
 
 def exponential_service_times(mean_s: float, seed: int) -> Callable[[], float]:
-    """Service times in seconds drawn from an exponential distribution, the same for the same seed."""
+    """Return a function that draws exponential service times in seconds, reproducible for a seed."""
     generator = np.random.default_rng(seed)
     return lambda: float(generator.exponential(mean_s))
 
 
 class ServerStandin:
-    """One server; `mode` may be changed at any time and holds for the requests that come from then on."""
+    """One server; `mode` may be changed at any time and applies to later requests."""
 
     def __init__(self, name: str, service_time_s: Callable[[], float], allow_probes: bool = False) -> None:
         self.name = name
@@ -96,7 +99,7 @@
         self._listener: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen on a port that the kernel picks."""
+        """Listen on a port picked by the kernel."""
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
             lambda: ServerConnection(self), self.address[0], 0, backlog=_BACKLOG
@@ -104,11 +107,11 @@
         self.address = self._listener.sockets[0].getsockname()[:2]
 
     def drain(self) -> None:
-        """Serve what is held, and reject what comes."""
+        """Serve the requests in flight, and reject new ones."""
         self.mode = ServerMode.DRAIN
 
     def kill(self) -> None:
-        """End as a killed process does: connections are reset and new ones refused."""
+        """Stop as a killed process does: connections are reset, and new ones refused."""
         self.close()
         for connection in list(self.connections):
             connection.reset()
@@ -132,14 +135,14 @@
         self._is_hanging = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Note a new connection."""
+        """Count a new connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._server.connections.add(self)
         self._server.counters.connections += 1
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Forget the connection, and the request that it held."""
+        """Remove the connection, and cancel its request in flight."""
         self._server.connections.discard(self)
         if self._response_timer is not None or self._is_hanging:
             self._server.counters.abandoned += 1
@@ -148,7 +151,7 @@
             self._response_timer = None
 
     def data_received(self, data: bytes) -> None:
-        """Begin each request whose last byte has come."""
+        """Serve each complete request."""
         try:
             for request in self._reader.feed(data):
                 self._receive(request)
@@ -156,7 +159,7 @@
             self.reset()
 
     def reset(self) -> None:
-        """Break the connection as a process that dies does."""
+        """Reset the connection, as the kernel does for a killed process."""
         if self._transport is None or self._transport.is_closing():
             return
         sock = self._transport.get_extra_info("socket")
--- a/scale/standins/tcp_info.py
+++ b/scale/standins/tcp_info.py
@@ -1,4 +1,4 @@
-"""Counts the TCP segments of a connection, as Linux's `TCP_INFO` tells them."""
+"""Counts the TCP segments of a connection, as reported by Linux's `TCP_INFO`."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     """Count the segments sent and received so far.
 
     Returns:
-        The sum of both directions, or None where the kernel does not tell.
+        The sum of both directions, or None if the kernel does not report them.
     """
     try:
         info = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_BYTES)
--- a/scale/suite.py
+++ b/scale/suite.py
@@ -1,4 +1,4 @@
-"""Runs the whole set of experiments whose figures the capacity page gives."""
+"""Runs the complete set of experiments behind the figures of the capacity page."""
 
 from __future__ import annotations
 
@@ -14,15 +14,19 @@
 
 EXPERIMENTS = Path(__file__).resolve().parent / "experiments"
 RESULTS = Path(__file__).resolve().parent.parent / "docs" / "capacity" / "results"
-TIME_LIMIT_S = 15 * 60.0  # what the whole set may take
+TIME_LIMIT_S = 15 * 60.0  # for the complete set
 
-_SMALL_SUFFIX = "-small"  # ends the names of experiments that give no figures to keep
+_SMALL_SUFFIX = "-small"  # of the names of experiments for tests, whose results are not stored
 
 log = structlog.get_logger()
 
 
 def find_experiments(folder: Path = EXPERIMENTS) -> list[Path]:
-    """List a folder's experiment files except the small ones; raise NoExperimentsError if there are none."""
+    """List the experiment files of a folder, without the small ones for tests.
+
+    Raises:
+        NoExperimentsError: There are none.
+    """
     found = sorted(path for path in folder.glob("*.toml") if not path.stem.endswith(_SMALL_SUFFIX))
     if not found:
         raise NoExperimentsError(folder)
@@ -30,10 +34,20 @@
 
 
 def run_suite(paths: Sequence[Path], results: Path) -> float:
-    """Run experiments, each into a file of its own name; return how many seconds they took.
+    """Run experiments, and write the results of each to a file of its own.
+
+    All files are validated before the first experiment runs.  The commit is read once, as the results
+    themselves may change the work tree.
+
+    Args:
+        paths: The experiment files.
+        results: Folder of the results; each file has its experiment file's name.
+
+    Returns:
+        How long they took, in seconds.
 
-    All are read before the first runs.  The commit is taken once, as the results themselves may change the
-    work tree.
+    Raises:
+        ExperimentError: An experiment file cannot be used.
     """
     experiments = [load_experiment(path) for path in paths]
     commit = current_commit()
--- a/scale/text_table.py
+++ b/scale/text_table.py
@@ -9,7 +9,7 @@
     """Pad the cells so that columns line up, two spaces apart.
 
     Args:
-        rows: The cells; all rows have as many.
+        rows: The cells; all rows have the same number.
         justify: Pads one cell to a width: `str.ljust` or `str.rjust`.
 
     Returns:
