--- a/scale/callgraph/loop.py
+++ b/scale/callgraph/loop.py
@@ -4,32 +4,39 @@
 
 import heapq
 from collections.abc import Callable
-from typing import Any
+from functools import partial
+from typing import TypeVarTuple
 
 MICROSECONDS = 1_000_000  # in a second
 
+Arguments = TypeVarTuple("Arguments")
+Scheduled = tuple[int, int, Callable[[], None]]  # due time, sequence number, callback
+
 
 class EventLoop:
     """Runs callbacks in order of their due times; equal times run in order of scheduling."""
 
     def __init__(self) -> None:
         self.now = 0  # microseconds since the start of the run
-        self._queue: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
+        self._queue: list[Scheduled] = []
         self._scheduled = 0
 
-    def call_at(self, due: int, callback: Callable[..., None], *arguments: Any) -> None:
+    def call_at(self, due: int, callback: Callable[[*Arguments], None], *arguments: *Arguments) -> None:
         """Run a callback at a time in microseconds; a time in the past means now."""
         self._scheduled += 1
-        heapq.heappush(self._queue, (max(due, self.now), self._scheduled, callback, arguments))
+        scheduled: Scheduled = (max(due, self.now), self._scheduled, partial(callback, *arguments))
+        heapq.heappush(self._queue, scheduled)
 
-    def call_later(self, delay_us: int, callback: Callable[..., None], *arguments: Any) -> None:
+    def call_later(
+        self, delay_us: int, callback: Callable[[*Arguments], None], *arguments: *Arguments
+    ) -> None:
         """Run a callback after a delay in microseconds."""
         self.call_at(self.now + delay_us, callback, *arguments)
 
     def run_until(self, end: int) -> None:
         """Run all callbacks due by `end`, in microseconds, and set the clock to it."""
         while self._queue and self._queue[0][0] <= end:
-            due, _, callback, arguments = heapq.heappop(self._queue)
+            due, _, callback = heapq.heappop(self._queue)
             self.now = due
-            callback(*arguments)
+            callback()
         self.now = end
--- a/scale/cli.py
+++ b/scale/cli.py
@@ -82,7 +82,7 @@
 def slopes(
     results: Annotated[list[Path], typer.Argument(help="Results files (JSON lines).")],
     against: Annotated[str, typer.Option(help="Label that was varied.")] = "servers",
-    at: Annotated[float, typer.Option(help="Size at which each line is worked out.")] = 4_900.0,
+    at: Annotated[float, typer.Option(help="Size at which each line is evaluated.")] = 4_900.0,
 ) -> None:
     """Fit a line through each metric against a size, and evaluate it at another size."""
     typer.echo(format_slopes(fit_slopes(read_results(results), against), at))
--- a/scale/configuration/sidecar.py
+++ b/scale/configuration/sidecar.py
@@ -88,7 +88,7 @@
         flight and to poll the other sidecars.
 
         Returns:
-            The seconds until the first accepted request was answered, or None if that took too long.
+            The seconds until the first request was accepted and served; None if that took too long.
         """
         replaced_at = await asyncio.to_thread(self.replace_file, content)
         backoff_s = _INITIAL_BACKOFF_S
--- a/scale/control/stub_commands.py
+++ b/scale/control/stub_commands.py
@@ -20,7 +20,7 @@
 class MigrateDiscovery(Message):
     """Migrate all sidecars to another address of the registry, at once."""
 
-    command: Literal["move"] = "move"
+    command: Literal["migrate"] = "migrate"
     address: tuple[str, int]
 
 
--- a/scale/errors.py
+++ b/scale/errors.py
@@ -43,7 +43,7 @@
     """An experiment file that is not TOML."""
 
     def __init__(self, path: Path, cause: ValueError) -> None:
-        """Name the file and the parser's complaint."""
+        """Name the file and the parser's error."""
         super().__init__(str(path), f"not TOML: {cause}")
 
 
@@ -52,11 +52,11 @@
 
     @classmethod
     def from_validation(cls, error: ValidationError, root: str = "experiment") -> Self:
-        """Report the first of pydantic's complaints.
+        """Report the first of pydantic's errors.
 
         Args:
-            error: What the model said.
-            root: What to name where the complaint is about the model as a whole.
+            error: The failed validation.
+            root: What to name if the error concerns the model rather than one key.
         """
         first = error.errors()[0]
         key = ".".join(map(str, first["loc"])) or root
@@ -80,7 +80,7 @@
 
 
 class UnmatchedTableError(ExperimentError):
-    """Tables that stand on the page without figures, or among the figures without a place on the page."""
+    """Tables that are only on the page or only among the figures."""
 
     def __init__(self, names: Collection[str]) -> None:
         """Name the tables."""
@@ -122,7 +122,7 @@
     """An experiment whose endpoint lists would not fit into the machine's memory."""
 
     def __init__(self, needed_bytes: int) -> None:
-        """Tell the memory that the endpoint lists need, in bytes."""
+        """Report the memory that the endpoint lists need, in bytes."""
         super().__init__(f"{needed_bytes / _BYTES_PER_GB:.1f} GB of endpoint lists exceed half of the memory")
 
 
@@ -183,7 +183,7 @@
     """A sidecar that was still running a while after SIGTERM."""
 
     def __init__(self, timeout_s: float) -> None:
-        """Tell how long it was waited for, in seconds."""
+        """Report the timeout, in seconds."""
         super().__init__(f"the sidecar did not end within {timeout_s:.0f} s of SIGTERM")
 
 
@@ -191,33 +191,33 @@
     """A sidecar that ended with an exit code other than 0."""
 
     def __init__(self, exit_code: int) -> None:
-        """Tell the exit code."""
+        """Report the exit code."""
         super().__init__(f"the sidecar ended with exit code {exit_code}")
 
 
 class EndpointListTimeoutError(ScaleError):
-    """Sidecars that did not come to hold the registry's endpoint list in time."""
+    """Sidecars that did not all get the registry's endpoint list in time."""
 
     def __init__(self, key: str, timeout_s: float) -> None:
         """Format the message.
 
         Args:
             key: The experiment's key that says how many sidecars there are.
-            timeout_s: How long they were waited for, in seconds.
+            timeout_s: How long the rig waited for them, in seconds.
         """
-        super().__init__(f"{key}: not all of them held the endpoint list within {timeout_s:.0f} s")
+        super().__init__(f"{key}: not all of them got the endpoint list within {timeout_s:.0f} s")
 
 
 class RequestsInFlightTimeoutError(ScaleError):
     """Requests that did not reach the server in time."""
 
     def __init__(self, timeout_s: float) -> None:
-        """Tell how long they were waited for, in seconds."""
+        """Report the timeout, in seconds."""
         super().__init__(f"sidecars: not all requests reached the server within {timeout_s:.0f} s")
 
 
 class ProcessEndedError(ConnectionError):
-    """A process of the rig that ended before it answered."""
+    """A process of the rig that ended before it responded."""
 
     def __init__(self, pid: int) -> None:
         """Name the process by its id."""
--- a/scale/http1.py
+++ b/scale/http1.py
@@ -1,6 +1,6 @@
 """HTTP/1.1 messages as the rig's own client and servers write them: a head, then a body of known length.
 
-The rig writes both sides of each connection, so this parses no more than they write; it is kept small
+The rig writes both sides of each connection, so this parses no more than they write; it is small
 because its own run time is part of every measured latency.
 """
 
--- a/scale/latency/tracing.py
+++ b/scale/latency/tracing.py
@@ -12,11 +12,14 @@
 import time
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, ParamSpec, TypeVar
 
 import numpy as np
 import numpy.typing as npt
 
+Parameters = ParamSpec("Parameters")
+Result = TypeVar("Result")
+
 Times = npt.NDArray[np.float64]
 Span = tuple[float, float, float]  # start, end, CPU seconds of the thread
 
@@ -27,11 +30,11 @@
     def __init__(self) -> None:
         self.spans: list[Span] = []
 
-    def timed(self, function: Callable[..., Any]) -> Callable[..., Any]:
+    def timed(self, function: Callable[Parameters, Result]) -> Callable[Parameters, Result]:
         """Wrap a function so that each of its calls is recorded."""
 
         @functools.wraps(function)
-        def call(*arguments: Any, **keywords: Any) -> Any:
+        def call(*arguments: Parameters.args, **keywords: Parameters.kwargs) -> Result:
             started_at, cpu_started_at = time.monotonic(), time.thread_time()
             try:
                 return function(*arguments, **keywords)
@@ -52,6 +55,10 @@
         """Record every collection from now on."""
         gc.callbacks.append(self._record)
 
+    def uninstall(self) -> None:
+        """Stop recording; raise ValueError if it was not installed."""
+        gc.callbacks.remove(self._record)
+
     def _record(self, phase: str, _info: dict[str, int]) -> None:
         if phase == "start":
             self._collection_started = (time.monotonic(), time.thread_time())
--- a/scale/standins/registry_commands.py
+++ b/scale/standins/registry_commands.py
@@ -51,7 +51,7 @@
 class SetPartitioned(Message):
     """Partition the callers of a listener from the registry, or end that."""
 
-    command: Literal["silent"] = "silent"
+    command: Literal["partition"] = "partition"
     listener: int
     partitioned: bool
 
@@ -59,13 +59,13 @@
 class BlackholeConnections(Message):
     """Ignore all open connections for good, while new ones are served."""
 
-    command: Literal["strand"] = "strand"
+    command: Literal["blackhole"] = "blackhole"
 
 
 class DropChangeLog(Message):
     """Drop the change log, as a restarted registry does."""
 
-    command: Literal["forget_changes"] = "forget_changes"
+    command: Literal["drop_change_log"] = "drop_change_log"
 
 
 class GetCounts(Message):
--- a/tests/scale/test_callgraph.py
+++ b/tests/scale/test_callgraph.py
@@ -89,7 +89,7 @@
     assert measured.after().goodput > 0.9
 
 
-def test_recovery_is_the_first_time_from_which_goodput_is_back() -> None:
+def test_recovery_is_the_first_time_that_goodput_has_recovered() -> None:
     recorder = RootCallRecorder(deadline_us=1_000)
     for offered_at in range(0, 4_000_000, 10_000):
         call = recorder.offer(offered_at)
--- a/tests/scale/test_capacity.py
+++ b/tests/scale/test_capacity.py
@@ -35,7 +35,7 @@
     )
 
 
-def test_last_run_of_a_file_counts_unless_another_is_asked_for() -> None:
+def test_last_run_of_a_file_counts_unless_a_commit_is_given() -> None:
     measurements = [measured(1.0, "old"), measured(2.0, "new")]
     latest = evaluate_figure(BYTES, {"small": measurements})
     former = evaluate_figure(BYTES.model_copy(update={"commit": "old"}), {"small": measurements})
@@ -83,7 +83,7 @@
     assert "3 x 100 servers + 10 bytes; measured to 20, beyond that extrapolated" in evaluation.derivation
 
 
-def test_labels_choose_the_measurements() -> None:
+def test_labels_select_the_measurements() -> None:
     figure = BYTES.model_copy(update={"where": {"phase": "release"}})
     measurements = [measured(1.0, phase="steady"), measured(7.0, phase="release")]
     evaluation = evaluate_figure(figure, {"small": measurements})
@@ -91,7 +91,7 @@
     assert evaluation.value == 7.0
 
 
-def test_what_had_not_ended_with_its_run_is_a_lower_bound() -> None:
+def test_recovery_after_the_end_of_the_run_is_a_lower_bound() -> None:
     measurements = [measured(3.9, recovered=False)]
     assert "| at least 3.9 |" in format_figures([BYTES], {"small": measurements})
 
@@ -120,7 +120,7 @@
     assert fill_page(filled, [BYTES], tmp_path) == filled
 
 
-def test_ranked_figures_stand_in_a_table_of_their_own(tmp_path: Path) -> None:
+def test_ranked_figures_have_a_table_of_their_own(tmp_path: Path) -> None:
     marks = MARKS + MARKS.replace("day", "missing")
     later = BYTES.model_copy(update={"rank": 2, "missing": "later"})
     first = BYTES.model_copy(update={"rank": 1, "missing": "first"})
--- a/tests/scale/test_control.py
+++ b/tests/scale/test_control.py
@@ -1,4 +1,4 @@
-"""Experiments on control: counts and orders, never times."""
+"""Control plane experiments: counts and orders, never times."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
     log = AppliedLog()
     for version, at_s in ((1, 10.0), (4, 12.0), (4, 20.0), (5, 21.0)):
         log.add(version, at_s)
-    assert log.delay_until_applied(2, 11.5) == 0.5  # told together with later changes
-    assert log.delay_until_applied(4, 15.0) == 5.0  # the whole list was told again
+    assert log.delay_until_applied(2, 11.5) == 0.5  # applied together with later changes
+    assert log.delay_until_applied(4, 15.0) == 5.0  # the snapshot was sent again
     assert log.delay_until_applied(5, 15.0) == 6.0
     assert log.delay_until_applied(6, 15.0) is None
     assert log.version() == 5
@@ -60,7 +60,7 @@
             log.remove([stays])
             await wait_until(lambda: sidecar.applied.version() >= 3)
             assert sent_to(sidecar, 8) == []
-            assert server.counts.snapshots == 2  # at the start and after the move
+            assert server.counts.snapshots == 2  # at the start and after the migration
     finally:
         sidecar.stop()
         await server.stop()
@@ -107,7 +107,7 @@
     assert {load_experiment(path).name for path in paths} == {path.stem for path in paths}
 
 
-def test_lines_are_fitted_for_each_metric_with_all_else_alike() -> None:
+def test_lines_are_fitted_for_each_metric_with_all_other_labels_equal() -> None:
     def measured(value: float, **labels: Any) -> Measurement:
         return Measurement(
             experiment="e",
@@ -168,7 +168,7 @@
     )  # each server's entry
     snapshots = "snapshots"
     for phase in ("discovery_restarted", "discovery_moved"):
-        # Each sidecar fetches the whole list, and again where a call took too long on a busy machine.
+        # Each sidecar fetches a snapshot, and another if a call timed out on a busy machine.
         assert value(results, phase, "discovery", snapshots) >= 9
     assert value(results, "sidecars_restarted", "discovery", snapshots) >= 8
     for phase in ("discovery_down", "zone_lost", "region_lost", "release", "sidecars_cut_off"):
--- a/tests/scale/test_demo.py
+++ b/tests/scale/test_demo.py
@@ -91,7 +91,7 @@
         ({"exit_code": None}, "exit code after SIGTERM was None"),
     ],
 )
-def test_what_goes_wrong_is_named(changes: dict[str, Any], fault: str) -> None:
+def test_failed_check_is_reported(changes: dict[str, Any], fault: str) -> None:
     assert any(fault in each for each in outcome(**changes).faults())
 
 
@@ -110,7 +110,7 @@
             await_ready(sidecar, address, tmp_path)
 
 
-def test_sample_configuration_is_taken_as_it_stands() -> None:
+def test_sample_configuration_is_valid() -> None:
     config = read_config({"RELAY_CONFIG": str(SAMPLE_CONFIG)})
     settings = config.settings
     assert [each.name for each in settings.classes] == ["read", "update", "send"]
--- a/tests/scale/test_latency.py
+++ b/tests/scale/test_latency.py
@@ -1,4 +1,4 @@
-"""Experiments on latency: their points, the figures worked out of calls, and a small run on real sockets."""
+"""Latency experiments: points, figures computed from calls, and a small run on real sockets."""
 
 from __future__ import annotations
 
@@ -59,14 +59,14 @@
     assert load_experiment(path).name == path.stem
 
 
-def call(
+def make_call(
     sent_at: float,
     service_time_us: float,
     latency_us: float,
     request_number: int = 2,
     status: int = 200,
 ) -> CallResult:
-    """A call that its server began 1 ms after it was sent."""
+    """A call whose service started 1 ms after it was sent."""
     body = ServedBody("s-0", request_number, sent_at + 0.001, service_time_us).encode()
     return CallResult(sent_at, sent_at, sent_at + latency_us / 1e6, status, body)
 
@@ -76,7 +76,12 @@
 
 
 def test_pairs_hold_calls_that_were_both_served() -> None:
-    results = [call(0, 100, 900), call(0, 300, 500), call(1, 0, 9, status=NO_RESPONSE), call(1, 0, 5)]
+    results = [
+        make_call(0, 100, 900),
+        make_call(0, 300, 500),
+        make_call(1, 0, 9, status=NO_RESPONSE),
+        make_call(1, 0, 5),
+    ]
     assert [pair.added_us for pair in pair_calls(results)] == [pytest.approx(600.0)]
     assert pair_calls([]) == pair_calls(results[:1]) == []
 
@@ -90,8 +95,8 @@
 
 
 def test_overhead_is_attributed_to_its_sources() -> None:
-    """Calls of 5 ms, held by their servers for 2 ms from 1 ms on: the sidecar has 1 ms before, 2 ms after."""
-    calls = served_calls(*(call(at, 2_000, 5_000) for at in (0.0, 10.0, 20.0, 30.0, 40.0)))
+    """Calls of 5 ms with a service time of 2 ms from 1 ms on: the sidecar has 1 ms before, 2 ms after."""
+    calls = served_calls(*(make_call(at, 2_000, 5_000) for at in (0.0, 10.0, 20.0, 30.0, 40.0)))
     own = [(at + 0.0002, at + 0.0005, 0.0003) for at in (0.0, 10.0, 20.0, 30.0, 40.0)]
     trace = Trace(
         {
@@ -99,8 +104,8 @@
                 *own,
                 (10.003, 10.0045, 0.0015),  # a collection of 1 ms and 0.5 ms of work for others
                 (20.003, 20.004, 0.0004),  # 0.6 ms without the CPU, 0.4 ms of work for others
-                (30.0035, 30.0045, 0.001),  # reads an answer of the registry
-                (40.0015, 40.0025, 0.001),  # while the server held the call: nobody waited for it
+                (30.0035, 30.0045, 0.001),  # reads a registry response
+                (40.0015, 40.0025, 0.001),  # during the service time: it delayed no call
             ],
             "collections": [(10.003, 10.004, 0.001)],
             "registry": [(30.0035, 30.0045, 0.001)],
@@ -117,10 +122,10 @@
     assert sum(parts.values()) == pytest.approx([3_000] * 5, abs=0.1)
 
 
-def test_collection_within_a_registry_answer_counts_once() -> None:
-    calls = served_calls(call(0.0, 2_000, 5_000))
-    answer, collection = (0.003, 0.0045, 0.0015), (0.0035, 0.004, 0.0005)
-    trace = Trace({"callbacks": [answer], "collections": [collection], "registry": [answer]})
+def test_collection_within_a_registry_response_counts_once() -> None:
+    calls = served_calls(make_call(0.0, 2_000, 5_000))
+    response, collection = (0.003, 0.0045, 0.0015), (0.0035, 0.004, 0.0005)
+    trace = Trace({"callbacks": [response], "collections": [collection], "registry": [response]})
     parts = attribute_overhead(calls, trace).parts()
     assert parts["garbage collection"] == pytest.approx([500], abs=0.1)
     assert parts["registry answers"] == pytest.approx([1_000], abs=0.1)
@@ -128,7 +133,7 @@
 
 
 def test_work_on_a_new_connection_is_compared_with_other_new_connections() -> None:
-    calls = served_calls(call(0, 2_000, 5_000, request_number=1), call(10, 2_000, 5_000))
+    calls = served_calls(make_call(0, 2_000, 5_000, request_number=1), make_call(10, 2_000, 5_000))
     trace = Trace({"callbacks": [(0.0, 0.0008, 0.0008)], "collections": [], "registry": []})
     parts = attribute_overhead(calls, trace).parts()
     assert parts["own work"] == pytest.approx([800, 0], abs=0.1)
@@ -141,7 +146,7 @@
     try:
         gc.collect()
     finally:
-        gc.callbacks.remove(tracer.collections._record)
+        tracer.collections.uninstall()
     assert tracer.registry.timed(lambda value: value + 1)(1) == 2
     tracer.write(tmp_path / "trace.json")
     trace = Trace.read(tmp_path / "trace.json")
--- a/tests/scale/test_ports.py
+++ b/tests/scale/test_ports.py
@@ -17,6 +17,6 @@
             server.accept()[0].close()
 
 
-def test_reserved_port_is_given_to_nobody_else() -> None:
+def test_reserved_port_is_given_to_no_other_socket() -> None:
     with ReservedAddress() as reserved, socket.socket() as other, pytest.raises(OSError, match="in use"):
         other.bind(reserved.address)  # without SO_REUSEADDR, as for an outgoing connection
--- a/tests/scale/test_registry_standin.py
+++ b/tests/scale/test_registry_standin.py
@@ -54,7 +54,7 @@
     reader, writer = await send(address, call(query))
     try:
         response = await read_response(reader)
-        assert await reader.read() == b""  # closed, as asked for
+        assert await reader.read() == b""  # closed, as requested
         return response
     finally:
         writer.close()
@@ -170,11 +170,14 @@
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
             await read_response(reader)
         assert (await request(second))[0] == 200
-        assert (server.traffic(0).calls, server.traffic(1).calls) == (1, 1)  # the silent call was never read
+        assert (server.traffic(0).calls, server.traffic(1).calls) == (
+            1,
+            1,
+        )  # the call during the partition was never read
         writer.close()
 
 
-def test_partitioned_listener_answers_nothing_until_it_is_back() -> None:
+def test_partitioned_listener_sends_nothing_until_the_partition_ends() -> None:
     asyncio.run(check_partition())
 
 
--- a/tests/scale/test_server_standin.py
+++ b/tests/scale/test_server_standin.py
@@ -106,7 +106,7 @@
     run(scene)
 
 
-def test_dead_server_resets_its_connections_and_refuses_new_ones() -> None:
+def test_killed_server_resets_its_connections_and_refuses_new_ones() -> None:
     async def scene() -> None:
         async with running_server(service_s=TIMEOUT_S) as (server, client):
             in_flight = asyncio.create_task(call(client))
@@ -119,7 +119,7 @@
     run(scene)
 
 
-def test_probe_is_answered_only_where_probes_are_allowed() -> None:
+def test_probe_is_served_only_where_probes_are_allowed() -> None:
     probe = format_request("GET", "/health/live", {"Host": "s"})
 
     async def scene() -> None:
@@ -164,7 +164,7 @@
             started.append(number)
             if number == 2:
                 last_started.set()
-            await last_started.wait()  # the first call is answered only once the last has been sent
+            await last_started.wait()  # the first call ends only once the last has started
             return CallResult(arrived_at, arrived_at, arrived_at, 200, b"")
 
         async with asyncio.timeout(TIMEOUT_S):
--- a/tests/scale/test_suite.py
+++ b/tests/scale/test_suite.py
@@ -1,4 +1,4 @@
-"""The whole set of experiments: which files belong to it, and where their results go."""
+"""The complete set of experiments: which files belong to it, and where their results go."""
 
 from __future__ import annotations
 
