--- a/scale/cli.py
+++ b/scale/cli.py
@@ -105,7 +105,7 @@
     rate: Annotated[float, typer.Option(min=10.0, max=500.0, help="Calls a second.")] = 100.0,
     seed: Annotated[int, typer.Option(min=0, help="Seed of arrivals and service times.")] = 1,
 ) -> None:
-    """Show one real sidecar while a server is drained and another killed; exit code 0 if no call failed."""
+    """Show one real sidecar while a server is drained and another killed; exit code 0 if all checks pass."""
     outcome = run_demo(duration, rate, seed, typer.echo)
     typer.echo(format_outcome(outcome))
     faults = outcome.faults()
