--- a/scale/configuration/run.py
+++ b/scale/configuration/run.py
@@ -5,34 +5,22 @@
 import asyncio
 import subprocess
 import tempfile
-import time
-from collections.abc import Callable, Mapping, Sequence
 from contextlib import ExitStack
-from dataclasses import dataclass
-from http import HTTPStatus
 from pathlib import Path
 
 import structlog
 
 from scale.commands import CommandClient
 from scale.configuration.experiment import ConfigurationExperiment
-from scale.configuration.sidecar import SAMPLE_CLASSES, ConfiguredSidecar
-from scale.errors import EndpointListTimeoutError, RequestsInFlightTimeoutError, ScaleError
-from scale.histogram import LatencyHistogram
-from scale.http_client import CallResult
+from scale.configuration.point import Point
+from scale.configuration.sidecar import ConfiguredSidecar
 from scale.ports import ReservedAddress
-from scale.processes import ManagedProcess, ProcessGroup
-from scale.results import Label, ResultWriter
+from scale.processes import ProcessGroup
+from scale.results import ResultWriter
 from scale.sidecar_process import format_address
-from scale.standins.registry_commands import Counts, GetCounts, RegistryOptions, registry_command
+from scale.standins.registry_commands import RegistryOptions, registry_command
 from scale.standins.server import ServerStandin
 
-PERCENTILES = (50.0, 99.0, 100.0)
-_LOAD_TIMEOUT_S = 60.0
-_POLL_INTERVAL_S = 0.05
-_SERVICE_TIME_S = 0.8  # of the requests in flight while the file is replaced
-_BAD_FILE = b'{"settings": {"lanes": []}}'
-
 log = structlog.get_logger()
 
 
@@ -80,136 +68,3 @@
 def _registry_command(experiment: ConfigurationExperiment, servers: int, server: ServerStandin) -> list[str]:
     address = format_address(server.address)
     return registry_command(RegistryOptions(servers=servers, seed=experiment.seed, endpoint_address=address))
-
-
-@dataclass(frozen=True, slots=True)
-class Reading:
-    """Resource usage up to one moment."""
-
-    sidecar_cpu_s: float  # of all sidecars together
-    counts: Counts
-
-    def http_bytes(self) -> int:
-        """Return the bytes between the registry and all sidecars, both ways."""
-        return self.counts.bytes_in + self.counts.bytes_out
-
-
-@dataclass(slots=True)
-class Point:
-    """One size of an experiment."""
-
-    experiment: ConfigurationExperiment
-    writer: ResultWriter
-    server: ServerStandin
-    registry: CommandClient
-    sidecars: list[ConfiguredSidecar]
-    labels: Mapping[str, Label]
-    version: int = 1  # of the configuration that was written last
-
-    async def run(self) -> None:
-        """Wait for the endpoint list; measure changes, a bad file, a rollback and the cost of reloads."""
-        await _wait_until(
-            lambda: self._counts().watching >= len(self.sidecars),
-            EndpointListTimeoutError("sidecars", _LOAD_TIMEOUT_S),
-        )
-        for _ in range(self.experiment.changes):
-            await self._measure_change()
-        await self._measure_bad_file()
-        await self._measure_rollback()
-        await self._measure_cost()
-
-    def _counts(self) -> Counts:
-        return self.registry.request(GetCounts(), Counts)
-
-    def _next_configurations(self, added_class: str) -> list[tuple[ConfiguredSidecar, bytes]]:
-        """Return the next version for each sidecar, with one class more than at the start."""
-        self.version += 1
-        return [(each, each.configuration(self.version, added_class)) for each in self.sidecars]
-
-    async def _change(self, phase: str, added_class: str) -> None:
-        """Replace all files by the next version, and write the times until a class was accepted."""
-        timeout_s = self.experiment.duration_s
-        configurations = self._next_configurations(added_class)
-        changes = (each.change(content, added_class, timeout_s) for each, content in configurations)
-        delays = [delay for delay in await asyncio.gather(*changes) if delay is not None]
-        share = len(delays) / len(self.sidecars)
-        self._add("configuration", f"in force within {timeout_s:g} s", share, "share", phase)
-        histogram = LatencyHistogram()
-        for delay in delays:
-            histogram.add_seconds(delay)
-        for percentile in PERCENTILES if delays else ():
-            value = histogram.quantile_seconds(percentile)
-            self._add("configuration", f"in force, {percentile:g} in 100", value, "s", phase)
-
-    async def _measure_change(self) -> None:
-        """Replace all files while each sidecar has a request of each idempotency in flight."""
-        reached = self.server.counters.requests + len(self.sidecars) * len(SAMPLE_CLASSES)
-        self.server.service_time_s = lambda: _SERVICE_TIME_S
-        in_flight = [
-            asyncio.ensure_future(each.call(kind)) for each in self.sidecars for kind in SAMPLE_CLASSES
-        ]
-        await _wait_until(
-            lambda: self.server.counters.requests + _count_ended(in_flight) >= reached,
-            RequestsInFlightTimeoutError(_LOAD_TIMEOUT_S),
-        )
-        self.server.service_time_s = lambda: 0.0
-        ended_before = _count_ended(in_flight)
-        await self._change("change", f"added-{self.version + 1}")
-        results = await asyncio.gather(*in_flight)
-        served = sum(each.status == HTTPStatus.OK for each in results)
-        self._add("request in flight", "ended before the change", ended_before, "requests", "change")
-        self._add("request in flight", "served", served / len(results), "share", "change")
-
-    async def _measure_bad_file(self) -> None:
-        """Replace all files by an invalid one: the active configuration has to stay active."""
-        for sidecar in self.sidecars:
-            await asyncio.to_thread(sidecar.replace_file, _BAD_FILE)
-        await asyncio.sleep(self.experiment.reload_interval_s)
-        unchanged = [await each.knows_class(SAMPLE_CLASSES[0]) for each in self.sidecars]
-        self._add("configuration", "classes as before", sum(unchanged) / len(unchanged), "share", "bad file")
-
-    async def _measure_rollback(self) -> None:
-        """Apply the content of an earlier version again, as a newer version."""
-        await self._change("taken back", "added-2")
-
-    async def _measure_cost(self) -> None:
-        """Compare a window with reloads, and no other traffic, with an idle window of the same length."""
-        reloads, interval_s = self.experiment.metered_reloads, self.experiment.reload_interval_s
-        start = self._read()
-        await asyncio.sleep(reloads * interval_s)
-        idle = self._read()
-        for _ in range(reloads):
-            for sidecar, content in self._next_configurations(f"metered-{self.version + 1}"):
-                await asyncio.to_thread(sidecar.replace_file, content)
-            await asyncio.sleep(interval_s)
-        end = self._read()
-        reload_count = reloads * len(self.sidecars)
-        cpu_s = (end.sidecar_cpu_s - idle.sidecar_cpu_s) - (idle.sidecar_cpu_s - start.sidecar_cpu_s)
-        received_bytes = (end.http_bytes() - idle.http_bytes()) - (idle.http_bytes() - start.http_bytes())
-        snapshots = end.counts.snapshots - idle.counts.snapshots
-        self._add("sidecar", "cpu of a reload", cpu_s / reload_count, "s", "metered")
-        self._add("sidecar", "registry bytes of a reload", received_bytes / reload_count, "bytes", "metered")
-        self._add("discovery", "whole lists for a reload", snapshots / reload_count, "answers", "metered")
-
-    def _read(self) -> Reading:
-        return Reading(sum(_cpu_s(each.process) for each in self.sidecars), self._counts())
-
-    def _add(self, role: str, metric: str, value: float, unit: str, phase: str) -> None:
-        self.writer.add(role, metric, value, unit, {**self.labels, "phase": phase})
-
-
-async def _wait_until(condition: Callable[[], bool], timeout_error: ScaleError) -> None:
-    """Poll a condition until it holds; raise `timeout_error` after 60 s."""
-    deadline = time.monotonic() + _LOAD_TIMEOUT_S
-    while not condition():
-        if time.monotonic() > deadline:
-            raise timeout_error
-        await asyncio.sleep(_POLL_INTERVAL_S)
-
-
-def _count_ended(calls: Sequence[asyncio.Future[CallResult]]) -> int:
-    return sum(each.done() for each in calls)
-
-
-def _cpu_s(process: ManagedProcess) -> float:
-    return process.usage().cpu_s
--- a/scale/control/faults.py
+++ b/scale/control/faults.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from scale.control.experiment import Fault, FaultKind
-from scale.control.measure import Fleet
+from scale.control.fleet import Fleet
 from scale.control.processes import HALVES
 from scale.standins.fleet import zone_name
 from scale.standins.registry_commands import (
--- a/scale/control/measure.py
+++ b/scale/control/figures.py
@@ -1,4 +1,4 @@
-"""Measures what the processes of a control plane experiment used in a window, for each role."""
+"""Writes what the processes of a control plane experiment used, and how fast changes propagated."""
 
 from __future__ import annotations
 
@@ -7,13 +7,12 @@
 
 import numpy as np
 
-from scale.control.experiment import ControlExperiment
-from scale.control.processes import RealSidecar, Registry, StubGroup
+from scale.control.fleet import Fleet, Reading
 from scale.control.stub_commands import Delays
 from scale.histogram import LatencyHistogram
-from scale.processes import ManagedProcess, Usage
+from scale.processes import Usage
 from scale.results import Label, ResultWriter
-from scale.standins.registry_commands import CommittedChange, Counts, ObservedDelays, TrafficTotals
+from scale.standins.registry_commands import ObservedDelays
 from scale.standins.tcp_info import SEGMENT_HEADER_BYTES
 
 PERCENTILES = (50.0, 99.0, 100.0)
@@ -23,58 +22,6 @@
 Labels = Mapping[str, Label]
 
 
-@dataclass(frozen=True, slots=True)
-class Reading:
-    """Resource usage of all processes up to one moment."""
-
-    registry: Usage
-    stubs: list[Usage]
-    real: list[Usage]
-    counts: Counts
-    real_traffic: TrafficTotals
-
-
-@dataclass(slots=True)
-class Fleet:
-    """The processes of one point of an experiment."""
-
-    experiment: ControlExperiment
-    registry: Registry
-    stubs: StubGroup
-    real: list[RealSidecar]
-    migrated: bool = False  # whether the sidecars use their second address of the registry
-
-    @property
-    def sidecars(self) -> int:
-        """How many sidecars watch the registry."""
-        return self.stubs.count + len(self.real)
-
-    def migrate_discovery(self) -> None:
-        """Migrate all sidecars to their other address of the registry, at once."""
-        self.migrated = not self.migrated
-        self.stubs.migrate(self.migrated)
-        for sidecar in self.real:
-            sidecar.migrate(self.migrated)
-
-    def real_delays(self, changes: list[CommittedChange]) -> ObservedDelays:
-        """Return the seconds until each real sidecar was first observed with each change."""
-        return self.registry.real_delays(changes, len(self.real), self.migrated)
-
-    def read(self) -> Reading:
-        """Read the usage of all processes."""
-        return Reading(
-            self.registry.process.usage(),
-            _usages(self.stubs.processes),
-            _usages([each.process for each in self.real]),
-            self.registry.counts(),
-            self.registry.real_traffic(len(self.real)),
-        )
-
-
-def _usages(processes: Sequence[ManagedProcess]) -> list[Usage]:
-    return [process.usage() for process in processes]
-
-
 def _cores(before: Usage, after: Usage) -> float:
     return (after.cpu_s - before.cpu_s) / (after.at_s - before.at_s)
 
--- /dev/null
+++ b/scale/control/fleet.py
@@ -0,0 +1,63 @@
+"""The processes of one point of a control plane experiment, and their resource usage."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+
+from scale.control.experiment import ControlExperiment
+from scale.control.processes import RealSidecar, Registry, StubGroup
+from scale.processes import ManagedProcess, Usage
+from scale.standins.registry_commands import CommittedChange, Counts, ObservedDelays, TrafficTotals
+
+
+@dataclass(frozen=True, slots=True)
+class Reading:
+    """Resource usage of all processes up to one moment."""
+
+    registry: Usage
+    stubs: list[Usage]
+    real: list[Usage]
+    counts: Counts
+    real_traffic: TrafficTotals
+
+
+@dataclass(slots=True)
+class Fleet:
+    """The processes of one point of an experiment."""
+
+    experiment: ControlExperiment
+    registry: Registry
+    stubs: StubGroup
+    real: list[RealSidecar]
+    migrated: bool = False  # whether the sidecars use their second address of the registry
+
+    @property
+    def sidecars(self) -> int:
+        """How many sidecars watch the registry."""
+        return self.stubs.count + len(self.real)
+
+    def migrate_discovery(self) -> None:
+        """Migrate all sidecars to their other address of the registry, at once."""
+        self.migrated = not self.migrated
+        self.stubs.migrate(self.migrated)
+        for sidecar in self.real:
+            sidecar.migrate(self.migrated)
+
+    def real_delays(self, changes: list[CommittedChange]) -> ObservedDelays:
+        """Return the seconds until each real sidecar was first observed with each change."""
+        return self.registry.real_delays(changes, len(self.real), self.migrated)
+
+    def read(self) -> Reading:
+        """Read the usage of all processes."""
+        return Reading(
+            self.registry.process.usage(),
+            _usages(self.stubs.processes),
+            _usages([each.process for each in self.real]),
+            self.registry.counts(),
+            self.registry.real_traffic(len(self.real)),
+        )
+
+
+def _usages(processes: Sequence[ManagedProcess]) -> list[Usage]:
+    return [process.usage() for process in processes]
--- a/scale/control/peak_sampler.py
+++ b/scale/control/peak_sampler.py
@@ -5,7 +5,8 @@
 from threading import Event, Thread
 from typing import Self
 
-from scale.control.measure import STUB_ROLE, Fleet, Labels
+from scale.control.figures import STUB_ROLE, Labels
+from scale.control.fleet import Fleet
 from scale.results import ResultWriter
 
 _SAMPLE_INTERVAL_S = 0.25
--- a/scale/control/run.py
+++ b/scale/control/run.py
@@ -14,14 +14,14 @@
 
 from scale.control.experiment import ControlExperiment, Fault
 from scale.control.faults import FaultOutcome, inject_fault
-from scale.control.measure import (
-    Fleet,
+from scale.control.figures import (
     Labels,
     write_real_delays,
     write_stub_delays,
     write_stub_memory,
     write_usage,
 )
+from scale.control.fleet import Fleet
 from scale.control.peak_sampler import PeakSampler
 from scale.control.processes import RealSidecar, Registry, StubGroup, real_sidecar_config, wait_until
 from scale.errors import EndpointListTimeoutError
--- a/scale/latency/point.py
+++ b/scale/latency/point.py
@@ -8,8 +8,7 @@
 import os
 import subprocess
 import tempfile
-import time
-from collections.abc import AsyncIterator, Callable, Sequence
+from collections.abc import AsyncIterator, Sequence
 from dataclasses import dataclass
 from pathlib import Path
 
@@ -20,6 +19,7 @@
 from scale.histogram import LatencyHistogram
 from scale.http_client import Address, CallResult, HttpClient, format_call
 from scale.lag_probe import LagProbe
+from scale.latency.churn import endpoint_churn
 from scale.latency.experiment import LatencyExperiment, LatencyPoint
 from scale.latency.servers import GetServerCounts, ServerCounts, server_name
 from scale.latency.tracing import Trace
@@ -117,7 +117,7 @@
         sidecar = self._start_sidecar(listen, (await registry.start())[0])
         await asyncio.to_thread(await_ready, sidecar, listen, self._folder)
         through_sidecar = HttpClient(listen)
-        async with self._registry_changes(), _collection_paused():
+        async with endpoint_churn(self._change_log, self._point, self._rng), _collection_paused():
             await self._call(through_sidecar, self._experiment.warm_up_s, self._experiment.seed)
             load_before, counts_before = os.getloadavg()[0], self._counts()
             before = sidecar.usage()
@@ -164,33 +164,6 @@
 
         return await run_open_loop(arrivals, start_call)
 
-    @contextlib.asynccontextmanager
-    async def _registry_changes(self) -> AsyncIterator[None]:
-        """Change the endpoint list at the point's rates while the block runs."""
-        tasks = [
-            asyncio.create_task(_repeat(rate, change))
-            for rate, change in (
-                (self._point.changes_per_s, self._restart_a_server),
-                (self._point.snapshots_per_s, self._force_a_snapshot),
-            )
-            if rate > 0.0
-        ]
-        try:
-            yield
-        finally:
-            for task in tasks:
-                task.cancel()
-            await asyncio.gather(*tasks, return_exceptions=True)
-
-    def _restart_a_server(self) -> None:
-        index = int(self._rng.integers(self._point.servers))
-        self._change_log.restart([server_name(index)], time.time_ns() // 1_000_000)
-
-    def _force_a_snapshot(self) -> None:
-        """Drop the change log and commit a change, so that the watch gets a snapshot."""
-        self._change_log.drop_changes()
-        self._change_log.commit([self._change_log.endpoint(server_name(0))])
-
     def _stop(self, sidecar: ManagedProcess) -> None:
         sidecar.popen.terminate()
         try:
@@ -201,12 +174,6 @@
             raise SidecarExitError(exit_code)
 
 
-async def _repeat(rate_per_s: float, change: Callable[[], None]) -> None:
-    while True:
-        await asyncio.sleep(1 / rate_per_s)
-        change()
-
-
 @contextlib.asynccontextmanager
 async def _collection_paused() -> AsyncIterator[None]:
     """Keep the client's own garbage collection out of the measurement."""
