--- a/scale/control/faults.py
+++ b/scale/control/faults.py
@@ -21,7 +21,7 @@
 )
 from scale.standins.registry_state import Availability
 
-_CUT_OFF = 1  # the half of the stub sidecars that is partitioned
+_PARTITIONED_HALF = 1  # the half of the stub sidecars that is partitioned
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
 
     changes: list[CommittedChange]
     halves: tuple[int, ...] = HALVES  # of the stub sidecars that it affected
-    with_real: bool = True  # whether it affected the real sidecars, too
+    affects_real_sidecars: bool = True  # whether it affected the real sidecars, too
 
 
 def inject_fault(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
@@ -38,7 +38,7 @@
     return _INJECTORS[fault.kind](fault, fleet, rng)
 
 
-def _restart_one(fleet: Fleet, rng: random.Random) -> CommittedChange:
+def _restart_random_server(fleet: Fleet, rng: random.Random) -> CommittedChange:
     index = rng.randrange(len(fleet.registry.endpoints))
     return fleet.registry.change(ChangeEndpoints(change="restart", indexes=[index]))
 
@@ -48,14 +48,14 @@
     return CommittedChange(version=fleet.registry.counts().version, at_s=time.monotonic())
 
 
-def _outage(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
+def _take_discovery_down(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
     """Take discovery down; a change is committed meanwhile, and measured from discovery's recovery."""
     is_overload = fault.kind is FaultKind.DISCOVERY_OVERLOADED
     availability = Availability.OVERLOADED if is_overload else Availability.DOWN
     client = fleet.registry.client
     client.execute(SetAvailability(availability=availability))
     time.sleep(fault.lasts_s / 2)
-    _restart_one(fleet, rng)
+    _restart_random_server(fleet, rng)
     time.sleep(fault.lasts_s / 2)
     if fault.kind is FaultKind.DISCOVERY_RESTARTED:
         client.execute(DropChangeLog())
@@ -64,30 +64,30 @@
     return FaultOutcome([recovered])
 
 
-def _migrate(_fault: Fault, fleet: Fleet, _rng: random.Random) -> FaultOutcome:
+def _migrate_discovery(_fault: Fault, fleet: Fleet, _rng: random.Random) -> FaultOutcome:
     migrated = _current_version(fleet)
     fleet.migrate_discovery()
     return FaultOutcome([migrated])
 
 
-def _failed_over(_fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
+def _fail_over_discovery(_fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
     """Fail discovery's address over to another machine: open connections carry nothing any more."""
     fleet.registry.client.execute(BlackholeConnections())
-    return FaultOutcome([_restart_one(fleet, rng)])
+    return FaultOutcome([_restart_random_server(fleet, rng)])
 
 
-def _zone_lost(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
-    return _zones_lost(fault, fleet, {rng.choice(fleet.registry.endpoints).zone})
+def _lose_zone(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
+    return _lose_zones(fault, fleet, {rng.choice(fleet.registry.endpoints).zone})
 
 
-def _region_lost(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
+def _lose_region(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
     experiment = fleet.experiment
     region = rng.randrange(experiment.regions)
     zones = {zone_name(index) for index in range(region, experiment.zones, experiment.regions)}
-    return _zones_lost(fault, fleet, zones)
+    return _lose_zones(fault, fleet, zones)
 
 
-def _zones_lost(fault: Fault, fleet: Fleet, zones: Collection[str]) -> FaultOutcome:
+def _lose_zones(fault: Fault, fleet: Fleet, zones: Collection[str]) -> FaultOutcome:
     """Remove all servers of some zones in one change, and add them again in another."""
     endpoints = fleet.registry.endpoints
     indexes = [index for index, endpoint in enumerate(endpoints) if endpoint.zone in zones]
@@ -97,7 +97,7 @@
     return FaultOutcome([removed, recovered])
 
 
-def _release(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
+def _roll_service(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
     """Drain, remove and add again each server of a service, spread over the fault's time."""
     service = rng.choice(fleet.registry.endpoints).group
     indexes = [index for index, each in enumerate(fleet.registry.endpoints) if each.group == service]
@@ -110,34 +110,34 @@
     return FaultOutcome(changes)
 
 
-def _sidecars_restarted(fault: Fault, fleet: Fleet, _rng: random.Random) -> FaultOutcome:
+def _restart_sidecars(fault: Fault, fleet: Fleet, _rng: random.Random) -> FaultOutcome:
     restarted = _current_version(fleet)
     fleet.stubs.start(fault.lasts_s)
-    return FaultOutcome([restarted], with_real=False)
+    return FaultOutcome([restarted], affects_real_sidecars=False)
 
 
-def _sidecars_cut_off(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
+def _partition_sidecars(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
     """Partition half of the stub sidecars; a change made meanwhile is measured from the partition's end."""
     client = fleet.registry.client
-    listener = fleet.registry.stub_listener(_CUT_OFF, fleet.migrated)
+    listener = fleet.registry.stub_listener(_PARTITIONED_HALF, fleet.migrated)
     client.execute(SetPartitioned(listener=listener, partitioned=True))
     time.sleep(fault.lasts_s / 2)
-    _restart_one(fleet, rng)
+    _restart_random_server(fleet, rng)
     time.sleep(fault.lasts_s / 2)
     recovered = _current_version(fleet)
     client.execute(SetPartitioned(listener=listener, partitioned=False))
-    return FaultOutcome([recovered], halves=(_CUT_OFF,), with_real=False)
+    return FaultOutcome([recovered], halves=(_PARTITIONED_HALF,), affects_real_sidecars=False)
 
 
 _INJECTORS: Mapping[FaultKind, Callable[[Fault, Fleet, random.Random], FaultOutcome]] = {
-    FaultKind.DISCOVERY_DOWN: _outage,
-    FaultKind.DISCOVERY_RESTARTED: _outage,
-    FaultKind.DISCOVERY_OVERLOADED: _outage,
-    FaultKind.DISCOVERY_MOVED: _migrate,
-    FaultKind.DISCOVERY_FAILED_OVER: _failed_over,
-    FaultKind.REGION_LOST: _region_lost,
-    FaultKind.ZONE_LOST: _zone_lost,
-    FaultKind.RELEASE: _release,
-    FaultKind.SIDECARS_RESTARTED: _sidecars_restarted,
-    FaultKind.SIDECARS_CUT_OFF: _sidecars_cut_off,
+    FaultKind.DISCOVERY_DOWN: _take_discovery_down,
+    FaultKind.DISCOVERY_RESTARTED: _take_discovery_down,
+    FaultKind.DISCOVERY_OVERLOADED: _take_discovery_down,
+    FaultKind.DISCOVERY_MOVED: _migrate_discovery,
+    FaultKind.DISCOVERY_FAILED_OVER: _fail_over_discovery,
+    FaultKind.REGION_LOST: _lose_region,
+    FaultKind.ZONE_LOST: _lose_zone,
+    FaultKind.RELEASE: _roll_service,
+    FaultKind.SIDECARS_RESTARTED: _restart_sidecars,
+    FaultKind.SIDECARS_CUT_OFF: _partition_sidecars,
 }
--- a/scale/control/run.py
+++ b/scale/control/run.py
@@ -156,7 +156,7 @@
         write_usage(self.writer, self.fleet, before, after, labels)
         peak.write(self.writer, labels)
         write_stub_delays(self.writer, self.fleet.stubs.delays(outcome.changes, outcome.halves), labels)
-        if self.fleet.real and outcome.with_real:
+        if self.fleet.real and outcome.affects_real_sidecars:
             self._write_real_delays(outcome.changes, labels)
         log.info("fault measured", fault=fault.kind, servers=self.servers, recovered=recovered)
 
@@ -164,4 +164,4 @@
         latest = outcome.changes[-1]
         if not self.fleet.stubs.is_applied(latest, outcome.halves):
             return False
-        return not outcome.with_real or self._is_applied_in_real(latest)
+        return not outcome.affects_real_sidecars or self._is_applied_in_real(latest)
