--- a/scale/control/faults.py
+++ b/scale/control/faults.py
@@ -71,7 +71,7 @@
 
 
 def _fail_over_discovery(_fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
-    """Fail discovery's address over to another machine: open connections carry nothing any more."""
+    """Move discovery's address to another machine: open connections carry nothing any more."""
     fleet.registry.client.execute(BlackholeConnections())
     return FaultOutcome([_restart_random_server(fleet, rng)])
 
--- a/topazbank/__main__.py
+++ b/sidecar/__main__.py
@@ -1,6 +1,6 @@
 """Starts one sidecar: serves by its configuration, and drains on SIGTERM.
 
-Run as `python -m topazbank`, with RELAY_CONFIG naming the configuration.  A bad one ends the start with one
+Run as `python -m sidecar`, with RELAY_CONFIG naming the configuration.  A bad one ends the start with one
 line on standard error and exit code 2.  SIGHUP puts it into force as it is now; a bad one changes nothing.
 """
 
@@ -13,9 +13,10 @@
 import signal
 import sys
 
-from topazbank.configuration import read_config
-from topazbank.net.sidecar import Config, Sidecar
-from topazbank.reload import UNUSABLE, Reloader
+from sidecar.configuration import read_config
+from sidecar.proxy.driver import Config, Sidecar
+from sidecar.proxy.event_loop import EventLoop
+from sidecar.reload import UNUSABLE, Reloader, ReloadSignal
 
 # An asyncio transport refers to itself, so what a closed connection leaves is freed by full collections
 # alone.  They are cheap here, and by the defaults come once in a minute and 2 MB or so.
@@ -53,7 +54,8 @@
         loop.add_signal_handler(each, stop.set)
     sidecar = Sidecar(config)
     reloader = Reloader(config, sidecar.reconfigure)
-    loop.add_signal_handler(signal.SIGHUP, reloader.reload, lambda: read_config(os.environ, with_known=False))
+    reload_signal = ReloadSignal(reloader, lambda: read_config(os.environ, with_known=False))
+    loop.add_signal_handler(signal.SIGHUP, reload_signal.received)
     await sidecar.run(stop)
 
 
@@ -68,7 +70,8 @@
     gc.freeze()  # what is loaded by now stays; collections look at requests alone
     gc.set_threshold(*_COLLECTED)
     try:
-        asyncio.run(serve(config))
+        with asyncio.Runner(loop_factory=EventLoop) as runner:
+            runner.run(serve(config))
     except OSError as fault:
         print(f"can't serve: {fault}", file=sys.stderr)
         return 1
--- a/topazbank/policy/probing.py
+++ b/sidecar/balancer/policy/probing.py
@@ -3,14 +3,15 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from topazbank.interface import Outcome, Probe, ProbeEnded
-from topazbank.policy.concurrency_limit import LATE_RATIO
-from topazbank.policy.connections import IdleConnections
-from topazbank.policy.selection import CANDIDATES, Selector
-from topazbank.policy.slow_start import SlowStart
-from topazbank.settings import ReportSource, Settings
-from topazbank.state import Attempt, Context, LinearFit, Request, Server
-from topazbank.state.timers import ProbesDue
+from sidecar.balancer.actions import CheckHealth
+from sidecar.balancer.events import HealthCheckEnded, Outcome
+from sidecar.balancer.policy.concurrency_limit import LATE_RATIO
+from sidecar.balancer.policy.connections import IdleConnections
+from sidecar.balancer.policy.selection import CANDIDATES, Selector
+from sidecar.balancer.policy.slow_start import SlowStart
+from sidecar.balancer.state import Attempt, Context, LinearFit, Request, Server
+from sidecar.balancer.state.timers import ProbesDue
+from sidecar.settings import ReportSource, Settings
 
 MAX_SPEND = 0.01  # probes for a request may cost this part of its worth
 WAIT_PROBE_TIMES = 3.0  # a tie waits this many usual probe times for its probes
@@ -63,16 +64,16 @@
         for server in tied:
             if server.probe_sent_at is None:
                 server.probe_sent_at = self.context.now
-                self.context.actions.append(Probe(server.name))
+                self.context.actions.append(CheckHealth(server.name))
         self.context.timers.add(request.probes_due, ProbesDue(request.ident))
 
-    def probe_ended(self, event: ProbeEnded) -> Iterator[Request]:
+    def probe_ended(self, event: HealthCheckEnded) -> Iterator[Request]:
         """Take in a probe; give the requests that then wait for no further one."""
         server = self.context.registry.servers.get(event.server)
         if server is None:
             return
         server.probe_sent_at = server.reported_load = None
-        if event.outcome is Outcome.DELIVERED:
+        if event.outcome is Outcome.SUCCEEDED:
             usual = self._probe_time_us if self._probe_time_us is not None else float(event.elapsed_us)
             self._probe_time_us = usual + PROBE_TIME_STEP * (event.elapsed_us - usual)
             if event.report is not None:
--- a/topazbank/policy/refresh.py
+++ b/sidecar/balancer/policy/refresh.py
@@ -1,9 +1,9 @@
 """When the registry is asked: at the start, after failed calls, and again where a call is never answered."""
 
-from topazbank.interface import WatchRegistry
-from topazbank.settings import Discovery
-from topazbank.state import Context
-from topazbank.state.timers import RegistryPoll
+from sidecar.balancer.actions import WatchRegistry
+from sidecar.balancer.state import Context
+from sidecar.balancer.state.timers import RegistryPoll
+from sidecar.settings import Discovery
 
 KNOWN_WITHIN_US = 6_000_000  # after a failed call changes count as known so soon, whatever the settings allow
 FIRST_WAIT = 0.05  # before asking again, of the time allowed without asking; it doubles with each failure
@@ -35,6 +35,6 @@
 
     def _ask_after(self, share: float) -> None:
         """Ask after this share of the time allowed, in place of any earlier plan."""
-        allowed_us = min(self._context.settings.rules.ask_within_us, KNOWN_WITHIN_US)
+        allowed_us = min(self._context.settings.rules.max_poll_interval_us, KNOWN_WITHIN_US)
         self.due = self._context.now + int(share * allowed_us)
         self._context.timers.add(self.due, RegistryPoll())
--- a/topazbank/state/records.py
+++ b/sidecar/balancer/state/records.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field, replace
 from typing import NamedTuple
 
-from topazbank.interface import Outcome, ServerState
-from topazbank.settings import Limits, ServiceClass
-from topazbank.state.statistics import DecayingRate
+from sidecar.balancer.events import Outcome, ServerState
+from sidecar.balancer.state.statistics import DecayingRate
+from sidecar.settings import Limits, ServiceClass
 
 Flow = tuple[str, str | None]  # the class and tenant of a request
 
@@ -31,7 +31,7 @@
     cell: int = 0
     nominal: float = 1.0  # its capacity relative to the others', as the registry states it
     latency_weight: float = 1.0  # moving average of its latency relative to the usual
-    state: ServerState = ServerState.GONE
+    state: ServerState = ServerState.REMOVED
     started_at: int | None = None
     cold_since: int | None = None
     cold_budget: float = 0.0  # while cold: what may be sent to it now, in requests of mean cost
--- a/topazbank/state/registry.py
+++ b/sidecar/balancer/state/registry.py
@@ -2,8 +2,8 @@
 
 import random
 
-from topazbank.interface import Endpoint, RegistryUpdated, RegistryUpdateKind, ServerState
-from topazbank.state.records import Server
+from sidecar.balancer.events import Endpoint, RegistryUpdated, RegistryUpdateKind, ServerState
+from sidecar.balancer.state.records import Server
 
 
 class ServerRegistry:
@@ -11,6 +11,7 @@
 
     def __init__(self, rng: random.Random) -> None:
         self.servers: dict[str, Server] = {}  # by name
+        self._by_rank: list[Server] = []  # the same; kept so, as sorting all is costly
         self.ready: list[Server] = []  # by rank
         self.ready_local: list[Server] = []  # of these, the ones in the local zone
         self._local_zone = ""
@@ -27,10 +28,11 @@
             listed = {endpoint.server for endpoint in update.servers}
             for server in self.servers.values():
                 if server.name not in listed:
-                    server.state = ServerState.GONE
+                    server.state = ServerState.REMOVED
         restarted = [each for each in map(self._apply, update.servers) if each is not None]
-        self.ready = [each for each in self.servers.values() if each.state is ServerState.READY]
-        self.ready.sort(key=lambda each: each.rank)
+        if len(self._by_rank) < len(self.servers):
+            self._by_rank = sorted(self.servers.values(), key=lambda each: each.rank)
+        self.ready = [each for each in self._by_rank if each.state is ServerState.READY]
         self.ready_local = [each for each in self.ready if each.is_local]
         return restarted
 
@@ -43,7 +45,7 @@
         server.zone = endpoint.zone
         server.is_local = endpoint.zone == self._local_zone
         server.cell = endpoint.cell
-        if server.state is ServerState.GONE or endpoint.nominal != server.nominal:
+        if server.state is ServerState.REMOVED or endpoint.nominal != server.nominal:
             server.latency_weight = 0.0  # unknown
         server.nominal = max(endpoint.nominal, 0.0)
         server.state = endpoint.state
@@ -54,11 +56,12 @@
 
     def gone(self) -> list[Server]:
         """The servers that are gone and not forgotten yet."""
-        return [each for each in self.servers.values() if each.state is ServerState.GONE]
+        return [each for each in self.servers.values() if each.state is ServerState.REMOVED]
 
     def forget(self, server: Server) -> None:
         """Drop the record of a server that is gone."""
         del self.servers[server.name]
+        self._by_rank.remove(server)
 
     def knows(self, server: Server) -> bool:
         """Whether this very record is still in use; a server listed again later has a new one."""
--- a/topazbank/net/discovery.py
+++ b/sidecar/proxy/discovery.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from topazbank.interface import Endpoint, ServerState
-from topazbank.net.upstream import Address, Connection, Response, connect, message, parse_address
+from sidecar.balancer.events import Endpoint, ServerState
+from sidecar.proxy.upstream import Address, Connection, Response, connect, message, parse_address
 
 log = logging.getLogger(__name__)
 
@@ -25,7 +25,7 @@
 _DIAL_S = 1.5  # what a connection may take to come up: longer than the first repeat of a lost SYN
 _IDLE_S = 0.1  # between watches that come back at once with nothing, well within the 200 ms of one watch
 _LIST_MOST = 8 * 1024 * 1024
-_STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
+_STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.REMOVED}
 
 
 @dataclass(slots=True)
@@ -56,7 +56,7 @@
     for entry in given["endpoints"]:
         try:
             lines.append(_listed(entry))
-        except (ValueError, TypeError, KeyError, AttributeError) as junk:
+        except (ValueError, TypeError, KeyError, AttributeError, OverflowError) as junk:
             log.warning("list entry skipped: %r: %.120r", junk, entry)
     return RegistryResponse(version, given.get("snapshot") is True, lines)
 
@@ -174,10 +174,26 @@
                 self._version = told.version
         except (OSError, ValueError, TimeoutError) as fault:
             log.warning("discovery: %s", fault or type(fault).__name__)
+        except Exception:
+            log.exception(
+                "discovery: a call could not be handled"
+            )  # a defect or junk: the watch is opened anew
+        told = self._notify(told)
         self._in_doubt = told is None
-        self._told(told)
         return told is not None or limit.expired()
 
+    def _notify(self, told: RegistryResponse | None) -> RegistryResponse | None:
+        """Hand over what a call came to; give None where it failed, or could not be put into force."""
+        if told is not None:
+            try:
+                self._told(told)
+                return told
+            except Exception:
+                log.exception("discovery: version %d could not be put into force", told.version)
+                self._version = None  # a part of it may be missing: the whole list is needed
+        self._told(None)
+        return None
+
     @staticmethod
     def _read(response: Response | None) -> RegistryResponse:
         if response is None:
@@ -208,6 +224,8 @@
             if not answer.done():
                 answer.set_result(response)
 
+        if not connection.is_idle():  # it broke as it came up, and would never tell that it has ended
+            raise ConnectionResetError("the connection broke as it came up")
         connection.request(call, ended)
         self._hang_up()
         return await answer
--- a/topazbank/net/sidecar.py
+++ b/sidecar/proxy/driver.py
@@ -16,43 +16,49 @@
 from functools import partial
 from typing import Any
 
-from topazbank.balancer import Balancer
-from topazbank.interface import (
+from sidecar.balancer.actions import (
     Action,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    FailRequest,
+    FetchRegistry,
+    Log,
+    RejectRequest,
+    SendAttempt,
+    SetTimer,
+    WatchRegistry,
+)
+from sidecar.balancer.balancer import Balancer
+from sidecar.balancer.events import (
     AttemptEnded,
-    Cancel,
-    CloseIdle,
+    ClientDisconnected,
     Endpoint,
     Event,
-    Fail,
-    FetchRegistry,
-    Log,
+    HealthCheckEnded,
     Outcome,
-    Probe,
-    ProbeEnded,
-    Refuse,
     RegistryUpdated,
     RegistryUpdateKind,
     RequestArrived,
-    RequestGone,
-    Send,
     ServerState,
-    SetTimer,
     SettingsChanged,
     TimerFired,
-    WatchRegistry,
 )
-from topazbank.net import upstream
-from topazbank.net.discovery import Discovery, RegistryResponse
-from topazbank.net.frontend import Call, Frontend, Hooks, retry_after
-from topazbank.net.upstream import Address, Exchange, Headers, Response
-from topazbank.settings import Discovery as DiscoveryMode
-from topazbank.settings import Idempotency, ReportSource, Settings
+from sidecar.proxy import upstream
+from sidecar.proxy.discovery import Discovery, RegistryResponse
+from sidecar.proxy.frontend import Call, Frontend, Hooks, Phase, retry_after
+from sidecar.proxy.upstream import Address, Exchange, Headers, Response
+from sidecar.settings import Discovery as DiscoveryMode
+from sidecar.settings import Idempotency, ReportSource, Settings
 
 log = logging.getLogger(__name__)
 
-_ACCEPT_S = 0.5  # after SIGTERM, how long connections are still taken: they come for 0.4 s
-_LINGER_S = 0.65  # and how much longer than the longest deadline all may last
+# After SIGTERM.  SIGKILL may come 0.7 s after the longest deadline, and both the notice of SIGTERM and the
+# last answers may be held up for 0.15 s.
+_ACCEPT_S = 0.45  # how long connections are still accepted: they come for 0.4 s
+_UNUSED_S = 0.55  # how long one that has carried nothing stays open for a request on its way
+_LAST_ANSWERS_S = 0.38  # how much later than the longest deadline all that is held is answered
+_LINGER_S = 0.65  # and how much later the last connections end, so that their clients have read the answers
 _DEADLINE_MOST_S = 3.0  # the platform waits for no longer deadline than this
 _DRAIN_STEP_S = 0.02  # how often a drain looks at what is left
 _LAG_EVERY_S = 0.25  # how often the event loop's lag is looked at
@@ -126,13 +132,13 @@
         hooks = Hooks(self._taken, self._gone, self._out.__contains__, self._is_ready)
         self.frontend = Frontend(config.listen, half, hooks, settings)
         self._carry: dict[type[Any], Callable[[Any], None]] = {
-            Send: self._send,
-            Refuse: self._refuse,
-            Fail: self._fail,
-            Cancel: self._cancel,
+            SendAttempt: self._send,
+            RejectRequest: self._refuse,
+            FailRequest: self._fail,
+            CancelAttempt: self._cancel,
             SetTimer: self._set_timer,
-            Probe: self._probe,
-            CloseIdle: lambda action: self._upstream.close_idle(action.server),
+            CheckHealth: self._probe,
+            CloseIdleConnections: lambda action: self._upstream.close_idle(action.server),
             WatchRegistry: lambda action: self._discovery.follow(action.wanted),
             FetchRegistry: lambda _: self._discovery.fetch(),
             Log: lambda action: log.info("%s", action.text),
@@ -180,23 +186,47 @@
         self._discovery.move(address)
 
     async def _drain(self) -> None:
+        """Serve what is held and what still comes, then answer what is left, all before SIGKILL may come."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         log.info("draining: %d requests held", len(self._by_call))
         self.frontend.drain()
-        taken = (each.call.service_class for each in self._by_call.values())  # maybe by earlier settings
-        longest = max(each.deadline_us for each in (*self._settings.classes, *taken)) / 1e6
-        last = began + min(longest, _DEADLINE_MOST_S) + _LINGER_S
-        while loop.time() < began + _ACCEPT_S:
+        longest_s = self._longest_deadline_s()
+        accept_until = began + _ACCEPT_S
+        while loop.time() < accept_until:
             await asyncio.sleep(_DRAIN_STEP_S)
             self.frontend.close_idle(used=True)
-        # What waits to be accepted counts as taken: where there is no room for it, those that end make some.
-        while not (self.frontend.stop() and self.frontend.is_empty()) and loop.time() < last:
+        last_answers = max(began + longest_s + _LAST_ANSWERS_S, accept_until)
+        while not self._is_drained() and loop.time() < last_answers:
             await asyncio.sleep(_DRAIN_STEP_S)
-            self.frontend.close_idle(used=loop.time() < began + _LINGER_S)
+            self.frontend.close_idle(used=loop.time() < began + _UNUSED_S)
+        self._answer_all()
+        while not self._is_drained() and loop.time() < began + longest_s + _LINGER_S:
+            await asyncio.sleep(_DRAIN_STEP_S)
+            self._answer_all()  # what was in the kernel, or had no room, has been read by now
+        log.info("drained")
+
+    def _longest_deadline_s(self) -> float:
+        """The longest deadline in force or held, as the platform counts it."""
+        held = (each.call.service_class for each in self._by_call.values())  # maybe by earlier settings
+        longest_us = max(each.deadline_us for each in (*self._settings.classes, *held))
+        return min(longest_us / 1e6, _DEADLINE_MOST_S)
+
+    def _is_drained(self) -> bool:
+        """Whether nothing is left.
+
+        What waits to be accepted counts as taken: where there is no room for it, those that end make some.
+        """
+        return self.frontend.stop() and self.frontend.is_empty()
+
+    def _answer_all(self) -> None:
+        """FailRequest the requests that are held, and end the connections on which none is."""
         for live in list(self._by_call.values()):
             self._answer(live, 500, [], b"")
-        log.info("drained")
+        for connection in self.frontend.connections:
+            if connection.phase is Phase.WAITING:
+                connection.time_up()
+        self.frontend.close_idle(used=False)
 
     async def _watch_lag(self) -> None:
         loop = asyncio.get_running_loop()
@@ -287,7 +317,7 @@
         live = self._by_call.pop(call, None)
         if live is not None and not live.answered:
             self._mark_answered(live)
-            self.handle(RequestGone(live.ident))
+            self.handle(ClientDisconnected(live.ident))
 
     def _answer(self, live: Live, status: int, headers: Headers, body: bytes) -> None:
         if live.answered:
@@ -322,25 +352,25 @@
         else:
             self._out.discard(live.call.ident)
 
-    def _refuse(self, action: Refuse) -> None:
+    def _refuse(self, action: RejectRequest) -> None:
         live = self._live.get(action.request)
         if live is not None:
             self._answer(live, 503, retry_after(action.retry_after_us), b"")
 
-    def _fail(self, action: Fail) -> None:
+    def _fail(self, action: FailRequest) -> None:
         live = self._live.get(action.request)
         if live is not None:
             self._answer(live, 500, [], b"")
 
     # -- Attempts -------------------------------------------------------------------------------------
 
-    def _send(self, action: Send) -> None:
+    def _send(self, action: SendAttempt) -> None:
         live = self._live.get(action.request)
         index = live.sent if live is not None else 0
         if live is None or live.answered:
             if live is not None:
                 live.sent += 1
-            self.handle(AttemptEnded(action.request, index, action.server, Outcome.UNSENT, 0, True))
+            self.handle(AttemptEnded(action.request, index, action.server, Outcome.NOT_SENT, 0, True))
             return
         live.sent += 1
         live.out[index] = None
@@ -350,7 +380,7 @@
         try:
             exchange = self._upstream.send(action.server, order, until, ended)
         except Exception:
-            ended(Outcome.DROPPED, None)  # a defect; nobody knows how far it went
+            ended(Outcome.RESET, None)  # a defect; nobody knows how far it went
             raise
         if index in live.out:
             live.out[index] = exchange
@@ -385,7 +415,7 @@
         if index not in live.out:
             return
         del live.out[index]
-        if outcome is Outcome.DELIVERED and response is not None:
+        if outcome is Outcome.SUCCEEDED and response is not None:
             about_body = [each for each in response.headers if each[0] in _ABOUT_BODY]
             self._answer(live, 200, about_body, response.body)
         elapsed = self._clock.now() - sent_at
@@ -398,22 +428,22 @@
             return None
         return upstream.parse_report(response.header(b"x-load-report"), self._settings.report_columns)
 
-    def _cancel(self, action: Cancel) -> None:
+    def _cancel(self, action: CancelAttempt) -> None:
         live = self._live.get(action.request)
         attempt = live.out.get(action.attempt) if live is not None else None
         if attempt is not None:
             self._upstream.cancel(attempt)
 
-    def _probe(self, action: Probe) -> None:
-        reports = self._settings.report_source is not ReportSource.SILENT
+    def _probe(self, action: CheckHealth) -> None:
+        reports = self._settings.report_source is not ReportSource.NONE
         ended = partial(self._probed, action.server, self._clock.now())
         self._upstream.probe(action.server, "/stats" if reports else "/health/live", ended)
 
     def _probed(self, server: str, sent_at: int, outcome: Outcome, response: Response | None) -> None:
         report = None
-        if response is not None and outcome is Outcome.DELIVERED:
+        if response is not None and outcome is Outcome.SUCCEEDED:
             report = upstream.parse_probe(response.body, self._settings.report_columns)
-        self.handle(ProbeEnded(server, outcome, self._clock.now() - sent_at, report))
+        self.handle(HealthCheckEnded(server, outcome, self._clock.now() - sent_at, report))
 
     # -- Timers and the list --------------------------------------------------------------------------
 
@@ -437,7 +467,7 @@
             self._upstream.update(server.server, line.address, server.started_at, server.state)
         servers = [line.server for line in told.lines]
         if servers:
-            servers += [Endpoint(name, state=ServerState.GONE) for name in self._upstream.displace()]
+            servers += [Endpoint(name, state=ServerState.REMOVED) for name in self._upstream.displace()]
         self.handle(RegistryUpdated(kind, servers, told.version))
 
 
--- a/topazbank/net/frontend.py
+++ b/sidecar/proxy/frontend.py
@@ -13,15 +13,16 @@
 
 import h11
 
-from topazbank.net.upstream import Address, Headers, Reader, end_to_end, has_ended, is_quiet, message
-from topazbank.settings import Idempotency, ServiceClass, Settings
+from sidecar.proxy.event_loop import NEGLIGIBLE_WAIT_S, arrived_after
+from sidecar.proxy.listener import BACKLOG, accept_connection, open_listener
+from sidecar.proxy.upstream import Address, Headers, Reader, end_to_end, has_ended, is_quiet, message
+from sidecar.settings import Idempotency, ServiceClass, Settings
 
 log = logging.getLogger(__name__)
 
 BODY_MOST = 64 * 1024
 _READY_PATH = b"/health/ready"
 _API_PATH = b"/api"
-_BACKLOG = 512
 _ACCEPTED_AT_ONCE = 64  # connections, before others are looked at again
 _ACCEPT_PAUSE_S = 0.05  # after a failed accept, descriptors lacking: no spinning
 _SWEEP_S = 0.1  # how often connections are looked at for their limits
@@ -72,7 +73,7 @@
     service_class: ServiceClass  # as it was when the request came
     tenant: str | None
     key: int | None
-    budget_us: int
+    budget_us: int  # what is left of its client's patience
     cost_us: int | None
     again: bool
     answer: Callable[[int, Headers, bytes], None]
@@ -94,7 +95,7 @@
 
     WAITING = auto()  # it is new, or a request has begun to come
     OPEN = auto()  # a request is held; the driver answers it in its time
-    BEHIND = auto()  # the same, and half a request waits behind it
+    BEHIND = auto()  # half a request or junk came while one was held, which may be answered by now
     RESTING = auto()  # it has carried requests, and nothing comes
     LEAVING = auto()  # its last answer is still being taken
 
@@ -186,11 +187,25 @@
         return int.from_bytes(last, "big")
 
 
+def _is_whole(data: bytes) -> bool:
+    """Whether data begins with a whole request; raise RemoteProtocolError where it can't be read as one."""
+    reader = h11.Connection(h11.SERVER)
+    reader.receive_data(data)
+    event = reader.next_event()
+    while isinstance(event, h11.Request | h11.Data):
+        event = reader.next_event()
+    return event is not h11.NEED_DATA
+
+
 class ClientConnection(Reader):
     """One connection of the application; it carries one request at a time."""
 
-    def __init__(self, frontend: Frontend, sock: socket.socket, turned_away: bool = False) -> None:
+    def __init__(
+        self, frontend: Frontend, sock: socket.socket, connected_after: float, turned_away: bool = False
+    ) -> None:
         self._frontend = frontend
+        self._arrived_after = connected_after  # no byte that is read now can have come before
+        self._was_queued_with_data = False  # what is read first waited in the accept queue
         self._sock = sock
         self._turned_away = turned_away  # its first request is refused unseen
         self._h11 = h11.Connection(h11.SERVER)
@@ -207,6 +222,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
+        self._was_queued_with_data = not self.is_quiet()
         transport.set_write_buffer_limits(high=0)
         self._frontend.made(self, self._sock)
 
@@ -226,6 +242,7 @@
             # that gave up: done for all, it would keep the next ones waiting until they give up too.
             self.abort()
             return
+        self._note_arrival()
         self._h11.receive_data(data)
         if self._call is not None:
             self._look_ahead()
@@ -234,6 +251,19 @@
         else:
             self._bound_ahead()
 
+    def _note_arrival(self) -> None:
+        """Note since when the data may have waited; behind a held request, since its first part."""
+        if (self._call is not None or self._stuck) and self._h11.trailing_data[0]:
+            return
+        if not self._was_queued_with_data:
+            self._arrived_after = arrived_after()
+        self._was_queued_with_data = False
+
+    def _waited_us(self) -> int:
+        """How long the request that is read now may have waited; its client's time has run meanwhile."""
+        waited_s = asyncio.get_running_loop().time() - self._arrived_after
+        return int(waited_s * 1e6) if waited_s > NEGLIGIBLE_WAIT_S else 0
+
     def pause_writing(self) -> None:
         self._stuck = True
 
@@ -252,9 +282,9 @@
         """Whether nothing has come that is not read yet."""
         return is_quiet(self._sock)
 
-    def is_stuck(self) -> bool:
-        """Whether a part of its last answer is still to be written: closed now, it would be cut short."""
-        return self._stuck
+    def can_close_safely(self) -> bool:
+        """Whether a close cuts no answer short: what is not written yet, or by a reset over unread bytes."""
+        return not self._stuck and self.is_quiet()
 
     def is_idle(self) -> bool:
         """Whether it may be closed: no request is held, begun or waiting unread."""
@@ -274,23 +304,29 @@
 
     def time_up(self) -> None:
         """Its phase has lasted for as long as it may."""
-        if self.phase in (Phase.BEHIND, Phase.LEAVING):
+        if self.phase is Phase.LEAVING:
             self.abort()
+        elif self._call is not None:
+            self._fail_held()
         elif self.is_idle():
             self.close()
-        elif self.phase is Phase.WAITING and self.is_quiet():
+        elif self.phase is not Phase.RESTING and self.is_quiet():
             self._reject(BadRequest(408, "the request took too long to come"))
 
+    def _fail_held(self) -> None:
+        """Answer the request that is held as failed, and end the connection of a client that sends junk."""
+        log.info("connection ended: no whole request behind the one that is held")
+        self._client_gone()
+        self._answer(500, [], b"", ends=True)
+
     def _look_ahead(self) -> None:
-        """See what came behind the request that is held: what can't be read ends the connection at once."""
-        behind = self._h11.trailing_data[0]
-        ahead = h11.Connection(h11.SERVER)
-        ahead.receive_data(behind)
+        """See what came behind the request that is held: what can't be read ends the connection after it."""
         try:
-            whole = ahead.next_event() is not h11.NEED_DATA
+            whole = _is_whole(self._h11.trailing_data[0])
         except h11.RemoteProtocolError as bad:
-            log.info("connection ended: %s", bad)
-            self.abort()
+            log.info("connection ends with its answer: %s", bad)
+            self._dropped = 0
+            self._frontend.move(self, Phase.BEHIND)
             return
         self._frontend.move(self, Phase.OPEN if whole else Phase.BEHIND)
         self._bound_ahead()
@@ -315,7 +351,7 @@
         except Exception:
             log.exception("a request could not be handled")  # a defect: its request fails, no other
             if self._head is None:
-                self.abort()  # it was answered already
+                self._linger()  # it was answered already, maybe not yet to the last byte
             else:
                 self._reject(BadRequest(500, "internal error"))
         if self.phase is Phase.RESTING and self.has_begun():
@@ -349,6 +385,7 @@
         """A request has come whole."""
         head, body = self._head, bytes(self._body)
         assert head is not None
+        self._frontend.move(self, Phase.OPEN)
         path = head.target.partition(b"?")[0]
         if path == _READY_PATH:
             self._answer(200 if self._frontend.hooks.ready() else 503, [], b"")
@@ -362,9 +399,17 @@
         else:
             call = parse_call(head, body, self._frontend.settings, self._answer, self._has_left)
             self._check_id(call.ident)
-            self._call = call
-            self._frontend.move(self, Phase.OPEN)
-            self._frontend.hooks.taken(call)
+            self._take(call)
+
+    def _take(self, call: Call) -> None:
+        """Hand a request to the driver, unless its client's time was over before it was read."""
+        waited_us = self._waited_us()
+        if waited_us and call.budget_us <= waited_us:
+            self._answer(503, [], b"")
+            return
+        call.budget_us -= waited_us
+        self._call = call
+        self._frontend.hooks.taken(call)
 
     def _check_id(self, ident: str) -> None:
         """Neither send on nor call harmless to repeat what may be running already."""
@@ -382,8 +427,9 @@
         self._call = None
         if self._transport is None or self._transport.is_closing():
             return
-        ends = ends or self._frontend.draining or self._h11.their_state is not h11.DONE
-        ends = ends or self._dropped is not None
+        behind = self._h11.trailing_data[0]
+        ends = ends or self._dropped is not None or self._h11.their_state is not h11.DONE
+        ends = ends or (self._frontend.draining and not behind)  # what was read is answered too
         headers = [*headers, (b"Content-Length", str(len(body)).encode())]
         if ends:
             headers.append((b"Connection", b"close"))
@@ -395,12 +441,14 @@
         if ends:
             self._linger()
             return
-        behind = self._h11.trailing_data[0]
         self._h11 = h11.Connection(h11.SERVER)  # each reads one request; it never hears of answers
         if behind:
             self._h11.receive_data(behind)
-        self._frontend.move(self, Phase.LEAVING if self._stuck else Phase.RESTING)
-        if not self._stuck and behind:
+        if self._stuck:
+            self._frontend.move(self, Phase.LEAVING)
+            return
+        self._rest()
+        if behind:
             asyncio.get_running_loop().call_soon(self._next_request)
 
     def _linger(self) -> None:
@@ -416,7 +464,7 @@
     def _drop(self, count: int) -> None:
         self._dropped = (self._dropped or 0) + count
         if self._dropped > _DROPPED_MOST and self._call is not None:
-            self.abort()  # there is no end to it, and its client's end could not be heard of
+            self._fail_held()  # there is no end to it, and its client's end could not be heard of
         elif self._dropped > _DROPPED_MOST and self._transport is not None:
             self._transport.pause_reading()
 
@@ -424,9 +472,14 @@
         """Turn to what came behind the answered request."""
         if self._transport is None or self._transport.is_closing() or self._call is not None or self._stuck:
             return
-        self._frontend.move(self, Phase.RESTING)
+        self._rest()
         self._read()
 
+    def _rest(self) -> None:
+        """Note that no request is held; the time of one that has begun to come runs on."""
+        if self.phase is not Phase.BEHIND or not self.has_begun():
+            self._frontend.move(self, Phase.RESTING)
+
     def _client_gone(self) -> None:
         call, self._call = self._call, None
         if call is not None:
@@ -448,10 +501,10 @@
         self._silent: set[ClientConnection] = set()  # of those WAITING, as of the last late sweeps
         self._sweep_due = 0.0
         self._accepting = False
+        self._queue_empty_at: float | None = None  # when last seen so; None: whenever the loop last polled
         self._accepted: set[socket.socket] = set()  # whose connections are not made yet
         self._starting: set[asyncio.Task[None]] = set()
-        self._sock = socket.create_server(address, backlog=_BACKLOG)
-        self._sock.setblocking(False)
+        self._sock = open_listener(address)
         self.address: Address = self._sock.getsockname()[:2]
 
     @property
@@ -470,35 +523,44 @@
     def _pause(self) -> None:
         """Leave new connections to the kernel's queue for now."""
         self._accepting = False
+        if self._queue_empty_at is None:
+            self._queue_empty_at = arrived_after()
         asyncio.get_running_loop().remove_reader(self._sock)
 
+    def _pause_briefly(self) -> None:
+        self._pause()
+        asyncio.get_running_loop().call_later(_ACCEPT_PAUSE_S, self._accept_again)
+
     def _accept(self, at_once: int = _ACCEPTED_AT_ONCE) -> bool:
         """Take the connections that wait; say whether none is left."""
+        if self._queue_empty_at is None:
+            self._queue_empty_at = arrived_after()
+        is_drained = self._accept_some(at_once, self._queue_empty_at)
+        if is_drained:
+            self._queue_empty_at = None if self._accepting else asyncio.get_running_loop().time()
+        return is_drained
+
+    def _accept_some(self, at_once: int, connected_after: float) -> bool:
         for _ in range(at_once):
             if self._count() >= self._most:
                 if not self._is_one_waiting():
                     return True
                 if not self._make_room():
-                    self._pause()
-                    asyncio.get_running_loop().call_later(_ACCEPT_PAUSE_S, self._accept_again)
+                    self._pause_briefly()
                 return False  # what made room holds its descriptor until the next turn of the loop
             try:
-                sock, _ = self._sock.accept()
+                sock = accept_connection(self._sock)
             except BlockingIOError:
                 return True
-            except (InterruptedError, ConnectionAbortedError):
-                continue
             except OSError as fault:
                 log.error("accept: %s", fault)
-                self._pause()
-                asyncio.get_running_loop().call_later(_ACCEPT_PAUSE_S, self._accept_again)
+                self._pause_briefly()
                 return False
-            if has_ended(sock):  # it waited for longer than its client did
-                sock.close()
+            if sock is None:
                 continue
-            sock.setblocking(False)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            task = asyncio.get_running_loop().create_task(self._begin(sock, self._is_swamped()))
+            task = asyncio.get_running_loop().create_task(
+                self._begin(sock, connected_after, self._is_swamped())
+            )
             self._accepted.add(sock)
             self._starting.add(task)
             task.add_done_callback(self._starting.discard)
@@ -507,14 +569,22 @@
     def _is_one_waiting(self) -> bool:
         look = select.poll()
         look.register(self._sock, select.POLLIN)
-        return bool(look.poll(0))
+        try:
+            return bool(look.poll(0))
+        except OSError:  # memory is lacking: nobody knows
+            return True
 
-    async def _begin(self, sock: socket.socket, turned_away: bool) -> None:
+    async def _begin(self, sock: socket.socket, connected_after: float, turned_away: bool) -> None:
         try:
             loop = asyncio.get_running_loop()
-            await loop.connect_accepted_socket(lambda: ClientConnection(self, sock, turned_away), sock)
-        except OSError:
-            self._accepted.discard(sock)
+            connection = ClientConnection(self, sock, connected_after, turned_away)
+            await loop.connect_accepted_socket(lambda: connection, sock)
+        except OSError as fault:
+            log.info("accepted connection has broken: %s", fault)
+        finally:
+            if sock in self._accepted:  # no transport owns it
+                self._accepted.discard(sock)
+                sock.close()
 
     def made(self, connection: ClientConnection, sock: socket.socket) -> None:
         """An accepted connection counts by its phase from now on."""
@@ -532,7 +602,7 @@
         """
         grown = asyncio.get_running_loop().time() - _YOUNG_S
         chosen = (
-            next((each for each in self._phases[Phase.LEAVING] if not each.is_stuck()), None)
+            next((each for each in self._phases[Phase.LEAVING] if each.can_close_safely()), None)
             or self._quiet(Phase.WAITING, grown)
             or self._quiet(Phase.RESTING)
             or self._quiet(Phase.WAITING)
@@ -619,7 +689,7 @@
 
     def stop(self) -> bool:
         """Take what waits, then listen no more; say whether that is done: there may be no room yet."""
-        if self._sock.fileno() >= 0 and self._accept(_BACKLOG):
+        if self._sock.fileno() >= 0 and self._accept(BACKLOG):
             if self._accepting:
                 self._pause()
             self._sock.close()
--- a/topazbank/net/upstream.py
+++ b/sidecar/proxy/upstream.py
@@ -20,7 +20,15 @@
 
 import h11
 
-from topazbank.interface import Outcome, ServerState
+from sidecar.balancer.events import Outcome, ServerState
+from sidecar.proxy.dialing import (
+    LOCAL_ERRNOS,
+    LocalDialError,
+    close_quietly,
+    connect_socket,
+    open_socket,
+    retry_pauses,
+)
 
 log = logging.getLogger(__name__)
 
@@ -146,6 +154,7 @@
         self.sock = sock
         self.reusable = True
         self.spoilt = False  # whether it has answered with what is no answer, or with more than one
+        self.failed_locally = False  # whether it broke for a cause on this machine
         self._body_most = body_most
         self._stall_s = stall_s  # what an answer that has begun may take; None: bounded elsewhere
         self._stall: asyncio.TimerHandle | None = None
@@ -217,6 +226,7 @@
             self._stall = asyncio.get_running_loop().call_later(self._stall_s, self._spoil, "it stalled")
 
     def eof_received(self) -> bool:
+        self.reusable = False
         if self._ended is not None:
             self._feed(b"")
         return False
@@ -282,13 +292,12 @@
         return True
 
     def _response(self) -> Response | None:
+        """The answer, whole: its length is reached or, where it announces none, its connection has ended.
+
+        Only an orderly end gets here for that; a reset is a loss of the connection.
+        """
         head = self._head
-        if head is None:
-            return None
-        response = Response(head.status_code, list(head.headers), bytes(self._body))
-        framed = response.header(b"content-length") or response.header(b"transfer-encoding")
-        # An answer that ends with its connection can't be told from one cut short.
-        return response if framed is not None or head.status_code in _BODILESS else None
+        return None if head is None else Response(head.status_code, list(head.headers), bytes(self._body))
 
     def _finish(self, response: Response | None, reusable: bool = False) -> None:
         ended, self._ended = self._ended, None
@@ -301,6 +310,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.reusable = False
+        self.failed_locally = isinstance(exc, OSError) and exc.errno in LOCAL_ERRNOS
         self._end_stall()
         ended, self._ended = self._ended, None
         if ended is not None:
@@ -335,16 +345,14 @@
 async def connect(
     address: Address, body_most: int, stall_s: float | None = None, sock: socket.socket | None = None
 ) -> Connection:
-    """Dial; raise OSError where no connection comes up."""
+    """Dial; raise OSError where no connection comes up, LocalDialError where this machine is the cause."""
     loop = asyncio.get_running_loop()
-    sock = sock or new_socket(address)
+    sock = sock or open_socket(partial(new_socket, address))
     try:
-        sock.setblocking(False)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        await loop.sock_connect(sock, address)
+        await connect_socket(sock, address)
         _, connection = await loop.create_connection(partial(Connection, sock, body_most, stall_s), sock=sock)
     except BaseException:
-        sock.close()
+        close_quietly(sock)
         raise
     return connection
 
@@ -446,12 +454,20 @@
         self.written_at = 0.0
         self.idle_s: float | None = None  # how long its connection was idle before; None: it was new
         self.dial: asyncio.Task[bool] | None = None
+        self.dialled: socket.socket | None = None  # what the dial tries at present
+        self.held_up = False  # whether its dial has failed for a cause on this machine, and is tried again
         self.timers: list[asyncio.TimerHandle] = []
 
     def is_written(self) -> bool:
         """Whether the last byte of its request has gone to the kernel."""
         return self.connection is not None and self.connection.written
 
+    def not_written(self) -> Outcome:
+        """What it proves that the request was not written in time."""
+        if self.connection is None and self.held_up:
+            return Outcome.NOT_SENT
+        return Outcome.CONNECT_FAILED
+
     def end(self, outcome: Outcome, response: Response | None = None) -> None:
         """Tell the outcome, once; what comes later is nobody's."""
         ended, self.ended = self.ended, None
@@ -460,7 +476,7 @@
         for timer in self.timers:
             timer.cancel()
         self.endpoint.dialling.discard(self)
-        if outcome in (Outcome.EXPIRED, Outcome.CANCELLED, Outcome.DIAL_FAILED, Outcome.UNSENT):
+        if outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT):
             if self.connection is not None:
                 self.connection.give_up()
             if self.dial is not None:
@@ -474,12 +490,14 @@
     A rejection with more behind it proves nothing: one of the two may answer the request before.
     """
     if response is not None and response.is_rejection() and not spoilt:
-        return Outcome.FULL
+        return Outcome.REJECTED
     if not written:
-        return Outcome.DIAL_FAILED  # a server begins a request with its last byte: what came answers another
+        return (
+            Outcome.CONNECT_FAILED
+        )  # a server begins a request with its last byte: what came answers another
     if response is None:
-        return Outcome.ERROR if spoilt else Outcome.DROPPED  # who answers with noise is still there
-    return Outcome.DELIVERED if response.status == 200 else Outcome.ERROR
+        return Outcome.ERROR if spoilt else Outcome.RESET  # who answers with noise is still there
+    return Outcome.SUCCEEDED if response.status == 200 else Outcome.ERROR
 
 
 class Upstream:
@@ -519,7 +537,7 @@
         """Note what the list says of a server; a new process or place makes its old connections useless."""
         known = self._endpoints.get(name)
         if known is None:
-            if state is not ServerState.GONE:
+            if state is not ServerState.REMOVED:
                 self._endpoints[name] = Endpoint(name, address or _NOWHERE, started_at, state)
             return
         address = address or known.address
@@ -529,17 +547,17 @@
             known.generation += 1
             self.close_idle(name)
             if moved:
-                self._withdraw(known, Outcome.UNSENT)  # who listens there now may be any other
+                self._withdraw(known, Outcome.NOT_SENT)  # who listens there now may be any other
         known.state = state
         if state is not ServerState.READY:
             self._withdraw(known)
-        if state is ServerState.GONE:
+        if state is ServerState.REMOVED:
             del self._endpoints[name]  # what is still out there holds it until it ends
 
     def retain(self, names: Collection[str]) -> None:
         """Drop all servers but these."""
         for name in [each for each in self._endpoints if each not in names]:
-            self.update(name, None, None, ServerState.GONE)
+            self.update(name, None, None, ServerState.REMOVED)
 
     def displace(self) -> list[str]:
         """Drop the servers whose address is that of one that started later: its process listens there now."""
@@ -552,10 +570,10 @@
                 former.append(older.name)
             latest[each.address] = newer
         for name in former:
-            self.update(name, None, None, ServerState.GONE)
+            self.update(name, None, None, ServerState.REMOVED)
         return former
 
-    def _withdraw(self, endpoint: Endpoint, outcome: Outcome = Outcome.DIAL_FAILED) -> None:
+    def _withdraw(self, endpoint: Endpoint, outcome: Outcome = Outcome.CONNECT_FAILED) -> None:
         """End what was not written to a server that takes nothing new: a slow dial may outlast the grace."""
         self.close_idle(endpoint.name)
         for exchange in list(endpoint.dialling):
@@ -568,7 +586,7 @@
         exchange = Exchange(endpoint, order, until, ended)
         if until <= loop.time() or endpoint.state is not ServerState.READY:
             # Not ready: the list has told so, and its news are still on their way to the balancer.
-            exchange.end(Outcome.UNSENT)
+            exchange.end(Outcome.NOT_SENT)
             return exchange
         exchange.timers.append(loop.call_at(until, self._time_up, exchange))
         connection = self._take_idle(exchange)
@@ -581,7 +599,7 @@
             exchange.dial.add_done_callback(self._dialled)
         else:
             log.warning("no connection to spare for %s", name)
-            exchange.end(Outcome.DIAL_FAILED)
+            exchange.end(Outcome.CONNECT_FAILED)
         return exchange
 
     def probe(self, name: str, target: str, ended: Ended) -> Exchange:
@@ -596,7 +614,7 @@
     def unsend(self, exchange: Exchange) -> None:
         """End an attempt that is not all written yet, so that it never will be."""
         if not exchange.is_written():
-            exchange.end(Outcome.UNSENT)
+            exchange.end(Outcome.NOT_SENT)
 
     def close_idle(self, name: str) -> None:
         endpoint = self._endpoints.get(name)
@@ -607,16 +625,17 @@
 
     @staticmethod
     def _time_up(exchange: Exchange) -> None:
-        exchange.end(Outcome.EXPIRED if exchange.is_written() else Outcome.DIAL_FAILED)
+        exchange.end(Outcome.TIMED_OUT if exchange.is_written() else exchange.not_written())
 
     @staticmethod
-    def _dial_time_up(exchange: Exchange, sock: socket.socket) -> None:
+    def _dial_time_up(exchange: Exchange) -> None:
         """End a dial, unless its connection is up and only this program has not come to look.
 
         Guards a busy sidecar against taking its own lag for dead servers.  The attempt's end bounds it still.
         """
-        if exchange.connection is None and not is_up(sock):
-            exchange.end(Outcome.DIAL_FAILED)
+        dialled = exchange.dialled
+        if exchange.connection is None and (dialled is None or not is_up(dialled)):
+            exchange.end(exchange.not_written())
 
     def _take_idle(self, exchange: Exchange) -> Connection | None:
         """The last used of those that have rested, unless it has been idle for longer than such ones last.
@@ -655,15 +674,13 @@
 
     async def _dial(self, exchange: Exchange) -> bool:
         """Dial and write; say whether there is a connection now."""
-        endpoint = exchange.endpoint
+        loop = asyncio.get_running_loop()
+        exchange.timers.append(loop.call_later(self._dial_limit, self._dial_time_up, exchange))
         try:
-            sock = new_socket(endpoint.address)
-            loop = asyncio.get_running_loop()
-            exchange.timers.append(loop.call_later(self._dial_limit, self._dial_time_up, exchange, sock))
-            connection = await connect(endpoint.address, BODY_MOST, self._dial_limit, sock)
-        except OSError as fault:
-            log.debug("no connection to %s: %r", endpoint.name, fault)
-            exchange.end(Outcome.DIAL_FAILED)
+            connection = await self._connect(exchange)
+        except (OSError, UnicodeError) as fault:  # the latter of a host's name that is none
+            log.debug("no connection to %s: %r", exchange.endpoint.name, fault)
+            exchange.end(Outcome.CONNECT_FAILED)
             return False
         connection.on_lost = self._lost
         if exchange.ended is None:
@@ -672,6 +689,19 @@
             self._write(exchange, connection)
         return True
 
+    async def _connect(self, exchange: Exchange) -> Connection:
+        """Dial, again after each failure of this machine, until the exchange's timers end it."""
+        address = exchange.endpoint.address
+        pauses = retry_pauses()
+        while True:
+            try:
+                exchange.dialled = open_socket(partial(new_socket, address))
+                return await connect(address, BODY_MOST, self._dial_limit, exchange.dialled)
+            except LocalDialError as fault:
+                log.debug("dial of %s held up: %r", exchange.endpoint.name, fault)
+                exchange.held_up, exchange.dialled = True, None
+                await asyncio.sleep(next(pauses))
+
     def _dialled(self, dial: asyncio.Task[bool]) -> None:
         if dial.cancelled() or not dial.result():
             self._lost()
@@ -689,7 +719,7 @@
                 self._put_back(exchange, connection)
             else:
                 connection.abort()  # its idle time goes on at its server, and must not begin anew here
-            exchange.end(Outcome.UNSENT)
+            exchange.end(Outcome.NOT_SENT)
             return
         exchange.connection, exchange.written_at = connection, now
         connection.request(
@@ -701,16 +731,18 @@
         """Whether a long request may be written to its end, as its order tells; else it is given up."""
         left_s = exchange.until - asyncio.get_running_loop().time()
         if exchange.order(max(left_s, 0.0)) is None:
-            exchange.end(Outcome.UNSENT)
+            exchange.end(Outcome.NOT_SENT)
         return exchange.ended is not None
 
     def _answered(self, exchange: Exchange, connection: Connection, response: Response | None) -> None:
         self._put_back(exchange, connection)
         outcome = judge(response, connection.written, connection.spoilt)
+        if outcome is Outcome.CONNECT_FAILED and connection.failed_locally:
+            outcome = Outcome.NOT_SENT  # the server has no part in it
         if exchange.ended is not None:  # else it was given up on, which says nothing of its connection
             now = asyncio.get_running_loop().time()
             # A connection forgotten while idle breaks at once; later it is the server that broke.
-            broke = outcome is Outcome.DROPPED and now - exchange.written_at < self._dial_limit
+            broke = outcome is Outcome.RESET and now - exchange.written_at < self._dial_limit
             self._ages.note(exchange.idle_s, broke)
         exchange.end(outcome, response)
 
--- a/topazbank/wire_settings.py
+++ b/sidecar/wire_settings.py
@@ -5,20 +5,20 @@
 from collections.abc import Mapping
 from typing import Any
 
-from topazbank.settings import Settings
+from sidecar.settings import Settings
 
 # Settings: wire name -> name in settings.py; what has no entry is passed over.
 _TOP = {
     "lanes": "classes",
     "realms": "tenants",
     "zone": "zone",
-    "me": "me",
-    "groupSize": "group_size",
+    "me": "instance_index",
+    "groupSize": "sidecar_count",
     "quantumUs": "tick_us",
     "discovery": "discovery",
     "weights": "weights",
-    "worthBy": "worth_by",
-    "overShareWorth": "over_share_worth",
+    "worthBy": "weight_basis",
+    "overShareWorth": "over_share_weight",
     "report": "report",
     "bounds": "limits",
     "guarantees": "rules",
@@ -29,8 +29,8 @@
         "name": "name",
         "giveUpUs": "deadline_us",
         "promiseUs": "latency_target_us",
-        "worth": "worth",
-        "lateValue": "late_worth",
+        "worth": "priority_weight",
+        "lateValue": "late_weight",
         "repeat": "idempotency",
         "group": "dedup_scope",
         "memorySpanUs": "dedup_window_us",
@@ -45,7 +45,7 @@
         "secondCopies": "allow_hedging",
         "mayCancel": "allow_cancel",
         "probing": "allow_probes",
-        "mayTell": "may_message",
+        "mayTell": "allow_messages",
         "retryAfter": "retry_after",
         "maxRetryAfterUs": "max_retry_after_us",
         "dialTimeoutUs": "dial_timeout_us",
@@ -54,14 +54,14 @@
     },
     "rules": {
         "answerSlackUs": "answer_slack_us",
-        "askWithinUs": "ask_within_us",
+        "askWithinUs": "max_poll_interval_us",
         "drainGraceUs": "drain_grace_us",
         "coldFrom": "slow_start_from",
         "coldUs": "slow_start_us",
         "fallMultiple": "overload_multiple",
         "fallUs": "overload_window_us",
         "lateShedding": "late_shedding",
-        "turnGapUs": "key_rest_us",
+        "turnGapUs": "key_cooldown_us",
     },
     "prices": {
         "crossZone": "cross_zone",
--- /dev/null
+++ b/tests/balancer/policy_context.py
@@ -0,0 +1,45 @@
+"""The context, requests and attempts for unit tests of single policies."""
+
+from __future__ import annotations
+
+import random
+
+from helpers import MS as MILLISECOND_US
+from helpers import START, settings
+from helpers import S as SECOND_US
+
+from sidecar.balancer.events import Endpoint, RegistryUpdated, RegistryUpdateKind, TimerFired
+from sidecar.balancer.state import Attempt, Context, Request, Server
+
+TARGET_US = 500 * MILLISECOND_US
+
+
+def make_context(servers: int = 10, **changes: object) -> Context:
+    """A context at START with so many ready servers."""
+    context = Context(settings(**changes), random.Random(7), stall_check_targets=0.1)
+    context.begin(START, TimerFired(""))
+    endpoints = [Endpoint(f"s{number}", zone="east") for number in range(servers)]
+    context.registry.apply(RegistryUpdated(RegistryUpdateKind.SNAPSHOT, endpoints))
+    context.load.mean = 16.0  # enough traffic for the subset to be all of them
+    return context
+
+
+def make_request(context: Context, class_name: str = "look") -> Request:
+    """A request of the class, with no attempt so far."""
+    service_class = next(each for each in context.settings.classes if each.name == class_name)
+    return Request(1, service_class, START + 2 * SECOND_US, 1.0, (class_name, None), all_zones=True, size=1)
+
+
+def start_attempt(context: Context, request: Request, server: Server) -> Attempt:
+    """Add an attempt at the server, and its load."""
+    attempt = Attempt(len(request.attempts), server, context.now, 0, 0)
+    request.attempts.append(attempt)
+    context.load.change(server, 1)
+    return attempt
+
+
+def add_load(context: Context, attempts: int) -> None:
+    """Add the load of so many attempts to the first ready server."""
+    server = context.registry.ready[0]
+    for _ in range(attempts):
+        context.load.change(server, 1)
