--- a/scale/control/stub_sidecar.py
+++ b/scale/control/stub_sidecar.py
@@ -10,8 +10,9 @@
 from sidecar.balancer.actions import FetchRegistry, SetTimer, WatchRegistry
 from sidecar.balancer.balancer import Balancer
 from sidecar.balancer.events import Endpoint, RegistryUpdated, RegistryUpdateKind, ServerState, TimerFired
-from sidecar.proxy.discovery import Discovery, RegistryResponse
-from sidecar.proxy.driver import Clock
+from sidecar.proxy.clock import Clock
+from sidecar.proxy.discovery import Discovery
+from sidecar.proxy.registry_messages import RegistryResponse
 from sidecar.proxy.upstream import Address, Upstream
 from sidecar.settings import Settings
 
--- a/sidecar/__main__.py
+++ b/sidecar/__main__.py
@@ -13,8 +13,9 @@
 import signal
 import sys
 
+from sidecar.config import Config
 from sidecar.configuration import read_config
-from sidecar.proxy.driver import Config, Sidecar
+from sidecar.proxy.driver import Sidecar
 from sidecar.proxy.event_loop import EventLoop
 from sidecar.reload import UNUSABLE, Reloader, ReloadSignal
 
--- a/sidecar/configuration.py
+++ b/sidecar/configuration.py
@@ -6,8 +6,8 @@
 from collections.abc import Mapping
 from typing import Any
 
-from sidecar.proxy.discovery import RegistryResponse, parse_registry
-from sidecar.proxy.driver import Config
+from sidecar.config import Config
+from sidecar.proxy.registry_messages import RegistryResponse, parse_registry
 from sidecar.proxy.upstream import parse_address
 from sidecar.wire_settings import settings_from_wire
 
--- a/sidecar/proxy/driver.py
+++ b/sidecar/proxy/driver.py
@@ -9,7 +9,6 @@
 import asyncio
 import itertools
 import logging
-import time
 from collections import deque
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
@@ -44,9 +43,12 @@
     SettingsChanged,
     TimerFired,
 )
+from sidecar.config import Config
 from sidecar.proxy import upstream
-from sidecar.proxy.discovery import Discovery, RegistryResponse
+from sidecar.proxy.clock import Clock
+from sidecar.proxy.discovery import Discovery
 from sidecar.proxy.frontend import Call, Frontend, Hooks, Phase, retry_after
+from sidecar.proxy.registry_messages import RegistryResponse
 from sidecar.proxy.upstream import Address, Exchange, Headers, Response
 from sidecar.settings import Discovery as DiscoveryMode
 from sidecar.settings import Idempotency, ReportSource, Settings
@@ -69,20 +71,6 @@
 _FDS_KEPT = 64  # descriptors left for discovery, logs and the runtime
 
 
-class Clock:
-    """Microseconds of Unix time, anchored once: monotonic, and comparable with discovery's `since_ms`."""
-
-    def __init__(self) -> None:
-        self._offset_us = time.time_ns() // 1000 - time.monotonic_ns() // 1000
-
-    def now(self) -> int:
-        return time.monotonic_ns() // 1000 + self._offset_us
-
-    def on_loop(self, at_us: int) -> float:
-        """A clock time as the event loop counts it."""
-        return (at_us - self._offset_us) / 1e6
-
-
 @dataclass(slots=True, eq=False)
 class Live:
     """A request that is not over: unanswered, or with attempts still out."""
@@ -97,19 +85,6 @@
     backstop: asyncio.TimerHandle | None = None
 
 
-@dataclass(frozen=True, slots=True)
-class Config:
-    """All that a sidecar is told."""
-
-    listen: Address
-    discovery: Address
-    seed: int
-    sockets: int
-    settings: Settings
-    known: RegistryResponse = field(compare=False)  # as held before the start, which alone needs it
-    version: int | None = None  # None: it names none
-
-
 class Sidecar:
     """One sidecar: a balancer and the sockets round it."""
 
--- a/sidecar/reload.py
+++ b/sidecar/reload.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, fields
 
-from sidecar.proxy.driver import Config
+from sidecar.config import Config
 from sidecar.settings import Settings
 
 log = logging.getLogger(__name__)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -13,9 +13,10 @@
 import pytest
 from helpers import KEYED, SAFE, UNSAFE, S, settings
 
+from sidecar.config import Config
 from sidecar.proxy import upstream
-from sidecar.proxy.discovery import parse_registry
-from sidecar.proxy.driver import Config, Sidecar
+from sidecar.proxy.driver import Sidecar
+from sidecar.proxy.registry_messages import parse_registry
 from sidecar.proxy.upstream import Address
 
 PATIENCE_S = 20.0  # for what must come; no test takes it as proof of anything
--- a/tests/scale/test_registry_standin.py
+++ b/tests/scale/test_registry_standin.py
@@ -16,7 +16,7 @@
 from scale.standins.fleet import make_endpoints
 from scale.standins.registry import RegistryServer
 from scale.standins.registry_state import Availability
-from sidecar.proxy.discovery import parse_registry
+from sidecar.proxy.registry_messages import parse_registry
 
 TIMEOUT_S = 20.0
 ENDPOINTS = [Endpoint("s-1", "10.0.0.1:80", "a"), Endpoint("s-2", "10.0.0.2:80", "b", weight=2.0)]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -36,8 +36,9 @@
 
 from sidecar.balancer.events import Outcome, ServerState
 from sidecar.proxy import driver, upstream
-from sidecar.proxy.discovery import Discovery, RegistryResponse, parse_registry
+from sidecar.proxy.discovery import Discovery
 from sidecar.proxy.frontend import _LIMITS_S, Phase
+from sidecar.proxy.registry_messages import RegistryResponse, parse_registry
 from sidecar.proxy.upstream import (
     Address,
     Connection,
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,7 +10,8 @@
 from virtual_time import play_in_virtual_time
 
 from sidecar.balancer.events import ServerState
-from sidecar.proxy.discovery import _IDLE_S, Discovery, RegistryResponse, parse_registry
+from sidecar.proxy.discovery import _IDLE_S, Discovery
+from sidecar.proxy.registry_messages import RegistryResponse, parse_registry
 from sidecar.proxy.upstream import Upstream
 
 
--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -14,6 +14,7 @@
 from virtual_time import Service, now_s, play_in_virtual_time, told_within
 
 from sidecar.proxy import discovery, upstream
+from sidecar.proxy.registry_messages import parse_registry
 from sidecar.proxy.upstream import Address, Connection, Upstream
 
 TOLD_S = 6.0  # after discovery has a change and can be reached
@@ -212,5 +213,5 @@
 
 def test_an_entry_with_a_number_too_large_spoils_no_other() -> None:
     large = {"name": "s-0", "address": "127.0.0.1:9", "status": "active", "weight": 10**400}
-    told = discovery.parse_registry({"index": 1, "endpoints": [large, large | {"name": "s-1", "weight": 1}]})
+    told = parse_registry({"index": 1, "endpoints": [large, large | {"name": "s-1", "weight": 1}]})
     assert [line.server.server for line in told.lines] == ["s-1"]
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -17,9 +17,9 @@
 
 from sidecar.balancer.actions import Action
 from sidecar.balancer.events import Event, SettingsChanged
+from sidecar.config import Config
 from sidecar.configuration import read_config
-from sidecar.proxy.discovery import RegistryResponse
-from sidecar.proxy.driver import Config
+from sidecar.proxy.registry_messages import RegistryResponse
 from sidecar.reload import Applied, Rejected, Reload, Reloader, Unchanged
 from sidecar.settings import Settings
 
--- a/tests/test_reload_succession.py
+++ b/tests/test_reload_succession.py
@@ -14,7 +14,7 @@
 from virtual_time import Service, now_s, pass_s, play_in_virtual_time, told_within
 
 from sidecar import reload
-from sidecar.proxy.driver import Config
+from sidecar.config import Config
 from sidecar.reload import Applied, Rejected, Reloader, ReloadSignal
 
 RELOADED_S = 4.0  # after SIGHUP, what discovery's new place has counts as told
--- a/tests/test_request_wait.py
+++ b/tests/test_request_wait.py
@@ -22,7 +22,7 @@
     world,
 )
 
-from sidecar.proxy import driver
+from sidecar.proxy.clock import Clock as BalancerClock
 from sidecar.proxy.event_loop import EventLoop, PollTimingSelector
 from sidecar.proxy.upstream import Address
 
@@ -52,11 +52,11 @@
         async with asyncio.timeout(60.0):
             await scene(clock)
 
-    def now(own: driver.Clock) -> int:
+    def now(own: BalancerClock) -> int:
         return int(clock() * 1e6) + own._offset_us
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(driver.Clock, "now", now)
+        patch.setattr(BalancerClock, "now", now)
         with asyncio.Runner(loop_factory=lambda: EventLoop(clock)) as runner:
             runner.run(bounded())
 
--- a/tests/test_wall_clock_steps.py
+++ b/tests/test_wall_clock_steps.py
@@ -11,7 +11,7 @@
 from loopback import hung, play, served, until, world
 
 from sidecar.__main__ import Flood
-from sidecar.proxy.driver import Clock
+from sidecar.proxy.clock import Clock
 
 HOUR_S = 3600.0
 STEPS_S = [-HOUR_S, -3.0, 3.0, HOUR_S]
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -16,7 +16,7 @@
 from loopback import FakeDiscovery, World, answer, read_message, reset
 
 from sidecar.balancer.events import ServerState
-from sidecar.proxy import driver
+from sidecar.proxy.clock import Clock
 
 _GLANCE_S = 0.001  # what is on its way over loopback is there by then
 _TURN_S = 1e-6  # a turn of the loop counts as so long: two moments are never the same
@@ -47,7 +47,7 @@
         return self.time_selector.passed
 
 
-def _loop_clock(clock: driver.Clock) -> int:
+def _loop_clock(clock: Clock) -> int:
     """The module's clock, as the event loop's."""
     return int(asyncio.get_running_loop().time() * 1e6) + clock._offset_us
 
@@ -55,7 +55,7 @@
 def play_in_virtual_time(scene: Coroutine[Any, Any, None]) -> None:
     """Run an asynchronous test on a virtual clock, which the module reads too."""
     with pytest.MonkeyPatch.context() as patch, asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
-        patch.setattr(driver.Clock, "now", _loop_clock)
+        patch.setattr(Clock, "now", _loop_clock)
         runner.run(scene)
 
 
