--- a/scale/control/stub_sidecar.py
+++ b/scale/control/stub_sidecar.py
@@ -10,9 +10,10 @@
 from sidecar.balancer.actions import FetchRegistry, SetTimer, WatchRegistry
 from sidecar.balancer.balancer import Balancer
 from sidecar.balancer.events import Endpoint, RegistryUpdated, RegistryUpdateKind, ServerState, TimerFired
+from sidecar.proxy.addresses import Address
+from sidecar.proxy.connection_pool import Upstream
 from sidecar.proxy.discovery import Discovery, RegistryResponse
 from sidecar.proxy.driver import Clock
-from sidecar.proxy.upstream import Address, Upstream
 from sidecar.settings import Settings
 
 _SOCKETS_PER_SIDECAR = 480  # for servers, of a sidecar with the usual 1,024 descriptors
--- a/sidecar/proxy/discovery.py
+++ b/sidecar/proxy/discovery.py
@@ -12,7 +12,9 @@
 from typing import Any
 
 from sidecar.balancer.events import Endpoint, ServerState
-from sidecar.proxy.upstream import Address, Connection, Response, connect, message, parse_address
+from sidecar.proxy.addresses import Address, parse_address
+from sidecar.proxy.http_messages import Response, message
+from sidecar.proxy.server_connection import Connection, connect
 
 log = logging.getLogger(__name__)
 
--- a/sidecar/proxy/driver.py
+++ b/sidecar/proxy/driver.py
@@ -44,10 +44,12 @@
     SettingsChanged,
     TimerFired,
 )
-from sidecar.proxy import upstream
+from sidecar.proxy.addresses import Address
+from sidecar.proxy.connection_pool import Exchange, Upstream
 from sidecar.proxy.discovery import Discovery, RegistryResponse
 from sidecar.proxy.frontend import Call, Frontend, Hooks, Phase, retry_after
-from sidecar.proxy.upstream import Address, Exchange, Headers, Response
+from sidecar.proxy.http_messages import Headers, Response, message
+from sidecar.proxy.load_reports import parse_probe, parse_report
 from sidecar.settings import Discovery as DiscoveryMode
 from sidecar.settings import Idempotency, ReportSource, Settings
 
@@ -126,7 +128,7 @@
         self._settled = False  # whether the event loop has kept time for a while
         half = max((config.sockets - _FDS_KEPT) // 2, 1)
         limits = settings.limits
-        self._upstream = upstream.Upstream(limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, half)
+        self._upstream = Upstream(limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, half)
         self._known = config.known
         self._discovery = Discovery(config.discovery, config.known.version, self._told)
         hooks = Hooks(self._taken, self._gone, self._out.__contains__, self._is_ready)
@@ -426,7 +428,7 @@
     def _report(self, response: Response | None) -> dict[str, float] | None:
         if response is None:
             return None
-        return upstream.parse_report(response.header(b"x-load-report"), self._settings.report_columns)
+        return parse_report(response.header(b"x-load-report"), self._settings.report_columns)
 
     def _cancel(self, action: CancelAttempt) -> None:
         live = self._live.get(action.request)
@@ -442,7 +444,7 @@
     def _probed(self, server: str, sent_at: int, outcome: Outcome, response: Response | None) -> None:
         report = None
         if response is not None and outcome is Outcome.SUCCEEDED:
-            report = upstream.parse_probe(response.body, self._settings.report_columns)
+            report = parse_probe(response.body, self._settings.report_columns)
         self.handle(HealthCheckEnded(server, outcome, self._clock.now() - sent_at, report))
 
     # -- Timers and the list --------------------------------------------------------------------------
@@ -478,4 +480,4 @@
         headers.append((b"Host", b"sidecar"))  # HTTP/1.0 allows none, HTTP/1.1 needs one
     if call.body or call.method not in (b"GET", b"HEAD"):
         headers.append((b"Content-Length", str(len(call.body)).encode()))
-    return upstream.message(b"%b %b HTTP/1.1" % (call.method, call.target), headers, call.body)
+    return message(b"%b %b HTTP/1.1" % (call.method, call.target), headers, call.body)
--- a/sidecar/proxy/frontend.py
+++ b/sidecar/proxy/frontend.py
@@ -13,9 +13,11 @@
 
 import h11
 
+from sidecar.proxy.addresses import Address
 from sidecar.proxy.event_loop import NEGLIGIBLE_WAIT_S, arrived_after
+from sidecar.proxy.http_messages import Headers, end_to_end, message
 from sidecar.proxy.listener import BACKLOG, accept_connection, open_listener
-from sidecar.proxy.upstream import Address, Headers, Reader, end_to_end, has_ended, is_quiet, message
+from sidecar.proxy.sockets import Reader, has_ended, is_quiet
 from sidecar.settings import Idempotency, ServiceClass, Settings
 
 log = logging.getLogger(__name__)
--- a/sidecar/proxy/listener.py
+++ b/sidecar/proxy/listener.py
@@ -7,7 +7,8 @@
 import socket
 import time
 
-from sidecar.proxy.upstream import Address, has_ended
+from sidecar.proxy.addresses import Address
+from sidecar.proxy.sockets import has_ended
 
 log = logging.getLogger(__name__)
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,15 +8,16 @@
 import pytest
 from virtual_time import Service
 
-from sidecar.proxy import discovery, upstream
-from sidecar.proxy.upstream import Address, Connection
+from sidecar.proxy import discovery, server_connection
+from sidecar.proxy.addresses import Address
+from sidecar.proxy.server_connection import Connection
 
 
 @pytest.fixture
 def service(monkeypatch: pytest.MonkeyPatch) -> Callable[[], Service]:
     """Makes services; a dial begun while one is cut off never comes up."""
     made: list[Service] = []
-    connect = upstream.connect
+    connect = server_connection.connect
 
     async def dial(address: Address, body_most: int) -> Connection:
         if any(each.address == address and each.fault == "cut off" for each in made):
--- a/tests/faulty_sockets.py
+++ b/tests/faulty_sockets.py
@@ -13,8 +13,8 @@
 from loopback import PATIENCE_S
 
 from sidecar.balancer.events import Outcome
-from sidecar.proxy import upstream
-from sidecar.proxy.upstream import Upstream, message
+from sidecar.proxy.connection_pool import Upstream
+from sidecar.proxy.http_messages import message
 
 Failures = Iterator[int | None]  # what a system call fails with, call by call; None: it works
 
@@ -86,7 +86,7 @@
         made: socket.socket = faulty(socket.AF_INET, socket.SOCK_STREAM)
         return made
 
-    monkeypatch.setattr(upstream, "new_socket", new_socket)
+    monkeypatch.setattr("sidecar.proxy.sockets.new_socket", new_socket)
 
 
 async def outcome_of(servers: Upstream, seconds: float = PATIENCE_S, body: bytes = b"") -> Outcome:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -13,10 +13,10 @@
 import pytest
 from helpers import KEYED, SAFE, UNSAFE, S, settings
 
-from sidecar.proxy import upstream
+from sidecar.proxy import sockets
+from sidecar.proxy.addresses import Address
 from sidecar.proxy.discovery import parse_registry
 from sidecar.proxy.driver import Config, Sidecar
-from sidecar.proxy.upstream import Address
 
 PATIENCE_S = 20.0  # for what must come; no test takes it as proof of anything
 
@@ -303,14 +303,14 @@
 
 def shrink_send_buffers(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let new connections to servers take little at once, so that long requests are written in parts."""
-    new_socket = upstream.new_socket
+    new_socket = sockets.new_socket
 
     def small(address: Address) -> socket.socket:
         made = new_socket(address)
         made.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         return made
 
-    monkeypatch.setattr(upstream, "new_socket", small)
+    monkeypatch.setattr(sockets, "new_socket", small)
 
 
 @contextlib.contextmanager
--- a/tests/test_answers_without_length.py
+++ b/tests/test_answers_without_length.py
@@ -10,7 +10,8 @@
 from loopback import PATIENCE_S, FakeServer, hung, play, reset, until, world
 
 from sidecar.balancer.events import Outcome, ServerState
-from sidecar.proxy.upstream import BODY_MOST, Response, Upstream, message
+from sidecar.proxy.connection_pool import BODY_MOST, Upstream
+from sidecar.proxy.http_messages import Response, message
 
 _HEAD = b"HTTP/1.1 200 X\r\n\r\n"
 _HEADS = {
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -26,17 +26,11 @@
 
 from sidecar.balancer.actions import Action
 from sidecar.balancer.events import AttemptEnded, Event, Outcome, ServerState
-from sidecar.proxy.upstream import (
-    Exchange,
-    IdleAges,
-    Order,
-    Response,
-    Upstream,
-    connect,
-    judge,
-    message,
-    parse_report,
-)
+from sidecar.proxy.connection_pool import Exchange, Order, Upstream, judge
+from sidecar.proxy.http_messages import Response, message
+from sidecar.proxy.idle_lifetimes import IdleAges
+from sidecar.proxy.load_reports import parse_report
+from sidecar.proxy.server_connection import connect
 
 
 def test_a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged() -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -35,19 +35,14 @@
 )
 
 from sidecar.balancer.events import Outcome, ServerState
-from sidecar.proxy import driver, upstream
+from sidecar.proxy import connection_pool, driver, server_connection
+from sidecar.proxy.addresses import Address
+from sidecar.proxy.connection_pool import Exchange, Upstream, judge
 from sidecar.proxy.discovery import Discovery, RegistryResponse, parse_registry
 from sidecar.proxy.frontend import _LIMITS_S, Phase
-from sidecar.proxy.upstream import (
-    Address,
-    Connection,
-    Exchange,
-    Response,
-    Upstream,
-    has_ended,
-    judge,
-    message,
-)
+from sidecar.proxy.http_messages import Response, message
+from sidecar.proxy.server_connection import Connection
+from sidecar.proxy.sockets import has_ended
 
 LATER = time.monotonic() + 3600.0  # as the event loop counts
 _FIN_WAIT2 = 5  # as TCP_INFO tells it: the other side's kernel has the end
@@ -114,7 +109,7 @@
 
 def test_a_client_leaves_as_the_connection_for_its_request_comes_up(monkeypatch: pytest.MonkeyPatch) -> None:
     dialled, go_on = asyncio.Event(), asyncio.Event()
-    connect = upstream.connect
+    connect = server_connection.connect
 
     async def held_up(*given: object) -> Connection:
         connection = await connect(*given)  # type: ignore[arg-type]
@@ -124,7 +119,7 @@
 
     async def scene() -> None:
         async with world(served) as w:
-            monkeypatch.setattr(upstream, "connect", held_up)
+            monkeypatch.setattr(connection_pool, "connect", held_up)
             client = Client(w.sidecar.frontend.address, request("pay", body=b"x"))
             await dialled.wait()
             client.leave()
@@ -220,7 +215,7 @@
     leaves: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     made: list[Connection] = []
-    connect = upstream.connect
+    connect = server_connection.connect
 
     async def noted(
         address: Address, body_most: int, stall_s: float | None = None, sock: socket.socket | None = None
@@ -228,7 +223,7 @@
         made.append(await connect(address, body_most, stall_s, sock))
         return made[-1]
 
-    monkeypatch.setattr(upstream, "connect", noted)
+    monkeypatch.setattr(connection_pool, "connect", noted)
     report = {"source": "probes", "columns": ["inflight"]}
 
     def holds_probes(first: str, *_: object) -> bytes | None:
--- a/tests/test_dedup_window.py
+++ b/tests/test_dedup_window.py
@@ -10,8 +10,9 @@
 from loopback import FakeServer, World, broken, play, served, shrink_send_buffers, unread, until, world
 
 from sidecar.balancer.events import ServerState
-from sidecar.proxy import upstream
-from sidecar.proxy.upstream import Address, Connection
+from sidecar.proxy import connection_pool, server_connection
+from sidecar.proxy.addresses import Address
+from sidecar.proxy.server_connection import Connection
 
 
 def other_than(w: World, first: FakeServer) -> str:
@@ -25,7 +26,7 @@
 ) -> None:
     dialled, go_on = asyncio.Event(), asyncio.Event()
     dials: list[object] = []
-    connect = upstream.connect
+    connect = server_connection.connect
 
     async def second_held_up(
         address: Address, body_most: int, stall_s: float | None = None, sock: socket.socket | None = None
@@ -37,7 +38,7 @@
             await go_on.wait()
         return connection
 
-    monkeypatch.setattr(upstream, "connect", second_held_up)
+    monkeypatch.setattr(connection_pool, "connect", second_held_up)
 
     async def scene() -> None:
         async with world(broken, broken) as w:
--- a/tests/test_dialing.py
+++ b/tests/test_dialing.py
@@ -13,8 +13,9 @@
 from loopback import LIMITS, PATIENCE_S, FakeServer, deaf, play, served, until, world
 
 from sidecar.balancer.events import Outcome, ServerState
-from sidecar.proxy import upstream
-from sidecar.proxy.upstream import Upstream, connect
+from sidecar.proxy.addresses import Address
+from sidecar.proxy.connection_pool import Upstream
+from sidecar.proxy.server_connection import connect
 
 _LOCAL = (
     errno.EADDRNOTAVAIL,
@@ -35,9 +36,7 @@
     return len(os.listdir("/proc/self/fd"))
 
 
-def dial(
-    expected: Outcome, dial_limit_s: float = PATIENCE_S, address: upstream.Address | None = None
-) -> None:
+def dial(expected: Outcome, dial_limit_s: float = PATIENCE_S, address: Address | None = None) -> None:
     """Send one request; check its outcome, and that neither a descriptor nor a count of one is left."""
 
     async def scene() -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,8 +10,8 @@
 from virtual_time import play_in_virtual_time
 
 from sidecar.balancer.events import ServerState
+from sidecar.proxy.connection_pool import Upstream
 from sidecar.proxy.discovery import _IDLE_S, Discovery, RegistryResponse, parse_registry
-from sidecar.proxy.upstream import Upstream
 
 
 def entry(name: Any = "s-1", **changes: Any) -> dict[str, Any]:
--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -13,8 +13,10 @@
 from loopback import answer, reset, served, until, world
 from virtual_time import Service, now_s, play_in_virtual_time, told_within
 
-from sidecar.proxy import discovery, upstream
-from sidecar.proxy.upstream import Address, Connection, Upstream
+from sidecar.proxy import discovery, server_connection, sockets
+from sidecar.proxy.addresses import Address
+from sidecar.proxy.connection_pool import Upstream
+from sidecar.proxy.server_connection import Connection
 
 TOLD_S = 6.0  # after discovery has a change and can be reached
 RULES = {"max_poll_interval_us": 60 * S}
@@ -44,7 +46,7 @@
                     failed_at.append(now_s())
                     raise OSError(fault, os.strerror(fault))
 
-            new_socket, sock_connect = upstream.new_socket, asyncio.get_running_loop().sock_connect
+            new_socket, sock_connect = sockets.new_socket, asyncio.get_running_loop().sock_connect
 
             def make(address: Address) -> socket.socket:
                 if in_socket and address == there.address:
@@ -56,7 +58,7 @@
                     fail_first()
                 await sock_connect(sock, address)
 
-            monkeypatch.setattr(upstream, "new_socket", make)
+            monkeypatch.setattr(sockets, "new_socket", make)
             monkeypatch.setattr(asyncio.get_running_loop(), "sock_connect", dial)
             there.fail("reset")
             there.fault = None
@@ -74,7 +76,7 @@
     async def scene() -> None:
         there = Service()
         dialled: list[Connection] = []
-        connect = upstream.connect
+        connect = server_connection.connect
 
         async def dial(address: Address, body_most: int) -> Connection:
             dialled.append(await connect(address, body_most))
@@ -109,7 +111,7 @@
 def test_a_connection_that_breaks_as_it_comes_up_is_no_call_that_waits(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    connect = upstream.connect
+    connect = server_connection.connect
 
     async def scene() -> None:
         there = ResettingService()
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -34,7 +34,7 @@
 from scale.ports import ReservedAddress
 from sidecar.__main__ import Flood
 from sidecar.proxy import driver
-from sidecar.proxy.upstream import Address
+from sidecar.proxy.addresses import Address
 
 ROOT = Path(__file__).parent.parent
 SETTINGS: dict[str, Any] = {
--- a/tests/test_remaining_time.py
+++ b/tests/test_remaining_time.py
@@ -10,8 +10,8 @@
 from loopback import CLASSES, LIMITS, Head, World, answer, full, hung, play, reset, served, until, world
 
 from sidecar.balancer.policy.overdue import OverdueDetector
-from sidecar.proxy import upstream
-from sidecar.proxy.upstream import Connection
+from sidecar.proxy import connection_pool, server_connection
+from sidecar.proxy.server_connection import Connection
 
 _BUDGET_S = 5.0
 _HELD_S = 0.4
@@ -30,7 +30,7 @@
 
 
 def test_an_attempt_tells_what_is_left_after_a_slow_dial(monkeypatch: pytest.MonkeyPatch) -> None:
-    connect = upstream.connect
+    connect = server_connection.connect
 
     async def slow(*given: Any) -> Connection:
         connection = await connect(*given)
@@ -40,7 +40,7 @@
     async def scene() -> None:
         limits = LIMITS | {"dial_timeout_us": 600 * S}
         async with world(served, limits=limits) as w:
-            monkeypatch.setattr(upstream, "connect", slow)
+            monkeypatch.setattr(connection_pool, "connect", slow)
             assert (await w.ask(budget=str(_BUDGET_S)))[0] == 200
             ((_, head, _),) = w.sent()
             assert 0.0 < told(head) <= _BUDGET_S - _HELD_S
--- a/tests/test_request_crossings.py
+++ b/tests/test_request_crossings.py
@@ -27,8 +27,10 @@
 from virtual_time import now_s, pass_s, play_in_virtual_time
 
 from sidecar.balancer.events import ServerState
-from sidecar.proxy import upstream
-from sidecar.proxy.upstream import Address, Connection, is_up
+from sidecar.proxy import connection_pool, server_connection
+from sidecar.proxy.addresses import Address
+from sidecar.proxy.server_connection import Connection
+from sidecar.proxy.sockets import is_up
 
 BAD_PEER_S = 3.0  # bad input is answered or its connection closed within this
 _GAP_S = 0.005  # between pieces: the event loop reads each by itself
@@ -54,7 +56,7 @@
 
 def dial_until_reset(monkeypatch: pytest.MonkeyPatch, victim: Address) -> None:
     """Let each dial to an address come to its end only with the reset of the connection in the kernel."""
-    connect = upstream.connect
+    connect = server_connection.connect
 
     async def delayed(
         address: Address, body_most: int, stall_s: float | None = None, sock: socket.socket | None = None
@@ -66,7 +68,7 @@
             await until(lambda: not is_up(connection.sock))
         return connection
 
-    monkeypatch.setattr(upstream, "connect", delayed)
+    monkeypatch.setattr(connection_pool, "connect", delayed)
 
 
 async def ask_until_met(w: World, kind: str, body: bytes, is_met: Callable[[], object]) -> tuple[int, bytes]:
--- a/tests/test_request_wait.py
+++ b/tests/test_request_wait.py
@@ -23,8 +23,8 @@
 )
 
 from sidecar.proxy import driver
+from sidecar.proxy.addresses import Address
 from sidecar.proxy.event_loop import EventLoop, PollTimingSelector
-from sidecar.proxy.upstream import Address
 
 STALL_S = 0.4
 BUDGET_S = 1.0
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -14,7 +14,7 @@
 from virtual_time import VirtualTimeLoop, now_s, pass_s, play_in_virtual_time
 
 from sidecar.proxy.driver import Live, Sidecar
-from sidecar.proxy.upstream import Headers
+from sidecar.proxy.http_messages import Headers
 
 KILL_AFTER_DEADLINE_S = 0.7
 OWED_S = 0.7  # what comes later after SIGTERM may stay without an answer
--- a/tests/test_socket_errors.py
+++ b/tests/test_socket_errors.py
@@ -11,7 +11,8 @@
 from loopback import PATIENCE_S, FakeServer, answer, hung, play, served, until
 
 from sidecar.balancer.events import Outcome, ServerState
-from sidecar.proxy.upstream import Exchange, Upstream, message
+from sidecar.proxy.connection_pool import Exchange, Upstream
+from sidecar.proxy.http_messages import message
 
 _BROKEN = (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH)
 _LONG = bytes(20_000)  # a request that is written in two parts, the last byte alone
