--- a/scale/control/stub_sidecar.py
+++ b/scale/control/stub_sidecar.py
@@ -11,7 +11,7 @@
 from sidecar.balancer.balancer import Balancer
 from sidecar.balancer.events import Endpoint, RegistryUpdated, RegistryUpdateKind, ServerState, TimerFired
 from sidecar.proxy.addresses import Address
-from sidecar.proxy.connection_pool import Upstream
+from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.discovery import Discovery, RegistryResponse
 from sidecar.proxy.driver import Clock
 from sidecar.settings import Settings
@@ -37,7 +37,7 @@
         self._clock = Clock()
         self.balancer = Balancer(settings, seed)
         limits = settings.limits
-        self._upstream = Upstream(
+        self._upstream = ConnectionPool(
             limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, _SOCKETS_PER_SIDECAR
         )
         self._discovery = Discovery(discovery, 0, self._on_registry_response)
@@ -73,7 +73,7 @@
             server = line.server
             self._upstream.update(server.server, line.address, server.started_at, server.state)
         servers = [line.server for line in response.lines]
-        servers += [Endpoint(name, state=ServerState.REMOVED) for name in self._upstream.displace()]
+        servers += [Endpoint(name, state=ServerState.REMOVED) for name in self._upstream.remove_superseded()]
         kind = RegistryUpdateKind.SNAPSHOT if response.complete else RegistryUpdateKind.DELTA
         self._handle(RegistryUpdated(kind, servers, response.version))
 
--- a/sidecar/proxy/connection_pool.py
+++ b/sidecar/proxy/connection_pool.py
@@ -18,21 +18,23 @@
 from sidecar.proxy.addresses import Address
 from sidecar.proxy.dialing import LocalDialError, open_socket, retry_pauses
 from sidecar.proxy.http_messages import Response, message
-from sidecar.proxy.idle_lifetimes import IdleAges
+from sidecar.proxy.idle_lifetimes import IdleLifetimeEstimator
 from sidecar.proxy.server_connection import Connection, connect
-from sidecar.proxy.sockets import is_up
+from sidecar.proxy.sockets import is_connected
 
 log = logging.getLogger(__name__)
 
-_NOWHERE: Address = ("127.0.0.1", 0)  # of a server that takes nothing new anyway
-BODY_MOST = 64 * 1024  # of an attempt's answer, as the protocol has it
-_REST_PART = 0.12  # of the dial limit: so long a connection rests after an answer before it is used again
-_IDLE_MARGIN = 0.1  # an idle connection is closed this part of its time before the server would
-_PROBE_DIALS = 4.0  # a probe may take this many dial time limits
+_UNKNOWN_ADDRESS: Address = ("127.0.0.1", 0)  # of a server that takes nothing new anyway
+MAX_BODY_BYTES = 64 * 1024  # of an attempt's answer, as the protocol has it
+_REUSE_DELAY_FRACTION = (
+    0.12  # of the dial limit: so long a connection rests after an answer before it is used again
+)
+_IDLE_CLOSE_MARGIN = 0.1  # an idle connection is closed this part of its time before the server would
+_HEALTH_CHECK_DIAL_TIMEOUTS = 4.0  # a probe may take this many dial time limits
 
 
 @dataclass(slots=True, eq=False)
-class Endpoint:
+class PooledServer:
     """Where a server listens now, and the connections to it that carry nothing."""
 
     name: str
@@ -42,39 +44,41 @@
     generation: int = 0  # of its process: older connections are not used again
     # The longest at rest first, each with the timer that closes it; bounded with all connections.
     idle: list[tuple[Connection, asyncio.TimerHandle]] = field(default_factory=list)
-    dialling: set[Exchange] = field(default_factory=set)
+    dialing: set[Exchange] = field(default_factory=set)
 
 
 # Makes a request when it is written, since it tells the time left; None: nobody waits for it any more.  Asked
 # once more before the last byte of a long one.
 Order = Callable[[float], bytes | None]
-Ended = Callable[[Outcome, Response | None], None]
+OutcomeCallback = Callable[[Outcome, Response | None], None]
 
 
 class Exchange:
     """One attempt or probe, from the dial to its one outcome."""
 
-    def __init__(self, endpoint: Endpoint, order: Order, until: float, ended: Ended) -> None:
-        self.endpoint = endpoint
-        self.generation = endpoint.generation
+    def __init__(self, server: PooledServer, order: Order, deadline: float, ended: OutcomeCallback) -> None:
+        self.server = server
+        self.generation = server.generation
         self.order = order
-        self.until = until  # on the event loop's clock
-        self.ended: Ended | None = ended
+        self.deadline = deadline  # on the event loop's clock
+        self.ended: OutcomeCallback | None = ended
         self.connection: Connection | None = None
         self.written_at = 0.0
         self.idle_s: float | None = None  # how long its connection was idle before; None: it was new
-        self.dial: asyncio.Task[bool] | None = None
-        self.dialled: socket.socket | None = None  # what the dial tries at present
-        self.held_up = False  # whether its dial has failed for a cause on this machine, and is tried again
+        self.dial_task: asyncio.Task[bool] | None = None
+        self.connecting_socket: socket.socket | None = None  # what the dial tries at present
+        self.local_failure = (
+            False  # whether its dial has failed for a cause on this machine, and is tried again
+        )
         self.timers: list[asyncio.TimerHandle] = []
 
     def is_written(self) -> bool:
         """Whether the last byte of its request has gone to the kernel."""
-        return self.connection is not None and self.connection.written
+        return self.connection is not None and self.connection.request_written
 
-    def not_written(self) -> Outcome:
+    def unwritten_outcome(self) -> Outcome:
         """What it proves that the request was not written in time."""
-        if self.connection is None and self.held_up:
+        if self.connection is None and self.local_failure:
             return Outcome.NOT_SENT
         return Outcome.CONNECT_FAILED
 
@@ -85,70 +89,70 @@
             return
         for timer in self.timers:
             timer.cancel()
-        self.endpoint.dialling.discard(self)
+        self.server.dialing.discard(self)
         if outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT):
             if self.connection is not None:
-                self.connection.give_up()
-            if self.dial is not None:
-                self.dial.cancel()
+                self.connection.shutdown_and_abort()
+            if self.dial_task is not None:
+                self.dial_task.cancel()
         ended(outcome, response)
 
 
-def judge(response: Response | None, written: bool, spoilt: bool) -> Outcome:
+def classify_outcome(response: Response | None, written: bool, protocol_error: bool) -> Outcome:
     """What an ended exchange proves: it never ran only if that is certain.
 
     A rejection with more behind it proves nothing: one of the two may answer the request before.
     """
-    if response is not None and response.is_rejection() and not spoilt:
+    if response is not None and response.is_rejection() and not protocol_error:
         return Outcome.REJECTED
     if not written:
         return (
             Outcome.CONNECT_FAILED
         )  # a server begins a request with its last byte: what came answers another
     if response is None:
-        return Outcome.ERROR if spoilt else Outcome.RESET  # who answers with noise is still there
+        return Outcome.ERROR if protocol_error else Outcome.RESET  # who answers with noise is still there
     return Outcome.SUCCEEDED if response.status == 200 else Outcome.ERROR
 
 
-class Upstream:
+class ConnectionPool:
     """All connections to servers, within a bound on their number."""
 
-    def __init__(self, dial_limit_s: float, idle_s: float, most: int) -> None:
-        self._set_times(dial_limit_s, idle_s)
-        self._ages = IdleAges(idle_s)
-        self._most = most
-        self._open = 0  # connections, and dials under way
-        self._endpoints: dict[str, Endpoint] = {}  # of the servers that the list holds now
+    def __init__(self, dial_timeout_s: float, idle_s: float, max_connections: int) -> None:
+        self._set_timeouts(dial_timeout_s, idle_s)
+        self._lifetimes = IdleLifetimeEstimator(idle_s)
+        self._max_connections = max_connections
+        self.open_connections = 0  # connections, and dials under way
+        self.servers: dict[str, PooledServer] = {}  # of the servers that the list holds now
 
-    def _set_times(self, dial_limit_s: float, idle_s: float) -> None:
-        self._dial_limit = dial_limit_s
-        self._idle_s = idle_s * (1.0 - _IDLE_MARGIN)
-        self._rest_s = _REST_PART * dial_limit_s
+    def _set_timeouts(self, dial_timeout_s: float, idle_s: float) -> None:
+        self._dial_timeout_s = dial_timeout_s
+        self._idle_timeout_s = idle_s * (1.0 - _IDLE_CLOSE_MARGIN)
+        self._reuse_delay_s = _REUSE_DELAY_FRACTION * dial_timeout_s
 
-    def set_times(self, dial_limit_s: float, idle_s: float) -> None:
+    def set_timeouts(self, dial_timeout_s: float, idle_s: float) -> None:
         """Dial and keep idle connections for other times from now on; dials under way keep their limit.
 
         A connection that is idle already counts from when it became so: its server closes it by the new time.
         """
-        former_s = self._idle_s
-        self._set_times(dial_limit_s, idle_s)
-        self._ages.set_span(idle_s)
-        if self._idle_s == former_s:
+        former_s = self._idle_timeout_s
+        self._set_timeouts(dial_timeout_s, idle_s)
+        self._lifetimes.set_time_constant(idle_s)
+        if self._idle_timeout_s == former_s:
             return
         loop = asyncio.get_running_loop()
-        for endpoint in self._endpoints.values():
-            for index, (connection, timer) in enumerate(endpoint.idle):
+        for server in self.servers.values():
+            for index, (connection, timer) in enumerate(server.idle):
                 timer.cancel()
-                over_at = timer.when() - former_s + self._idle_s
-                timer = loop.call_at(over_at, self._idle_over, endpoint, connection)
-                endpoint.idle[index] = (connection, timer)
+                over_at = timer.when() - former_s + self._idle_timeout_s
+                timer = loop.call_at(over_at, self._on_idle_timeout, server, connection)
+                server.idle[index] = (connection, timer)
 
     def update(self, name: str, address: Address | None, started_at: int | None, state: ServerState) -> None:
         """Note what the list says of a server; a new process or place makes its old connections useless."""
-        known = self._endpoints.get(name)
+        known = self.servers.get(name)
         if known is None:
             if state is not ServerState.REMOVED:
-                self._endpoints[name] = Endpoint(name, address or _NOWHERE, started_at, state)
+                self.servers[name] = PooledServer(name, address or _UNKNOWN_ADDRESS, started_at, state)
             return
         address = address or known.address
         if (known.address, known.started_at) != (address, started_at):
@@ -157,95 +161,95 @@
             known.generation += 1
             self.close_idle(name)
             if moved:
-                self._withdraw(known, Outcome.NOT_SENT)  # who listens there now may be any other
+                self._end_unwritten(known, Outcome.NOT_SENT)  # who listens there now may be any other
         known.state = state
         if state is not ServerState.READY:
-            self._withdraw(known)
+            self._end_unwritten(known)
         if state is ServerState.REMOVED:
-            del self._endpoints[name]  # what is still out there holds it until it ends
+            del self.servers[name]  # what is still out there holds it until it ends
 
     def retain(self, names: Collection[str]) -> None:
         """Drop all servers but these."""
-        for name in [each for each in self._endpoints if each not in names]:
+        for name in [each for each in self.servers if each not in names]:
             self.update(name, None, None, ServerState.REMOVED)
 
-    def displace(self) -> list[str]:
+    def remove_superseded(self) -> list[str]:
         """Drop the servers whose address is that of one that started later: its process listens there now."""
-        latest: dict[Address, Endpoint] = {}
+        latest: dict[Address, PooledServer] = {}
         former = []
-        for each in self._endpoints.values():
+        for each in self.servers.values():
             other = latest.setdefault(each.address, each)
-            older, newer = sorted((other, each), key=lambda endpoint: endpoint.started_at or 0)
-            if each.address != _NOWHERE and (older.started_at or 0) < (newer.started_at or 0):
+            older, newer = sorted((other, each), key=lambda server: server.started_at or 0)
+            if each.address != _UNKNOWN_ADDRESS and (older.started_at or 0) < (newer.started_at or 0):
                 former.append(older.name)
             latest[each.address] = newer
         for name in former:
             self.update(name, None, None, ServerState.REMOVED)
         return former
 
-    def _withdraw(self, endpoint: Endpoint, outcome: Outcome = Outcome.CONNECT_FAILED) -> None:
+    def _end_unwritten(self, server: PooledServer, outcome: Outcome = Outcome.CONNECT_FAILED) -> None:
         """End what was not written to a server that takes nothing new: a slow dial may outlast the grace."""
-        self.close_idle(endpoint.name)
-        for exchange in list(endpoint.dialling):
+        self.close_idle(server.name)
+        for exchange in list(server.dialing):
             exchange.end(outcome)
 
-    def send(self, name: str, order: Order, until: float, ended: Ended) -> Exchange:
+    def send(self, name: str, order: Order, deadline: float, ended: OutcomeCallback) -> Exchange:
         """Start an attempt; `ended` hears its outcome exactly once, maybe before this returns."""
-        endpoint = self._endpoints[name]
+        server = self.servers[name]
         loop = asyncio.get_running_loop()
-        exchange = Exchange(endpoint, order, until, ended)
-        if until <= loop.time() or endpoint.state is not ServerState.READY:
+        exchange = Exchange(server, order, deadline, ended)
+        if deadline <= loop.time() or server.state is not ServerState.READY:
             # Not ready: the list has told so, and its news are still on their way to the balancer.
             exchange.end(Outcome.NOT_SENT)
             return exchange
-        exchange.timers.append(loop.call_at(until, self._time_up, exchange))
+        exchange.timers.append(loop.call_at(deadline, self._on_deadline, exchange))
         connection = self._take_idle(exchange)
         if connection is not None:
             self._write(exchange, connection)
-        elif self._make_room():
-            self._open += 1
-            endpoint.dialling.add(exchange)
-            exchange.dial = loop.create_task(self._dial(exchange))
-            exchange.dial.add_done_callback(self._dialled)
+        elif self._reserve_capacity():
+            self.open_connections += 1
+            server.dialing.add(exchange)
+            exchange.dial_task = loop.create_task(self._dial(exchange))
+            exchange.dial_task.add_done_callback(self._on_dial_done)
         else:
             log.warning("no connection to spare for %s", name)
             exchange.end(Outcome.CONNECT_FAILED)
         return exchange
 
-    def probe(self, name: str, target: str, ended: Ended) -> Exchange:
+    def check_health(self, name: str, target: str, ended: OutcomeCallback) -> Exchange:
         """Ask a server how it is."""
         data = message(b"GET %b HTTP/1.1" % target.encode(), [(b"Host", name.encode())])
-        until = asyncio.get_running_loop().time() + _PROBE_DIALS * self._dial_limit
-        return self.send(name, lambda _: data, until, ended)
+        deadline = asyncio.get_running_loop().time() + _HEALTH_CHECK_DIAL_TIMEOUTS * self._dial_timeout_s
+        return self.send(name, lambda _: data, deadline, ended)
 
     def cancel(self, exchange: Exchange) -> None:
         exchange.end(Outcome.CANCELLED)
 
-    def unsend(self, exchange: Exchange) -> None:
+    def abandon_unwritten(self, exchange: Exchange) -> None:
         """End an attempt that is not all written yet, so that it never will be."""
         if not exchange.is_written():
             exchange.end(Outcome.NOT_SENT)
 
     def close_idle(self, name: str) -> None:
-        endpoint = self._endpoints.get(name)
-        while endpoint is not None and endpoint.idle:
-            connection, timer = endpoint.idle.pop()
+        server = self.servers.get(name)
+        while server is not None and server.idle:
+            connection, timer = server.idle.pop()
             timer.cancel()
             connection.abort()
 
     @staticmethod
-    def _time_up(exchange: Exchange) -> None:
-        exchange.end(Outcome.TIMED_OUT if exchange.is_written() else exchange.not_written())
+    def _on_deadline(exchange: Exchange) -> None:
+        exchange.end(Outcome.TIMED_OUT if exchange.is_written() else exchange.unwritten_outcome())
 
     @staticmethod
-    def _dial_time_up(exchange: Exchange) -> None:
+    def _on_dial_timeout(exchange: Exchange) -> None:
         """End a dial, unless its connection is up and only this program has not come to look.
 
         Guards a busy sidecar against taking its own lag for dead servers.  The attempt's end bounds it still.
         """
-        dialled = exchange.dialled
-        if exchange.connection is None and (dialled is None or not is_up(dialled)):
-            exchange.end(exchange.not_written())
+        connecting_socket = exchange.connecting_socket
+        if exchange.connection is None and (connecting_socket is None or not is_connected(connecting_socket)):
+            exchange.end(exchange.unwritten_outcome())
 
     def _take_idle(self, exchange: Exchange) -> Connection | None:
         """The last used of those that have rested, unless it has been idle for longer than such ones last.
@@ -254,26 +258,26 @@
         the network takes; what is written meanwhile may have run and would be lost, or get another's answer.
         """
         now = asyncio.get_running_loop().time()
-        idle = exchange.endpoint.idle
+        idle = exchange.server.idle
         for index in reversed(range(len(idle))):
             connection, timer = idle[index]
-            idle_s = now + self._idle_s - timer.when()
-            if idle_s < self._rest_s:
+            idle_s = now + self._idle_timeout_s - timer.when()
+            if idle_s < self._reuse_delay_s:
                 continue
             del idle[index]
             timer.cancel()
-            scarce = self._open >= self._most  # then any is better than none
-            if connection.is_idle() and (scarce or self._ages.lasts(idle_s, now)):
+            scarce = self.open_connections >= self._max_connections  # then any is better than none
+            if connection.is_idle() and (scarce or self._lifetimes.is_trusted(idle_s, now)):
                 exchange.idle_s = idle_s
                 return connection
             connection.abort()
         return None
 
-    def _make_room(self) -> bool:
+    def _reserve_capacity(self) -> bool:
         """Whether one more connection may be opened, perhaps for an idle one elsewhere."""
-        if self._open < self._most:
+        if self.open_connections < self._max_connections:
             return True
-        while idle := [each for each in self._endpoints.values() if each.idle]:
+        while idle := [each for each in self.servers.values() if each.idle]:
             fullest = max(idle, key=lambda each: len(each.idle))
             connection, timer = fullest.idle.pop(0)
             timer.cancel()
@@ -285,14 +289,14 @@
     async def _dial(self, exchange: Exchange) -> bool:
         """Dial and write; say whether there is a connection now."""
         loop = asyncio.get_running_loop()
-        exchange.timers.append(loop.call_later(self._dial_limit, self._dial_time_up, exchange))
+        exchange.timers.append(loop.call_later(self._dial_timeout_s, self._on_dial_timeout, exchange))
         try:
             connection = await self._connect(exchange)
         except (OSError, UnicodeError) as fault:  # the latter of a host's name that is none
-            log.debug("no connection to %s: %r", exchange.endpoint.name, fault)
+            log.debug("no connection to %s: %r", exchange.server.name, fault)
             exchange.end(Outcome.CONNECT_FAILED)
             return False
-        connection.on_lost = self._lost
+        connection.on_lost = self._on_connection_lost
         if exchange.ended is None:
             connection.abort()
         else:
@@ -301,80 +305,86 @@
 
     async def _connect(self, exchange: Exchange) -> Connection:
         """Dial, again after each failure of this machine, until the exchange's timers end it."""
-        address = exchange.endpoint.address
+        address = exchange.server.address
         pauses = retry_pauses()
         while True:
             try:
-                exchange.dialled = open_socket(partial(sockets.new_socket, address))
-                return await connect(address, BODY_MOST, self._dial_limit, exchange.dialled)
+                exchange.connecting_socket = open_socket(partial(sockets.new_socket, address))
+                return await connect(
+                    address, MAX_BODY_BYTES, self._dial_timeout_s, exchange.connecting_socket
+                )
             except LocalDialError as fault:
-                log.debug("dial of %s held up: %r", exchange.endpoint.name, fault)
-                exchange.held_up, exchange.dialled = True, None
+                log.debug("dial of %s held up: %r", exchange.server.name, fault)
+                exchange.local_failure, exchange.connecting_socket = True, None
                 await asyncio.sleep(next(pauses))
 
-    def _dialled(self, dial: asyncio.Task[bool]) -> None:
+    def _on_dial_done(self, dial: asyncio.Task[bool]) -> None:
         if dial.cancelled() or not dial.result():
-            self._lost()
+            self._on_connection_lost()
 
-    def _lost(self) -> None:
-        self._open -= 1
+    def _on_connection_lost(self) -> None:
+        self.open_connections -= 1
 
     def _write(self, exchange: Exchange, connection: Connection) -> None:
-        exchange.dial = None  # it is over
-        exchange.endpoint.dialling.discard(exchange)
+        exchange.dial_task = None  # it is over
+        exchange.server.dialing.discard(exchange)
         now = asyncio.get_running_loop().time()
-        data = exchange.order(max(exchange.until - now, 0.0))
+        data = exchange.order(max(exchange.deadline - now, 0.0))
         if data is None:
             if exchange.idle_s is None:
-                self._put_back(exchange, connection)
+                self._release(exchange, connection)
             else:
                 connection.abort()  # its idle time goes on at its server, and must not begin anew here
             exchange.end(Outcome.NOT_SENT)
             return
         exchange.connection, exchange.written_at = connection, now
         connection.request(
-            data, partial(self._answered, exchange, connection), partial(self._is_wanted, exchange)
+            data, partial(self._on_response, exchange, connection), partial(self._is_still_wanted, exchange)
         )
 
     @staticmethod
-    def _is_wanted(exchange: Exchange) -> bool:
+    def _is_still_wanted(exchange: Exchange) -> bool:
         """Whether a long request may be written to its end, as its order tells; else it is given up."""
-        left_s = exchange.until - asyncio.get_running_loop().time()
+        left_s = exchange.deadline - asyncio.get_running_loop().time()
         if exchange.order(max(left_s, 0.0)) is None:
             exchange.end(Outcome.NOT_SENT)
         return exchange.ended is not None
 
-    def _answered(self, exchange: Exchange, connection: Connection, response: Response | None) -> None:
-        self._put_back(exchange, connection)
-        outcome = judge(response, connection.written, connection.spoilt)
-        if outcome is Outcome.CONNECT_FAILED and connection.failed_locally:
+    def _on_response(self, exchange: Exchange, connection: Connection, response: Response | None) -> None:
+        self._release(exchange, connection)
+        outcome = classify_outcome(response, connection.request_written, connection.protocol_error)
+        if outcome is Outcome.CONNECT_FAILED and connection.local_failure:
             outcome = Outcome.NOT_SENT  # the server has no part in it
         if exchange.ended is not None:  # else it was given up on, which says nothing of its connection
             now = asyncio.get_running_loop().time()
             # A connection forgotten while idle breaks at once; later it is the server that broke.
-            broke = outcome is Outcome.RESET and now - exchange.written_at < self._dial_limit
-            self._ages.note(exchange.idle_s, broke)
+            broke = outcome is Outcome.RESET and now - exchange.written_at < self._dial_timeout_s
+            self._lifetimes.record(exchange.idle_s, broke)
         exchange.end(outcome, response)
 
-    def _put_back(self, exchange: Exchange, connection: Connection) -> None:
+    def _release(self, exchange: Exchange, connection: Connection) -> None:
         """Keep a connection for the next request, for less long than the server keeps it."""
-        endpoint = exchange.endpoint
+        server = exchange.server
         if not connection.reusable:
             return
-        if exchange.generation != endpoint.generation or endpoint.state is not ServerState.READY:
+        if exchange.generation != server.generation or server.state is not ServerState.READY:
             connection.abort()
             return
-        timer = asyncio.get_running_loop().call_later(self._idle_s, self._idle_over, endpoint, connection)
-        endpoint.idle.append((connection, timer))
+        timer = asyncio.get_running_loop().call_later(
+            self._idle_timeout_s, self._on_idle_timeout, server, connection
+        )
+        server.idle.append((connection, timer))
 
     @staticmethod
-    def _idle_over(endpoint: Endpoint, connection: Connection) -> None:
-        endpoint.idle = [each for each in endpoint.idle if each[0] is not connection]
+    def _on_idle_timeout(server: PooledServer, connection: Connection) -> None:
+        server.idle = [each for each in server.idle if each[0] is not connection]
         connection.abort()
 
     async def close(self) -> None:
         """Close what is idle and wait for dials to end."""
-        dials = [each.dial for e in self._endpoints.values() for each in e.dialling if each.dial is not None]
-        for endpoint in list(self._endpoints.values()):
-            self._withdraw(endpoint)
+        dials = [
+            each.dial_task for e in self.servers.values() for each in e.dialing if each.dial_task is not None
+        ]
+        for server in list(self.servers.values()):
+            self._end_unwritten(server)
         await asyncio.gather(*dials, return_exceptions=True)
--- a/sidecar/proxy/driver.py
+++ b/sidecar/proxy/driver.py
@@ -45,11 +45,11 @@
     TimerFired,
 )
 from sidecar.proxy.addresses import Address
-from sidecar.proxy.connection_pool import Exchange, Upstream
+from sidecar.proxy.connection_pool import ConnectionPool, Exchange
 from sidecar.proxy.discovery import Discovery, RegistryResponse
 from sidecar.proxy.frontend import Call, Frontend, Hooks, Phase, retry_after
 from sidecar.proxy.http_messages import Headers, Response, message
-from sidecar.proxy.load_reports import parse_probe, parse_report
+from sidecar.proxy.load_reports import parse_health_check, parse_report
 from sidecar.settings import Discovery as DiscoveryMode
 from sidecar.settings import Idempotency, ReportSource, Settings
 
@@ -128,7 +128,7 @@
         self._settled = False  # whether the event loop has kept time for a while
         half = max((config.sockets - _FDS_KEPT) // 2, 1)
         limits = settings.limits
-        self._upstream = Upstream(limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, half)
+        self._upstream = ConnectionPool(limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, half)
         self._known = config.known
         self._discovery = Discovery(config.discovery, config.known.version, self._told)
         hooks = Hooks(self._taken, self._gone, self._out.__contains__, self._is_ready)
@@ -177,7 +177,7 @@
         actions = self._balancer.handle(self._clock.now(), SettingsChanged(settings))
         self._settings = self.frontend.settings = settings
         limits = settings.limits
-        self._upstream.set_times(limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6)
+        self._upstream.set_timeouts(limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6)
         self._play(actions)
         if settings.discovery is DiscoveryMode.PUSHED:
             self._discovery.follow(True)
@@ -334,7 +334,7 @@
             live.backstop.cancel()
         for attempt in list(live.out.values()):
             if attempt is not None:
-                self._upstream.unsend(attempt)  # nothing is sent for a request that is over
+                self._upstream.abandon_unwritten(attempt)  # nothing is sent for a request that is over
         self._forget_if_over(live)
 
     def _forget_if_over(self, live: Live) -> None:
@@ -409,7 +409,7 @@
         """Servers begin to forget: an attempt beside others may not be written to its end any more."""
         attempt = live.out.get(index)
         if attempt is not None and live.begun - {index}:
-            self._upstream.unsend(attempt)
+            self._upstream.abandon_unwritten(attempt)
 
     def _attempt_ended(
         self, live: Live, index: int, server: str, sent_at: int, outcome: Outcome, response: Response | None
@@ -439,12 +439,12 @@
     def _probe(self, action: CheckHealth) -> None:
         reports = self._settings.report_source is not ReportSource.NONE
         ended = partial(self._probed, action.server, self._clock.now())
-        self._upstream.probe(action.server, "/stats" if reports else "/health/live", ended)
+        self._upstream.check_health(action.server, "/stats" if reports else "/health/live", ended)
 
     def _probed(self, server: str, sent_at: int, outcome: Outcome, response: Response | None) -> None:
         report = None
         if response is not None and outcome is Outcome.SUCCEEDED:
-            report = parse_probe(response.body, self._settings.report_columns)
+            report = parse_health_check(response.body, self._settings.report_columns)
         self.handle(HealthCheckEnded(server, outcome, self._clock.now() - sent_at, report))
 
     # -- Timers and the list --------------------------------------------------------------------------
@@ -469,7 +469,9 @@
             self._upstream.update(server.server, line.address, server.started_at, server.state)
         servers = [line.server for line in told.lines]
         if servers:
-            servers += [Endpoint(name, state=ServerState.REMOVED) for name in self._upstream.displace()]
+            servers += [
+                Endpoint(name, state=ServerState.REMOVED) for name in self._upstream.remove_superseded()
+            ]
         self.handle(RegistryUpdated(kind, servers, told.version))
 
 
--- a/sidecar/proxy/load_reports.py
+++ b/sidecar/proxy/load_reports.py
@@ -30,7 +30,7 @@
     return report or None
 
 
-def parse_probe(body: bytes, columns: Collection[str]) -> dict[str, float] | None:
+def parse_health_check(body: bytes, columns: Collection[str]) -> dict[str, float] | None:
     """Read the report that a probe's body holds, in either of its forms."""
     text = body.decode("utf-8", "replace").strip()
     if not text.startswith("{"):
--- a/sidecar/proxy/server_connection.py
+++ b/sidecar/proxy/server_connection.py
@@ -19,17 +19,19 @@
 
 log = logging.getLogger(__name__)
 
-_AT_ONCE = 16 * 1024  # shorter requests the kernel takes whole, as nothing else is on its way on a connection
-_HINTS_MOST = 8  # 1xx answers ahead of the one that counts
-_FRAMING = (b"content-length", b"transfer-encoding")
-_BODILESS = (204, 304)  # statuses whose answers hold no body, whatever their head says
-_ASKED = (h11.Request(method="GET", target="/", headers=[("Host", "-")]), h11.EndOfMessage())
+_MAX_ATOMIC_WRITE_BYTES = (
+    16 * 1024
+)  # shorter requests the kernel takes whole, as nothing else is on its way on a connection
+_MAX_INFORMATIONAL = 8  # 1xx answers ahead of the one that counts
+_FRAMING_HEADERS = (b"content-length", b"transfer-encoding")
+_BODILESS_STATUSES = (204, 304)  # statuses whose answers hold no body, whatever their head says
+_PARSER_REQUEST = (h11.Request(method="GET", target="/", headers=[("Host", "-")]), h11.EndOfMessage())
 
 
-def _answer_reader() -> h11.Connection:
+def _new_parser() -> h11.Connection:
     """What reads one answer; it need not know the request, as none here is a HEAD or a CONNECT."""
     reader = h11.Connection(h11.CLIENT)
-    for event in _ASKED:
+    for event in _PARSER_REQUEST:
         reader.send(event)
     return reader
 
@@ -37,20 +39,24 @@
 class Connection(Reader):
     """One connection to a server; it carries one request at a time."""
 
-    def __init__(self, sock: socket.socket, body_most: int, stall_s: float | None = None) -> None:
+    def __init__(
+        self, sock: socket.socket, max_body_bytes: int, response_timeout_s: float | None = None
+    ) -> None:
         self.sock = sock
         self.reusable = True
-        self.spoilt = False  # whether it has answered with what is no answer, or with more than one
-        self.failed_locally = False  # whether it broke for a cause on this machine
-        self._body_most = body_most
-        self._stall_s = stall_s  # what an answer that has begun may take; None: bounded elsewhere
-        self._stall: asyncio.TimerHandle | None = None
-        self._hints = 0  # 1xx answers to the request that is out
+        self.protocol_error = False  # whether it has answered with what is no answer, or with more than one
+        self.local_failure = False  # whether it broke for a cause on this machine
+        self._max_body_bytes = max_body_bytes
+        self._response_timeout_s = (
+            response_timeout_s  # what an answer that has begun may take; None: bounded elsewhere
+        )
+        self._response_timer: asyncio.TimerHandle | None = None
+        self._informational_count = 0  # 1xx answers to the request that is out
         self._h11 = h11.Connection(h11.CLIENT)
         self._transport: asyncio.Transport | None = None
         self._ended: Callable[[Response | None], None] | None = None
         self._written = False
-        self._last = b""  # the last byte of a long request, held back until all before it has gone
+        self._last_byte = b""  # the last byte of a long request, held back until all before it has gone
         self._is_wanted: Callable[[], bool] = lambda: True
         self._head: h11.Response | None = None
         self._body = bytearray()
@@ -62,7 +68,7 @@
         transport.set_write_buffer_limits(high=0)  # so that an emptied buffer is told of
 
     @property
-    def written(self) -> bool:
+    def request_written(self) -> bool:
         """Whether the request's last byte has gone to the kernel."""
         return self._written
 
@@ -81,11 +87,11 @@
 
         The last byte of a long one goes only if it `is_wanted` then: with it a server begins.
         """
-        self._ended, self._written, self._hints = ended, False, 0
-        self._h11 = _answer_reader()
-        self._last, self._is_wanted = data[:0], is_wanted
-        if len(data) > _AT_ONCE:
-            data, self._last = data[:-1], data[-1:]
+        self._ended, self._written, self._informational_count = ended, False, 0
+        self._h11 = _new_parser()
+        self._last_byte, self._is_wanted = data[:0], is_wanted
+        if len(data) > _MAX_ATOMIC_WRITE_BYTES:
+            data, self._last_byte = data[:-1], data[-1:]
         self._write(data)
 
     def _write(self, data: bytes) -> None:
@@ -97,7 +103,7 @@
 
     def resume_writing(self) -> None:
         """All so far has gone to the kernel."""
-        last, self._last = self._last, b""
+        last, self._last_byte = self._last_byte, b""
         if not last:
             self._written = self._ended is not None
         elif self._ended is not None and self._is_wanted():
@@ -109,8 +115,10 @@
             return
         self._feed(data)
 
-        if self._stall is None and self._stall_s is not None and self._has_begun():
-            self._stall = asyncio.get_running_loop().call_later(self._stall_s, self._spoil, "it stalled")
+        if self._response_timer is None and self._response_timeout_s is not None and self._has_begun():
+            self._response_timer = asyncio.get_running_loop().call_later(
+                self._response_timeout_s, self._reject_response, "it stalled"
+            )
 
     def eof_received(self) -> bool:
         self.reusable = False
@@ -129,50 +137,50 @@
                 pass
         except h11.RemoteProtocolError as broken:
             if data:
-                self._spoil(str(broken))
+                self._reject_response(str(broken))
             else:
                 self._finish(None)  # cut short by the end of the connection
 
-    def _spoil(self, why: str) -> None:
+    def _reject_response(self, why: str) -> None:
         """Give up on an answer that is none: the request ran, and the connection is of no further use."""
-        log.debug("answer spoilt: %s", why)
-        self.spoilt = True
+        log.debug("malformed response: %s", why)
+        self.protocol_error = True
         self._finish(None)
 
     def _next_event(self) -> bool:
         event = self._h11.next_event()
         if isinstance(event, h11.InformationalResponse):
-            self._hints += 1
-            if self._hints > _HINTS_MOST:
-                self._spoil("no end of 1xx answers")
+            self._informational_count += 1
+            if self._informational_count > _MAX_INFORMATIONAL:
+                self._reject_response("no end of 1xx answers")
                 return False
         elif isinstance(event, h11.Response):
             self._head = event
             length = next((v for n, v in event.headers if n == b"content-length"), b"0")
-            if int(length) > self._body_most:
-                self._spoil("too long by its own account")
+            if int(length) > self._max_body_bytes:
+                self._reject_response("too long by its own account")
                 return False
-            return not self._is_all_here()
+            return not self._finish_with_body()
         elif isinstance(event, h11.Data):
             self._body += event.data
-            if len(self._body) > self._body_most:
-                self._spoil("too long")
+            if len(self._body) > self._max_body_bytes:
+                self._reject_response("too long")
                 return False
         elif isinstance(event, h11.EndOfMessage):
             done = self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE
-            self.spoilt = bool(self._h11.trailing_data[0])
-            self._finish(self._response(), done and not self.spoilt)
+            self.protocol_error = bool(self._h11.trailing_data[0])
+            self._finish(self._response(), done and not self.protocol_error)
             return False
         return not isinstance(event, h11.ConnectionClosed | type(h11.NEED_DATA))
 
-    def _is_all_here(self) -> bool:
+    def _finish_with_body(self) -> bool:
         """Finish at once with a body that came with its head, as most do: that spares h11 two events."""
         assert self._head is not None
-        framing = {name: value for name, value in self._head.headers if name in _FRAMING}
+        framing = {name: value for name, value in self._head.headers if name in _FRAMING_HEADERS}
         rest = self._h11.trailing_data[0]
         if list(framing) != [b"content-length"] or int(framing[b"content-length"]) != len(rest):
             return False
-        if self._head.status_code in _BODILESS:
+        if self._head.status_code in _BODILESS_STATUSES:
             return False
         self._body += rest
         self._finish(self._response(), self._h11.our_state is h11.DONE)
@@ -189,7 +197,7 @@
     def _finish(self, response: Response | None, reusable: bool = False) -> None:
         ended, self._ended = self._ended, None
         self._head, self._body = None, bytearray()
-        self._end_stall()
+        self._cancel_response_timer()
         if response is None or not reusable or not self._written:
             self.abort()
         if ended is not None:
@@ -197,19 +205,19 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.reusable = False
-        self.failed_locally = isinstance(exc, OSError) and exc.errno in LOCAL_ERRNOS
-        self._end_stall()
+        self.local_failure = isinstance(exc, OSError) and exc.errno in LOCAL_ERRNOS
+        self._cancel_response_timer()
         ended, self._ended = self._ended, None
         if ended is not None:
             ended(None)
         self.on_lost()
 
-    def _end_stall(self) -> None:
-        if self._stall is not None:
-            self._stall.cancel()
-            self._stall = None
+    def _cancel_response_timer(self) -> None:
+        if self._response_timer is not None:
+            self._response_timer.cancel()
+            self._response_timer = None
 
-    def give_up(self) -> None:
+    def shutdown_and_abort(self) -> None:
         """Close, and end the sending before this returns: the transport closes in the loop's next turn only.
 
         Guards the rule that one copy is out at a time: another may be written before that turn.
@@ -226,14 +234,19 @@
 
 
 async def connect(
-    address: Address, body_most: int, stall_s: float | None = None, sock: socket.socket | None = None
+    address: Address,
+    max_body_bytes: int,
+    response_timeout_s: float | None = None,
+    sock: socket.socket | None = None,
 ) -> Connection:
     """Dial; raise OSError where no connection comes up, LocalDialError where this machine is the cause."""
     loop = asyncio.get_running_loop()
     sock = sock or open_socket(partial(sockets.new_socket, address))
     try:
         await connect_socket(sock, address)
-        _, connection = await loop.create_connection(partial(Connection, sock, body_most, stall_s), sock=sock)
+        _, connection = await loop.create_connection(
+            partial(Connection, sock, max_body_bytes, response_timeout_s), sock=sock
+        )
     except BaseException:
         close_quietly(sock)
         raise
--- a/sidecar/proxy/sockets.py
+++ b/sidecar/proxy/sockets.py
@@ -41,7 +41,7 @@
     return False
 
 
-def is_up(sock: socket.socket) -> bool:
+def is_connected(sock: socket.socket) -> bool:
     """Whether a dialled connection has come up."""
     try:
         sock.getpeername()
--- a/tests/faulty_sockets.py
+++ b/tests/faulty_sockets.py
@@ -13,7 +13,7 @@
 from loopback import PATIENCE_S
 
 from sidecar.balancer.events import Outcome
-from sidecar.proxy.connection_pool import Upstream
+from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.http_messages import message
 
 Failures = Iterator[int | None]  # what a system call fails with, call by call; None: it works
@@ -89,7 +89,7 @@
     monkeypatch.setattr("sidecar.proxy.sockets.new_socket", new_socket)
 
 
-async def outcome_of(servers: Upstream, seconds: float = PATIENCE_S, body: bytes = b"") -> Outcome:
+async def outcome_of(servers: ConnectionPool, seconds: float = PATIENCE_S, body: bytes = b"") -> Outcome:
     loop = asyncio.get_running_loop()
     ended: asyncio.Future[Outcome] = loop.create_future()
     data = message(b"POST / HTTP/1.1", [(b"Host", b"x"), (b"Content-Length", b"%d" % len(body))], body)
--- a/tests/test_answers_without_length.py
+++ b/tests/test_answers_without_length.py
@@ -10,7 +10,7 @@
 from loopback import PATIENCE_S, FakeServer, hung, play, reset, until, world
 
 from sidecar.balancer.events import Outcome, ServerState
-from sidecar.proxy.connection_pool import BODY_MOST, Upstream
+from sidecar.proxy.connection_pool import MAX_BODY_BYTES, ConnectionPool
 from sidecar.proxy.http_messages import Response, message
 
 _HEAD = b"HTTP/1.1 200 X\r\n\r\n"
@@ -20,10 +20,10 @@
     "HTTP/1.0": b"HTTP/1.0 200 X\r\n\r\n",
     "HTTP/1.0 that would keep it": b"HTTP/1.0 200 X\r\nConnection: keep-alive\r\n\r\n",
 }
-_BODIES = {"empty": b"", "short": b"served", "the longest": bytes(BODY_MOST)}
+_BODIES = {"empty": b"", "short": b"served", "the longest": bytes(MAX_BODY_BYTES)}
 
 
-async def send_one(upstream: Upstream) -> tuple[Outcome, Response | None]:
+async def send_one(upstream: ConnectionPool) -> tuple[Outcome, Response | None]:
     """Send one short request to server s; give its outcome."""
     loop = asyncio.get_running_loop()
     ended: asyncio.Future[tuple[Outcome, Response | None]] = loop.create_future()
@@ -52,8 +52,8 @@
     async def scene() -> None:
         server = FakeServer("s", hung)
         await server.start()
-        upstream = Upstream(PATIENCE_S, 60.0, 10)
-        upstream._rest_s = 0.0
+        upstream = ConnectionPool(PATIENCE_S, 60.0, 10)
+        upstream._reuse_delay_s = 0.0
         upstream.update("s", server.address, None, ServerState.READY)
         sending = asyncio.create_task(send_one(upstream))
         await until(lambda: server.requests)
@@ -64,14 +64,14 @@
         server.writers[0].close()
         outcome, response = await sending
         assert outcome is Outcome.SUCCEEDED and response is not None and response.body == b"served"
-        assert not upstream._endpoints["s"].idle
-        await until(lambda: upstream._open == 0)
+        assert not upstream.servers["s"].idle
+        await until(lambda: upstream.open_connections == 0)
         server.stop()
 
     play(scene())
 
 
-@pytest.mark.parametrize("body", [b"", b"part of it or all", bytes(BODY_MOST)], ids=_BODIES)
+@pytest.mark.parametrize("body", [b"", b"part of it or all", bytes(MAX_BODY_BYTES)], ids=_BODIES)
 def test_a_reset_breaks_an_answer_however_much_of_it_came(body: bytes) -> None:
     # Read by the sidecar or not: the reset is in its kernel behind the bytes, or comes after they were read.
     async def scene(is_read_before: bool) -> None:
@@ -100,7 +100,7 @@
         loop = asyncio.get_running_loop()
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
-        upstream = Upstream(PATIENCE_S, 60.0, 10)
+        upstream = ConnectionPool(PATIENCE_S, 60.0, 10)
         upstream.update("s", listener.getsockname()[:2], None, ServerState.READY)
         sending = asyncio.create_task(send_one(upstream))
         accepted, _ = await loop.sock_accept(listener)
@@ -132,7 +132,7 @@
             asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
             await until(w.sent)
             (writer,) = w.servers[0].writers
-            writer.write(_HEAD + bytes(BODY_MOST + 1))
+            writer.write(_HEAD + bytes(MAX_BODY_BYTES + 1))
             if ends:
                 writer.close()
             assert (await asking)[0] == 500 and len(w.sent()) == 1
@@ -169,10 +169,10 @@
     async def scene() -> None:
         server = FakeServer("s", lambda *_: _HEAD + b"and no end")
         await server.start()
-        upstream = Upstream(0.1, 60.0, 10)  # the dial limit bounds an answer that has begun
+        upstream = ConnectionPool(0.1, 60.0, 10)  # the dial limit bounds an answer that has begun
         upstream.update("s", server.address, None, ServerState.READY)
         assert await send_one(upstream) == (Outcome.ERROR, None)
-        await until(lambda: server.closed == 1 and upstream._open == 0)
+        await until(lambda: server.closed == 1 and upstream.open_connections == 0)
         server.stop()
 
     play(scene())
@@ -182,7 +182,7 @@
     async def scene(resets: bool) -> None:
         server = FakeServer("s", hung)
         await server.start()
-        upstream = Upstream(PATIENCE_S, 60.0, 10)
+        upstream = ConnectionPool(PATIENCE_S, 60.0, 10)
         upstream.update("s", server.address, None, ServerState.READY)
         sending = asyncio.create_task(send_one(upstream))
         await until(lambda: server.requests)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -26,9 +26,9 @@
 
 from sidecar.balancer.actions import Action
 from sidecar.balancer.events import AttemptEnded, Event, Outcome, ServerState
-from sidecar.proxy.connection_pool import Exchange, Order, Upstream, judge
+from sidecar.proxy.connection_pool import ConnectionPool, Exchange, Order, classify_outcome
 from sidecar.proxy.http_messages import Response, message
-from sidecar.proxy.idle_lifetimes import IdleAges
+from sidecar.proxy.idle_lifetimes import IdleLifetimeEstimator
 from sidecar.proxy.load_reports import parse_report
 from sidecar.proxy.server_connection import connect
 
@@ -115,7 +115,7 @@
     play(scene())
 
 
-SPOILT = [
+MALFORMED = [
     b"nonsense\r\n\r\n",
     b"HTTP/1.1 200 X\r\nContent-Length: 3000000000\r\n\r\nand more",
     b"HTTP/1.1 200 X\r\nContent-Length: -5\r\n\r\nabcde",
@@ -127,13 +127,13 @@
 ]
 
 
-@pytest.mark.parametrize("spoilt", SPOILT, ids=range(len(SPOILT)))
+@pytest.mark.parametrize("malformed", MALFORMED, ids=range(len(MALFORMED)))
 def test_a_spoilt_answer_is_an_error_at_once_and_its_connection_is_not_used_again(
-    spoilt: bytes, monkeypatch: pytest.MonkeyPatch
+    malformed: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The server keeps the connection open: nothing but the answer itself tells.
     async def scene() -> None:
-        async with world(lambda *_: spoilt) as w:
+        async with world(lambda *_: malformed) as w:
             real, heard = w.sidecar._balancer.handle, []
 
             def handle(now: int, event: Event) -> list[Action]:
@@ -222,7 +222,7 @@
         async with world(served, sockets=72, limits=limits) as w:
             for _ in range(9):
                 assert (await w.ask())[0] == 200
-                assert w.sidecar._upstream._open <= 4  # all that the descriptors allow
+                assert w.sidecar._upstream.open_connections <= 4  # all that the descriptors allow
             assert len(w.servers[0].writers) == 9
 
     play(scene())
@@ -234,7 +234,7 @@
     async def scene() -> None:
         async with world(served) as w:
             assert (await w.ask(kind="pay", body=b"x"))[0] == 200
-            connection = w.sidecar._upstream._endpoints["s-0"].idle[0][0]
+            connection = w.sidecar._upstream.servers["s-0"].idle[0][0]
             writer = w.servers[0].writers[0]
             if how == "end":
                 raw = writer.get_extra_info("socket")
@@ -253,24 +253,24 @@
 
 
 def test_connections_that_break_once_idle_for_long_are_not_trusted_for_that_long() -> None:
-    ages = IdleAges(10.0)
+    lifetimes = IdleLifetimeEstimator(10.0)
     for _ in range(40):
-        ages.note(None, False)
-        ages.note(0.04, False)
-    assert ages.lasts(5.0, 0.0)
+        lifetimes.record(None, False)
+        lifetimes.record(0.04, False)
+    assert lifetimes.is_trusted(5.0, 0.0)
     for number in range(40):
-        ages.note(0.3, number % 3 == 0)
-    assert ages.lasts(0.04, 0.0)
-    assert not ages.lasts(0.3, 0.0) and not ages.lasts(5.0, 0.0)
-    assert ages.lasts(5.0, 40.0)  # what was learnt has faded
+        lifetimes.record(0.3, number % 3 == 0)
+    assert lifetimes.is_trusted(0.04, 0.0)
+    assert not lifetimes.is_trusted(0.3, 0.0) and not lifetimes.is_trusted(5.0, 0.0)
+    assert lifetimes.is_trusted(5.0, 40.0)  # what was learnt has faded
 
 
 def test_breaks_that_new_connections_suffer_too_are_not_laid_to_idleness() -> None:
-    ages = IdleAges(10.0)
+    lifetimes = IdleLifetimeEstimator(10.0)
     for number in range(60):
-        ages.note(None, number % 4 == 0)
-        ages.note(0.3, number % 4 == 0)
-    assert ages.lasts(0.3, 0.0)
+        lifetimes.record(None, number % 4 == 0)
+        lifetimes.record(0.3, number % 4 == 0)
+    assert lifetimes.is_trusted(0.3, 0.0)
 
 
 def test_where_idle_connections_break_requests_get_new_ones() -> None:
@@ -286,12 +286,14 @@
 
         server = FakeServer("s", once)
         await server.start()
-        upstream = Upstream(30.0, 60.0, 10)
-        upstream._rest_s = 0.0  # connections are used again at once
+        upstream = ConnectionPool(30.0, 60.0, 10)
+        upstream._reuse_delay_s = 0.0  # connections are used again at once
         upstream.update("s", server.address, None, ServerState.READY)
         outcomes = [await outcome_of(upstream) for _ in range(100)]
         assert Outcome.RESET in outcomes
-        assert set(outcomes[60:]) == {Outcome.SUCCEEDED}  # lags make more ages, each learnt apart
+        assert set(outcomes[60:]) == {
+            Outcome.SUCCEEDED
+        }  # lags spread requests over more idle times, each learnt apart
         server.stop()
 
     play(scene())
@@ -303,7 +305,7 @@
         async with world(served, limits=limits) as w:
             assert (await w.ask())[0] == 200
             loop = asyncio.get_running_loop()
-            timer = w.sidecar._upstream._endpoints["s-0"].idle[0][1]
+            timer = w.sidecar._upstream.servers["s-0"].idle[0][1]
             assert timer.when() - loop.time() < 0.95
             await until(lambda: w.servers[0].closed == 1)
 
@@ -329,7 +331,7 @@
 # -- The connections themselves
 
 
-async def outcome_of(upstream: Upstream, seconds: float = 5.0, body: bytes = b"") -> Outcome:
+async def outcome_of(upstream: ConnectionPool, seconds: float = 5.0, body: bytes = b"") -> Outcome:
     loop = asyncio.get_running_loop()
     ended: asyncio.Future[Outcome] = loop.create_future()
 
@@ -356,10 +358,13 @@
         other, _ = listener.accept()
         ended: asyncio.Future[Response | None] = asyncio.get_running_loop().create_future()
         connection.request(data(body), ended.set_result)
-        assert not connection.written
+        assert not connection.request_written
         other.close()  # with bytes unread: a reset
         assert await asyncio.wait_for(ended, PATIENCE_S) is None
-        assert judge(None, connection.written, connection.spoilt) is Outcome.CONNECT_FAILED
+        assert (
+            classify_outcome(None, connection.request_written, connection.protocol_error)
+            is Outcome.CONNECT_FAILED
+        )
         listener.close()
 
     play(scene())
@@ -377,10 +382,10 @@
         connection.request(data(body), ended.set_result)
         await reader.readuntil(b"\r\n\r\n")
         await reader.readexactly(len(body))
-        await until(lambda: connection.written)
+        await until(lambda: connection.request_written)
         reset(writer)
         assert await asyncio.wait_for(ended, PATIENCE_S) is None
-        assert judge(None, connection.written, connection.spoilt) is Outcome.RESET
+        assert classify_outcome(None, connection.request_written, connection.protocol_error) is Outcome.RESET
         listener.close()
 
     play(scene())
@@ -392,10 +397,10 @@
 ) -> None:
     async def scene() -> None:
         with deaf() as address:
-            upstream = Upstream(dial_limit, 60.0, 10)
+            upstream = ConnectionPool(dial_limit, 60.0, 10)
             upstream.update("s", address, None, ServerState.READY)
             assert await outcome_of(upstream, seconds) is Outcome.CONNECT_FAILED
-            await until(lambda: upstream._open == 0)
+            await until(lambda: upstream.open_connections == 0)
 
     play(scene())
 
@@ -404,10 +409,10 @@
     async def scene() -> None:
         server = FakeServer("s", served)
         await server.start()
-        upstream = Upstream(0.1, 60.0, 10)
+        upstream = ConnectionPool(0.1, 60.0, 10)
         upstream.update("s", server.address, None, ServerState.READY)
         outcome = asyncio.create_task(outcome_of(upstream))
-        while not upstream._open:
+        while not upstream.open_connections:
             await asyncio.sleep(0)
         await asyncio.sleep(0)  # now it is dialled
         time.sleep(0.5)
@@ -422,20 +427,20 @@
     # Guards rule 3: a slow dial would write its request after the grace.
     async def scene() -> None:
         with deaf() as address:
-            upstream = Upstream(30.0, 60.0, 10)
+            upstream = ConnectionPool(30.0, 60.0, 10)
             upstream.update("s", address, None, ServerState.READY)
             sending = asyncio.create_task(outcome_of(upstream))
-            await until(lambda: upstream._open == 1)
+            await until(lambda: upstream.open_connections == 1)
             upstream.update("s", address, None, state)
             assert await sending is Outcome.CONNECT_FAILED
-            await until(lambda: upstream._open == 0)
+            await until(lambda: upstream.open_connections == 0)
 
     play(scene())
 
 
 def test_an_attempt_whose_time_is_up_is_never_sent() -> None:
     async def scene() -> None:
-        upstream = Upstream(1.0, 60.0, 10)
+        upstream = ConnectionPool(1.0, 60.0, 10)
         upstream.update("s", ("127.0.0.1", 1), None, ServerState.READY)
         assert await outcome_of(upstream, -1.0) is Outcome.NOT_SENT
 
@@ -446,7 +451,7 @@
     async def scene() -> None:
         server = FakeServer("s", hung)
         await server.start()
-        upstream = Upstream(1.0, 60.0, 10)
+        upstream = ConnectionPool(1.0, 60.0, 10)
         upstream.update("s", server.address, None, ServerState.READY)
         outcomes: list[Outcome] = []
         loop = asyncio.get_running_loop()
@@ -455,7 +460,7 @@
         upstream.cancel(exchange)
         upstream.cancel(exchange)
         await until(lambda: server.closed == 1)
-        assert outcomes == [Outcome.CANCELLED] and upstream._open == 0
+        assert outcomes == [Outcome.CANCELLED] and upstream.open_connections == 0
         server.stop()
 
     play(scene())
@@ -465,7 +470,7 @@
     async def scene() -> None:
         server = FakeServer("s", served)
         await server.start()
-        upstream = Upstream(1.0, 60.0, 10)
+        upstream = ConnectionPool(1.0, 60.0, 10)
         upstream.update("s", server.address, None, ServerState.READY)
         assert await outcome_of(upstream) is Outcome.SUCCEEDED
         upstream.update("s", server.address, 5, ServerState.READY)
@@ -487,7 +492,7 @@
     # Guards the descriptors: an idle connection elsewhere makes room, one in use does not.
     async def scene() -> None:
         servers = [FakeServer("a", served), FakeServer("s", hung)]
-        upstream = Upstream(1.0, 60.0, 1)
+        upstream = ConnectionPool(1.0, 60.0, 1)
         for each in servers:
             await each.start()
             upstream.update(each.name, each.address, None, ServerState.READY)
@@ -531,8 +536,8 @@
                 w.sidecar._upstream.update("s-0", address, None, ServerState.READY)
                 _, writer = await w.connect()
                 writer.write(request("pay", body=b"x", budget="600"))
-                await until(lambda: w.sidecar._upstream._open == 1)
+                await until(lambda: w.sidecar._upstream.open_connections == 1)
                 writer.close()
-                await until(lambda: not w.sidecar._live and not w.sidecar._upstream._open)
+                await until(lambda: not w.sidecar._live and not w.sidecar._upstream.open_connections)
 
     play(scene())
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -37,7 +37,7 @@
 from sidecar.balancer.events import Outcome, ServerState
 from sidecar.proxy import connection_pool, driver, server_connection
 from sidecar.proxy.addresses import Address
-from sidecar.proxy.connection_pool import Exchange, Upstream, judge
+from sidecar.proxy.connection_pool import ConnectionPool, Exchange, classify_outcome
 from sidecar.proxy.discovery import Discovery, RegistryResponse, parse_registry
 from sidecar.proxy.frontend import _LIMITS_S, Phase
 from sidecar.proxy.http_messages import Response, message
@@ -78,7 +78,7 @@
 
 async def rested_everywhere(w: World) -> None:
     """Let each server have a connection that carries nothing: what is sent next is written at once."""
-    w.sidecar._upstream._rest_s = 0.0
+    w.sidecar._upstream._reuse_delay_s = 0.0
     while not all(each.writers for each in w.servers):
         assert (await w.ask())[0] == 200
 
@@ -128,7 +128,7 @@
             assert (await w.ask(kind="pay", body=b"next", X_Call_Id="next"))[0] == 200
             assert [body for _, _, body in w.sent()] == [b"next"]
             # The connection was kept for others, and is counted once.
-            assert w.sidecar._upstream._open == len(w.sidecar._upstream._endpoints["s-0"].idle)
+            assert w.sidecar._upstream.open_connections == len(w.sidecar._upstream.servers["s-0"].idle)
             client.close()
 
     play(scene())
@@ -158,7 +158,7 @@
 
     async def scene() -> None:
         async with world(hung, classes=classes) as w:
-            w.sidecar._upstream._rest_s = 0.0  # what is free is used at once
+            w.sidecar._upstream._reuse_delay_s = 0.0  # what is free is used at once
             first = Client(w.sidecar.frontend.address, request(X_Call_Id="first"))
             await until(w.sent)
             second = Client(w.sidecar.frontend.address, request(X_Call_Id="second"))
@@ -183,7 +183,7 @@
             listener.bind(("127.0.0.1", 0))
             listener.listen()
             listener.setblocking(False)
-            servers = Upstream(600.0, 600.0, 10)
+            servers = ConnectionPool(600.0, 600.0, 10)
             servers.update("s", listener.getsockname()[:2], None, ServerState.READY)
             data = message(b"POST / HTTP/1.1", [(b"Content-Length", b"8000000")], bytes(8_000_000))
             orders = [data, None if left else data]
@@ -235,13 +235,13 @@
         limits = LIMITS | {"allow_probes": True, "dial_timeout_us": 600 * S}
         changes: dict[str, Any] = {"classes": classes, "limits": limits, "prices": {"probe": 0.001}}
         async with world(holds_probes, holds_probes, report=report, **changes) as w:
-            w.sidecar._upstream._rest_s = 0.0  # what was probed is written at once
+            w.sidecar._upstream._reuse_delay_s = 0.0  # what was probed is written at once
             client = Client(w.sidecar.frontend.address, request(budget="500"))
             await until(lambda: len(w.sent()) == 2)
             if leaves:
                 client.leave()
             for probed in made:
-                if not probed.is_idle() and probed.written:  # read before the client's end
+                if not probed.is_idle() and probed.request_written:  # read before the client's end
                     probed.data_received(answer(200, b'{"inflight": 1}'))
             await until(lambda: not w.sidecar._live)
             begun = [first for first, _, _ in w.sent() if "/stats" not in first]
@@ -311,7 +311,7 @@
 def test_a_second_answer_crosses_the_next_request_where_connections_are_scarce() -> None:
     async def scene() -> None:
         async with world(hung, sockets=66) as w:  # room for one connection to servers
-            w.sidecar._upstream._rest_s = 600.0
+            w.sidecar._upstream._reuse_delay_s = 600.0
             (server,) = w.servers
 
             def answered_twice(first: str, *_: object) -> bytes:
@@ -421,10 +421,12 @@
 
 def test_an_answer_that_comes_before_its_request_is_written_is_no_answer_to_it() -> None:
     early = Response(200, [], b"again to the one before")
-    assert judge(early, written=False, spoilt=False) is Outcome.CONNECT_FAILED
-    assert judge(early, written=True, spoilt=False) is Outcome.SUCCEEDED
+    assert classify_outcome(early, written=False, protocol_error=False) is Outcome.CONNECT_FAILED
+    assert classify_outcome(early, written=True, protocol_error=False) is Outcome.SUCCEEDED
     away = Response(503, [(b"x-rejected", b"1")], b"")
-    assert judge(away, written=False, spoilt=False) is Outcome.REJECTED  # a server may say so unasked
+    assert (
+        classify_outcome(away, written=False, protocol_error=False) is Outcome.REJECTED
+    )  # a server may say so unasked
 
 
 # -- The list tells of a server's new place x a connection to its old one comes up
@@ -433,13 +435,13 @@
 def test_a_server_moves_while_a_connection_to_its_old_place_is_dialled() -> None:
     async def scene() -> None:
         with deaf() as address:
-            servers = Upstream(600.0, 600.0, 10)
+            servers = ConnectionPool(600.0, 600.0, 10)
             servers.update("s", address, None, ServerState.READY)
             heard: list[Outcome] = []
             servers.send("s", lambda _: b"", LATER, lambda outcome, _: heard.append(outcome))
             servers.update("s", ("127.0.0.1", 9), None, ServerState.READY)
             assert heard == [Outcome.NOT_SENT]  # which is no strike against the server
-            await until(lambda: servers._open == 0)
+            await until(lambda: servers.open_connections == 0)
 
     play(scene())
 
@@ -464,7 +466,7 @@
                 where = "{}:{}".format(*address)
                 entry = w.servers[0].entry(status="leaving", address=where)
                 w.sidecar._told(parse_registry({"index": 42, "endpoints": [entry]}))
-                dialling = w.sidecar._upstream._endpoints["s-0"].dialling
+                dialling = w.sidecar._upstream.servers["s-0"].dialing
                 assert not dialling
                 assert {(await each)[0] for each in outs} == {503}
 
@@ -474,10 +476,10 @@
 # -- An attempt's end x its answer
 
 
-async def written(server: FakeServer) -> tuple[Upstream, Exchange, Connection, list[Outcome]]:
+async def written(server: FakeServer) -> tuple[ConnectionPool, Exchange, Connection, list[Outcome]]:
     """An attempt that is written to a server which does not answer by itself, and what is heard of it."""
     await server.start()
-    upstream = Upstream(600.0, 600.0, 10)
+    upstream = ConnectionPool(600.0, 600.0, 10)
     upstream.update("s", server.address, None, ServerState.READY)
     heard: list[Outcome] = []
     get = message(b"GET /api/1 HTTP/1.1", [(b"Host", b"x")])
@@ -487,8 +489,8 @@
     return upstream, exchange, exchange.connection, heard
 
 
-ENDS: dict[str, tuple[Callable[[Upstream, Exchange], None], list[Outcome]]] = {
-    "its time is up": (lambda u, e: u._time_up(e), [Outcome.TIMED_OUT]),
+ENDS: dict[str, tuple[Callable[[ConnectionPool, Exchange], None], list[Outcome]]] = {
+    "its time is up": (lambda u, e: u._on_deadline(e), [Outcome.TIMED_OUT]),
     "it is called off": (lambda u, e: u.cancel(e), [Outcome.CANCELLED]),
     "its connection breaks": (lambda u, e: e.connection.connection_lost(None), [Outcome.RESET]),  # type: ignore[union-attr]
 }
@@ -534,8 +536,8 @@
         server = FakeServer("s", served)
         upstream, _, connection, heard = await written(server)
         await until(lambda: heard)
-        upstream._rest_s = 0.0
-        (_, timer) = upstream._endpoints["s"].idle[0]
+        upstream._reuse_delay_s = 0.0
+        (_, timer) = upstream.servers["s"].idle[0]
         server.script = hung
         upstream.send(
             "s", lambda _: b"GET / HTTP/1.1\r\n\r\n", LATER, lambda outcome, _: heard.append(outcome)
@@ -555,11 +557,11 @@
         server = FakeServer("s", served)
         upstream, _, connection, heard = await written(server)
         await until(lambda: heard)
-        upstream._rest_s = 0.0
+        upstream._reuse_delay_s = 0.0
         upstream.send("s", lambda _: None, LATER, lambda outcome, _: heard.append(outcome))
         assert heard == [Outcome.SUCCEEDED, Outcome.NOT_SENT]
-        assert not upstream._endpoints["s"].idle and not connection.is_idle()
-        await until(lambda: upstream._open == 0)
+        assert not upstream.servers["s"].idle and not connection.is_idle()
+        await until(lambda: upstream.open_connections == 0)
         server.stop()
 
     play(scene())
@@ -571,7 +573,7 @@
 def test_idle_connections_that_their_server_has_closed_make_no_room() -> None:
     async def scene() -> None:
         idle, busy = FakeServer("a", served), FakeServer("s", hung)
-        servers = Upstream(600.0, 600.0, 2)
+        servers = ConnectionPool(600.0, 600.0, 2)
         for each in (idle, busy):
             await each.start()
             servers.update(each.name, each.address, None, ServerState.READY)
@@ -584,10 +586,10 @@
         send("a")
         await until(lambda: heard)
         idle.stop()
-        await until(lambda: not servers._open)  # and still noted as idle
+        await until(lambda: not servers.open_connections)  # and still noted as idle
         for _ in range(3):
             send("s")
-        assert servers._open == 2 and heard == [Outcome.SUCCEEDED, Outcome.CONNECT_FAILED]
+        assert servers.open_connections == 2 and heard == [Outcome.SUCCEEDED, Outcome.CONNECT_FAILED]
         await until(lambda: len(busy.requests) == 2)
         busy.stop()
 
--- a/tests/test_dedup_window.py
+++ b/tests/test_dedup_window.py
@@ -54,7 +54,7 @@
             status, _, body = await asked
             if late:
                 assert (status, body) == (500, b"") and len(w.sent()) == 1
-                (kept,) = w.sidecar._upstream._endpoints[other_than(w, first)].idle
+                (kept,) = w.sidecar._upstream.servers[other_than(w, first)].idle
                 assert kept[0].is_idle()  # the connection serves others
             else:
                 assert (status, body) == (200, b"served")
@@ -90,7 +90,7 @@
                 assert timer.when() < due  # counted from the attempt before
                 timer._run()
                 assert (await asked)[0] == 500
-                assert exchange.connection is not None and not exchange.connection.written
+                assert exchange.connection is not None and not exchange.connection.request_written
                 accepted, _ = listener.accept()
                 with accepted:
                     got = sum(map(len, iter(lambda: accepted.recv(65536), b"")))
--- a/tests/test_dialing.py
+++ b/tests/test_dialing.py
@@ -14,7 +14,7 @@
 
 from sidecar.balancer.events import Outcome, ServerState
 from sidecar.proxy.addresses import Address
-from sidecar.proxy.connection_pool import Upstream
+from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.server_connection import connect
 
 _LOCAL = (
@@ -42,13 +42,13 @@
     async def scene() -> None:
         server = FakeServer("s", served)
         await server.start()
-        servers = Upstream(dial_limit_s, 60.0, 10)
+        servers = ConnectionPool(dial_limit_s, 60.0, 10)
         servers.update("s", address or server.address, None, ServerState.READY)
         before = descriptors()
         assert await outcome_of(servers) is expected
         assert len(server.requests) == (expected is Outcome.SUCCEEDED)
         servers.close_idle("s")
-        await until(lambda: servers._open == 0)
+        await until(lambda: servers.open_connections == 0)
         server.stop()
         await until(lambda: descriptors() <= before)
 
@@ -118,16 +118,16 @@
 ) -> None:
     use_faulty(monkeypatch, connects=failing(errno.EADDRNOTAVAIL, 10**9))
 
-    async def scene(end: Callable[[Upstream], None], expected: Outcome, seconds: float) -> None:
-        servers = Upstream(PATIENCE_S, 60.0, 10)
+    async def scene(end: Callable[[ConnectionPool], None], expected: Outcome, seconds: float) -> None:
+        servers = ConnectionPool(PATIENCE_S, 60.0, 10)
         servers.update("s", ("127.0.0.1", 1), None, ServerState.READY)
         sending = asyncio.create_task(outcome_of(servers, seconds))
-        await until(lambda: servers._open == 1)
+        await until(lambda: servers.open_connections == 1)
         end(servers)
         assert await sending is expected
-        await until(lambda: servers._open == 0)
+        await until(lambda: servers.open_connections == 0)
 
-    def leave(servers: Upstream) -> None:
+    def leave(servers: ConnectionPool) -> None:
         servers.update("s", None, None, ServerState.REMOVED)
 
     play(scene(lambda _: None, Outcome.NOT_SENT, 0.1))
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,7 +10,7 @@
 from virtual_time import play_in_virtual_time
 
 from sidecar.balancer.events import ServerState
-from sidecar.proxy.connection_pool import Upstream
+from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.discovery import _IDLE_S, Discovery, RegistryResponse, parse_registry
 
 
@@ -44,7 +44,7 @@
             assert not first.requests
             w.discovery.say(43, [first.entry()], snapshot=True)  # who is missing is gone
             await until(lambda: "s-1" not in states)
-            assert set(w.sidecar._upstream._endpoints) == {"s-0"}
+            assert set(w.sidecar._upstream.servers) == {"s-0"}
             seen = len(second.requests)
             for _ in range(10):
                 assert (await w.ask())[0] == 200
@@ -213,7 +213,7 @@
             await until(lambda: len(w.discovery.targets) == 3)
             assert (
                 list(w.sidecar._balancer._context.registry.servers)
-                == list(w.sidecar._upstream._endpoints)
+                == list(w.sidecar._upstream.servers)
                 == ["s-new"]
             )
             assert (await w.ask())[0] == 200 and len(old.writers) == 2
@@ -248,13 +248,13 @@
 
 def test_an_answer_without_changes_looks_at_no_address(monkeypatch: pytest.MonkeyPatch) -> None:
     looks: list[int] = []
-    displace = Upstream.displace
+    remove_superseded = ConnectionPool.remove_superseded
 
-    def counted(self: Upstream) -> list[str]:
+    def counted(self: ConnectionPool) -> list[str]:
         looks.append(1)
-        return displace(self)
+        return remove_superseded(self)
 
-    monkeypatch.setattr(Upstream, "displace", counted)
+    monkeypatch.setattr(ConnectionPool, "remove_superseded", counted)
 
     async def scene() -> None:
         async with world(lambda *_: answer()) as w:
--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -15,7 +15,7 @@
 
 from sidecar.proxy import discovery, server_connection, sockets
 from sidecar.proxy.addresses import Address
-from sidecar.proxy.connection_pool import Upstream
+from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.server_connection import Connection
 
 TOLD_S = 6.0  # after discovery has a change and can be reached
@@ -142,11 +142,11 @@
 
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("defect", DEFECTS, ids=lambda each: type(each).__name__)
-@pytest.mark.parametrize("where", ["parse_registry", "displace"])
+@pytest.mark.parametrize("where", ["parse_registry", "remove_superseded"])
 def test_a_change_is_applied_in_time_though_a_list_can_not_be_handled_once(
     where: str, defect: Exception, mode: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    place: Any = discovery if where == "parse_registry" else Upstream
+    place: Any = discovery if where == "parse_registry" else ConnectionPool
     handle = getattr(place, where)
     failures = [defect]
 
--- a/tests/test_registry_crossings.py
+++ b/tests/test_registry_crossings.py
@@ -24,7 +24,7 @@
 
 async def gone_within(w: World, limit_s: float, began: float) -> None:
     """Wait until connections to s-0 are no use any more, which has to be in time."""
-    while "s-0" in w.sidecar._upstream._endpoints:
+    while "s-0" in w.sidecar._upstream.servers:
         assert now_s() < began + limit_s, f"not told {limit_s} s later"
         await asyncio.sleep(STEP_S)
 
@@ -164,7 +164,9 @@
     async def scene() -> None:
         async with world(served, served) as w:
             first, second = w.servers
-            w.sidecar._upstream._rest_s = 600.0  # what is kept from one request is not taken by the next
+            w.sidecar._upstream._reuse_delay_s = (
+                600.0  # what is kept from one request is not taken by the next
+            )
             while not first.requests:
                 assert (await w.ask())[0] == 200
             reader, writer = await hold_at_first(w)
@@ -196,7 +198,7 @@
             survivor = FakeServer("s-2", served)
             await survivor.start()
             w.discovery.say(42, [survivor.entry()], snapshot=True)
-            await until(lambda: list(w.sidecar._upstream._endpoints) == ["s-2"])
+            await until(lambda: list(w.sidecar._upstream.servers) == ["s-2"])
             for each in w.servers:
                 each.stop()
             assert (await safe)[::2] == (200, b"served")
--- a/tests/test_remaining_time.py
+++ b/tests/test_remaining_time.py
@@ -161,14 +161,14 @@
 def test_an_idle_connection_that_its_server_ends_costs_no_request(kind: str, how: str) -> None:
     async def scene() -> None:
         async with world(served) as w:
-            w.sidecar._upstream._rest_s = 0.0
+            w.sidecar._upstream._reuse_delay_s = 0.0
             for _ in range(5):
                 assert await answered_in_time(w, kind, _BUDGET_S) == 200
                 for writer in w.servers[0].writers:
                     if how == "reset":
                         reset(writer)
                     writer.close()
-                await until(lambda: w.sidecar._upstream._open == 0)
+                await until(lambda: w.sidecar._upstream.open_connections == 0)
 
     play(scene())
 
@@ -186,7 +186,7 @@
             return served() if is_new else b""
 
         async with world(forgets, served) as w:
-            w.sidecar._upstream._rest_s = 0.0
+            w.sidecar._upstream._reuse_delay_s = 0.0
             statuses = []
             while len(w.servers[0].requests) == len(used):  # until one was broken
                 statuses.append(await answered_in_time(w, kind, _BUDGET_S))
--- a/tests/test_request_crossings.py
+++ b/tests/test_request_crossings.py
@@ -30,7 +30,7 @@
 from sidecar.proxy import connection_pool, server_connection
 from sidecar.proxy.addresses import Address
 from sidecar.proxy.server_connection import Connection
-from sidecar.proxy.sockets import is_up
+from sidecar.proxy.sockets import is_connected
 
 BAD_PEER_S = 3.0  # bad input is answered or its connection closed within this
 _GAP_S = 0.005  # between pieces: the event loop reads each by itself
@@ -65,7 +65,7 @@
         if address == victim:
             assert connection._transport is not None
             connection._transport.pause_reading()  # the loop may not hear of it first
-            await until(lambda: not is_up(connection.sock))
+            await until(lambda: not is_connected(connection.sock))
         return connection
 
     monkeypatch.setattr(connection_pool, "connect", delayed)
@@ -167,7 +167,7 @@
         async with world(served, served) as w:
             reader, writer = await (rested(w) if used else w.connect())
             before = len(w.servers[0].requests)
-            drained = w.sidecar._upstream._endpoints["s-0"]
+            drained = w.sidecar._upstream.servers["s-0"]
             for number in range(4):
                 data = in_pieces(f"{number}")
                 await send_bytes(writer, data[:cut])
--- a/tests/test_socket_errors.py
+++ b/tests/test_socket_errors.py
@@ -11,7 +11,7 @@
 from loopback import PATIENCE_S, FakeServer, answer, hung, play, served, until
 
 from sidecar.balancer.events import Outcome, ServerState
-from sidecar.proxy.connection_pool import Exchange, Upstream
+from sidecar.proxy.connection_pool import ConnectionPool, Exchange
 from sidecar.proxy.http_messages import message
 
 _BROKEN = (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH)
@@ -29,11 +29,11 @@
     async def scene() -> None:
         server = FakeServer("s", lambda *_: reply)
         await server.start()
-        servers = Upstream(PATIENCE_S, 60.0, 10)
+        servers = ConnectionPool(PATIENCE_S, 60.0, 10)
         servers.update("s", server.address, None, ServerState.READY)
         assert await outcome_of(servers, body=body) is expected
         servers.close_idle("s")
-        await until(lambda: servers._open == 0)
+        await until(lambda: servers.open_connections == 0)
         if expected is not Outcome.RESET:
             await until(lambda: server.closed == 1)  # all that was sent has been read
             assert len(server.requests) == received
@@ -96,7 +96,7 @@
     async def scene() -> None:
         server = FakeServer("s", hung)
         await server.start()
-        servers = Upstream(PATIENCE_S, 60.0, 10)
+        servers = ConnectionPool(PATIENCE_S, 60.0, 10)
         servers.update("s", server.address, None, ServerState.READY)
         outcomes: list[Outcome] = []
         data = message(b"GET / HTTP/1.1", [(b"Host", b"x")])
@@ -104,7 +104,7 @@
         exchange: Exchange = servers.send("s", lambda _: data, until_at, lambda end, _: outcomes.append(end))
         await until(lambda: server.requests)
         servers.cancel(exchange)
-        await until(lambda: server.closed == 1 and servers._open == 0)
+        await until(lambda: server.closed == 1 and servers.open_connections == 0)
         assert outcomes == [Outcome.CANCELLED]
         server.stop()
 
