--- a/sidecar/proxy/load_reports.py
+++ b/sidecar/proxy/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports: the figures that servers give of themselves, in answers and to probes."""
+"""Load reports: the metrics that servers give of themselves, in responses and to health checks."""
 
 from __future__ import annotations
 
@@ -9,35 +9,54 @@
 
 log = logging.getLogger(__name__)
 
-_FIGURE = re.compile(r"[0-9]{1,9}(\.[0-9]{1,18})?", re.ASCII)  # a count or a share: wilder ones are junk
+_TEXT_FORMAT = "TEXT"
+_METRIC_VALUE = re.compile(r"[0-9]{1,9}(\.[0-9]{1,18})?", re.ASCII)  # a count or a fraction; else malformed
 
 
 def parse_report(text: str | None, columns: Collection[str]) -> dict[str, float] | None:
-    """Read a load report's text form; what is junk or not named by the settings is passed over."""
+    """Parse a load report in its text format, ``TEXT name=value, ...``.
+
+    Args:
+        text: The report, or None if the server gave none.
+        columns: Names of the metrics that the settings ask for.
+
+    Returns:
+        The metrics among them that are well formed, by name; None if there are none.
+    """
     if text is None or not columns:
         return None
-    kind, _, rest = text.strip().partition(" ")
-    if kind.upper() != "TEXT":
+    report_format, _, metrics = text.strip().partition(" ")
+    if report_format.upper() != _TEXT_FORMAT:
         log.debug("load report skipped: %.80r", text)
         return None
     report = {}
-    for part in rest.split(","):
-        name, _, value = part.partition("=")
-        if not _FIGURE.fullmatch(value.strip()):
-            log.debug("load figure skipped: %.80r", part)
+    for metric in metrics.split(","):
+        name, _, value = metric.partition("=")
+        if not _METRIC_VALUE.fullmatch(value.strip()):
+            log.debug("load metric skipped: %.80r", metric)
         elif name.strip() in columns:
             report[name.strip()] = float(value)
     return report or None
 
 
 def parse_health_check(body: bytes, columns: Collection[str]) -> dict[str, float] | None:
-    """Read the report that a probe's body holds, in either of its forms."""
+    """Parse the load report in the response to a health check: a JSON object, or the text format.
+
+    Args:
+        body: The response's body.
+        columns: Names of the metrics that the settings ask for.
+
+    Returns:
+        The metrics among them that are well formed, by name; None if there are none.
+    """
     text = body.decode("utf-8", "replace").strip()
     if not text.startswith("{"):
         return parse_report(text, columns)
     try:
-        given = json.loads(text)
+        metrics = json.loads(text)
     except (ValueError, RecursionError):
         log.debug("load report skipped: %.80r", text)
         return None
-    return parse_report("TEXT " + ",".join(f"{name}={value}" for name, value in given.items()), columns)
+    # Both formats then share the checks of the text format.
+    as_text = ",".join(f"{name}={value}" for name, value in metrics.items())
+    return parse_report(f"{_TEXT_FORMAT} {as_text}", columns)
--- a/sidecar/proxy/sockets.py
+++ b/sidecar/proxy/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets: how they are made, looked at and read."""
+"""TCP sockets: creating them, asking the kernel about their state, and reading with little memory."""
 
 from __future__ import annotations
 
@@ -8,30 +8,44 @@
 
 from sidecar.proxy.addresses import Address
 
-_READ = memoryview(
-    bytearray(64 * 1024)
-)  # what any connection reads goes through here, and is copied out at once
+_READ_BUFFER_BYTES = 64 * 1024
+
+# Shared by all connections: each read is copied out of it before the next one.
+_READ_BUFFER = memoryview(bytearray(_READ_BUFFER_BYTES))
 
 
 class Reader(asyncio.BufferedProtocol):
-    """Reads through one buffer: by default each read takes 256 KiB anew, which scatters the heap."""
+    """Base of protocols that read through one shared buffer.
+
+    By default each read of asyncio allocates 256 KiB anew, which fragments the heap.
+    """
 
-    def get_buffer(self, sizehint: int) -> memoryview:
-        return _READ
+    def get_buffer(self, _sizehint: int) -> memoryview:
+        """Return the shared buffer; called by the transport before each read."""
+        return _READ_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
-        self.data_received(bytes(_READ[:nbytes]))
+        """Pass on what the transport has read."""
+        self.data_received(bytes(_READ_BUFFER[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
+        """Handle the bytes of one read; subclasses must override this."""
         raise NotImplementedError
 
 
 def new_socket(address: Address) -> socket.socket:
-    return socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
+    """Create a TCP socket of the family that an address needs.
+
+    Raises:
+        OSError: The system has no descriptor or no memory for it.
+    """
+    host, _ = address
+    family = socket.AF_INET6 if ":" in host else socket.AF_INET
+    return socket.socket(family, socket.SOCK_STREAM)
 
 
 def is_quiet(sock: socket.socket) -> bool:
-    """Whether a connection holds nothing unread: no byte, no end, no error."""
+    """Return whether a connection has nothing unread: no byte, no end of the stream and no error."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except (BlockingIOError, InterruptedError):
@@ -42,7 +56,7 @@
 
 
 def is_connected(sock: socket.socket) -> bool:
-    """Whether a dialled connection has come up."""
+    """Return whether a connection attempt on a socket has succeeded."""
     try:
         sock.getpeername()
     except OSError:
@@ -51,7 +65,7 @@
 
 
 def has_ended(sock: socket.socket) -> bool:
-    """Whether the other side has closed a connection, though what it sent before may be unread."""
-    look = select.poll()
-    look.register(sock, select.POLLRDHUP)
-    return bool(look.poll(0))
+    """Return whether the peer has closed a connection, even if data that it sent before is unread."""
+    poller = select.poll()
+    poller.register(sock, select.POLLRDHUP)
+    return bool(poller.poll(0))
