--- a/scale/control/stub_sidecar.py
+++ b/scale/control/stub_sidecar.py
@@ -10,10 +10,11 @@
 from sidecar.balancer.actions import FetchRegistry, SetTimer, WatchRegistry
 from sidecar.balancer.balancer import Balancer
 from sidecar.balancer.events import Endpoint, RegistryUpdated, RegistryUpdateKind, ServerState, TimerFired
+from sidecar.proxy.addresses import Address
 from sidecar.proxy.clock import Clock
+from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.discovery import Discovery
 from sidecar.proxy.registry_messages import RegistryResponse
-from sidecar.proxy.upstream import Address, Upstream
 from sidecar.settings import Settings
 
 _SOCKETS_PER_SIDECAR = 480  # for servers, of a sidecar with the usual 1,024 descriptors
@@ -37,7 +38,7 @@
         self._clock = Clock()
         self.balancer = Balancer(settings, seed)
         limits = settings.limits
-        self._upstream = Upstream(
+        self._upstream = ConnectionPool(
             limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, _SOCKETS_PER_SIDECAR
         )
         self._discovery = Discovery(discovery, 0, self._on_registry_response)
@@ -73,7 +74,7 @@
             server = line.server
             self._upstream.update(server.server, line.address, server.started_at, server.state)
         servers = [line.server for line in response.lines]
-        servers += [Endpoint(name, state=ServerState.REMOVED) for name in self._upstream.displace()]
+        servers += [Endpoint(name, state=ServerState.REMOVED) for name in self._upstream.remove_superseded()]
         kind = RegistryUpdateKind.SNAPSHOT if response.complete else RegistryUpdateKind.DELTA
         self._handle(RegistryUpdated(kind, servers, response.version))
 
--- a/sidecar/config.py
+++ b/sidecar/config.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field
 
+from sidecar.proxy.addresses import Address
 from sidecar.proxy.registry_messages import RegistryResponse
-from sidecar.proxy.upstream import Address
 from sidecar.settings import Settings
 
 
--- a/sidecar/configuration.py
+++ b/sidecar/configuration.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from sidecar.config import Config
+from sidecar.proxy.addresses import parse_address
 from sidecar.proxy.registry_messages import RegistryResponse, parse_registry
-from sidecar.proxy.upstream import parse_address
 from sidecar.wire_settings import settings_from_wire
 
 _SOCKETS = 1024  # unless the configuration tells
--- a/sidecar/proxy/active_requests.py
+++ b/sidecar/proxy/active_requests.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
+from sidecar.proxy.connection_pool import Exchange
 from sidecar.proxy.frontend import Call
-from sidecar.proxy.upstream import Exchange
 from sidecar.settings import Idempotency
 
 
--- a/sidecar/proxy/attempts.py
+++ b/sidecar/proxy/attempts.py
@@ -11,9 +11,11 @@
 from sidecar.balancer.events import AttemptEnded, Event, Outcome
 from sidecar.proxy.active_requests import ActiveRequest
 from sidecar.proxy.clock import Clock
+from sidecar.proxy.connection_pool import ConnectionPool, Exchange
 from sidecar.proxy.frontend import Call
+from sidecar.proxy.http_messages import Response, message
+from sidecar.proxy.load_reports import parse_report
 from sidecar.proxy.request_handler import RequestHandler
-from sidecar.proxy.upstream import Exchange, Response, Upstream, message, parse_report
 from sidecar.settings import Settings
 
 _FORWARDED_HEADERS = (b"content-type", b"content-encoding")  # of a server's headers, these go to the client
@@ -51,7 +53,7 @@
         self,
         settings: Settings,
         requests: RequestHandler,
-        upstream: Upstream,
+        upstream: ConnectionPool,
         clock: Clock,
         handle: Callable[[Event], None],
     ) -> None:
@@ -107,7 +109,7 @@
         """End a retry that is not written completely: servers begin to forget its idempotency key."""
         exchange = attempt.request.in_flight.get(attempt.number)
         if exchange is not None and attempt.request.has_other_started(attempt.number):
-            self._upstream.unsend(exchange)
+            self._upstream.abandon_unwritten(exchange)
 
     def _encode_if_wanted(self, attempt: Attempt, remaining_s: float) -> bytes | None:
         """Return what an attempt sends, or None where it may not be sent any more.
--- a/sidecar/proxy/discovery.py
+++ b/sidecar/proxy/discovery.py
@@ -8,8 +8,10 @@
 import random
 from collections.abc import Callable
 
+from sidecar.proxy.addresses import Address
+from sidecar.proxy.http_messages import Response, message
 from sidecar.proxy.registry_messages import RegistryResponse, parse_registry
-from sidecar.proxy.upstream import Address, Connection, Response, connect, message
+from sidecar.proxy.server_connection import Connection, connect
 
 log = logging.getLogger(__name__)
 
--- a/sidecar/proxy/driver.py
+++ b/sidecar/proxy/driver.py
@@ -27,15 +27,16 @@
 from sidecar.balancer.events import Event, SettingsChanged, TimerFired
 from sidecar.config import Config
 from sidecar.proxy.active_requests import ActiveRequests
+from sidecar.proxy.addresses import Address
 from sidecar.proxy.attempts import AttemptSender
 from sidecar.proxy.clock import Clock
+from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.endpoint_list import EndpointList
 from sidecar.proxy.frontend import Frontend, Hooks
 from sidecar.proxy.health_checks import HealthChecker
 from sidecar.proxy.loop_lag import LoopLagMonitor
 from sidecar.proxy.request_handler import RequestHandler
 from sidecar.proxy.shutdown import GracefulShutdown
-from sidecar.proxy.upstream import Address, Upstream
 from sidecar.settings import Settings
 
 log = logging.getLogger(__name__)
@@ -73,7 +74,9 @@
         self._active = ActiveRequests()
         max_connections = max((config.sockets - RESERVED_DESCRIPTORS) // 2, 1)
         limits = settings.limits
-        self._upstream = Upstream(limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, max_connections)
+        self._upstream = ConnectionPool(
+            limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, max_connections
+        )
         self._endpoint_list = EndpointList(
             config.discovery, config.known.version, settings.discovery, self._upstream, self.handle
         )
@@ -132,7 +135,7 @@
         self._attempts.settings = settings
         self._health_checks.settings = settings
         limits = settings.limits
-        self._upstream.set_times(limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6)
+        self._upstream.set_timeouts(limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6)
         self._process(actions)
         self._endpoint_list.set_mode(settings.discovery)
 
--- a/sidecar/proxy/endpoint_list.py
+++ b/sidecar/proxy/endpoint_list.py
@@ -7,9 +7,10 @@
 
 from sidecar.balancer.actions import FetchRegistry, WatchRegistry
 from sidecar.balancer.events import Endpoint, Event, RegistryUpdated, RegistryUpdateKind, ServerState
+from sidecar.proxy.addresses import Address
+from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.discovery import Discovery
 from sidecar.proxy.registry_messages import RegistryResponse
-from sidecar.proxy.upstream import Address, Upstream
 from sidecar.settings import Discovery as DiscoveryMode
 
 _PUSHED_RETRY_S = 0.5  # before a failed call to the agent that holds pushed lists is made again
@@ -29,7 +30,7 @@
         address: Address,
         version: int,
         mode: DiscoveryMode,
-        upstream: Upstream,
+        upstream: ConnectionPool,
         handle: Callable[[Event], None],
     ) -> None:
         self.client = Discovery(address, version, self.on_response)
@@ -74,7 +75,9 @@
             self._upstream.update(server.server, line.address, server.started_at, server.state)
         servers = [line.server for line in response.lines]
         if servers:
-            servers += [Endpoint(name, state=ServerState.REMOVED) for name in self._upstream.displace()]
+            servers += [
+                Endpoint(name, state=ServerState.REMOVED) for name in self._upstream.remove_superseded()
+            ]
         self._handle(RegistryUpdated(kind, servers, response.version))
 
     def _watch_if_pushed(self) -> None:
--- a/sidecar/proxy/health_checks.py
+++ b/sidecar/proxy/health_checks.py
@@ -8,7 +8,9 @@
 from sidecar.balancer.actions import CheckHealth
 from sidecar.balancer.events import Event, HealthCheckEnded, Outcome
 from sidecar.proxy.clock import Clock
-from sidecar.proxy.upstream import Response, Upstream, parse_probe
+from sidecar.proxy.connection_pool import ConnectionPool
+from sidecar.proxy.http_messages import Response
+from sidecar.proxy.load_reports import parse_health_check
 from sidecar.settings import ReportSource, Settings
 
 _HEALTH_PATH = "/health/live"
@@ -23,7 +25,7 @@
     """
 
     def __init__(
-        self, settings: Settings, upstream: Upstream, clock: Clock, handle: Callable[[Event], None]
+        self, settings: Settings, upstream: ConnectionPool, clock: Clock, handle: Callable[[Event], None]
     ) -> None:
         self.settings = settings
         self._upstream = upstream
@@ -35,11 +37,11 @@
         has_reports = self.settings.report_source is not ReportSource.NONE
         path = _LOAD_PATH if has_reports else _HEALTH_PATH
         ended = partial(self._on_ended, action.server, self._clock.now())
-        self._upstream.probe(action.server, path, ended)
+        self._upstream.check_health(action.server, path, ended)
 
     def _on_ended(self, server: str, sent_at_us: int, outcome: Outcome, response: Response | None) -> None:
         report = None
         if response is not None and outcome is Outcome.SUCCEEDED:
-            report = parse_probe(response.body, self.settings.report_columns)
+            report = parse_health_check(response.body, self.settings.report_columns)
         elapsed_us = self._clock.now() - sent_at_us
         self._handle(HealthCheckEnded(server, outcome, elapsed_us, report))
--- a/sidecar/proxy/registry_messages.py
+++ b/sidecar/proxy/registry_messages.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from sidecar.balancer.events import Endpoint, ServerState
-from sidecar.proxy.upstream import Address, parse_address
+from sidecar.proxy.addresses import Address, parse_address
 
 log = logging.getLogger(__name__)
 
--- a/sidecar/proxy/request_handler.py
+++ b/sidecar/proxy/request_handler.py
@@ -9,8 +9,9 @@
 from sidecar.balancer.events import ClientDisconnected, Event, RequestArrived
 from sidecar.proxy.active_requests import ActiveRequest, ActiveRequests
 from sidecar.proxy.clock import Clock
+from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.frontend import Call, retry_after
-from sidecar.proxy.upstream import Headers, Upstream
+from sidecar.proxy.http_messages import Headers
 
 
 class RequestHandler:
@@ -21,7 +22,7 @@
     """
 
     def __init__(
-        self, active: ActiveRequests, upstream: Upstream, clock: Clock, handle: Callable[[Event], None]
+        self, active: ActiveRequests, upstream: ConnectionPool, clock: Clock, handle: Callable[[Event], None]
     ) -> None:
         self.active = active
         self._upstream = upstream
@@ -94,5 +95,5 @@
         if request.deadline_timer is not None:
             request.deadline_timer.cancel()
         for exchange in request.exchanges_in_flight():
-            self._upstream.unsend(exchange)  # nothing is sent for a request that is over
+            self._upstream.abandon_unwritten(exchange)  # nothing is sent for a request that is over
         self.active.remove_if_finished(request)
--- /dev/null
+++ b/sidecar/proxy/server_connection.py
@@ -0,0 +1,233 @@
+"""One connection to a server: carries one request at a time, and its response."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import logging
+import socket
+from collections.abc import Callable
+from functools import partial
+from typing import Protocol
+
+from sidecar.proxy import sockets
+from sidecar.proxy.addresses import Address
+from sidecar.proxy.dialing import LOCAL_ERRNOS, close_quietly, connect_socket, open_socket
+from sidecar.proxy.http_messages import Response
+from sidecar.proxy.request_transmission import RequestTransmission
+from sidecar.proxy.response_reader import (
+    MalformedResponseError,
+    ReceivedResponse,
+    ResponseReader,
+    TruncatedResponseError,
+)
+from sidecar.proxy.sockets import Reader, is_quiet
+
+log = logging.getLogger(__name__)
+
+
+class ResponseCallback(Protocol):
+    """Is called once when a request on a connection is over."""
+
+    def __call__(self, response: Response | None, /) -> None:
+        """Take the complete response, or None if there is none: the connection is closed then."""
+
+
+class Connection(Reader):
+    """A connection to a server.
+
+    Attributes:
+        sock: The connected socket.
+        reusable: Whether it may carry a further request; False for good once it has been False.
+        protocol_error: Whether it has received a malformed response, or more than one response.
+        local_failure: Whether it broke for a cause on this machine.
+        on_lost: Is called once when it is closed.
+    """
+
+    def __init__(
+        self, sock: socket.socket, max_body_bytes: int, response_timeout_s: float | None = None
+    ) -> None:
+        """Create the protocol of a connected socket.
+
+        Args:
+            sock: The socket.
+            max_body_bytes: Longer responses count as malformed.
+            response_timeout_s: Seconds that a response may take from its first byte on; None: unlimited.
+        """
+        self.sock = sock
+        self.reusable = True
+        self.protocol_error = False
+        self.local_failure = False
+        self.on_lost: Callable[[], None] = lambda: None
+        self._max_body_bytes = max_body_bytes
+        self._response_timeout_s = response_timeout_s
+        self._response_timer: asyncio.TimerHandle | None = None
+        self._transport: asyncio.Transport | None = None
+        self._transmission: RequestTransmission | None = None
+        self._response_reader: ResponseReader | None = None
+        self._on_response: ResponseCallback | None = None  # None: no request is in flight
+
+    @property
+    def request_written(self) -> bool:
+        """Whether the last byte of the latest request has been handed to the kernel."""
+        return self._transmission is not None and self._transmission.is_complete
+
+    def is_idle(self) -> bool:
+        """Return whether it may carry another request now.
+
+        Guards against an end of the stream, or bytes, that the event loop has not read yet.
+        """
+        is_open = self._transport is not None and not self._transport.is_closing()
+        return is_open and self.reusable and self._on_response is None and is_quiet(self.sock)
+
+    def request(
+        self,
+        data: bytes,
+        on_response: ResponseCallback,
+        is_wanted: Callable[[], bool] = lambda: True,
+    ) -> None:
+        """Write a request; no other may be in flight.
+
+        Args:
+            data: The encoded request.
+            on_response: Is called once when the request is over.
+            is_wanted: Returns whether the last byte of a long request may still be written.
+        """
+        assert self._transport is not None
+        self._on_response = on_response
+        self._response_reader = ResponseReader(self._max_body_bytes)
+        self._transmission = RequestTransmission(self._transport, is_wanted)
+        self._transmission.start(data)
+
+    def abort(self) -> None:
+        """Close at once; what has not been written yet never will be."""
+        self.reusable = False
+        if self._transport is not None:
+            self._transport.abort()
+
+    def shutdown_and_abort(self) -> None:
+        """Close, and end the sending before this returns: the transport closes in the loop's next turn only.
+
+        Guards the rule that one copy of a request is in flight at a time: another may be written before that
+        turn.
+        """
+        with contextlib.suppress(OSError):  # it has broken already
+            self.sock.shutdown(socket.SHUT_WR)
+        self.abort()
+
+    # -- Called by the transport ----------------------------------------------------------------------
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport, and let it report every time that its write buffer is empty."""
+        assert isinstance(transport, asyncio.Transport)
+        self._transport = transport
+        transport.set_write_buffer_limits(high=0)
+
+    def resume_writing(self) -> None:
+        """Go on with a long request: the transport's write buffer is empty."""
+        if self._on_response is not None and self._transmission is not None:
+            self._transmission.on_buffer_empty()
+
+    def data_received(self, data: bytes) -> None:
+        """Parse what has come; bytes that no request has asked for close the connection."""
+        if self._on_response is None:
+            self.abort()
+            return
+        self._parse(data)
+        self._start_response_timer()
+
+    def eof_received(self) -> bool:
+        """Complete a response that announces no length; the transport then closes."""
+        self.reusable = False
+        if self._on_response is not None:
+            self._parse(b"")
+        return False
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Report the end of the connection, and of the request that is in flight on it."""
+        self.reusable = False
+        self.local_failure = isinstance(exc, OSError) and exc.errno in LOCAL_ERRNOS
+        self._cancel_response_timer()
+        self._notify(None)
+        self.on_lost()
+
+    # -- The response ---------------------------------------------------------------------------------
+
+    def _parse(self, data: bytes) -> None:
+        assert self._response_reader is not None
+        try:
+            received = self._response_reader.feed(data)
+        except MalformedResponseError as error:
+            self._reject_response(str(error))
+        except TruncatedResponseError:
+            self._finish(None)
+        else:
+            if received is not None:
+                self._accept_response(received)
+
+    def _accept_response(self, received: ReceivedResponse) -> None:
+        self.protocol_error = received.has_excess_data
+        self._finish(received.response, reusable=received.keep_alive)
+
+    def _reject_response(self, reason: str) -> None:
+        """Give up on a malformed response: the request ran, and the connection is of no further use."""
+        log.debug("malformed response: %s", reason)
+        self.protocol_error = True
+        self._finish(None)
+
+    def _finish(self, response: Response | None, *, reusable: bool = False) -> None:
+        self._response_reader = None
+        self._cancel_response_timer()
+        if not reusable or not self.request_written:
+            self.abort()
+        self._notify(response)
+
+    def _notify(self, response: Response | None) -> None:
+        on_response, self._on_response = self._on_response, None
+        if on_response is not None:
+            on_response(response)
+
+    def _start_response_timer(self) -> None:
+        if self._response_timer is not None or self._response_timeout_s is None:
+            return
+        if self._response_reader is None or not self._response_reader.has_begun():
+            return
+        loop = asyncio.get_running_loop()
+        self._response_timer = loop.call_later(self._response_timeout_s, self._reject_response, "timed out")
+
+    def _cancel_response_timer(self) -> None:
+        if self._response_timer is not None:
+            self._response_timer.cancel()
+            self._response_timer = None
+
+
+async def connect(
+    address: Address,
+    max_body_bytes: int,
+    response_timeout_s: float | None = None,
+    sock: socket.socket | None = None,
+) -> Connection:
+    """Connect to a server.
+
+    Args:
+        address: Where it listens.
+        max_body_bytes: Longer responses count as malformed.
+        response_timeout_s: Seconds that a response may take from its first byte on; None: unlimited.
+        sock: A socket that is ready for a non-blocking connect; None: a new one.
+
+    Returns:
+        The connection, which is up.
+
+    Raises:
+        LocalDialError: It failed for a cause on this machine.
+        OSError: It failed for any other cause.
+    """
+    sock = sock or open_socket(partial(sockets.new_socket, address))
+    protocol_factory = partial(Connection, sock, max_body_bytes, response_timeout_s)
+    try:
+        await connect_socket(sock, address)
+        _, connection = await asyncio.get_running_loop().create_connection(protocol_factory, sock=sock)
+    except BaseException:
+        close_quietly(sock)
+        raise
+    return connection
--- a/tests/test_dedup_window.py
+++ b/tests/test_dedup_window.py
@@ -10,8 +10,9 @@
 from loopback import FakeServer, World, broken, play, served, shrink_send_buffers, unread, until, world
 
 from sidecar.balancer.events import ServerState
-from sidecar.proxy import upstream
-from sidecar.proxy.upstream import Address, Connection
+from sidecar.proxy import connection_pool, server_connection
+from sidecar.proxy.addresses import Address
+from sidecar.proxy.server_connection import Connection
 
 
 def other_than(w: World, first: FakeServer) -> str:
@@ -25,7 +26,7 @@
 ) -> None:
     dialled, go_on = asyncio.Event(), asyncio.Event()
     dials: list[object] = []
-    connect = upstream.connect
+    connect = server_connection.connect
 
     async def second_held_up(
         address: Address, body_most: int, stall_s: float | None = None, sock: socket.socket | None = None
@@ -37,7 +38,7 @@
             await go_on.wait()
         return connection
 
-    monkeypatch.setattr(upstream, "connect", second_held_up)
+    monkeypatch.setattr(connection_pool, "connect", second_held_up)
 
     async def scene() -> None:
         async with world(broken, broken) as w:
@@ -53,7 +54,7 @@
             status, _, body = await asked
             if late:
                 assert (status, body) == (500, b"") and len(w.sent()) == 1
-                (kept,) = w.sidecar._upstream._endpoints[other_than(w, first)].idle
+                (kept,) = w.sidecar._upstream.servers[other_than(w, first)].idle
                 assert kept[0].is_idle()  # the connection serves others
             else:
                 assert (status, body) == (200, b"served")
@@ -90,7 +91,7 @@
                 assert timer.when() < due  # counted from the attempt before
                 timer._run()
                 assert (await asked)[0] == 500
-                assert exchange.connection is not None and not exchange.connection.written
+                assert exchange.connection is not None and not exchange.connection.request_written
                 accepted, _ = listener.accept()
                 with accepted:
                     got = sum(map(len, iter(lambda: accepted.recv(65536), b"")))
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -34,8 +34,8 @@
 from scale.ports import ReservedAddress
 from sidecar.__main__ import Flood
 from sidecar.proxy import loop_lag, shutdown
+from sidecar.proxy.addresses import Address
 from sidecar.proxy.driver import RESERVED_DESCRIPTORS
-from sidecar.proxy.upstream import Address
 
 ROOT = Path(__file__).parent.parent
 SETTINGS: dict[str, Any] = {
--- a/tests/test_request_wait.py
+++ b/tests/test_request_wait.py
@@ -22,9 +22,9 @@
     world,
 )
 
+from sidecar.proxy.addresses import Address
 from sidecar.proxy.clock import Clock as BalancerClock
 from sidecar.proxy.event_loop import EventLoop, PollTimingSelector
-from sidecar.proxy.upstream import Address
 
 STALL_S = 0.4
 BUDGET_S = 1.0
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -14,8 +14,8 @@
 from virtual_time import VirtualTimeLoop, now_s, pass_s, play_in_virtual_time
 
 from sidecar.proxy.active_requests import ActiveRequest
+from sidecar.proxy.http_messages import Headers
 from sidecar.proxy.request_handler import RequestHandler
-from sidecar.proxy.upstream import Headers
 
 KILL_AFTER_DEADLINE_S = 0.7
 OWED_S = 0.7  # what comes later after SIGTERM may stay without an answer
