--- a/sidecar/proxy/driver.py
+++ b/sidecar/proxy/driver.py
@@ -45,8 +45,10 @@
     TimerFired,
 )
 from sidecar.proxy import upstream
+from sidecar.proxy.client_connection import Hooks, Phase
+from sidecar.proxy.client_request import Call, retry_after
 from sidecar.proxy.discovery import Discovery, RegistryResponse
-from sidecar.proxy.frontend import Call, Frontend, Hooks, Phase, retry_after
+from sidecar.proxy.frontend import Frontend
 from sidecar.proxy.upstream import Address, Exchange, Headers, Response
 from sidecar.settings import Discovery as DiscoveryMode
 from sidecar.settings import Idempotency, ReportSource, Settings
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -36,8 +36,8 @@
 
 from sidecar.balancer.events import Outcome, ServerState
 from sidecar.proxy import driver, upstream
+from sidecar.proxy.client_connection import LIMITS_S, Phase
 from sidecar.proxy.discovery import Discovery, RegistryResponse, parse_registry
-from sidecar.proxy.frontend import _LIMITS_S, Phase
 from sidecar.proxy.upstream import (
     Address,
     Connection,
@@ -296,7 +296,7 @@
 def test_a_client_that_never_ends_behind_a_held_request_gets_its_answer_and_an_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("sidecar.proxy.frontend._DROPPED_MOST", 1024 * 1024)
+    monkeypatch.setattr("sidecar.proxy.client_connection._DROPPED_MOST", 1024 * 1024)
 
     async def scene() -> None:
         async with world(hung) as w:
@@ -363,7 +363,7 @@
 def test_a_new_connection_comes_while_an_answer_is_still_being_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setitem(_LIMITS_S, Phase.LEAVING, 600.0)
+    monkeypatch.setitem(LIMITS_S, Phase.LEAVING, 600.0)
 
     async def scene() -> None:
         async with world(hung, sockets=66) as w:  # room for one client
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -34,7 +34,8 @@
 import sidecar
 from sidecar.balancer.actions import Action, RejectRequest
 from sidecar.balancer.events import Event, RequestArrived, ServerState
-from sidecar.proxy.frontend import _LIMITS_S, ClientConnection, Frontend, Hooks, Phase
+from sidecar.proxy.client_connection import LIMITS_S, ClientConnection, Hooks, Phase
+from sidecar.proxy.frontend import Frontend
 
 BIG = bytes(64 * 1024 + 1)
 BAD_PEER_S = 3.0  # by when a client that breaks the protocol gets its error or a close
@@ -537,7 +538,7 @@
 def test_idle_clients_do_not_count_as_load_after_the_program_lagged(monkeypatch: pytest.MonkeyPatch) -> None:
     # A table full of connections that say nothing is no sign of requests that the CPU can't keep up with.
     monkeypatch.setattr("sidecar.proxy.frontend._BUSY_MORE", 1.0)  # so that a late sweep is not forgotten
-    monkeypatch.setitem(_LIMITS_S, Phase.WAITING, 600.0)
+    monkeypatch.setitem(LIMITS_S, Phase.WAITING, 600.0)
 
     async def scene() -> None:
         async with world(served, sockets=144) as w:
--- a/tests/test_new_connection_answers.py
+++ b/tests/test_new_connection_answers.py
@@ -9,8 +9,9 @@
 from loopback import hung, is_closed, read_answer, request, served, until, world
 from virtual_time import now_s, pass_s, play_in_virtual_time
 
+from sidecar.proxy.client_connection import Phase
 from sidecar.proxy.driver import _ACCEPT_S
-from sidecar.proxy.frontend import Frontend, Phase
+from sidecar.proxy.frontend import Frontend
 
 SIZES = {"small": request("pay", body=b"new"), "large": request("pay", body=bytes(64 * 1024))}
 
