--- a/sidecar/proxy/client_request.py
+++ b/sidecar/proxy/client_request.py
@@ -1,20 +1,30 @@
-"""A request of the application: parsed and checked."""
+"""A client's request: parsed from its headers, checked against the settings, handled by the driver."""
 
 from __future__ import annotations
 
 import re
-from collections.abc import Callable
 from dataclasses import dataclass
+from typing import Protocol
 
 import h11
 
+from sidecar.proxy.request_errors import (
+    BudgetTooLongError,
+    DuplicateHeaderError,
+    HeaderTooLongError,
+    MethodNotAllowedError,
+    MissingHeaderError,
+    NotANumberError,
+    UnexpectedBodyError,
+    UnknownNameError,
+)
 from sidecar.proxy.upstream import Headers, end_to_end
 from sidecar.settings import Idempotency, ServiceClass, Settings
 
 API_PATH = b"/api"
-_IDENT_MOST = 256  # characters
-_OVER_DEADLINE = 1.1  # a budget may exceed its class's deadline by rounding, no more
-_SINGLE = frozenset(  # headers that mean one thing: given twice, they may mean another to a server
+_MAX_REQUEST_ID_LENGTH = 256  # characters
+_BUDGET_TOLERANCE = 1.1  # a budget may exceed its class's deadline by rounding, no more
+_SINGLE_VALUED = frozenset(  # given twice, these may mean one thing here and another to a server
     (
         b"x-call-id",
         b"x-call-class",
@@ -25,111 +35,153 @@
         b"idempotency-key",
     )
 )
+_REQUIRED = (b"x-call-id", b"x-call-class", b"x-budget")
+_NOT_FORWARDED = (b"content-length", b"x-budget", b"expect")  # beside the hop-by-hop headers
 _NUMBER = re.compile(r"[0-9]{1,10}(\.[0-9]{1,9})?", re.ASCII)
 
 
-class BadRequest(Exception):
-    """What can't be taken; the status tells why."""
+class Responder(Protocol):
+    """The way back to the client of one request."""
+
+    def respond(self, status: int, headers: Headers, body: bytes) -> None:
+        """Write the response, at once and complete; call this once for each request."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
-        self.status = status
+    def is_disconnected(self) -> bool:
+        """Whether the client has closed its connection, even if the event loop has not read that yet."""
 
 
 @dataclass(slots=True, eq=False)
-class Call:
-    """A request as the application sent it; it is answered once."""
+class ClientRequest:
+    """A request as the client sent it.
+
+    Attributes:
+        method: The HTTP method.
+        target: Path and query.
+        headers: Those that are forwarded.
+        body: The complete body.
+        request_id: Unique among the requests in flight.
+        service_class: As in the settings when the request arrived.
+        tenant: Who asks, where the settings list tenants.
+        key: What of the service's data the request is about, for servers that cache it.
+        budget_us: What was left of the client's time when the request arrived, in microseconds.
+        cost_us: The client's estimate of the work, in microseconds.
+        is_retry: Whether the client has sent this request before.
+        responder: Takes the response.
+    """
 
     method: bytes
     target: bytes
-    headers: Headers  # those that go on
+    headers: Headers
     body: bytes
-    ident: str
-    service_class: ServiceClass  # as it was when the request came
+    request_id: str
+    service_class: ServiceClass
     tenant: str | None
     key: int | None
-    budget_us: int  # what is left of its client's patience
+    budget_us: int
     cost_us: int | None
-    again: bool
-    answer: Callable[[int, Headers, bytes], None]
-    has_left: Callable[[], bool]  # whether its client has closed, maybe not heard of yet
+    is_retry: bool
+    responder: Responder
+
+
+class RequestHandler(Protocol):
+    """Handles the requests that the proxy's client side has read."""
+
+    def handle_request(self, request: ClientRequest) -> None:
+        """Take a request, which is answered by its responder later."""
+
+    def handle_disconnect(self, request: ClientRequest) -> None:
+        """Take note that the client of a request has gone away."""
+
+    def is_request_id_in_use(self, request_id: str) -> bool:
+        """Whether a request with this id is in flight, or may have been executed recently."""
 
+    def is_ready(self) -> bool:
+        """Whether the proxy is ready for requests."""
 
-def retry_after(wait_us: int) -> Headers:
-    """What tells a refused client when to come back; 0: nothing does."""
+
+def retry_after_header(wait_us: int) -> Headers:
+    """The header that tells a rejected client when to retry; none for a wait of 0 microseconds."""
     return [(b"Retry-After", b"%.3f" % (wait_us / 1e6))] if wait_us else []
 
 
-def parse_call(
-    head: h11.Request,
-    body: bytes,
-    settings: Settings,
-    answer: Callable[[int, Headers, bytes], None],
-    has_left: Callable[[], bool],
-) -> Call:
-    """Read a request of the application; raise BadRequest where it makes no sense or breaks the settings."""
-    given: dict[bytes, str] = {}
-    for name, value in head.headers:
-        if name in _SINGLE and name in given:
-            raise BadRequest(400, f"{name.decode()} stands twice")
-        given[name] = value.decode("latin-1").strip()
-    for name in (b"x-call-id", b"x-call-class", b"x-budget"):
-        if not given.get(name):
-            raise BadRequest(400, f"{name.decode()} is missing")
-    if len(given[b"x-call-id"]) > _IDENT_MOST:
-        raise BadRequest(400, "x-call-id is too long")
-    service_class = next((each for each in settings.classes if each.name == given[b"x-call-class"]), None)
-    if service_class is None:
-        raise BadRequest(400, "x-call-class is not known")
-    call = Call(
+def parse_request(head: h11.Request, body: bytes, settings: Settings, responder: Responder) -> ClientRequest:
+    """Parse a request and check it against the settings.
+
+    Raises:
+        BadRequestError: The request is malformed or not allowed.
+    """
+    values = _read_headers(head)
+    cost = values.get(b"x-call-cost")
+    request = ClientRequest(
         method=head.method,
         target=head.target,
-        headers=end_to_end(head.headers, b"content-length", b"x-budget", b"expect"),
+        headers=end_to_end(head.headers, *_NOT_FORWARDED),
         body=body,
-        ident=given[b"x-call-id"],
-        service_class=service_class,
-        tenant=given.get(b"x-caller") or None,
-        key=_key(head.target),
-        budget_us=int(_number(given[b"x-budget"], "x-budget") * 1e6),
-        cost_us=int(_number(given[b"x-call-cost"], "x-call-cost")) if given.get(b"x-call-cost") else None,
-        again=given.get(b"x-again") == "1",
-        answer=answer,
-        has_left=has_left,
+        request_id=values[b"x-call-id"],
+        service_class=_find_class(values[b"x-call-class"], settings),
+        tenant=values.get(b"x-caller") or None,
+        key=_parse_key(head.target),
+        budget_us=int(_parse_number(values[b"x-budget"], "x-budget") * 1e6),
+        cost_us=int(_parse_number(cost, "x-call-cost")) if cost else None,
+        is_retry=values.get(b"x-again") == "1",
+        responder=responder,
     )
-    _check_class(call, bool(given.get(b"idempotency-key")))
-    _check_tenant(call, settings)
-    return call
-
-
-def _check_class(call: Call, keyed: bool) -> None:
-    """What a class says of its requests: how they come, and how long they may take."""
-    kind = call.service_class
-    if call.method != (b"GET" if kind.idempotency is Idempotency.SAFE else b"POST"):
-        raise BadRequest(405, "not the method of the class")
-    if kind.idempotency is Idempotency.SAFE and call.body:
-        raise BadRequest(400, "a body belongs to no request that is safe to repeat")
-    if kind.idempotency is Idempotency.KEYED and not keyed:
-        raise BadRequest(400, "idempotency-key is missing")  # servers could not drop its repeats
-    if call.budget_us > _OVER_DEADLINE * kind.deadline_us:
-        raise BadRequest(400, "x-budget is longer than the deadline of the class")
-
-
-def _check_tenant(call: Call, settings: Settings) -> None:
-    """Where the settings name tenants only these may ask; else nothing is made of the name."""
+    _check_class(request, has_idempotency_key=bool(values.get(b"idempotency-key")))
+    _check_tenant(request, settings)
+    return request
+
+
+def _read_headers(head: h11.Request) -> dict[bytes, str]:
+    values: dict[bytes, str] = {}
+    for name, value in head.headers:
+        if name in _SINGLE_VALUED and name in values:
+            raise DuplicateHeaderError(name.decode())
+        values[name] = value.decode("latin-1").strip()
+    for name in _REQUIRED:
+        if not values.get(name):
+            raise MissingHeaderError(name.decode())
+    if len(values[b"x-call-id"]) > _MAX_REQUEST_ID_LENGTH:
+        raise HeaderTooLongError("x-call-id")
+    return values
+
+
+def _find_class(name: str, settings: Settings) -> ServiceClass:
+    for service_class in settings.classes:
+        if service_class.name == name:
+            return service_class
+    raise UnknownNameError("x-call-class")
+
+
+def _check_class(request: ClientRequest, *, has_idempotency_key: bool) -> None:
+    """Check the method, the body, the idempotency key and the budget against the service class."""
+    service_class = request.service_class
+    is_safe = service_class.idempotency is Idempotency.SAFE
+    if request.method != (b"GET" if is_safe else b"POST"):
+        raise MethodNotAllowedError
+    if is_safe and request.body:
+        raise UnexpectedBodyError
+    if service_class.idempotency is Idempotency.KEYED and not has_idempotency_key:
+        raise MissingHeaderError("idempotency-key")  # servers could not deduplicate its attempts
+    if request.budget_us > _BUDGET_TOLERANCE * service_class.deadline_us:
+        raise BudgetTooLongError
+
+
+def _check_tenant(request: ClientRequest, settings: Settings) -> None:
+    """Reject unknown tenants where the settings list any; otherwise ignore the name."""
     if not settings.tenants:
-        call.tenant = None
-    elif call.tenant is not None and all(each.name != call.tenant for each in settings.tenants):
-        raise BadRequest(400, "x-caller is not known")
+        request.tenant = None
+    elif request.tenant is not None and all(each.name != request.tenant for each in settings.tenants):
+        raise UnknownNameError("x-caller")
 
 
-def _number(text: str, name: str) -> float:
+def _parse_number(text: str, name: str) -> float:
     if not _NUMBER.fullmatch(text):
-        raise BadRequest(400, f"{name}: a number is needed")
+        raise NotANumberError(name)
     return float(text)
 
 
-def _key(target: bytes) -> int | None:
-    """The last part of the path as a number, whatever it is made of."""
+def _parse_key(target: bytes) -> int | None:
+    """The last part of the path as a number, whatever characters it has."""
     last = target.partition(b"?")[0].removeprefix(API_PATH).rpartition(b"/")[2]
     if not last:
         return None
--- /dev/null
+++ b/sidecar/proxy/connection_table.py
@@ -0,0 +1,165 @@
+"""The clients' connections by state: their time limits, their number and what is closed to accept more."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+import socket
+from itertools import islice
+
+from sidecar.proxy.client_connection import ClientConnection
+from sidecar.proxy.connection_state import STATE_TIME_LIMITS_S, ConnectionState
+from sidecar.proxy.overload import OverloadDetector
+
+_SWEEP_INTERVAL_S = 0.1
+_YOUNG_S = 0.1  # the request of a connection this new may be on its way: others are closed first
+_MAX_EVICTION_CANDIDATES = 4  # connections of one state that are examined for one to close
+
+
+class ConnectionTable:
+    """Tracks the connections in each state, at most `capacity` of them.
+
+    Attributes:
+        capacity: The largest number of connections, including those still being set up.
+    """
+
+    def __init__(self, capacity: int) -> None:
+        self.capacity = capacity
+        self._max_idle = max(capacity // 3, 1)  # clients may keep connections that they never use again
+        # Each connection with the time since when it has been in its state, the longest first.
+        self._by_state: dict[ConnectionState, dict[ClientConnection, float]] = {
+            state: {} for state in ConnectionState
+        }
+        self._pending: set[socket.socket] = set()  # accepted, with no transport yet
+        self._overload = OverloadDetector(capacity)
+        self._silent: set[ClientConnection] = set()  # have had time to send a byte and sent none
+        self._sweep_due = 0.0
+
+    @property
+    def connections(self) -> list[ClientConnection]:
+        """All connections, in any state."""
+        return [connection for connections in self._by_state.values() for connection in connections]
+
+    def count(self) -> int:
+        """The number of connections, including those still being set up."""
+        return sum(map(len, self._by_state.values())) + len(self._pending)
+
+    def is_full(self) -> bool:
+        """Whether the capacity is used up."""
+        return self.count() >= self.capacity
+
+    # -- Entries --------------------------------------------------------------------------------------
+
+    def reserve(self, sock: socket.socket) -> None:
+        """Count an accepted socket, which has no connection yet."""
+        self._pending.add(sock)
+
+    def release(self, sock: socket.socket) -> bool:
+        """Stop counting an accepted socket; return whether it was still counted."""
+        was_pending = sock in self._pending
+        self._pending.discard(sock)
+        return was_pending
+
+    def add(self, connection: ClientConnection) -> None:
+        """Track a connection from now on, in the state that it has."""
+        self._by_state[connection.state][connection] = asyncio.get_running_loop().time()
+
+    def remove(self, connection: ClientConnection) -> None:
+        """Forget a connection, if it is known."""
+        self._by_state[connection.state].pop(connection, None)
+        self._silent.discard(connection)
+
+    def change_state(self, connection: ClientConnection, state: ConnectionState) -> None:
+        """Set a connection's state and start its time limit; the state that it has already goes on."""
+        if connection.state is state or connection not in self._by_state[connection.state]:
+            return
+        self.remove(connection)
+        connection.state = state
+        self.add(connection)
+        if state is ConnectionState.IDLE:
+            self._limit_idle()
+
+    def _limit_idle(self) -> None:
+        if len(self._by_state[ConnectionState.IDLE]) <= self._max_idle:
+            return
+        oldest = self._find_quiet(ConnectionState.IDLE)
+        if oldest is not None and oldest.is_idle():
+            self.remove(oldest)
+            oldest.close()
+
+    # -- Time limits ----------------------------------------------------------------------------------
+
+    def schedule_sweep(self) -> None:
+        """Enforce the time limits from now on, at regular intervals."""
+        self._sweep_due = asyncio.get_running_loop().time() + _SWEEP_INTERVAL_S
+        asyncio.get_running_loop().call_at(self._sweep_due, self._sweep)
+
+    def _sweep(self) -> None:
+        for state, limit_s in STATE_TIME_LIMITS_S.items():
+            self._expire(state, limit_s)
+        self._overload.record_lag(asyncio.get_running_loop().time() - self._sweep_due)
+        self._silent = self._find_silent() if self._overload.is_limiting() else set()
+        self.schedule_sweep()
+
+    def _expire(self, state: ConnectionState, limit_s: float) -> None:
+        loop = asyncio.get_running_loop()
+        for connection, since in list(self._by_state[state].items()):
+            if since + limit_s > loop.time():
+                return  # those behind it came later
+            connection.state_expired()
+
+    # -- Capacity -------------------------------------------------------------------------------------
+
+    def is_overloaded(self) -> bool:
+        """Whether the CPU falls behind with the connections that carry requests.
+
+        Guards against responses that are all late: requests in flight are answered in time, and those on new
+        connections are rejected unread, for a fraction of what a decision costs.  If these connections were
+        closed without a response, more than a few requests would be lost.  Drawback: a short pause of the
+        machine with many connections open rejects some requests, too.
+        """
+        idle = len(self._by_state[ConnectionState.IDLE]) + len(self._by_state[ConnectionState.CLOSING])
+        return self._overload.is_overloaded(self.count() - idle - len(self._silent))
+
+    def evict_one(self) -> bool:
+        """Abort a connection without a request in flight to make capacity; return whether there was one.
+
+        First come those with their last response written, then those that have sent nothing, then the longest
+        idle.  New connections are spared while there are others: their requests may be on their way.
+        """
+        chosen = self._choose_eviction()
+        if chosen is None:
+            return False
+        self.remove(chosen)
+        chosen.abort()
+        return True
+
+    def _choose_eviction(self) -> ClientConnection | None:
+        young_since = asyncio.get_running_loop().time() - _YOUNG_S
+        closing = self._by_state[ConnectionState.CLOSING]
+        return (
+            next((connection for connection in closing if connection.can_close_safely()), None)
+            or self._find_quiet(ConnectionState.READING, young_since)
+            or self._find_quiet(ConnectionState.IDLE)
+            or self._find_quiet(ConnectionState.READING)
+        )
+
+    def _find_quiet(self, state: ConnectionState, before: float = math.inf) -> ClientConnection | None:
+        """The longest in a state, and since before a time, without unread data."""
+        for connection, since in islice(self._by_state[state].items(), _MAX_EVICTION_CANDIDATES):
+            if since < before and not connection.has_unread_data():
+                return connection
+        return None
+
+    def _find_silent(self) -> set[ClientConnection]:
+        """The connections that have had time to send a first byte and have not.
+
+        The event loop reads sockets before it runs timers, so these have no unread data either.
+        """
+        young_since = asyncio.get_running_loop().time() - _YOUNG_S
+        reading = self._by_state[ConnectionState.READING].items()
+        return {
+            connection
+            for connection, since in reading
+            if since < young_since and not connection.has_partial_request()
+        }
--- a/sidecar/proxy/driver.py
+++ b/sidecar/proxy/driver.py
@@ -45,8 +45,8 @@
     TimerFired,
 )
 from sidecar.proxy import upstream
-from sidecar.proxy.client_connection import Hooks, Phase
-from sidecar.proxy.client_request import Call, retry_after
+from sidecar.proxy.client_request import ClientRequest, retry_after_header
+from sidecar.proxy.connection_state import ConnectionState
 from sidecar.proxy.discovery import Discovery, RegistryResponse
 from sidecar.proxy.frontend import Frontend
 from sidecar.proxy.upstream import Address, Exchange, Headers, Response
@@ -90,7 +90,7 @@
     """A request that is not over: unanswered, or with attempts still out."""
 
     ident: int
-    call: Call
+    call: ClientRequest
     answer_by: int
     answered: bool = False
     sent: int = 0  # attempts so far
@@ -120,7 +120,7 @@
         self._clock = Clock()
         self._balancer = Balancer(settings, config.seed)
         self._live: dict[int, Live] = {}
-        self._by_call: dict[Call, Live] = {}
+        self._by_call: dict[ClientRequest, Live] = {}
         self._out: set[str] = set()  # the ids of what is live, and for a while of what may run but once
         self._idents = itertools.count(1)
         self._events: deque[Event] = deque()
@@ -131,8 +131,7 @@
         self._upstream = upstream.Upstream(limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, half)
         self._known = config.known
         self._discovery = Discovery(config.discovery, config.known.version, self._told)
-        hooks = Hooks(self._taken, self._gone, self._out.__contains__, self._is_ready)
-        self.frontend = Frontend(config.listen, half, hooks, settings)
+        self.frontend = Frontend(config.listen, half, self, settings)
         self._carry: dict[type[Any], Callable[[Any], None]] = {
             SendAttempt: self._send,
             RejectRequest: self._refuse,
@@ -226,8 +225,8 @@
         for live in list(self._by_call.values()):
             self._answer(live, 500, [], b"")
         for connection in self.frontend.connections:
-            if connection.phase is Phase.WAITING:
-                connection.time_up()
+            if connection.state is ConnectionState.READING:
+                connection.state_expired()
         self.frontend.close_idle(used=False)
 
     async def _watch_lag(self) -> None:
@@ -249,7 +248,8 @@
         """
         self._settled = True
 
-    def _is_ready(self) -> bool:
+    def is_ready(self) -> bool:
+        """Whether the proxy is ready for requests."""
         return self._settled and not self.frontend.draining
 
     # -- Events in, actions out -----------------------------------------------------------------------
@@ -297,35 +297,41 @@
 
     # -- Requests -------------------------------------------------------------------------------------
 
-    def _taken(self, call: Call) -> None:
-        live = Live(next(self._idents), call, self._clock.now() + call.budget_us)
-        self._live[live.ident] = self._by_call[call] = live
-        self._out.add(call.ident)
+    def handle_request(self, request: ClientRequest) -> None:
+        """Take a request of a client."""
+        live = Live(next(self._idents), request, self._clock.now() + request.budget_us)
+        self._live[live.ident] = self._by_call[request] = live
+        self._out.add(request.request_id)
         at = self._clock.on_loop(live.answer_by)
         live.backstop = asyncio.get_running_loop().call_at(at, self._give_up, live.ident)
         self.handle(
             RequestArrived(
                 live.ident,
-                call.service_class.name,
-                call.tenant,
-                call.key,
-                call.budget_us,
-                call.cost_us,
-                call.again,
+                request.service_class.name,
+                request.tenant,
+                request.key,
+                request.budget_us,
+                request.cost_us,
+                request.is_retry,
             )
         )
 
-    def _gone(self, call: Call) -> None:
-        live = self._by_call.pop(call, None)
+    def handle_disconnect(self, request: ClientRequest) -> None:
+        """Give up a request whose client has gone away."""
+        live = self._by_call.pop(request, None)
         if live is not None and not live.answered:
             self._mark_answered(live)
             self.handle(ClientDisconnected(live.ident))
 
+    def is_request_id_in_use(self, request_id: str) -> bool:
+        """Whether a request with this id is in flight, or may have been executed recently."""
+        return request_id in self._out
+
     def _answer(self, live: Live, status: int, headers: Headers, body: bytes) -> None:
         if live.answered:
             return
         self._mark_answered(live)
-        live.call.answer(status, headers, body)
+        live.call.responder.respond(status, headers, body)
 
     def _mark_answered(self, live: Live) -> None:
         live.answered = True
@@ -350,14 +356,14 @@
         kind = live.call.service_class
         if live.begun and kind.idempotency is not Idempotency.SAFE:
             loop = asyncio.get_running_loop()
-            loop.call_later(kind.deadline_us / 1e6, self._out.discard, live.call.ident)
+            loop.call_later(kind.deadline_us / 1e6, self._out.discard, live.call.request_id)
         else:
-            self._out.discard(live.call.ident)
+            self._out.discard(live.call.request_id)
 
     def _refuse(self, action: RejectRequest) -> None:
         live = self._live.get(action.request)
         if live is not None:
-            self._answer(live, 503, retry_after(action.retry_after_us), b"")
+            self._answer(live, 503, retry_after_header(action.retry_after_us), b"")
 
     def _fail(self, action: FailRequest) -> None:
         live = self._live.get(action.request)
@@ -397,8 +403,8 @@
         Guards servers against work for nobody: a close that nobody has read of yet is news all the same.
         Guards what runs once, too: as a connection comes up, servers may have forgotten another attempt.
         """
-        if live.call.has_left():
-            self._gone(live.call)
+        if live.call.responder.is_disconnected():
+            self.handle_disconnect(live.call)
             return None
         if write_by is not None and live.begun - {index} and self._clock.now() >= write_by:
             return None
@@ -473,7 +479,7 @@
         self.handle(RegistryUpdated(kind, servers, told.version))
 
 
-def _request(call: Call, left_s: float) -> bytes:
+def _request(call: ClientRequest, left_s: float) -> bytes:
     """What an attempt sends: the application's request, with the time that is left for it."""
     headers = [*call.headers, (b"X-Budget", b"%.6f" % left_s)]
     if not any(name == b"host" for name, _ in headers):
--- a/sidecar/proxy/event_loop.py
+++ b/sidecar/proxy/event_loop.py
@@ -1,4 +1,4 @@
-"""An event loop that knows how long what it reads may have waited for it."""
+"""An event loop that bounds how long the data it reads may have waited unread."""
 
 from __future__ import annotations
 
@@ -7,44 +7,48 @@
 import time
 from collections.abc import Callable
 
-NEGLIGIBLE_WAIT_S = 0.005  # shorter waits count as none: each turn of the loop takes some time
+NEGLIGIBLE_WAIT_S = 0.005  # shorter waits count as none: each iteration takes some time
 
-_Ready = list[tuple[selectors.SelectorKey, int]]
+_ReadyEvents = list[tuple[selectors.SelectorKey, int]]
 
 
 class PollTimingSelector(selectors.DefaultSelector):
-    """Notes by its polls from when on the events that it reports can have come.
+    """Records the earliest time at which the events of its last poll can have occurred.
 
-    What comes while callbacks run is seen by the next poll only, and what comes while the whole process is
-    stopped may be seen as late.  A stop within a sleep shows where the sleep lasts longer than was asked for;
-    one that ends before that goes unnoticed.
+    An event that occurs while callbacks run is seen by the next poll only, as is one that occurs while the
+    whole process is stopped.  A stop during a poll shows when the poll overruns its timeout; a shorter one
+    goes unnoticed.
+
+    Attributes:
+        arrived_after: The events of the last poll occurred after this time, in seconds of the clock.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
         super().__init__()
         self._clock = clock
         self._polled_at = clock()  # when the last poll returned
-        self.arrived_after = self._polled_at  # what the last poll reported came after this time
+        self.arrived_after = self._polled_at
 
-    def select(self, timeout: float | None = None) -> _Ready:
-        began = self._clock()
-        if began - self._polled_at > NEGLIGIBLE_WAIT_S:
-            ready = super().select(0)  # sets apart what waited from what comes during the sleep
+    def select(self, timeout: float | None = None) -> _ReadyEvents:
+        """Poll for at most `timeout` seconds; None: until an event comes."""
+        started_at = self._clock()
+        if started_at - self._polled_at > NEGLIGIBLE_WAIT_S:
+            ready = super().select(0)  # tells events that waited from those during the poll
             if ready or timeout == 0:
-                self._note_poll(self._polled_at)
+                self._record_poll(self._polled_at)
                 return ready
         ready = super().select(timeout)
-        overslept = timeout is not None and self._clock() > began + timeout + NEGLIGIBLE_WAIT_S
-        self._note_poll(began if overslept else self._clock())
+        overran = timeout is not None and self._clock() > started_at + timeout + NEGLIGIBLE_WAIT_S
+        self._record_poll(started_at if overran else self._clock())
         return ready
 
-    def _note_poll(self, arrived_after: float) -> None:
+    def _record_poll(self, arrived_after: float) -> None:
         self.arrived_after = arrived_after
         self._polled_at = self._clock()
 
 
 class EventLoop(asyncio.SelectorEventLoop):
-    """The standard event loop, with a selector that notes its polls."""
+    """The standard event loop, with a selector that records its polls."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self._poll_clock = clock
@@ -52,15 +56,19 @@
         super().__init__(self._poll_timing)
 
     def time(self) -> float:
+        """The loop's clock, in seconds."""
         return self._poll_clock()
 
     @property
     def arrived_after(self) -> float:
-        """The time after which all came that callbacks of this turn read first."""
+        """The time after which the data arrived that this iteration is the first to read."""
         return self._poll_timing.arrived_after
 
 
 def arrived_after() -> float:
-    """The time after which all came that is read in this turn of the running loop, if the loop knows it."""
+    """The time after which the data arrived that this iteration of the running loop is the first to read.
+
+    On an event loop of another kind this is the present: nothing counts as having waited.
+    """
     loop = asyncio.get_running_loop()
     return loop.arrived_after if isinstance(loop, EventLoop) else loop.time()
--- a/sidecar/proxy/listener.py
+++ b/sidecar/proxy/listener.py
@@ -1,9 +1,10 @@
-"""The listening socket: opened, and accepted from, as system calls fail on Linux."""
+"""The listening socket: opening it and accepting connections, with the errors that Linux documents."""
 
 from __future__ import annotations
 
 import errno
 import logging
+import select
 import socket
 import time
 
@@ -12,10 +13,10 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 512
-_OPEN_RETRY_S = 0.1
-_OPEN_PATIENCE_S = 10.0  # a former process and its connections have gone by then
-_ACCEPT_TRIES = 8  # before faults that do not end are left alone for a while
-# What passes while a former process ends or the machine lacks something for a moment.
+_OPEN_RETRY_INTERVAL_S = 0.1
+_OPEN_TIMEOUT_S = 10.0  # a former process and its connections have gone by then
+_MAX_ACCEPT_ATTEMPTS = 8  # then the caller backs off
+# Errors that pass: a former process is ending, or the machine lacks a resource for a moment.
 _TRANSIENT_OPEN_ERRORS = frozenset(
     (
         errno.EADDRINUSE,
@@ -28,7 +29,7 @@
         errno.ENOMEM,
     )
 )
-# Faults of one connection in the queue, which is gone with it; accept(2) wants these retried like EAGAIN.
+# Errors of one connection in the queue, which is gone with it; accept(2) says to retry on these as on EAGAIN.
 _CONNECTION_ACCEPT_ERRORS = frozenset(
     (
         errno.EINTR,
@@ -48,45 +49,67 @@
 
 
 def open_listener(address: Address) -> socket.socket:
-    """Listen at an address; raise OSError where that is not possible, within some seconds."""
-    deadline = time.monotonic() + _OPEN_PATIENCE_S
+    """Open a non-blocking listener, with retries on errors that pass.
+
+    Blocks for up to 10 s.
+
+    Raises:
+        OSError: The address can't be listened on.
+    """
+    deadline = time.monotonic() + _OPEN_TIMEOUT_S
     while True:
         try:
             listener = socket.create_server(address, backlog=BACKLOG)
-        except OSError as fault:
-            if fault.errno not in _TRANSIENT_OPEN_ERRORS or time.monotonic() >= deadline:
+        except OSError as error:
+            if error.errno not in _TRANSIENT_OPEN_ERRORS or time.monotonic() >= deadline:
                 raise
-            log.warning("can't listen yet: %s", fault)
-            time.sleep(_OPEN_RETRY_S)
+            log.warning("can't listen yet: %s", error)
+            time.sleep(_OPEN_RETRY_INTERVAL_S)
         else:
             listener.setblocking(False)
             return listener
 
 
 def accept_connection(listener: socket.socket) -> socket.socket | None:
-    """Take a connection that is ready for use; None: the one in turn has ended or broken, try the next.
+    """Accept the next connection from the kernel's queue.
+
+    Returns:
+        The connected socket, non-blocking; None if its client has closed or reset it already: there may be
+        others behind it.
 
-    Raise BlockingIOError where none waits, and OSError where none can be taken for now.
+    Raises:
+        BlockingIOError: The queue is empty.
+        OSError: No connection can be accepted for now, e.g. for lack of descriptors.
     """
     sock = _accept(listener)
     try:
-        if has_ended(sock):  # it waited for longer than its client did
+        if has_ended(sock):  # its client gave up while it was in the queue
             sock.close()
             return None
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    except OSError as fault:  # its client has reset it
-        log.info("accepted connection has broken: %s", fault)
+    except OSError as error:  # its client has reset it
+        log.info("accepted connection has broken: %s", error)
         sock.close()
         return None
     return sock
 
 
 def _accept(listener: socket.socket) -> socket.socket:
-    for _ in range(_ACCEPT_TRIES - 1):
+    for _ in range(_MAX_ACCEPT_ATTEMPTS - 1):
         try:
             return listener.accept()[0]
-        except OSError as fault:
-            if fault.errno not in _CONNECTION_ACCEPT_ERRORS:
+        except OSError as error:
+            if error.errno not in _CONNECTION_ACCEPT_ERRORS:
                 raise
     return listener.accept()[0]
+
+
+def has_pending_connection(listener: socket.socket) -> bool:
+    """Whether a connection is in the kernel's queue, or may be where memory lacks for a look."""
+    poller = select.poll()
+    poller.register(listener, select.POLLIN)
+    try:
+        return bool(poller.poll(0))
+    except OSError:
+        return True
--- /dev/null
+++ b/sidecar/proxy/request_reader.py
@@ -0,0 +1,142 @@
+"""Reads HTTP/1.1 requests from a client's bytes, one at a time; pipelined bytes wait."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+import h11
+
+from sidecar.proxy.request_errors import AmbiguousFramingError, BodyTooLargeError
+
+MAX_BODY_BYTES = 64 * 1024
+_FRAMING_HEADERS = (b"content-length", b"transfer-encoding")
+
+
+@dataclass(frozen=True, slots=True)
+class ReceivedRequest:
+    """A request that has arrived completely.
+
+    Attributes:
+        head: The request line and the headers.
+        body: The complete body.
+    """
+
+    head: h11.Request
+    body: bytes
+
+    @property
+    def path(self) -> bytes:
+        """The path without the query."""
+        return self.head.target.partition(b"?")[0]
+
+    @property
+    def request_id(self) -> str:
+        """The first value of the header with the request id, or an empty string."""
+        ids = (value for name, value in self.head.headers if name == b"x-call-id")
+        return next(ids, b"").decode("latin-1")
+
+
+class RequestReader:
+    """Reads one request of a connection; `start_next` goes on to the one behind it."""
+
+    def __init__(self, write: Callable[[bytes], None]) -> None:
+        """Create a reader.
+
+        Args:
+            write: Sends an interim response to the client.
+        """
+        self._write = write
+        self._h11 = h11.Connection(h11.SERVER)  # only reads, one request; it is told of no response
+        self._head: h11.Request | None = None
+        self._body = bytearray()
+
+    @property
+    def unread(self) -> bytes:
+        """The bytes behind what has been read of the request."""
+        return self._h11.trailing_data[0]
+
+    @property
+    def has_head(self) -> bool:
+        """Whether the head of a request has been read that has no response yet."""
+        return self._head is not None
+
+    @property
+    def is_head_request(self) -> bool:
+        """Whether the request has the method HEAD, so that its response has no body."""
+        return self._head is not None and self._head.method == b"HEAD"
+
+    @property
+    def is_complete(self) -> bool:
+        """Whether the request was read to its end and its connection may carry others."""
+        return self._h11.their_state is h11.DONE
+
+    def has_partial_request(self) -> bool:
+        """Whether a part of a request has arrived that has no response yet."""
+        return self.has_head or bool(self.unread)
+
+    def receive(self, data: bytes) -> None:
+        """Add bytes that have arrived."""
+        self._h11.receive_data(data)
+
+    def read(self) -> ReceivedRequest | None:
+        """Read on, at most to the end of the request.
+
+        Returns:
+            The request once it is complete.
+
+        Raises:
+            BadRequestError: The request is not allowed.
+            h11.RemoteProtocolError: It is not a request.
+        """
+        event = self._h11.next_event()
+        while isinstance(event, h11.Request | h11.Data):
+            if isinstance(event, h11.Request):
+                self._begin(event)
+            else:
+                self._add_body(event.data)
+            event = self._h11.next_event()
+        if not isinstance(event, h11.EndOfMessage):
+            return None
+        assert self._head is not None
+        return ReceivedRequest(self._head, bytes(self._body))
+
+    def finish(self) -> None:
+        """Forget the request, which has its response."""
+        self._head, self._body = None, bytearray()
+
+    def start_next(self) -> None:
+        """Turn to the request behind this one."""
+        unread = self.unread
+        self._h11 = h11.Connection(h11.SERVER)
+        if unread:
+            self._h11.receive_data(unread)
+
+    def is_next_complete(self) -> bool:
+        """Whether the pipelined bytes begin with a complete request.
+
+        Raises:
+            h11.RemoteProtocolError: They are not a request.
+        """
+        lookahead = h11.Connection(h11.SERVER)
+        lookahead.receive_data(self.unread)
+        event = lookahead.next_event()
+        while isinstance(event, h11.Request | h11.Data):
+            event = lookahead.next_event()
+        return event is not h11.NEED_DATA
+
+    def _begin(self, head: h11.Request) -> None:
+        self._head = head
+        framing = {name: value for name, value in head.headers if name in _FRAMING_HEADERS}
+        if b"transfer-encoding" in framing and (len(framing) > 1 or head.http_version != b"1.1"):
+            raise AmbiguousFramingError
+        if int(framing.get(b"content-length", b"0")) > MAX_BODY_BYTES:
+            raise BodyTooLargeError
+        if self._h11.they_are_waiting_for_100_continue:
+            go_on = h11.InformationalResponse(status_code=100, headers=[])
+            self._write(self._h11.send(go_on) or b"")
+
+    def _add_body(self, data: bytes | bytearray) -> None:
+        self._body += data
+        if len(self._body) > MAX_BODY_BYTES:
+            raise BodyTooLargeError
--- a/tests/test_accept_faults.py
+++ b/tests/test_accept_faults.py
@@ -77,7 +77,7 @@
         async with world(served) as w:
             faults = note_loop_faults()
             pauses: list[None] = []
-            monkeypatch.setattr(w.sidecar.frontend, "_pause", lambda: pauses.append(None))
+            monkeypatch.setattr(w.sidecar.frontend, "_pause_accepting", lambda: pauses.append(None))
             await until(lambda: w.sidecar.frontend._accepting)
             failing(w, code, 3)
             assert (await w.ask())[0] == 200
@@ -96,7 +96,8 @@
             assert (await w.ask())[0] == 200
             elapsed = asyncio.get_running_loop().time() - began
             assert not faults
-            assert elapsed >= 40 / listener._ACCEPT_TRIES * 0.05 * 0.9  # it left the queue alone meanwhile
+            backoffs = 40 / listener._MAX_ACCEPT_ATTEMPTS
+            assert elapsed >= backoffs * 0.05 * 0.9  # it left the queue alone meanwhile
             assert sock.accepts < 50
 
     play(scene())
@@ -180,7 +181,7 @@
         return create_server(*given, **named)
 
     monkeypatch.setattr(socket, "create_server", fail)
-    monkeypatch.setattr("sidecar.proxy.listener._OPEN_RETRY_S", 0.001)
+    monkeypatch.setattr("sidecar.proxy.listener._OPEN_RETRY_INTERVAL_S", 0.001)
     return calls
 
 
@@ -212,7 +213,7 @@
 def test_a_listening_socket_that_can_t_be_had_ends_the_start(
     monkeypatch: pytest.MonkeyPatch, patience_s: float
 ) -> None:
-    monkeypatch.setattr("sidecar.proxy.listener._OPEN_PATIENCE_S", patience_s)
+    monkeypatch.setattr("sidecar.proxy.listener._OPEN_TIMEOUT_S", patience_s)
     code = errno.EACCES if patience_s else errno.EADDRINUSE
     calls = let_opening_fail(monkeypatch, code, 1000)
     with pytest.raises(OSError) as raised:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -36,7 +36,7 @@
 
 from sidecar.balancer.events import Outcome, ServerState
 from sidecar.proxy import driver, upstream
-from sidecar.proxy.client_connection import LIMITS_S, Phase
+from sidecar.proxy.connection_state import STATE_TIME_LIMITS_S, ConnectionState
 from sidecar.proxy.discovery import Discovery, RegistryResponse, parse_registry
 from sidecar.proxy.upstream import (
     Address,
@@ -75,7 +75,7 @@
 
 def connection_of(w: World, ident: str) -> Connection:
     """The connection that a request's attempt is out on."""
-    (live,) = [each for each in w.sidecar._live.values() if each.call.ident == ident]
+    (live,) = [each for each in w.sidecar._live.values() if each.call.request_id == ident]
     (exchange,) = live.out.values()
     assert exchange is not None and exchange.connection is not None
     return exchange.connection
@@ -97,12 +97,12 @@
             address = w.sidecar.frontend.address
             unread = Client(address, b"")
             await until(lambda: w.sidecar.frontend.connections)
-            w.sidecar.frontend._pause()
+            w.sidecar.frontend._pause_accepting()
             queued = Client(address, request(X_Call_Id="queued"))
             unread.send(request(X_Call_Id="unread"))
             for each in (queued, unread):
                 each.leave()
-            w.sidecar.frontend._accept_again()
+            w.sidecar.frontend._resume_accepting()
             assert (await w.ask(X_Call_Id="next"))[0] == 200  # it was queued behind them
             await until(lambda: not w.sidecar._live)
             assert [head["x-call-id"] for _, head, _ in w.sent()] == ["next"]
@@ -282,7 +282,7 @@
         async with world(hung) as w:
             reader, writer = await flood(w, request("pay", body=b"held", budget="500"))
             (connection,) = w.sidecar.frontend.connections
-            await until(lambda: connection._dropped)
+            await until(lambda: connection._discarded_bytes)
             w.servers[0].writers[0].write(served())
             status, headers, body = await read_answer(reader)
             assert (status, headers["connection"], body) == (200, "close", b"served")
@@ -296,7 +296,7 @@
 def test_a_client_that_never_ends_behind_a_held_request_gets_its_answer_and_an_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("sidecar.proxy.client_connection._DROPPED_MOST", 1024 * 1024)
+    monkeypatch.setattr("sidecar.proxy.client_connection._MAX_DISCARDED_BYTES", 1024 * 1024)
 
     async def scene() -> None:
         async with world(hung) as w:
@@ -363,7 +363,7 @@
 def test_a_new_connection_comes_while_an_answer_is_still_being_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setitem(LIMITS_S, Phase.LEAVING, 600.0)
+    monkeypatch.setitem(STATE_TIME_LIMITS_S, ConnectionState.CLOSING, 600.0)
 
     async def scene() -> None:
         async with world(hung, sockets=66) as w:  # room for one client
@@ -377,7 +377,7 @@
             connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             w.servers[0].script = served
             w.servers[0].writers[0].write(answer(200, bytes(60_000)))
-            await until(lambda: connection._stuck and w.sidecar.frontend._accepting)
+            await until(lambda: connection._write_blocked and w.sidecar.frontend._accepting)
             reader, writer = await w.connect()
             writer.write(request(X_Call_Id="new"))
             await until(lambda: not w.sidecar.frontend._accepting)  # it came, and there was no room
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -34,7 +34,10 @@
 import sidecar
 from sidecar.balancer.actions import Action, RejectRequest
 from sidecar.balancer.events import Event, RequestArrived, ServerState
-from sidecar.proxy.client_connection import LIMITS_S, ClientConnection, Hooks, Phase
+from sidecar.proxy.client_connection import ClientConnection
+from sidecar.proxy.client_request import ClientRequest
+from sidecar.proxy.connection_state import STATE_TIME_LIMITS_S, ConnectionState
+from sidecar.proxy.connection_table import ConnectionTable
 from sidecar.proxy.frontend import Frontend
 
 BIG = bytes(64 * 1024 + 1)
@@ -226,6 +229,22 @@
     play(scene())
 
 
+class RespondingHandler:
+    """Answers each request as soon as it is read."""
+
+    def handle_request(self, request: ClientRequest) -> None:
+        request.responder.respond(200, [], b"taken")
+
+    def handle_disconnect(self, request: ClientRequest) -> None:
+        """Nothing is in flight."""
+
+    def is_request_id_in_use(self, request_id: str) -> bool:
+        return False
+
+    def is_ready(self) -> bool:
+        return True
+
+
 def test_a_lack_of_descriptors_neither_spins_nor_ends_the_listening() -> None:
     class Lacking:
         """A listener of which the first accepts fail."""
@@ -243,10 +262,7 @@
             return self.real.fileno()
 
     async def scene() -> None:
-        hooks = Hooks(
-            lambda call: call.answer(200, [], b"taken"), lambda _: None, lambda _: False, lambda: True
-        )
-        frontend = Frontend(("127.0.0.1", 0), 5, hooks, settings(classes=CLASSES))
+        frontend = Frontend(("127.0.0.1", 0), 5, RespondingHandler(), settings(classes=CLASSES))
         real = frontend._sock
         frontend._sock = Lacking(real)  # type: ignore[assignment]
         frontend.start()
@@ -294,7 +310,7 @@
 def test_a_defect_in_taking_a_request_fails_it(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene() -> None:
         async with world(served) as w:
-            monkeypatch.setattr(w.sidecar.frontend.hooks, "taken", None)
+            monkeypatch.setattr(w.sidecar.frontend.handler, "handle_request", None)
             assert (await w.ask())[0] == 500
             monkeypatch.undo()
             assert (await w.ask())[0] == 200
@@ -364,7 +380,7 @@
             _, writer = await w.connect()
             writer.write(request("pay", body=b"first", X_Call_Id="one"))
             await until(w.sent)
-            monkeypatch.setattr(Frontend, "_is_swamped", lambda _: True)
+            monkeypatch.setattr(ConnectionTable, "is_overloaded", lambda _: True)
             assert (await w.ask(kind="pay", X_Call_Id="other"))[0] == 503
             assert (await w.ask(kind="pay", X_Call_Id="one"))[0] == 409
             writer.close()
@@ -418,7 +434,7 @@
             await until(w.sent)
             writer.write(behind)
             (connection,) = w.sidecar.frontend.connections
-            await until(lambda: connection.phase is Phase.BEHIND)
+            await until(lambda: connection.state is ConnectionState.READING_PIPELINED)
             w.servers[0].writers[0].write(served())
             status, _, body = await read_answer(reader)
             assert (status, body) == (200, b"served")
@@ -458,10 +474,10 @@
             client.sendall(request("pay", body=b"held", Connection="close"))
             await until(w.sent)
             (connection,) = w.sidecar.frontend.connections
-            call = connection._call
-            assert call is not None
+            held = connection._request
+            assert held is not None
             client.close()
-            call.answer(200, [], b"done")  # before the event loop hears of the close
+            held.responder.respond(200, [], b"done")  # before the event loop hears of the close
             await until(lambda: not w.sidecar.frontend.connections)
 
     play(scene())
@@ -503,7 +519,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # An answer to each: of requests whose connection is closed with none, more than a few count as lost.
-    monkeypatch.setattr("sidecar.proxy.frontend._BUSY_MORE", 1.0)  # so that it stays so until they have gone
+    # It stays overloaded until the clients have gone.
+    monkeypatch.setattr("sidecar.proxy.overload._LIMIT_INCREASE", 1.0)
     limits = LIMITS | {"retry_after": True, "max_retry_after_us": 750_000}
 
     async def scene() -> None:
@@ -516,7 +533,7 @@
 
             def lags() -> bool:
                 time.sleep(0.15)  # longer than it takes to the next sweep
-                return w.sidecar.frontend._most_busy < 33
+                return w.sidecar.frontend.table._overload.active_limit < 33
 
             await until(lags)
             reader, writer = await asyncio.open_connection(*address)
@@ -528,7 +545,7 @@
             assert len(w.sent()) == len(held)
             for _, writer in held:
                 writer.close()
-            await until(lambda: not w.sidecar.frontend._is_swamped())
+            await until(lambda: not w.sidecar.frontend.table.is_overloaded())
             w.servers[0].script = served
             assert (await w.ask(X_Call_Id="after"))[0] == 200
 
@@ -537,32 +554,33 @@
 
 def test_idle_clients_do_not_count_as_load_after_the_program_lagged(monkeypatch: pytest.MonkeyPatch) -> None:
     # A table full of connections that say nothing is no sign of requests that the CPU can't keep up with.
-    monkeypatch.setattr("sidecar.proxy.frontend._BUSY_MORE", 1.0)  # so that a late sweep is not forgotten
-    monkeypatch.setitem(LIMITS_S, Phase.WAITING, 600.0)
+    monkeypatch.setattr("sidecar.proxy.overload._LIMIT_INCREASE", 1.0)  # a late sweep is not forgotten
+    monkeypatch.setitem(STATE_TIME_LIMITS_S, ConnectionState.READING, 600.0)
 
     async def scene() -> None:
         async with world(served, sockets=144) as w:
             frontend = w.sidecar.frontend
-            assert frontend._most == 40
-            clients = [await asyncio.open_connection(*frontend.address) for _ in range(frontend._most)]
-            await until(lambda: len(frontend.connections) == frontend._most)
+            capacity = frontend.table.capacity
+            assert capacity == 40
+            clients = [await asyncio.open_connection(*frontend.address) for _ in range(capacity)]
+            await until(lambda: len(frontend.connections) == capacity)
 
             def lags() -> bool:
                 time.sleep(0.15)  # longer than it takes to the next sweep
-                return frontend._most_busy == 32
+                return frontend.table._overload.active_limit == 32
 
             await until(lags)
-            swept = frontend._sweep_due
-            await until(lambda: frontend._sweep_due > swept)  # it has looked since the last client came
+            swept = frontend.table._sweep_due
+            await until(lambda: frontend.table._sweep_due > swept)  # it has looked since the last client came
             status, _, body = await w.ask(kind="pay", body=b"x")
             assert (status, body) == (200, b"served")
             # What has begun to come does count.
             for _, writer in clients:
                 writer.write(request()[:20])
-            begun = frontend._phases[Phase.WAITING]
-            await until(lambda: len([each for each in begun if each.has_begun()]) >= 32)
-            await until(lambda: not frontend._silent)
-            assert frontend._is_swamped()
+            begun = frontend.table._by_state[ConnectionState.READING]
+            await until(lambda: len([each for each in begun if each.has_partial_request()]) >= 32)
+            await until(lambda: not frontend.table._silent)
+            assert frontend.table.is_overloaded()
             for _, writer in clients:
                 writer.close()
 
@@ -574,9 +592,9 @@
     async def scene() -> None:
         async with world(served, sockets=80) as w:
             frontend = w.sidecar.frontend
-            assert frontend._most == 8
+            assert frontend.table.capacity == 8
             await until(lambda: frontend._accepting)
-            frontend._pause()
+            frontend._pause_accepting()
             clients = [socket.create_connection(frontend.address) for _ in range(8)]
             assert frontend._accept()
             await until(lambda: len(frontend.connections) == 8)
@@ -597,21 +615,21 @@
         async with world(served, sockets=256) as w:
             frontend = w.sidecar.frontend
             await until(lambda: frontend._accepting)
-            clients = [socket.create_connection(frontend.address) for _ in range(frontend._most)]
-            await until(lambda: len(frontend.connections) == frontend._most)
+            clients = [socket.create_connection(frontend.address) for _ in range(frontend.table.capacity)]
+            await until(lambda: len(frontend.connections) == frontend.table.capacity)
             clients += [socket.create_connection(frontend.address) for _ in range(40)]
             held = []
             accept = frontend._accept
 
-            def noted(at_once: int = 64) -> bool:
-                done = accept(at_once)
+            def noted(max_accepted: int = 64) -> bool:
+                done = accept(max_accepted)
                 held.append(len(os.listdir("/proc/self/fd")))
                 return done
 
             before = len(os.listdir("/proc/self/fd"))
-            frontend._pause()
+            frontend._pause_accepting()
             frontend._accept = noted  # type: ignore[method-assign]  # counts descriptors at each call
-            frontend._accept_again()
+            frontend._resume_accepting()
             former = set(frontend.connections)
             await until(lambda: len(set(frontend.connections) - former) == 40)
             assert max(held) <= before + 1
@@ -627,9 +645,9 @@
     async def scene() -> None:
         async with world(served, sockets=80) as w:
             frontend = w.sidecar.frontend
-            assert frontend._most == 8
+            assert frontend.table.capacity == 8
             await until(lambda: frontend._accepting)
-            frontend._pause()
+            frontend._pause_accepting()
             clients = []
             for count in (5, 3):
                 for _ in range(count):
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -274,7 +274,7 @@
             await until(lambda: caplog.text.count("late") > 2)
             assert (await w.ask(path="/health/ready"))[0] == 503
             monkeypatch.setattr(driver, "_LAG_TOLD_S", 600.0)
-            await until(lambda: w.sidecar._is_ready())
+            await until(lambda: w.sidecar.is_ready())
             assert (await w.ask(path="/health/ready"))[0] == 200
 
     play(scene())
@@ -285,7 +285,7 @@
         monkeypatch.setattr(driver, "_SETTLED_BY_S", 0.05)
         monkeypatch.setattr(driver, "_LAG_TOLD_S", -1.0)
         async with world(settled=False) as w:
-            await until(lambda: w.sidecar._is_ready())
+            await until(lambda: w.sidecar.is_ready())
 
     play(scene())
 
@@ -359,7 +359,7 @@
     play(scene())
 
 
-def test_a_restart_with_a_thousand_servers_is_ready_in_time_while_discovery_is_down(tmp_path: Path) -> None:
+def test_a_restart_with_a_thousand_serversis_ready_in_time_while_discovery_is_down(tmp_path: Path) -> None:
     # Nine in ten have to be ready within 10 s, on a part of a core and in 32 MB.
     async def scene() -> None:
         server, down = FakeServer("s-0", lambda *_: answer(200, b"served")), FakeDiscovery()
--- a/tests/test_long_spans.py
+++ b/tests/test_long_spans.py
@@ -9,7 +9,7 @@
 from loopback import served, world
 from virtual_time import Service, now_s, pass_s, play_in_virtual_time, told_within
 
-from sidecar.proxy import driver, frontend
+from sidecar.proxy import connection_table, driver
 
 TOLD_S = 6.0  # after a watch fell silent, or discovery has a change and can be reached
 RELOADED_S = 4.0  # after SIGHUP, what discovery's new place has counts as told
@@ -23,7 +23,7 @@
 @pytest.fixture(autouse=True)
 def _few_moments(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let the driver look at connections and at its lag less often, as long spans are passed through."""
-    monkeypatch.setattr(frontend, "_SWEEP_S", 1.0)
+    monkeypatch.setattr(connection_table, "_SWEEP_INTERVAL_S", 1.0)
     monkeypatch.setattr(driver, "_LAG_EVERY_S", 1.0)
 
 
--- a/tests/test_new_connection_answers.py
+++ b/tests/test_new_connection_answers.py
@@ -9,9 +9,9 @@
 from loopback import hung, is_closed, read_answer, request, served, until, world
 from virtual_time import now_s, pass_s, play_in_virtual_time
 
-from sidecar.proxy.client_connection import Phase
+from sidecar.proxy.connection_state import ConnectionState
+from sidecar.proxy.connection_table import ConnectionTable
 from sidecar.proxy.driver import _ACCEPT_S
-from sidecar.proxy.frontend import Frontend
 
 SIZES = {"small": request("pay", body=b"new"), "large": request("pay", body=bytes(64 * 1024))}
 
@@ -23,7 +23,7 @@
 ) -> None:
     async def scene() -> None:
         async with world(served) as w:
-            monkeypatch.setattr(Frontend, "_is_swamped", lambda _: True)
+            monkeypatch.setattr(ConnectionTable, "is_overloaded", lambda _: True)
             reader, writer = await w.connect()
             if in_pieces:
                 writer.write(data[:30])
@@ -104,13 +104,13 @@
             too_large = request("pay", body=bytes(64 * 1024 + 1))
             client = socket.create_connection(frontend.address)
             client.sendall(too_large[:-1])
-            await until(lambda: frontend._phases[Phase.LEAVING])
+            await until(lambda: frontend.table._by_state[ConnectionState.CLOSING])
             client.sendall(too_large[-1:])  # within one step of the event loop
-            assert not frontend._make_room()
+            assert not frontend.table.evict_one()
             client.setblocking(False)
             reader, writer = await asyncio.open_connection(sock=client)
             assert (await read_answer(reader))[0] == 413
-            await until(frontend._make_room)
+            await until(frontend.table.evict_one)
             writer.close()
 
     play_in_virtual_time(scene())
--- a/tests/test_request_crossings.py
+++ b/tests/test_request_crossings.py
@@ -245,7 +245,7 @@
     """A connection on which a part of a request has come."""
     reader, writer = await opened(w)
     writer.write(CROSSING[:30])
-    await until(lambda: any(each.has_begun() for each in w.sidecar.frontend.connections))
+    await until(lambda: any(each.has_partial_request() for each in w.sidecar.frontend.connections))
     return reader, writer
 
 
--- a/tests/test_request_wait.py
+++ b/tests/test_request_wait.py
@@ -107,12 +107,12 @@
     async def scene(clock: Clock) -> None:
         async with world(served) as w:
             await until(lambda: w.sidecar.frontend._accepting)
-            w.sidecar.frontend._pause()
+            w.sidecar.frontend._pause_accepting()
             client = Client(w.sidecar.frontend.address)
             client.send(request(budget=f"{BUDGET_S}"))
             clock.skip(STALL_S)
             await asyncio.sleep(0.01)  # the loop polls meanwhile, but not for new connections
-            w.sidecar.frontend._accept_again()
+            w.sidecar.frontend._resume_accepting()
             assert await client.read_status() == 200
             assert told_s(w.sent()[0][1]) <= BUDGET_S - STALL_S
 
@@ -140,7 +140,7 @@
             await until(w.sent)
             client.send(request(X_Call_Id="second", budget=f"{BUDGET_S}"))
             (connection,) = w.sidecar.frontend.connections
-            await until(connection.has_begun)
+            await until(connection.has_partial_request)
             clock.skip(STALL_S)
             w.servers[0].script = served
             w.servers[0].writers[0].write(answer(200, b"late"))
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -172,9 +172,8 @@
             for (_, writer), each in zip(opened, data, strict=True):
                 writer.write(each[:-1])
 
-            await until(
-                lambda: len([each for each in w.sidecar.frontend.connections if each.has_begun()]) == CLIENTS
-            )
+            frontend = w.sidecar.frontend
+            await until(lambda: sum(each.has_partial_request() for each in frontend.connections) == CLIENTS)
             began = now_s()
             if noticed_late:
                 hold_up()
--- a/tests/test_stalled_clients.py
+++ b/tests/test_stalled_clients.py
@@ -79,7 +79,7 @@
             began = now_s()
             writer.write(stop)
             (connection,) = w.sidecar.frontend.connections
-            await until(connection.has_begun)
+            await until(connection.has_partial_request)
             await pass_s(answered_after_s)
             w.servers[0].writers[0].write(served())
             status, _, body = await read_answer(reader)
@@ -100,7 +100,7 @@
             await until(w.sent)
             writer.write(WHOLE[:30])
             (connection,) = w.sidecar.frontend.connections
-            await until(connection.has_begun)
+            await until(connection.has_partial_request)
             w.servers[0].script = served
             w.servers[0].writers[0].write(served())
             assert (await read_answer(reader))[0] == 200
