--- /dev/null
+++ b/tests/proxy/test_connection_capacity.py
@@ -0,0 +1,144 @@
+"""The number of clients' connections is limited: which are closed to accept others."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import socket
+
+import pytest
+from loopback import (
+    is_closed,
+    play,
+    read_answer,
+    request,
+    served,
+    until,
+    world,
+)
+
+
+def test_clients_beyond_the_bound_take_the_place_of_those_at_rest() -> None:
+    # Guards the descriptors: 66 sockets leave one for clients.
+    async def scene() -> None:
+        async with world(served, sockets=66) as w:
+            first, writer = await w.connect()
+            writer.write(request())
+            assert (await read_answer(first))[0] == 200
+            for _ in range(3):
+                assert (await w.ask())[0] == 200
+            assert await is_closed(first)
+            writer.close()
+
+    play(scene())
+
+
+def test_clients_that_say_nothing_do_not_keep_others_out() -> None:
+    async def scene() -> None:
+        async with world(served, sockets=80) as w:
+            address = w.sidecar.frontend.address
+            silent = [await asyncio.open_connection(*address) for _ in range(200)]
+            for number in range(20):
+                assert (await w.ask(X_Call_Id=f"{number}"))[0] == 200
+            assert len(w.sidecar.frontend.connections) <= 16
+            for _, writer in silent:
+                writer.close()
+
+    play(scene())
+
+
+def test_clients_that_ask_once_and_stay_leave_room_for_others() -> None:
+    # Guards clients that hold few connections: what they keep without use would be all they have.
+    async def scene() -> None:
+        async with world(served, sockets=88) as w:
+            readers = []
+            for number in range(8):
+                reader, writer = await w.connect()
+                writer.write(request(X_Call_Id=f"{number}"))
+                assert (await read_answer(reader))[0] == 200
+                readers.append((reader, writer))
+            assert len(w.sidecar.frontend.connections) <= 4  # a third of the twelve allowed
+            assert await is_closed(readers[0][0])
+            for _, writer in readers:
+                writer.close()
+
+    play(scene())
+
+
+def test_room_is_made_only_where_a_connection_waits() -> None:
+    # What fills the table is no reason to close what was just opened: no further connection has come.
+    async def scene() -> None:
+        async with world(served, sockets=80) as w:
+            frontend = w.sidecar.frontend
+            assert frontend.table.capacity == 8
+            await until(lambda: frontend._accepting)
+            frontend._pause_accepting()
+            clients = [socket.create_connection(frontend.address) for _ in range(8)]
+            assert frontend._accept()
+            await until(lambda: len(frontend.connections) == 8)
+            assert frontend._accept()
+            for index, sock in enumerate(clients):
+                sock.setblocking(False)
+                reader, writer = await asyncio.open_connection(sock=sock)
+                writer.write(request(X_Call_Id=f"{index}"))
+                assert (await read_answer(reader))[0] == 200
+                writer.close()
+
+    play(scene())
+
+
+def test_room_for_many_holds_no_more_descriptors_than_the_table() -> None:
+    # A connection that was ended for another one holds its descriptor until the loop's next turn.
+    async def scene() -> None:
+        async with world(served, sockets=256) as w:
+            frontend = w.sidecar.frontend
+            await until(lambda: frontend._accepting)
+            clients = [socket.create_connection(frontend.address) for _ in range(frontend.table.capacity)]
+            await until(lambda: len(frontend.connections) == frontend.table.capacity)
+            clients += [socket.create_connection(frontend.address) for _ in range(40)]
+            held = []
+            accept = frontend._accept
+
+            def noted(max_accepted: int = 64) -> bool:
+                done = accept(max_accepted)
+                held.append(len(os.listdir("/proc/self/fd")))
+                return done
+
+            before = len(os.listdir("/proc/self/fd"))
+            frontend._pause_accepting()
+            frontend._accept = noted  # type: ignore[method-assign]  # counts descriptors at each call
+            frontend._resume_accepting()
+            former = set(frontend.connections)
+            await until(lambda: len(set(frontend.connections) - former) == 40)
+            assert max(held) <= before + 1
+            for each in clients:
+                each.close()
+
+    play(scene())
+
+
+@pytest.mark.parametrize("turns", range(6))
+def test_a_connection_that_is_being_made_counts_once(turns: int) -> None:
+    # Counted twice for a few turns of the loop, it closed others that had only just been opened.
+    async def scene() -> None:
+        async with world(served, sockets=80) as w:
+            frontend = w.sidecar.frontend
+            assert frontend.table.capacity == 8
+            await until(lambda: frontend._accepting)
+            frontend._pause_accepting()
+            clients = []
+            for count in (5, 3):
+                for _ in range(count):
+                    sock = socket.create_connection(frontend.address)
+                    sock.setblocking(False)
+                    clients.append(sock)
+                assert frontend._accept()
+                for _ in range(turns):
+                    await asyncio.sleep(0)
+            for index, sock in enumerate(clients):
+                reader, writer = await asyncio.open_connection(sock=sock)
+                writer.write(request(X_Call_Id=f"{index}"))
+                assert (await read_answer(reader))[0] == 200
+                writer.close()
+
+    play(scene())
--- /dev/null
+++ b/tests/proxy/test_descriptor_shortage.py
@@ -0,0 +1,63 @@
+"""The listener lacks descriptors for a while."""
+
+from __future__ import annotations
+
+import errno
+import socket
+
+from helpers import settings
+from loopback import (
+    CLASSES,
+    ask,
+    play,
+    request,
+    until,
+)
+
+from sidecar.proxy.client_request import ClientRequest
+from sidecar.proxy.frontend import Frontend
+
+
+class RespondingHandler:
+    """Answers each request as soon as it is read."""
+
+    def handle_request(self, request: ClientRequest) -> None:
+        request.responder.respond(200, [], b"taken")
+
+    def handle_disconnect(self, request: ClientRequest) -> None:
+        """Nothing is in flight."""
+
+    def is_request_id_in_use(self, request_id: str) -> bool:
+        return False
+
+    def is_ready(self) -> bool:
+        return True
+
+
+def test_a_lack_of_descriptors_neither_spins_nor_ends_the_listening() -> None:
+    class Lacking:
+        """A listener of which the first accepts fail."""
+
+        def __init__(self, real: socket.socket) -> None:
+            self.real, self.failures = real, 3
+
+        def accept(self) -> object:
+            if self.failures:
+                self.failures -= 1
+                raise OSError(errno.EMFILE, "Too many open files")
+            return self.real.accept()
+
+        def fileno(self) -> int:
+            return self.real.fileno()
+
+    async def scene() -> None:
+        frontend = Frontend(("127.0.0.1", 0), 5, RespondingHandler(), settings(classes=CLASSES))
+        real = frontend._sock
+        frontend._sock = Lacking(real)  # type: ignore[assignment]
+        frontend.start()
+        assert (await ask(frontend.address, request()))[2] == b"taken"
+        frontend._sock = real
+        frontend.stop()
+        await until(frontend.is_empty)
+
+    play(scene())
--- /dev/null
+++ b/tests/proxy/test_failed_requests.py
@@ -0,0 +1,114 @@
+"""A defect or a lack of servers fails its request, in time, and nothing else."""
+
+from __future__ import annotations
+
+import ast
+import asyncio
+from pathlib import Path
+from typing import get_args
+
+import pytest
+from loopback import (
+    ask,
+    play,
+    request,
+    served,
+    world,
+)
+
+import sidecar
+from sidecar.balancer.actions import Action, RejectRequest
+from sidecar.balancer.events import Event, RequestArrived
+
+
+def test_no_server_means_a_refusal_at_once_and_readiness_tells_of_the_process_alone() -> None:
+    async def scene() -> None:
+        async with world() as w:
+            loop = asyncio.get_running_loop()
+            began = loop.time()
+            assert (await w.ask(budget="30"))[0] == 503
+            assert loop.time() - began < 15.0
+            assert (await ask(w.sidecar.frontend.address, request(path="/health/ready")))[0] == 200
+
+    play(scene())
+
+
+def test_a_refusal_says_when_to_come_back() -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            w.sidecar._balancer.handle = lambda now, event: (  # type: ignore[method-assign]
+                [RejectRequest(event.request, 250_000)] if isinstance(event, RequestArrived) else []
+            )
+            status, headers, _ = await w.ask()
+            assert status == 503 and float(headers["retry-after"]) == 0.25
+
+    play(scene())
+
+
+# Guards against a defect that would kill the process or leave its request without an answer.
+def test_a_defect_fails_its_request_and_nothing_else(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            real = w.sidecar._balancer.handle
+
+            def faulty(now: int, event: Event) -> list[Action]:
+                if isinstance(event, RequestArrived) and event.service_class == "pay":
+                    raise ZeroDivisionError
+                return real(now, event)
+
+            monkeypatch.setattr(w.sidecar._balancer, "handle", faulty)
+            assert (await w.ask(kind="pay", body=b"x"))[0] == 500
+            assert (await w.ask())[0] == 200
+            assert not w.sidecar._live
+
+    play(scene())
+
+
+def test_a_defect_in_carrying_out_fails_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            monkeypatch.setattr(w.sidecar._upstream, "send", None)
+            assert (await w.ask(kind="pay", body=b"x"))[0] == 500
+            monkeypatch.undo()
+            assert (await w.ask())[0] == 200
+            assert not w.sidecar._live
+
+    play(scene())
+
+
+def test_a_module_that_forgets_a_request_leaves_it_no_longer_than_its_time() -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            w.sidecar._balancer.handle = lambda now, event: []  # type: ignore[method-assign]
+            assert (await w.ask(budget="0.2"))[0] == 500
+
+    play(scene())
+
+
+def test_a_defect_in_taking_a_request_fails_it(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            monkeypatch.setattr(w.sidecar.frontend.handler, "handle_request", None)
+            assert (await w.ask())[0] == 500
+            monkeypatch.undo()
+            assert (await w.ask())[0] == 200
+
+    play(scene())
+
+
+def names_in_decisions() -> set[str]:
+    """Every name that the decisions and their state use."""
+    package = Path(sidecar.__file__).parent / "balancer"
+    sources = [package / "balancer.py", *package.glob("policy/*.py"), *package.glob("state/*.py")]
+    nodes = [node for path in sources for node in ast.walk(ast.parse(path.read_text(encoding="utf-8")))]
+    names = {node.id for node in nodes if isinstance(node, ast.Name)}
+    return names | {node.attr for node in nodes if isinstance(node, ast.Attribute)}
+
+
+def test_every_action_that_the_module_knows_is_carried_out() -> None:
+    async def scene() -> None:
+        async with world() as w:
+            emitted = {kind for kind in get_args(Action) if kind.__name__ in names_in_decisions()}
+            assert len(emitted) > 5 and emitted <= set(w.sidecar._carry)
+
+    play(scene())
--- /dev/null
+++ b/tests/proxy/test_overload_detection.py
@@ -0,0 +1,92 @@
+"""New connections are rejected while the event loop lags under many of them."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+
+import pytest
+from loopback import (
+    LIMITS,
+    is_closed,
+    play,
+    read_answer,
+    request,
+    served,
+    until,
+    world,
+)
+
+from sidecar.proxy.connection_state import STATE_TIME_LIMITS_S, ConnectionState
+
+
+def test_new_connections_are_refused_at_once_while_the_program_lags_under_many_and_served_after(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # An answer to each: of requests whose connection is closed with none, more than a few count as lost.
+    # It stays overloaded until the clients have gone.
+    monkeypatch.setattr("sidecar.proxy.overload._LIMIT_INCREASE", 1.0)
+    limits = LIMITS | {"retry_after": True, "max_retry_after_us": 750_000}
+
+    async def scene() -> None:
+        async with world(lambda *_: None, limits=limits) as w:
+            address = w.sidecar.frontend.address
+            held = [await asyncio.open_connection(*address) for _ in range(40)]
+            for number, (_, writer) in enumerate(held):
+                writer.write(request(X_Call_Id=f"held-{number}", budget="500"))
+            await until(lambda: len(w.sent()) == len(held))
+
+            def lags() -> bool:
+                time.sleep(0.15)  # longer than it takes to the next sweep
+                return w.sidecar.frontend.table._overload.active_limit < 33
+
+            await until(lags)
+            reader, writer = await asyncio.open_connection(*address)
+            writer.write(request("pay", body=b"x", X_Call_Id="new"))
+            status, headers, _ = await read_answer(reader)
+            assert (status, headers["retry-after"], headers["connection"]) == (503, "0.750", "close")
+            assert await is_closed(reader)
+            writer.close()
+            assert len(w.sent()) == len(held)
+            for _, writer in held:
+                writer.close()
+            await until(lambda: not w.sidecar.frontend.table.is_overloaded())
+            w.servers[0].script = served
+            assert (await w.ask(X_Call_Id="after"))[0] == 200
+
+    play(scene())
+
+
+def test_idle_clients_do_not_count_as_load_after_the_program_lagged(monkeypatch: pytest.MonkeyPatch) -> None:
+    # A table full of connections that say nothing is no sign of requests that the CPU can't keep up with.
+    monkeypatch.setattr("sidecar.proxy.overload._LIMIT_INCREASE", 1.0)  # a late sweep is not forgotten
+    monkeypatch.setitem(STATE_TIME_LIMITS_S, ConnectionState.READING, 600.0)
+
+    async def scene() -> None:
+        async with world(served, sockets=144) as w:
+            frontend = w.sidecar.frontend
+            capacity = frontend.table.capacity
+            assert capacity == 40
+            clients = [await asyncio.open_connection(*frontend.address) for _ in range(capacity)]
+            await until(lambda: len(frontend.connections) == capacity)
+
+            def lags() -> bool:
+                time.sleep(0.15)  # longer than it takes to the next sweep
+                return frontend.table._overload.active_limit == 32
+
+            await until(lags)
+            swept = frontend.table._sweep_due
+            await until(lambda: frontend.table._sweep_due > swept)  # it has looked since the last client came
+            status, _, body = await w.ask(kind="pay", body=b"x")
+            assert (status, body) == (200, b"served")
+            # What has begun to come does count.
+            for _, writer in clients:
+                writer.write(request()[:20])
+            begun = frontend.table._by_state[ConnectionState.READING]
+            await until(lambda: len([each for each in begun if each.has_partial_request()]) >= 32)
+            await until(lambda: not frontend.table._silent)
+            assert frontend.table.is_overloaded()
+            for _, writer in clients:
+                writer.close()
+
+    play(scene())
--- /dev/null
+++ b/tests/proxy/test_request_ids.py
@@ -0,0 +1,80 @@
+"""The id of a request in flight is not accepted for another one."""
+
+from __future__ import annotations
+
+import pytest
+from helpers import S
+from loopback import (
+    CLASSES,
+    answer,
+    play,
+    read_answer,
+    request,
+    served,
+    until,
+    world,
+)
+
+from sidecar.balancer.events import ServerState
+from sidecar.proxy.connection_table import ConnectionTable
+
+
+def test_the_id_of_a_request_that_is_still_out_is_turned_away() -> None:
+    async def scene() -> None:
+        async with world(lambda *_: None) as w:
+            reader, writer = await w.connect()
+            writer.write(request("pay", body=b"first", X_Call_Id="one"))
+            await until(w.sent)
+            assert (await w.ask(kind="pay", body=b"second", X_Call_Id="one"))[0] == 409
+            w.servers[0].writers[0].write(answer(200, b"the first's"))
+            assert (await read_answer(reader))[2] == b"the first's"
+            assert [body for _, _, body in w.sent()] == [b"first"]
+            w.servers[0].script = served
+            # What may run but once was sent, and its client may not have got the answer: not even then.
+            assert (await w.ask(kind="pay", body=b"third", X_Call_Id="one"))[0] == 409
+            assert [body for _, _, body in w.sent()] == [b"first"]
+            for kind, ident in (("pay", "other"), ("look", "safe"), ("look", "safe")):
+                assert (await w.ask(kind=kind, X_Call_Id=ident))[0] == 200
+            writer.close()
+
+    play(scene())
+
+
+def test_the_id_of_a_request_that_never_went_out_is_free_at_once() -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            w.servers[0].stop()
+            assert (await w.ask(kind="pay", X_Call_Id="one"))[0] == 503
+            await w.servers[0].start()
+            w.sidecar._upstream.update("s-0", w.servers[0].address, None, ServerState.READY)
+            assert (await w.ask(kind="pay", X_Call_Id="one"))[0] == 200
+
+    play(scene())
+
+
+def test_an_id_is_kept_for_no_longer_than_its_client_could_wait() -> None:
+    async def scene() -> None:
+        classes = [each | {"deadline_us": 1 * S} for each in CLASSES]
+        async with world(served, classes=classes) as w:
+            assert (await w.ask(kind="pay", budget="1.0"))[0] == 200
+            assert w.sidecar._out
+            await until(lambda: not w.sidecar._out)
+
+    play(scene())
+
+
+def test_an_id_that_is_out_is_turned_away_also_where_new_connections_are_refused(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # Guards rule 2: a 503 says that trying again is harmless, and the other one may have run.
+    async def scene() -> None:
+        async with world(lambda *_: None) as w:
+            _, writer = await w.connect()
+            writer.write(request("pay", body=b"first", X_Call_Id="one"))
+            await until(w.sent)
+            monkeypatch.setattr(ConnectionTable, "is_overloaded", lambda _: True)
+            assert (await w.ask(kind="pay", X_Call_Id="other"))[0] == 503
+            assert (await w.ask(kind="pay", X_Call_Id="one"))[0] == 409
+            writer.close()
+
+    play(scene())
--- /dev/null
+++ b/tests/proxy/test_request_parsing.py
@@ -0,0 +1,130 @@
+"""Requests are parsed and checked: what is invalid is rejected and never forwarded."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+
+import pytest
+from loopback import (
+    PATIENCE_S,
+    ask,
+    is_closed,
+    play,
+    read_answer,
+    request,
+    served,
+    world,
+)
+
+BIG = bytes(64 * 1024 + 1)
+
+
+# Guards servers against what this sidecar could not account for: none of these may be sent on.
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        (b"nonsense\r\n\r\n", 400),
+        (b"GET /api/1 HTTP/1.1\r\nHost: x\r\nContent-Length: many\r\n\r\n", 400),
+        (b"GET /api/1 HTTP/1.1\r\nHost: x\r\nX-Long: " + bytes([97]) * 200_000 + b"\r\n\r\n", 400),
+        (request(X_Call_Id=None), 400),
+        (request(X_Call_Id=""), 400),
+        (request(X_Call_Class=None), 400),
+        (request(X_Budget=None), 400),
+        (request(budget="soon"), 400),
+        (request(budget="nan"), 400),
+        (request(budget="-1"), 400),
+        (request(X_Call_Cost="much"), 400),
+        (request("amend", body=b"x", Idempotency_Key=None), 400),
+        (request(Transfer_Encoding="chunked", Content_Length="5") + b"0\r\n\r\n", 400),
+        (request(Transfer_Encoding="chunked", Content_Length=None).replace(b"P/1.1", b"P/1.0"), 400),
+        (request("unheard-of"), 400),
+        (request("look", method="POST"), 405),
+        (request("pay", method="GET"), 405),
+        (request("look", method="HEAD"), 405),
+        (request("look", body=b"x"), 400),
+        (request(X_Call_Id="x" * 257), 400),
+        (request(budget="1_000"), 400),
+        (request(budget="inf"), 400),
+        (request(budget="1e2"), 400),
+        (request(budget="1000"), 400),
+        (request(budget="5.0\r\nX-Budget: 6.0"), 400),
+        (request("look\r\nX-Call-Class: pay"), 400),
+        (request(X_Caller="stranger"), 400),
+        (request("pay", body=BIG), 413),
+        (
+            request("pay", Content_Length=None, Transfer_Encoding="chunked")
+            + b"10001\r\n"
+            + BIG
+            + b"\r\n0\r\n\r\n",
+            413,
+        ),
+        (request(path="/elsewhere"), 404),
+        (request(path="/apix/1"), 404),
+    ],
+)
+def test_bad_input_is_answered_and_never_sent_on(data: bytes, status: int) -> None:
+    async def scene() -> None:
+        async with world(served, tenants=[{"name": "acme"}]) as w:
+            reader, writer = await w.connect()
+            writer.write(data)
+            head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
+            assert head.startswith(b"HTTP/1.1 %d " % status)
+            await asyncio.wait_for(reader.read(), PATIENCE_S)  # to the end of the connection
+            writer.close()
+            assert (await w.ask())[0] == 200  # and the sidecar goes on
+            assert len(w.sent()) == 1
+
+    play(scene())
+
+
+def test_a_body_of_the_largest_size_in_pieces_is_taken() -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            reader, writer = await w.connect()
+            data = request("pay", body=BIG[:-1], Expect="100-continue")
+            head = data.index(b"\r\n\r\n") + 4
+            writer.write(data[:head])
+            assert b" 100 " in await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
+            writer.write(data[head:])
+            assert (await read_answer(reader))[0] == 200
+            assert w.sent()[0][2] == BIG[:-1]
+            writer.close()
+
+    play(scene())
+
+
+def test_a_rejection_arrives_though_the_body_is_still_being_sent() -> None:
+    # Guards against closing on unread bytes, which resets the connection and the answer with it.
+    async def scene() -> None:
+        async with world(served) as w:
+            reader, writer = await w.connect()
+            writer.write(request("pay", body=BIG * 64)[:-1])
+            with contextlib.suppress(ConnectionError):
+                await writer.drain()
+            assert (await read_answer(reader))[0] == 413
+            assert await is_closed(reader)
+            writer.close()
+
+    play(scene())
+
+
+def test_a_client_of_the_old_protocol_without_a_host_is_served() -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            data = request(Host=None).replace(b"HTTP/1.1", b"HTTP/1.0")
+            assert (await ask(w.sidecar.frontend.address, data))[0] == 200
+
+    play(scene())
+
+
+def test_a_head_request_gets_no_body() -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            reader, writer = await w.connect()
+            writer.write(request(path="/elsewhere", method="HEAD"))
+            got = await asyncio.wait_for(reader.read(), PATIENCE_S)
+            assert got.startswith(b"HTTP/1.1 404 ") and got.endswith(b"\r\n\r\n")
+            writer.close()
+
+    play(scene())
