--- a/tests/proxy/test_accept_faults.py
+++ b/tests/proxy/test_accept_faults.py
@@ -51,35 +51,35 @@
     return errno.errorcode[code] if isinstance(code, int) else str(code)
 
 
-def failing(w: World, code: int, failures: int) -> FailingListener:
+def fail_accepts(w: World, code: int, failures: int) -> FailingListener:
     """Let the next accepts of a sidecar fail."""
     frontend = w.sidecar.frontend
     frontend._sock = made = FailingListener(frontend._sock, code, failures)  # type: ignore[assignment]
     return made
 
 
-def note_loop_faults() -> list[dict[str, Any]]:
+def record_loop_faults() -> list[dict[str, Any]]:
     """What escapes into the event loop from now on."""
     faults: list[dict[str, Any]] = []
     asyncio.get_running_loop().set_exception_handler(lambda _, context: faults.append(context))
     return faults
 
 
-def descriptors() -> int:
+def count_descriptors() -> int:
     return len(os.listdir("/proc/self/fd"))
 
 
 @pytest.mark.parametrize("code", CONNECTION_ERRORS, ids=name_of)
-def test_a_fault_of_one_connection_in_the_queue_does_not_delay_the_next(
+def test_fault_of_one_queued_connection_does_not_delay_the_next(
     monkeypatch: pytest.MonkeyPatch, code: int
 ) -> None:
     async def scene() -> None:
         async with world(served) as w:
-            faults = note_loop_faults()
+            faults = record_loop_faults()
             pauses: list[None] = []
             monkeypatch.setattr(w.sidecar.frontend, "_pause_accepting", lambda: pauses.append(None))
             await until(lambda: w.sidecar.frontend._accepting)
-            failing(w, code, 3)
+            fail_accepts(w, code, 3)
             assert (await w.ask())[0] == 200
             assert not faults and not pauses
 
@@ -87,11 +87,11 @@
 
 
 @pytest.mark.parametrize("code", [*CONNECTION_ERRORS, *RESOURCE_ERRORS], ids=name_of)
-def test_accepts_that_fail_for_a_while_do_not_spin_and_end_nothing(code: int) -> None:
+def test_failing_accepts_back_off_and_end_nothing(code: int) -> None:
     async def scene() -> None:
         async with world(served) as w:
-            faults = note_loop_faults()
-            sock = failing(w, code, 40)
+            faults = record_loop_faults()
+            sock = fail_accepts(w, code, 40)
             began = asyncio.get_running_loop().time()
             assert (await w.ask())[0] == 200
             elapsed = asyncio.get_running_loop().time() - began
@@ -103,7 +103,7 @@
     play(scene())
 
 
-def breaking(method: str) -> Callable[[pytest.MonkeyPatch, World], None]:
+def fail_method(method: str) -> Callable[[pytest.MonkeyPatch, World], None]:
     """Let a method of the next accepted socket fail, as after a reset."""
 
     class Broken(socket.socket):
@@ -128,7 +128,7 @@
     return apply
 
 
-def break_making(monkeypatch: pytest.MonkeyPatch, w: World) -> None:
+def fail_transport(monkeypatch: pytest.MonkeyPatch, w: World) -> None:
     """Let the next accepted socket fail as its transport is made."""
     loop = asyncio.get_running_loop()
     connect = loop.connect_accepted_socket
@@ -140,36 +140,36 @@
     monkeypatch.setattr(loop, "connect_accepted_socket", fail)
 
 
-BREAKS = {
-    "setsockopt": breaking("setsockopt"),
-    "setblocking": breaking("setblocking"),
-    "making": break_making,
+SOCKET_FAULTS = {
+    "setsockopt": fail_method("setsockopt"),
+    "setblocking": fail_method("setblocking"),
+    "transport": fail_transport,
 }
 
 
-@pytest.mark.parametrize("apply", BREAKS.values(), ids=BREAKS)
-def test_an_accepted_socket_that_fails_is_closed_and_counts_no_longer(
+@pytest.mark.parametrize("apply", SOCKET_FAULTS.values(), ids=SOCKET_FAULTS)
+def test_accepted_socket_that_fails_is_closed_and_no_longer_counted(
     monkeypatch: pytest.MonkeyPatch, apply: Callable[[pytest.MonkeyPatch, World], None]
 ) -> None:
     async def scene() -> None:
         async with world(served) as w:
-            faults = note_loop_faults()
+            faults = record_loop_faults()
             await until(lambda: w.sidecar.frontend._accepting)
-            before = descriptors()
+            before = count_descriptors()
             apply(monkeypatch, w)
             client = socket.create_connection(w.sidecar.frontend.address)
             client.setblocking(False)
             reader, writer = await asyncio.open_connection(sock=client)
             assert await asyncio.wait_for(reader.read(), 20.0) == b""
             writer.close()
-            await until(lambda: w.sidecar.frontend.is_empty() and descriptors() == before)
+            await until(lambda: w.sidecar.frontend.is_empty() and count_descriptors() == before)
             assert not faults
             assert (await w.ask())[0] == 200
 
     play(scene())
 
 
-def let_opening_fail(monkeypatch: pytest.MonkeyPatch, code: int, failures: int) -> list[int]:
+def fail_opening(monkeypatch: pytest.MonkeyPatch, code: int, failures: int) -> list[int]:
     """Let the next calls that open a listening socket fail; give the calls."""
     create_server = socket.create_server
     calls: list[int] = []
@@ -197,11 +197,11 @@
     ],
     ids=name_of,
 )
-def test_a_listening_socket_that_fails_for_a_moment_is_tried_again(
+def test_opening_the_listener_is_retried_on_transient_errors(
     monkeypatch: pytest.MonkeyPatch, code: int
 ) -> None:
     async def scene() -> None:
-        calls = let_opening_fail(monkeypatch, code, 3)
+        calls = fail_opening(monkeypatch, code, 3)
         async with world(served) as w:
             assert (await w.ask())[0] == 200
             assert len(calls) == 4
@@ -210,12 +210,12 @@
 
 
 @pytest.mark.parametrize("patience_s", [10.0, 0.0])
-def test_a_listening_socket_that_can_t_be_had_ends_the_start(
+def test_listener_that_cannot_be_opened_ends_the_start(
     monkeypatch: pytest.MonkeyPatch, patience_s: float
 ) -> None:
     monkeypatch.setattr("sidecar.proxy.listener._OPEN_TIMEOUT_S", patience_s)
     code = errno.EACCES if patience_s else errno.EADDRINUSE
-    calls = let_opening_fail(monkeypatch, code, 1000)
+    calls = fail_opening(monkeypatch, code, 1000)
     with pytest.raises(OSError) as raised:
         listener.open_listener(("127.0.0.1", 0))
     assert raised.value.errno == code and len(calls) == 1
--- a/tests/proxy/test_client_connections.py
+++ b/tests/proxy/test_client_connections.py
@@ -24,10 +24,10 @@
 from sidecar.proxy.connection_state import ConnectionState
 
 BAD_PEER_S = 3.0  # by when a client that breaks the protocol gets its error or a close
-BEHIND = {"junk": b"\x00\x01 junk\r\n\r\n", "half a request": b"GET /half"}
+PIPELINED = {"junk": b"\x00\x01 junk\r\n\r\n", "half a request": b"GET /half"}
 
 
-def test_requests_on_one_connection_are_answered_in_order_even_if_sent_ahead() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
     async def scene() -> None:
         async with world(lambda first, *_: answer(200, first.encode())) as w:
             reader, writer = await w.connect()
@@ -41,7 +41,7 @@
     play(scene())
 
 
-def test_a_connection_with_an_unread_request_is_not_at_rest() -> None:
+def test_connection_with_an_unread_request_is_not_idle() -> None:
     # Guards against closing a connection under a request that was taken by the kernel, not yet by us.
     async def scene() -> None:
         async with world(served) as w:
@@ -60,35 +60,35 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "heard"),
+    ("sent", "expected"),
     [
         (b"", b""),
         (request(), b"HTTP/1.1 200 "),
         (request("pay", body=b"whole")[:20], b"HTTP/1.1 408 "),
         (request("pay", body=b"whole")[:-1], b"HTTP/1.1 408 "),
     ],
-    ids=["silent", "at rest", "half a head", "half a body"],
+    ids=["silent", "idle", "half a head", "half a body"],
 )
-def test_a_connection_that_says_no_more_is_ended(said: bytes, heard: bytes) -> None:
+def test_silent_connection_is_closed(sent: bytes, expected: bytes) -> None:
     async def scene() -> None:
         async with world(served) as w:
             reader, writer = await w.connect()
-            writer.write(said)
-            assert (await asyncio.wait_for(reader.read(), PATIENCE_S)).startswith(heard)
+            writer.write(sent)
+            assert (await asyncio.wait_for(reader.read(), PATIENCE_S)).startswith(expected)
             await until(lambda: not w.sidecar.frontend.connections)
             writer.close()
 
     play(scene())
 
 
-@pytest.mark.parametrize("behind", BEHIND.values(), ids=BEHIND)
-def test_a_held_request_gets_its_answer_whatever_came_behind_it(behind: bytes) -> None:
+@pytest.mark.parametrize("pipelined", PIPELINED.values(), ids=PIPELINED)
+def test_request_in_flight_gets_its_response_whatever_is_pipelined_behind_it(pipelined: bytes) -> None:
     async def scene() -> None:
         async with world(hung) as w:
             reader, writer = await w.connect()
             writer.write(request("pay", body=b"held"))
             await until(w.sent)
-            writer.write(behind)
+            writer.write(pipelined)
             (connection,) = w.sidecar.frontend.connections
             await until(lambda: connection.state is ConnectionState.READING_PIPELINED)
             w.servers[0].writers[0].write(served())
@@ -96,22 +96,22 @@
             assert (status, body) == (200, b"served")
             ending = await asyncio.wait_for(reader.read(), PATIENCE_S)
             assert ending.partition(b"\r\n")[0] in (b"HTTP/1.1 408 ", b"")
-            assert bool(ending) is (behind == BEHIND["half a request"])
+            assert bool(ending) is (pipelined == PIPELINED["half a request"])
             assert len(w.sent()) == 1
             writer.close()
 
     play_in_virtual_time(scene())
 
 
-@pytest.mark.parametrize("behind", BEHIND.values(), ids=BEHIND)
-def test_a_request_still_held_when_what_came_behind_it_is_ended_fails(behind: bytes) -> None:
+@pytest.mark.parametrize("pipelined", PIPELINED.values(), ids=PIPELINED)
+def test_request_still_in_flight_when_bad_pipelined_data_times_out_fails(pipelined: bytes) -> None:
     async def scene() -> None:
         async with world(hung) as w:
             reader, writer = await w.connect()
             writer.write(request("pay", body=b"held"))
             await until(w.sent)
             began = now_s()
-            writer.write(behind)
+            writer.write(pipelined)
             status, headers, _ = await read_answer(reader)
             assert (status, headers["connection"]) == (500, "close")
             assert await is_closed(reader)
@@ -123,7 +123,7 @@
     play_in_virtual_time(scene())
 
 
-def test_an_answer_to_a_client_that_has_just_closed_ends_its_connection_and_nothing_else() -> None:
+def test_response_to_a_client_that_has_just_closed_ends_only_its_connection() -> None:
     async def scene() -> None:
         async with world(lambda *_: None) as w:
             client = socket.create_connection(w.sidecar.frontend.address)
--- a/tests/proxy/test_connection_capacity.py
+++ b/tests/proxy/test_connection_capacity.py
@@ -18,7 +18,7 @@
 )
 
 
-def test_clients_beyond_the_bound_take_the_place_of_those_at_rest() -> None:
+def test_connections_beyond_the_capacity_replace_idle_ones() -> None:
     # Guards the descriptors: 66 sockets leave one for clients.
     async def scene() -> None:
         async with world(served, sockets=66) as w:
@@ -33,7 +33,7 @@
     play(scene())
 
 
-def test_clients_that_say_nothing_do_not_keep_others_out() -> None:
+def test_silent_clients_do_not_use_up_the_capacity() -> None:
     async def scene() -> None:
         async with world(served, sockets=80) as w:
             address = w.sidecar.frontend.address
@@ -47,7 +47,7 @@
     play(scene())
 
 
-def test_clients_that_ask_once_and_stay_leave_room_for_others() -> None:
+def test_idle_connections_leave_capacity_for_others() -> None:
     # Guards clients that hold few connections: what they keep without use would be all they have.
     async def scene() -> None:
         async with world(served, sockets=88) as w:
@@ -65,7 +65,7 @@
     play(scene())
 
 
-def test_room_is_made_only_where_a_connection_waits() -> None:
+def test_connections_are_evicted_only_for_a_pending_one() -> None:
     # What fills the table is no reason to close what was just opened: no further connection has come.
     async def scene() -> None:
         async with world(served, sockets=80) as w:
@@ -87,7 +87,7 @@
     play(scene())
 
 
-def test_room_for_many_holds_no_more_descriptors_than_the_table() -> None:
+def test_evictions_hold_no_more_descriptors_than_the_table() -> None:
     # A connection that was ended for another one holds its descriptor until the loop's next turn.
     async def scene() -> None:
         async with world(served, sockets=256) as w:
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("turns", range(6))
-def test_a_connection_that_is_being_made_counts_once(turns: int) -> None:
+def test_connection_being_set_up_counts_once(turns: int) -> None:
     # Counted twice for a few turns of the loop, it closed others that had only just been opened.
     async def scene() -> None:
         async with world(served, sockets=80) as w:
--- a/tests/proxy/test_descriptor_shortage.py
+++ b/tests/proxy/test_descriptor_shortage.py
@@ -34,8 +34,8 @@
         return True
 
 
-def test_a_lack_of_descriptors_neither_spins_nor_ends_the_listening() -> None:
-    class Lacking:
+def test_lack_of_descriptors_neither_spins_nor_ends_the_listener() -> None:
+    class ListenerWithoutDescriptors:
         """A listener of which the first accepts fail."""
 
         def __init__(self, real: socket.socket) -> None:
@@ -53,7 +53,7 @@
     async def scene() -> None:
         frontend = Frontend(("127.0.0.1", 0), 5, RespondingHandler(), settings(classes=CLASSES))
         real = frontend._sock
-        frontend._sock = Lacking(real)  # type: ignore[assignment]
+        frontend._sock = ListenerWithoutDescriptors(real)  # type: ignore[assignment]
         frontend.start()
         assert (await ask(frontend.address, request()))[2] == b"taken"
         frontend._sock = real
--- a/tests/proxy/test_failed_requests.py
+++ b/tests/proxy/test_failed_requests.py
@@ -21,7 +21,7 @@
 from sidecar.balancer.events import Event, RequestArrived
 
 
-def test_no_server_means_a_refusal_at_once_and_readiness_tells_of_the_process_alone() -> None:
+def test_request_without_servers_is_rejected_at_once_and_readiness_is_unaffected() -> None:
     async def scene() -> None:
         async with world() as w:
             loop = asyncio.get_running_loop()
@@ -33,7 +33,7 @@
     play(scene())
 
 
-def test_a_refusal_says_when_to_come_back() -> None:
+def test_rejection_has_a_retry_after_header() -> None:
     async def scene() -> None:
         async with world(served) as w:
             w.sidecar._balancer.handle = lambda now, event: (  # type: ignore[method-assign]
@@ -46,7 +46,7 @@
 
 
 # Guards against a defect that would kill the process or leave its request without an answer.
-def test_a_defect_fails_its_request_and_nothing_else(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_in_the_balancer_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene() -> None:
         async with world(served) as w:
             real = w.sidecar._balancer.handle
@@ -64,7 +64,7 @@
     play(scene())
 
 
-def test_a_defect_in_carrying_out_fails_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_in_carrying_out_an_action_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene() -> None:
         async with world(served) as w:
             monkeypatch.setattr(w.sidecar._upstream, "send", None)
@@ -76,7 +76,7 @@
     play(scene())
 
 
-def test_a_module_that_forgets_a_request_leaves_it_no_longer_than_its_time() -> None:
+def test_request_that_the_balancer_forgets_fails_at_its_deadline() -> None:
     async def scene() -> None:
         async with world(served) as w:
             w.sidecar._balancer.handle = lambda now, event: []  # type: ignore[method-assign]
@@ -85,7 +85,7 @@
     play(scene())
 
 
-def test_a_defect_in_taking_a_request_fails_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_in_the_request_handler_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene() -> None:
         async with world(served) as w:
             monkeypatch.setattr(w.sidecar.frontend.handler, "handle_request", None)
@@ -96,7 +96,7 @@
     play(scene())
 
 
-def names_in_decisions() -> set[str]:
+def names_used_by_the_balancer() -> set[str]:
     """Every name that the decisions and their state use."""
     package = Path(sidecar.__file__).parent / "balancer"
     sources = [package / "balancer.py", *package.glob("policy/*.py"), *package.glob("state/*.py")]
@@ -105,10 +105,10 @@
     return names | {node.attr for node in nodes if isinstance(node, ast.Attribute)}
 
 
-def test_every_action_that_the_module_knows_is_carried_out() -> None:
+def test_every_action_of_the_balancer_is_carried_out() -> None:
     async def scene() -> None:
         async with world() as w:
-            emitted = {kind for kind in get_args(Action) if kind.__name__ in names_in_decisions()}
+            emitted = {kind for kind in get_args(Action) if kind.__name__ in names_used_by_the_balancer()}
             assert len(emitted) > 5 and emitted <= set(w.sidecar._carry)
 
     play(scene())
--- a/tests/proxy/test_new_connection_responses.py
+++ b/tests/proxy/test_new_connection_responses.py
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize("in_pieces", [False, True], ids=["at once", "in pieces"])
 @pytest.mark.parametrize("data", SIZES.values(), ids=SIZES)
-def test_a_new_connection_is_refused_with_an_answer_while_the_cpu_falls_behind(
+def test_new_connection_is_rejected_with_a_response_under_overload(
     monkeypatch: pytest.MonkeyPatch, data: bytes, in_pieces: bool
 ) -> None:
     async def scene() -> None:
@@ -43,7 +43,7 @@
 # New connections come for 0.4 s after SIGTERM; the listener stays open for longer.
 @pytest.mark.parametrize("after_s", [0.0, 0.1, 0.3, 0.4, _ACCEPT_S - 0.01])
 @pytest.mark.parametrize("later_s", [0.0, 0.005, 0.1], ids=["at once", "a moment later", "later"])
-def test_a_request_on_a_new_connection_in_a_drain_gets_an_answer(after_s: float, later_s: float) -> None:
+def test_request_on_a_new_connection_while_draining_gets_a_response(after_s: float, later_s: float) -> None:
     async def scene() -> None:
         async with world(served) as w:
             w.stop.set()
@@ -60,7 +60,7 @@
     play_in_virtual_time(scene())
 
 
-def test_a_connection_that_waits_to_be_accepted_as_the_listener_closes_gets_an_answer() -> None:
+def test_connection_queued_as_the_listener_closes_gets_a_response() -> None:
     async def scene() -> None:
         async with world(served) as w:
             frontend = w.sidecar.frontend
@@ -78,7 +78,7 @@
     play_in_virtual_time(scene())
 
 
-def test_a_request_held_to_the_end_of_a_drain_gets_an_answer_before_the_kill() -> None:
+def test_request_in_flight_to_the_end_of_a_drain_gets_a_response_before_sigkill() -> None:
     async def scene() -> None:
         # It came late, and hangs at its server for longer than the drain may last.
         async with world(hung) as w:
@@ -96,7 +96,7 @@
     play_in_virtual_time(scene())
 
 
-def test_no_room_is_made_at_the_cost_of_an_answer_on_its_way() -> None:
+def test_no_connection_is_evicted_before_its_response_has_been_read() -> None:
     # A close over unread bytes resets the connection, and with it an answer that its client has yet to read.
     async def scene() -> None:
         async with world(served, sockets=66) as w:  # room for one client
--- a/tests/proxy/test_overload_detection.py
+++ b/tests/proxy/test_overload_detection.py
@@ -20,7 +20,7 @@
 from sidecar.proxy.connection_state import STATE_TIME_LIMITS_S, ConnectionState
 
 
-def test_new_connections_are_refused_at_once_while_the_program_lags_under_many_and_served_after(
+def test_new_connections_are_rejected_while_overloaded_and_served_afterwards(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # An answer to each: of requests whose connection is closed with none, more than a few count as lost.
@@ -57,7 +57,7 @@
     play(scene())
 
 
-def test_idle_clients_do_not_count_as_load_after_the_program_lagged(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_clients_do_not_count_as_load_after_a_lag(monkeypatch: pytest.MonkeyPatch) -> None:
     # A table full of connections that say nothing is no sign of requests that the CPU can't keep up with.
     monkeypatch.setattr("sidecar.proxy.overload._LIMIT_INCREASE", 1.0)  # a late sweep is not forgotten
     monkeypatch.setitem(STATE_TIME_LIMITS_S, ConnectionState.READING, 600.0)
--- a/tests/proxy/test_request_crossings.py
+++ b/tests/proxy/test_request_crossings.py
@@ -69,18 +69,20 @@
     monkeypatch.setattr(upstream, "connect", delayed)
 
 
-async def ask_until_met(w: World, kind: str, body: bytes, is_met: Callable[[], object]) -> tuple[int, bytes]:
+async def ask_until_reached(
+    w: World, kind: str, body: bytes, is_reached: Callable[[], object]
+) -> tuple[int, bytes]:
     """Ask until a request has met the server that dies; give its answer."""
     for _ in range(200):
         status, _, answered = await w.ask(kind=kind, body=body, budget="500")
-        if is_met():
+        if is_reached():
             return status, answered
     raise AssertionError("no request came to the server that dies")
 
 
 @pytest.mark.parametrize("kind", ["look", "pay", "amend"])
 @pytest.mark.parametrize("at_once", [True, False])
-def test_a_server_dies_behind_an_accept_and_only_what_may_not_run_twice_and_was_written_fails(
+def test_server_dies_after_accept_and_only_a_written_unsafe_request_fails(
     at_once: bool, kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
@@ -91,7 +93,7 @@
         async with world(served, served) as w:
             w.sidecar._upstream.update("s-0", victim.address, None, ServerState.READY)
             body = b"" if kind == "look" else b"whole"
-            got = await ask_until_met(w, kind, body, lambda: victim.accepted)
+            got = await ask_until_reached(w, kind, body, lambda: victim.accepted)
             sent = w.servers[1].requests
             last = f"{w._asked:016x}"
             copies = [each for _, head, each in sent if head["x-call-id"] == last]
@@ -105,7 +107,7 @@
 
 
 @pytest.mark.parametrize("kind", ["pay", "amend"])
-def test_a_server_dies_as_a_long_request_is_half_written_and_another_serves_it(
+def test_server_dies_as_a_long_request_is_half_written_and_another_serves_it(
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     shrink_send_buffers(monkeypatch)
@@ -124,7 +126,7 @@
             dying = asyncio.create_task(accept_and_die())
             async with world(served, served) as w:
                 w.sidecar._upstream.update("s-0", listener.getsockname()[:2], None, ServerState.READY)
-                status, body = await ask_until_met(w, kind, bytes(60_000), lambda: met)
+                status, body = await ask_until_reached(w, kind, bytes(60_000), lambda: met)
                 assert (status, body) == (200, b"served") and met == [1]
                 last = f"{w._asked:016x}"
                 sent = [each for _, head, each in w.sent() if head["x-call-id"] == last]
@@ -137,8 +139,8 @@
 # -- A request in single bytes x a drain, x the limit for bad peers
 
 
-async def rested(w: World) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """A connection that has carried a request and is at rest."""
+async def idle_connection(w: World) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    """A connection that has carried a request and is idle."""
     reader, writer = await w.connect()
     writer.write(request(X_Call_Id="earlier"))
     assert (await read_answer(reader))[0] == 200
@@ -158,12 +160,10 @@
 
 @pytest.mark.parametrize("used", [False, True], ids=["new connection", "used connection"])
 @pytest.mark.parametrize("cut", [1, 40, -10, -1], ids=["first byte", "head", "body", "last byte"])
-def test_a_request_in_single_bytes_crosses_the_drain_of_a_server_and_goes_whole_to_another(
-    cut: int, used: bool
-) -> None:
+def test_request_in_single_bytes_during_the_drain_of_a_server_goes_to_another(cut: int, used: bool) -> None:
     async def scene() -> None:
         async with world(served, served) as w:
-            reader, writer = await (rested(w) if used else w.connect())
+            reader, writer = await (idle_connection(w) if used else w.connect())
             before = len(w.servers[0].requests)
             drained = w.sidecar._upstream._endpoints["s-0"]
             for number in range(4):
@@ -184,10 +184,10 @@
 
 @pytest.mark.parametrize("used", [False, True], ids=["new connection", "used connection"])
 @pytest.mark.parametrize("cut", [1, 40, -10, -1], ids=["first byte", "head", "body", "last byte"])
-def test_a_request_in_single_bytes_crosses_sigterm_and_gets_its_answer(cut: int, used: bool) -> None:
+def test_request_in_single_bytes_during_sigterm_gets_its_response(cut: int, used: bool) -> None:
     async def scene() -> None:
         async with world(served) as w:
-            reader, writer = await (rested(w) if used else w.connect())
+            reader, writer = await (idle_connection(w) if used else w.connect())
             data = in_pieces("begun")
             await send_bytes(writer, data[:cut])
             w.stop.set()
@@ -203,12 +203,10 @@
 
 @pytest.mark.parametrize("used", [False, True], ids=["new connection", "used connection"])
 @pytest.mark.parametrize("whole_head", [False, True])
-def test_a_request_that_comes_too_slowly_in_single_bytes_is_turned_away_in_time(
-    whole_head: bool, used: bool
-) -> None:
+def test_request_too_slow_in_single_bytes_is_rejected_in_time(whole_head: bool, used: bool) -> None:
     async def scene() -> None:
         async with world(served) as w:
-            reader, writer = await (rested(w) if used else w.connect())
+            reader, writer = await (idle_connection(w) if used else w.connect())
             data = in_pieces("slow")
             head = data.index(b"\r\n\r\n") + 4 if whole_head else 1
             began = now_s()
@@ -233,7 +231,7 @@
 # -- SIGTERM x what clients go on sending
 
 
-async def opened(w: World) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+async def new_connection(w: World) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     """A connection that has carried nothing yet."""
     before = len(w.sidecar.frontend.connections)
     streams = await w.connect()
@@ -241,23 +239,27 @@
     return streams
 
 
-async def begun(w: World) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+async def partial_request(w: World) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     """A connection on which a part of a request has come."""
-    reader, writer = await opened(w)
+    reader, writer = await new_connection(w)
     writer.write(CROSSING[:30])
     await until(lambda: any(each.has_partial_request() for each in w.sidecar.frontend.connections))
     return reader, writer
 
 
 CROSSING = request("pay", body=b"crossing", budget="500", X_Call_Id="crossing")
-STATES = {"at rest": rested, "just opened": opened, "half a request": begun}
+CONNECTIONS = {
+    "idle": idle_connection,
+    "new": new_connection,
+    "half a request": partial_request,
+}
 
 
-@pytest.mark.parametrize("how", STATES)
-def test_a_request_in_the_kernel_before_sigterm_is_noticed_gets_its_answer(how: str) -> None:
+@pytest.mark.parametrize("how", CONNECTIONS)
+def test_request_unread_as_sigterm_is_handled_gets_its_response(how: str) -> None:
     async def scene() -> None:
         async with world(served) as w:
-            reader, writer = await STATES[how](w)
+            reader, writer = await CONNECTIONS[how](w)
             data = CROSSING[30:] if how == "half a request" else CROSSING
             writer.write(data)  # it is unread as the drain begins: the loop has had no turn
             w.sidecar.frontend.drain()
@@ -270,13 +272,13 @@
 
 
 @pytest.mark.parametrize("after_s", [0.0, 0.01, 0.3, 0.49, 0.51, 0.6, 1.2])
-@pytest.mark.parametrize("how", STATES)
-def test_a_request_sent_after_sigterm_gets_an_answer_or_a_close_and_then_reaches_no_server(
+@pytest.mark.parametrize("how", CONNECTIONS)
+def test_request_after_sigterm_gets_a_response_or_a_close_without_being_forwarded(
     how: str, after_s: float
 ) -> None:
     async def scene() -> None:
         async with world(served) as w:
-            reader, writer = await STATES[how](w)
+            reader, writer = await CONNECTIONS[how](w)
             w.stop.set()
             await until(lambda: w.sidecar.frontend.draining)
             await pass_s(after_s)
@@ -286,7 +288,7 @@
             except (asyncio.IncompleteReadError, ConnectionError):
                 assert "crossing" not in [head["x-call-id"] for _, head, _ in w.sent()]
                 assert how != "half a request"
-                assert how == "at rest" or after_s > 0.5
+                assert how == "idle" or after_s > 0.5
             else:
                 assert (status, headers["connection"], body) == (200, "close", b"served")
             await until(lambda: w.sidecar.frontend.is_empty())
@@ -295,10 +297,10 @@
     play_in_virtual_time(scene())
 
 
-def test_a_request_sent_behind_the_last_answer_of_a_drain_reaches_no_server() -> None:
+def test_request_behind_the_last_response_of_a_drain_is_not_forwarded() -> None:
     async def scene() -> None:
         async with world(hung) as w:
-            reader, writer = await opened(w)
+            reader, writer = await new_connection(w)
             writer.write(request("pay", body=b"first", budget="500", X_Call_Id="first"))
             await until(w.sent)
             w.stop.set()
@@ -316,10 +318,10 @@
     play_in_virtual_time(scene())
 
 
-def test_a_request_read_behind_a_held_one_is_answered_too_before_a_drain_closes() -> None:
+def test_pipelined_request_is_answered_before_a_drain_closes_its_connection() -> None:
     async def scene() -> None:
         async with world(hung) as w:
-            reader, writer = await opened(w)
+            reader, writer = await new_connection(w)
             writer.write(request("pay", body=b"first", budget="500", X_Call_Id="first") + CROSSING)
             await until(w.sent)
             w.stop.set()
--- a/tests/proxy/test_request_ids.py
+++ b/tests/proxy/test_request_ids.py
@@ -19,7 +19,7 @@
 from sidecar.proxy.connection_table import ConnectionTable
 
 
-def test_the_id_of_a_request_that_is_still_out_is_turned_away() -> None:
+def test_request_id_in_flight_is_rejected() -> None:
     async def scene() -> None:
         async with world(lambda *_: None) as w:
             reader, writer = await w.connect()
@@ -40,7 +40,7 @@
     play(scene())
 
 
-def test_the_id_of_a_request_that_never_went_out_is_free_at_once() -> None:
+def test_request_id_that_was_never_forwarded_is_free_at_once() -> None:
     async def scene() -> None:
         async with world(served) as w:
             w.servers[0].stop()
@@ -52,7 +52,7 @@
     play(scene())
 
 
-def test_an_id_is_kept_for_no_longer_than_its_client_could_wait() -> None:
+def test_request_id_is_remembered_no_longer_than_its_deadline() -> None:
     async def scene() -> None:
         classes = [each | {"deadline_us": 1 * S} for each in CLASSES]
         async with world(served, classes=classes) as w:
@@ -63,7 +63,7 @@
     play(scene())
 
 
-def test_an_id_that_is_out_is_turned_away_also_where_new_connections_are_refused(
+def test_request_id_in_flight_is_rejected_under_overload_too(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards rule 2: a 503 says that trying again is harmless, and the other one may have run.
--- a/tests/proxy/test_request_parsing.py
+++ b/tests/proxy/test_request_parsing.py
@@ -63,7 +63,7 @@
         (request(path="/apix/1"), 404),
     ],
 )
-def test_bad_input_is_answered_and_never_sent_on(data: bytes, status: int) -> None:
+def test_invalid_request_is_rejected_and_never_forwarded(data: bytes, status: int) -> None:
     async def scene() -> None:
         async with world(served, tenants=[{"name": "acme"}]) as w:
             reader, writer = await w.connect()
@@ -78,7 +78,7 @@
     play(scene())
 
 
-def test_a_body_of_the_largest_size_in_pieces_is_taken() -> None:
+def test_body_of_the_largest_size_in_pieces_is_accepted() -> None:
     async def scene() -> None:
         async with world(served) as w:
             reader, writer = await w.connect()
@@ -94,7 +94,7 @@
     play(scene())
 
 
-def test_a_rejection_arrives_though_the_body_is_still_being_sent() -> None:
+def test_rejection_arrives_while_the_body_is_still_being_sent() -> None:
     # Guards against closing on unread bytes, which resets the connection and the answer with it.
     async def scene() -> None:
         async with world(served) as w:
@@ -109,7 +109,7 @@
     play(scene())
 
 
-def test_a_client_of_the_old_protocol_without_a_host_is_served() -> None:
+def test_http_1_0_request_without_a_host_is_served() -> None:
     async def scene() -> None:
         async with world(served) as w:
             data = request(Host=None).replace(b"HTTP/1.1", b"HTTP/1.0")
@@ -118,7 +118,7 @@
     play(scene())
 
 
-def test_a_head_request_gets_no_body() -> None:
+def test_head_request_gets_no_body() -> None:
     async def scene() -> None:
         async with world(served) as w:
             reader, writer = await w.connect()
--- a/tests/proxy/test_request_wait.py
+++ b/tests/proxy/test_request_wait.py
@@ -61,7 +61,7 @@
             runner.run(bounded())
 
 
-def told_s(head: dict[str, str]) -> float:
+def forwarded_budget_s(head: dict[str, str]) -> float:
     return float(head["x-budget"])
 
 
@@ -92,18 +92,18 @@
         client.sock.close()
 
 
-def test_the_time_told_leaves_out_what_a_request_waited_for_a_busy_loop() -> None:
+def test_forwarded_budget_excludes_the_wait_for_a_busy_event_loop() -> None:
     async def scene(clock: Clock) -> None:
         async with world(served) as w, connected(w) as client:
             client.send(request(budget=f"{BUDGET_S}"))
             clock.skip(STALL_S)
             assert await client.read_status() == 200
-            assert told_s(w.sent()[0][1]) <= BUDGET_S - STALL_S
+            assert forwarded_budget_s(w.sent()[0][1]) <= BUDGET_S - STALL_S
 
     play_with_stalls(scene)
 
 
-def test_the_time_told_leaves_out_what_a_connection_waited_to_be_accepted() -> None:
+def test_forwarded_budget_excludes_the_wait_to_be_accepted() -> None:
     async def scene(clock: Clock) -> None:
         async with world(served) as w:
             await until(lambda: w.sidecar.frontend._accepting)
@@ -114,12 +114,12 @@
             await asyncio.sleep(0.01)  # the loop polls meanwhile, but not for new connections
             w.sidecar.frontend._resume_accepting()
             assert await client.read_status() == 200
-            assert told_s(w.sent()[0][1]) <= BUDGET_S - STALL_S
+            assert forwarded_budget_s(w.sent()[0][1]) <= BUDGET_S - STALL_S
 
     play_with_stalls(scene)
 
 
-def test_the_time_told_leaves_out_what_a_new_connection_waited_for_a_busy_loop() -> None:
+def test_forwarded_budget_excludes_the_wait_of_a_new_connection_for_a_busy_event_loop() -> None:
     async def scene(clock: Clock) -> None:
         async with world(served) as w:
             await until(lambda: w.sidecar.frontend._accepting)
@@ -128,12 +128,12 @@
             client.send(request(budget=f"{BUDGET_S}"))
             clock.skip(STALL_S)
             assert await client.read_status() == 200
-            assert told_s(w.sent()[0][1]) <= BUDGET_S - STALL_S
+            assert forwarded_budget_s(w.sent()[0][1]) <= BUDGET_S - STALL_S
 
     play_with_stalls(scene)
 
 
-def test_the_time_told_leaves_out_what_a_request_waited_behind_another() -> None:
+def test_forwarded_budget_excludes_the_wait_behind_another_request() -> None:
     async def scene(clock: Clock) -> None:
         async with world(hung) as w, connected(w) as client:
             client.send(request(X_Call_Id="first"))
@@ -145,13 +145,13 @@
             w.servers[0].script = served
             w.servers[0].writers[0].write(answer(200, b"late"))
             await until(lambda: len(w.sent()) == 2)
-            assert told_s(w.sent()[1][1]) <= BUDGET_S - STALL_S
+            assert forwarded_budget_s(w.sent()[1][1]) <= BUDGET_S - STALL_S
 
     play_with_stalls(scene)
 
 
 @pytest.mark.parametrize("kind", ["look", "pay"])
-def test_a_request_read_after_its_time_is_refused_and_not_forwarded(kind: str) -> None:
+def test_request_read_after_its_deadline_is_rejected_and_not_forwarded(kind: str) -> None:
     async def scene(clock: Clock) -> None:
         async with world(served) as w, connected(w) as client:
             client.send(request(kind, budget=f"{STALL_S / 2}"))
@@ -162,7 +162,7 @@
     play_with_stalls(scene)
 
 
-def test_the_answer_is_due_when_the_client_s_time_is_over_not_when_that_of_reading_is() -> None:
+def test_deadline_counts_from_when_the_client_sent_the_request() -> None:
     async def scene(clock: Clock) -> None:
         async with world(hung) as w, connected(w) as client:
             sent_at = clock()
@@ -176,17 +176,17 @@
     play_with_stalls(scene)
 
 
-def test_a_request_that_comes_after_a_stall_keeps_its_time() -> None:
+def test_request_that_arrives_after_a_stall_keeps_its_budget() -> None:
     async def scene(clock: Clock) -> None:
         async with world(served) as w, connected(w) as client:
             clock.skip(STALL_S)
             await asyncio.sleep(0.01)
             client.send(request(budget=f"{BUDGET_S}"))
             assert await client.read_status() == 200
-            assert told_s(w.sent()[0][1]) > BUDGET_S - STALL_S / 2
+            assert forwarded_budget_s(w.sent()[0][1]) > BUDGET_S - STALL_S / 2
             # And on a connection that is new after the stall.
             assert (await w.ask(budget=f"{BUDGET_S}"))[0] == 200
-            assert told_s(w.sent()[1][1]) > BUDGET_S - STALL_S / 2
+            assert forwarded_budget_s(w.sent()[1][1]) > BUDGET_S - STALL_S / 2
 
     play_with_stalls(scene)
 
@@ -212,7 +212,7 @@
         (0.004, 0.0, 0.1, 0.0),  # as short as any turn
     ],
 )
-def test_a_poll_bounds_how_long_what_it_reports_has_waited(
+def test_poll_bounds_how_long_its_events_have_waited(
     monkeypatch: pytest.MonkeyPatch, busy_s: float, slept_s: float, timeout_s: float, waited_s: float
 ) -> None:
     clock = SleepClock()
--- a/tests/proxy/test_stalled_clients.py
+++ b/tests/proxy/test_stalled_clients.py
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("earlier", [0, 3], ids=["first", "after others"])
 @pytest.mark.parametrize("stop", STOPS.values(), ids=STOPS)
-def test_a_client_that_stops_in_a_request_gets_its_error_in_time(stop: bytes, earlier: int) -> None:
+def test_client_that_stops_within_a_request_gets_an_error_in_time(stop: bytes, earlier: int) -> None:
     async def scene() -> None:
         async with world(served) as w:
             reader, writer = await w.connect()
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("pieces_s", [0.2, 0.9])
-def test_a_client_that_trickles_a_request_and_stops_gains_no_time(pieces_s: float) -> None:
+def test_client_that_trickles_a_request_and_stops_gains_no_time(pieces_s: float) -> None:
     async def scene() -> None:
         async with world(served) as w:
             reader, writer = await w.connect()
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize("answered_after_s", [0.0, 0.5, 1.8])
 @pytest.mark.parametrize("stop", STOPS.values(), ids=STOPS)
-def test_a_client_that_stops_behind_a_held_request_gets_answer_and_error_in_time(
+def test_client_that_stops_within_a_pipelined_request_gets_response_and_error_in_time(
     stop: bytes, answered_after_s: float
 ) -> None:
     async def scene() -> None:
@@ -92,7 +92,7 @@
     play_in_virtual_time(scene())
 
 
-def test_a_request_that_comes_whole_behind_a_held_one_is_served_after_it() -> None:
+def test_complete_pipelined_request_is_served_next() -> None:
     async def scene() -> None:
         async with world(hung) as w:
             reader, writer = await w.connect()
