--- a/sidecar/proxy/active_requests.py
+++ b/sidecar/proxy/active_requests.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
+from sidecar.proxy.client_request import ClientRequest
 from sidecar.proxy.connection_pool import Exchange
-from sidecar.proxy.frontend import Call
 from sidecar.settings import Idempotency
 
 
@@ -18,7 +18,7 @@
 
     Attributes:
         number: What the balancer knows it by.
-        call: The request as its client sent it.
+        client_request: The request as its client sent it.
         deadline_us: Clock time by which it has to be answered.
         answered: Whether its client has its answer or has disconnected.
         attempts_sent: Count of its attempts so far, which are numbered from 0.
@@ -28,7 +28,7 @@
     """
 
     number: int
-    call: Call
+    client_request: ClientRequest
     deadline_us: int
     answered: bool = False
     attempts_sent: int = 0
@@ -46,12 +46,12 @@
 
 
 class ActiveRequests:
-    """The table of requests in progress, by the balancer's number and by the client's call."""
+    """The table of requests in progress, by the balancer's number and by the client's request."""
 
     def __init__(self) -> None:
         self._numbers = itertools.count(1)
         self._by_number: dict[int, ActiveRequest] = {}
-        self._unanswered: dict[Call, ActiveRequest] = {}
+        self._unanswered: dict[ClientRequest, ActiveRequest] = {}
         self._ids_in_use: set[str] = set()
 
     def __len__(self) -> int:
@@ -60,12 +60,12 @@
     def __iter__(self) -> Iterator[ActiveRequest]:
         return iter(self._by_number.values())
 
-    def add(self, call: Call, deadline_us: int) -> ActiveRequest:
+    def add(self, client_request: ClientRequest, deadline_us: int) -> ActiveRequest:
         """Add a request with a number of its own; its id is in use from now on."""
-        request = ActiveRequest(next(self._numbers), call, deadline_us)
+        request = ActiveRequest(next(self._numbers), client_request, deadline_us)
         self._by_number[request.number] = request
-        self._unanswered[call] = request
-        self._ids_in_use.add(call.ident)
+        self._unanswered[client_request] = request
+        self._ids_in_use.add(client_request.request_id)
         return request
 
     def get(self, number: int | None) -> ActiveRequest | None:
@@ -80,9 +80,9 @@
         """Return whether a request with this id is in progress, or may have run just now."""
         return request_id in self._ids_in_use
 
-    def pop_unanswered(self, call: Call) -> ActiveRequest | None:
-        """Remove a call from those that wait for an answer; return its request, if it did wait."""
-        return self._unanswered.pop(call, None)
+    def pop_unanswered(self, client_request: ClientRequest) -> ActiveRequest | None:
+        """Remove a request from those that wait for an answer; return it if it did wait."""
+        return self._unanswered.pop(client_request, None)
 
     def remove_if_finished(self, request: ActiveRequest) -> None:
         """Remove a request that is answered and has no attempt in flight."""
@@ -95,8 +95,8 @@
 
         Guards against a client whose connection broke under the answer: it may send the same request again.
         """
-        service_class = request.call.service_class
-        request_id = request.call.ident
+        service_class = request.client_request.service_class
+        request_id = request.client_request.request_id
         if request.started and service_class.idempotency is not Idempotency.SAFE:
             patience_s = service_class.deadline_us / 1e6
             asyncio.get_running_loop().call_later(patience_s, self._ids_in_use.discard, request_id)
--- a/sidecar/proxy/attempts.py
+++ b/sidecar/proxy/attempts.py
@@ -10,12 +10,12 @@
 from sidecar.balancer.actions import CancelAttempt, SendAttempt
 from sidecar.balancer.events import AttemptEnded, Event, Outcome
 from sidecar.proxy.active_requests import ActiveRequest
+from sidecar.proxy.client_request import ClientRequest
 from sidecar.proxy.clock import Clock
 from sidecar.proxy.connection_pool import ConnectionPool, Exchange
-from sidecar.proxy.frontend import Call
 from sidecar.proxy.http_messages import Response, message
 from sidecar.proxy.load_reports import parse_report
-from sidecar.proxy.request_handler import RequestHandler
+from sidecar.proxy.request_lifecycle import RequestLifecycle
 from sidecar.settings import Settings
 
 _FORWARDED_HEADERS = (b"content-type", b"content-encoding")  # of a server's headers, these go to the client
@@ -52,7 +52,7 @@
     def __init__(
         self,
         settings: Settings,
-        requests: RequestHandler,
+        requests: RequestLifecycle,
         upstream: ConnectionPool,
         clock: Clock,
         handle: Callable[[Event], None],
@@ -118,13 +118,13 @@
         Guards what runs once, too: as a connection comes up, servers may have forgotten another attempt.
         """
         request = attempt.request
-        if request.call.has_left():
-            self._requests.on_disconnected(request.call)
+        if request.client_request.responder.is_disconnected():
+            self._requests.handle_disconnect(request.client_request)
             return None
         if self._is_past_dedup_window(attempt):
             return None
         request.started.add(attempt.number)
-        return encode_request(request.call, remaining_s)
+        return encode_request(request.client_request, remaining_s)
 
     def _is_past_dedup_window(self, attempt: Attempt) -> bool:
         """Return whether servers may have forgotten another attempt, and would run this one a second time."""
@@ -155,11 +155,11 @@
         return parse_report(text, self.settings.report_columns)
 
 
-def encode_request(call: Call, remaining_s: float) -> bytes:
+def encode_request(request: ClientRequest, remaining_s: float) -> bytes:
     """Return an attempt's request: the application's, with the seconds that remain for it."""
-    headers = [*call.headers, (b"X-Budget", b"%.6f" % remaining_s)]
+    headers = [*request.headers, (b"X-Budget", b"%.6f" % remaining_s)]
     if not any(name == b"host" for name, _ in headers):
         headers.append((b"Host", b"sidecar"))  # HTTP/1.0 allows none, HTTP/1.1 needs one
-    if call.body or call.method not in (b"GET", b"HEAD"):
-        headers.append((b"Content-Length", str(len(call.body)).encode()))
-    return message(b"%b %b HTTP/1.1" % (call.method, call.target), headers, call.body)
+    if request.body or request.method not in (b"GET", b"HEAD"):
+        headers.append((b"Content-Length", str(len(request.body)).encode()))
+    return message(b"%b %b HTTP/1.1" % (request.method, request.target), headers, request.body)
--- a/sidecar/proxy/driver.py
+++ b/sidecar/proxy/driver.py
@@ -29,13 +29,14 @@
 from sidecar.proxy.active_requests import ActiveRequests
 from sidecar.proxy.addresses import Address
 from sidecar.proxy.attempts import AttemptSender
+from sidecar.proxy.client_request import ClientRequest
 from sidecar.proxy.clock import Clock
 from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.endpoint_list import EndpointList
-from sidecar.proxy.frontend import Frontend, Hooks
+from sidecar.proxy.frontend import Frontend
 from sidecar.proxy.health_checks import HealthChecker
 from sidecar.proxy.loop_lag import LoopLagMonitor
-from sidecar.proxy.request_handler import RequestHandler
+from sidecar.proxy.request_lifecycle import RequestLifecycle
 from sidecar.proxy.shutdown import GracefulShutdown
 from sidecar.settings import Settings
 
@@ -80,16 +81,10 @@
         self._endpoint_list = EndpointList(
             config.discovery, config.known.version, settings.discovery, self._upstream, self.handle
         )
-        self._requests = RequestHandler(self._active, self._upstream, self._clock, self.handle)
+        self._requests = RequestLifecycle(self._active, self._upstream, self._clock, self.handle)
         self._attempts = AttemptSender(settings, self._requests, self._upstream, self._clock, self.handle)
         self._health_checks = HealthChecker(settings, self._upstream, self._clock, self.handle)
-        hooks = Hooks(
-            self._requests.on_arrived,
-            self._requests.on_disconnected,
-            self._active.is_id_in_use,
-            self.is_ready,
-        )
-        self.frontend = Frontend(config.listen, max_connections, hooks, settings)
+        self.frontend = Frontend(config.listen, max_connections, self, settings)
 
     async def run(self, stop: asyncio.Event) -> None:
         """Serve until `stop` is set, then shut down gracefully."""
@@ -106,8 +101,20 @@
         """Answer what was taken and what still comes, before SIGKILL may come."""
         await GracefulShutdown(self._settings, self.frontend, self._active, self._requests).run()
 
+    def handle_request(self, request: ClientRequest) -> None:
+        """Take a request, which is answered later."""
+        self._requests.handle_request(request)
+
+    def handle_disconnect(self, request: ClientRequest) -> None:
+        """Drop a request whose client has closed its connection."""
+        self._requests.handle_disconnect(request)
+
+    def is_request_id_in_use(self, request_id: str) -> bool:
+        """Return whether a request with this id is in progress, or may have run just now."""
+        return self._active.is_id_in_use(request_id)
+
     def is_ready(self) -> bool:
-        """Return whether clients may come."""
+        """Return whether it is ready for requests."""
         return self._lag_monitor.has_settled and not self.frontend.draining
 
     def reconfigure(self, former: Config, given: Config) -> None:
--- a/sidecar/proxy/request_handler.py
+++ b/sidecar/proxy/request_lifecycle.py
@@ -8,13 +8,13 @@
 from sidecar.balancer.actions import FailRequest, RejectRequest
 from sidecar.balancer.events import ClientDisconnected, Event, RequestArrived
 from sidecar.proxy.active_requests import ActiveRequest, ActiveRequests
+from sidecar.proxy.client_request import ClientRequest, retry_after_header
 from sidecar.proxy.clock import Clock
 from sidecar.proxy.connection_pool import ConnectionPool
-from sidecar.proxy.frontend import Call, retry_after
 from sidecar.proxy.http_messages import Headers
 
 
-class RequestHandler:
+class RequestLifecycle:
     """Follows each request from its arrival to its answer, which is due by its deadline.
 
     Attributes:
@@ -29,25 +29,26 @@
         self._clock = clock
         self._handle = handle
 
-    def on_arrived(self, call: Call) -> None:
+    def handle_request(self, client_request: ClientRequest) -> None:
         """Take a request; the balancer decides on it before this returns."""
-        request = self.active.add(call, self._clock.now() + call.budget_us)
+        deadline_us = self._clock.now() + client_request.budget_us
+        request = self.active.add(client_request, deadline_us)
         deadline = self._clock.to_loop_time(request.deadline_us)
         request.deadline_timer = asyncio.get_running_loop().call_at(deadline, self.abort, request.number)
         event = RequestArrived(
             request.number,
-            call.service_class.name,
-            call.tenant,
-            call.key,
-            call.budget_us,
-            call.cost_us,
-            call.again,
+            client_request.service_class.name,
+            client_request.tenant,
+            client_request.key,
+            client_request.budget_us,
+            client_request.cost_us,
+            client_request.is_retry,
         )
         self._handle(event)
 
-    def on_disconnected(self, call: Call) -> None:
+    def handle_disconnect(self, client_request: ClientRequest) -> None:
         """Drop a request whose client has closed its connection."""
-        request = self.active.pop_unanswered(call)
+        request = self.active.pop_unanswered(client_request)
         if request is not None and not request.answered:
             self._mark_answered(request)
             self._handle(ClientDisconnected(request.number))
@@ -59,7 +60,7 @@
             return
         match action:
             case RejectRequest():
-                self.answer(request, 503, retry_after(action.retry_after_us), b"")
+                self.answer(request, 503, retry_after_header(action.retry_after_us), b"")
             case FailRequest():
                 self.answer(request, 500, [], b"")
 
@@ -68,7 +69,7 @@
         if request.answered:
             return
         self._mark_answered(request)
-        request.call.answer(status, headers, body)
+        request.client_request.responder.respond(status, headers, body)
 
     def abort(self, number: int | None) -> None:
         """Fail a request and cancel its attempts.
@@ -91,7 +92,7 @@
 
     def _mark_answered(self, request: ActiveRequest) -> None:
         request.answered = True
-        self.active.pop_unanswered(request.call)
+        self.active.pop_unanswered(request.client_request)
         if request.deadline_timer is not None:
             request.deadline_timer.cancel()
         for exchange in request.exchanges_in_flight():
--- a/sidecar/proxy/shutdown.py
+++ b/sidecar/proxy/shutdown.py
@@ -11,8 +11,9 @@
 import logging
 
 from sidecar.proxy.active_requests import ActiveRequests
-from sidecar.proxy.frontend import Frontend, Phase
-from sidecar.proxy.request_handler import RequestHandler
+from sidecar.proxy.connection_state import ConnectionState
+from sidecar.proxy.frontend import Frontend
+from sidecar.proxy.request_lifecycle import RequestLifecycle
 from sidecar.settings import Settings
 
 log = logging.getLogger(__name__)
@@ -33,7 +34,7 @@
     """Ends the frontend's connections in phases, with no request left unanswered."""
 
     def __init__(
-        self, settings: Settings, frontend: Frontend, active: ActiveRequests, requests: RequestHandler
+        self, settings: Settings, frontend: Frontend, active: ActiveRequests, requests: RequestLifecycle
     ) -> None:
         self._frontend = frontend
         self._active = active
@@ -77,8 +78,8 @@
         """Fail the unanswered requests, and end the connections that have none; return how many failed."""
         failed = self._requests.fail_all()
         for connection in self._frontend.connections:
-            if connection.phase is Phase.WAITING:
-                connection.time_up()
+            if connection.state is ConnectionState.READING:
+                connection.state_expired()
         self._frontend.close_idle(used=False)
         return failed
 
@@ -95,6 +96,6 @@
 
     def _find_longest_deadline_s(self, settings: Settings) -> float:
         """Return the longest deadline in force or of a request, which may be of earlier settings."""
-        in_flight = (request.call.service_class for request in self._active.unanswered())
+        in_flight = (request.client_request.service_class for request in self._active.unanswered())
         longest_us = max(each.deadline_us for each in (*settings.classes, *in_flight))
         return min(longest_us / 1e6, _MAX_DEADLINE_S)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -15,7 +15,7 @@
 
 from sidecar.proxy.active_requests import ActiveRequest
 from sidecar.proxy.http_messages import Headers
-from sidecar.proxy.request_handler import RequestHandler
+from sidecar.proxy.request_lifecycle import RequestLifecycle
 
 KILL_AFTER_DEADLINE_S = 0.7
 OWED_S = 0.7  # what comes later after SIGTERM may stay without an answer
@@ -108,17 +108,17 @@
 def hold_up_at_an_answer(monkeypatch: pytest.MonkeyPatch, from_s: float) -> None:
     """Hold the sidecar up once, as it is about to write its first answer at or after this time."""
     held: list[float] = []
-    answer = RequestHandler.answer
+    answer = RequestLifecycle.answer
 
     def late(
-        requests: RequestHandler, active: ActiveRequest, status: int, headers: Headers, body: bytes
+        requests: RequestLifecycle, active: ActiveRequest, status: int, headers: Headers, body: bytes
     ) -> None:
         if not held and now_s() >= from_s:
             held.append(now_s())
             hold_up()
         answer(requests, active, status, headers, body)
 
-    monkeypatch.setattr(RequestHandler, "answer", late)
+    monkeypatch.setattr(RequestLifecycle, "answer", late)
 
 
 def lost(clients: Clients, began: float) -> list[Sent]:
@@ -175,9 +175,8 @@
             for (_, writer), each in zip(opened, data, strict=True):
                 writer.write(each[:-1])
 
-            await until(
-                lambda: len([each for each in w.sidecar.frontend.connections if each.has_begun()]) == CLIENTS
-            )
+            frontend = w.sidecar.frontend
+            await until(lambda: sum(each.has_partial_request() for each in frontend.connections) == CLIENTS)
             began = now_s()
             if noticed_late:
                 hold_up()
