--- a/scale/control/stub_sidecar.py
+++ b/scale/control/stub_sidecar.py
@@ -13,7 +13,7 @@
 from sidecar.proxy.addresses import Address
 from sidecar.proxy.clock import Clock
 from sidecar.proxy.connection_pool import ConnectionPool
-from sidecar.proxy.discovery import Discovery
+from sidecar.proxy.discovery_client import DiscoveryClient
 from sidecar.proxy.registry_messages import RegistryResponse
 from sidecar.settings import Settings
 
@@ -41,7 +41,7 @@
         self._upstream = ConnectionPool(
             limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, _SOCKETS_PER_SIDECAR
         )
-        self._discovery = Discovery(discovery, 0, self._on_registry_response)
+        self._discovery = DiscoveryClient(discovery, 0, self._on_registry_response)
         self._stopped = False
 
     def start(self) -> None:
@@ -55,7 +55,7 @@
 
     def migrate(self, address: Address) -> None:
         """Migrate to another address of the registry."""
-        self._discovery.move(address)
+        self._discovery.migrate(address)
 
     def _on_registry_response(self, response: RegistryResponse | None) -> None:
         if response is None:
@@ -69,11 +69,11 @@
     def _apply(self, response: RegistryResponse) -> None:
         """Apply an update in the order of `Sidecar`: addresses first, then the balancer."""
         if response.complete:
-            self._upstream.retain({line.server.server for line in response.lines})
-        for line in response.lines:
-            server = line.server
-            self._upstream.update(server.server, line.address, server.started_at, server.state)
-        servers = [line.server for line in response.lines]
+            self._upstream.retain({resolved.endpoint.server for resolved in response.endpoints})
+        for resolved in response.endpoints:
+            endpoint = resolved.endpoint
+            self._upstream.update(endpoint.server, resolved.address, endpoint.started_at, endpoint.state)
+        servers = [resolved.endpoint for resolved in response.endpoints]
         servers += [Endpoint(name, state=ServerState.REMOVED) for name in self._upstream.remove_superseded()]
         kind = RegistryUpdateKind.SNAPSHOT if response.complete else RegistryUpdateKind.DELTA
         self._handle(RegistryUpdated(kind, servers, response.version))
@@ -87,6 +87,12 @@
                     loop = asyncio.get_running_loop()
                     loop.call_later(action.in_us / 1e6, self._handle, TimerFired(action.token))
                 case WatchRegistry():
-                    self._discovery.follow(action.wanted)
+                    self._set_watching(action.wanted)
                 case FetchRegistry():
                     self._discovery.fetch()
+
+    def _set_watching(self, wanted: bool) -> None:
+        if wanted:
+            self._discovery.start_watch()
+        else:
+            self._discovery.stop_watch()
--- a/scale/latency/traced_sidecar.py
+++ b/scale/latency/traced_sidecar.py
@@ -16,7 +16,7 @@
 from scale.latency.experiment import Collector
 from scale.latency.tracing import Tracer
 from sidecar import __main__ as program
-from sidecar.proxy.discovery import Discovery
+from sidecar.proxy.discovery_client import DiscoveryClient
 from sidecar.proxy.endpoint_list import EndpointList
 
 _COLLECTION_DISABLED = (0, 1, 1)  # the first threshold 0 turns collection off
@@ -32,10 +32,10 @@
 
 def trace_registry(tracer: Tracer) -> None:
     """Time how registry responses are read and applied."""
-    reader, endpoint_list = vars(Discovery), vars(EndpointList)
-    read = tracer.registry.timed(reader["_read"].__func__)
+    reader, endpoint_list = vars(DiscoveryClient), vars(EndpointList)
+    read = tracer.registry.timed(reader["_parse"].__func__)
     apply = tracer.registry.timed(endpoint_list["apply"])
-    type.__setattr__(Discovery, "_read", staticmethod(read))
+    type.__setattr__(DiscoveryClient, "_parse", staticmethod(read))
     type.__setattr__(EndpointList, "apply", apply)
 
 
--- a/sidecar/config.py
+++ b/sidecar/config.py
@@ -11,12 +11,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a sidecar is told."""
+    """All that a sidecar is started with, named as in its file.
+
+    Attributes:
+        listen: Address that the application connects to.
+        discovery: Address of the registry.
+        seed: Seed of the balancer's random choices.
+        sockets: Most file descriptors that it may hold.
+        settings: Settings of the balancer.
+        cached_endpoints: Endpoint list as held before the start, which alone needs it.
+        version: Version of the configuration; None: it has none.
+    """
 
     listen: Address
     discovery: Address
     seed: int
     sockets: int
     settings: Settings
-    known: RegistryResponse = field(compare=False)  # as held before the start, which alone needs it
-    version: int | None = None  # None: it names none
+    cached_endpoints: RegistryResponse = field(compare=False)
+    version: int | None = None
--- a/sidecar/configuration.py
+++ b/sidecar/configuration.py
@@ -8,7 +8,7 @@
 
 from sidecar.config import Config
 from sidecar.proxy.addresses import parse_address
-from sidecar.proxy.registry_messages import RegistryResponse, parse_registry
+from sidecar.proxy.registry_messages import RegistryResponse, parse_registry_response
 from sidecar.wire_settings import settings_from_wire
 
 _SOCKETS = 1024  # unless the configuration tells
@@ -33,7 +33,7 @@
         seed=_seed(given.get("seed", "0")),
         sockets=_sockets(given.get("limits")),
         settings=settings_from_wire(given.get("settings")),
-        known=_known(given.get("known"), with_known),
+        cached_endpoints=_known(given.get("known"), with_known),
         version=_version(given.get("version")),
     )
 
@@ -55,7 +55,7 @@
         return RegistryResponse(0, True, [])
     if not with_lines and isinstance(value, dict) and isinstance(value.get("endpoints"), list):
         value = value | {"endpoints": []}
-    return parse_registry(value)
+    return parse_registry_response(value)
 
 
 def _version(value: Any) -> int | None:
--- a/sidecar/proxy/attempts.py
+++ b/sidecar/proxy/attempts.py
@@ -53,13 +53,13 @@
         self,
         settings: Settings,
         requests: RequestLifecycle,
-        upstream: ConnectionPool,
+        pool: ConnectionPool,
         clock: Clock,
         handle: Callable[[Event], None],
     ) -> None:
         self.settings = settings
         self._requests = requests
-        self._upstream = upstream
+        self._pool = pool
         self._clock = clock
         self._handle = handle
 
@@ -82,14 +82,14 @@
         request = self._requests.active.get(action.request)
         exchange = request.in_flight.get(action.attempt) if request is not None else None
         if exchange is not None:
-            self._upstream.cancel(exchange)
+            self._pool.cancel(exchange)
 
     def _start(self, attempt: Attempt, deadline_us: int) -> None:
         deadline = self._clock.to_loop_time(deadline_us)
         ended = partial(self._on_ended, attempt)
         order = partial(self._encode_if_wanted, attempt)
         try:
-            exchange = self._upstream.send(attempt.server, order, deadline, ended)
+            exchange = self._pool.send(attempt.server, order, deadline, ended)
         except Exception:
             ended(Outcome.RESET, None)  # a defect: it is not known how much was sent
             raise
@@ -109,7 +109,7 @@
         """End a retry that is not written completely: servers begin to forget its idempotency key."""
         exchange = attempt.request.in_flight.get(attempt.number)
         if exchange is not None and attempt.request.has_other_started(attempt.number):
-            self._upstream.abandon_unwritten(exchange)
+            self._pool.abandon_unwritten(exchange)
 
     def _encode_if_wanted(self, attempt: Attempt, remaining_s: float) -> bytes | None:
         """Return what an attempt sends, or None where it may not be sent any more.
--- /dev/null
+++ b/sidecar/proxy/discovery_client.py
@@ -0,0 +1,213 @@
+"""The client of the registry: watches the endpoint list and fetches it.  When to do so is decided elsewhere.
+
+The terms: whatever a call came to, a sidecar counts as notified of a change 6 s after the registry has it and
+can be reached.  Within that a watch that fell silent and the next call have to fit; so have a connect, a wait
+of the balancer and a call.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import logging
+import random
+from collections.abc import Callable
+
+from sidecar.proxy.addresses import Address
+from sidecar.proxy.http_messages import Response, message
+from sidecar.proxy.registry_messages import RegistryResponse, parse_registry_response
+from sidecar.proxy.server_connection import Connection, connect
+
+log = logging.getLogger(__name__)
+
+_PATH = "/registry/instances"
+# How long the registry may hold a watch: drawn anew each time, so that instances silenced at once spread out.
+_WATCH_WAIT_MS = (3_200, 4_000)
+_WATCH_MARGIN_S = 0.5  # and how much longer the call may take
+_POLL_TIMEOUT_S = 2.5  # for a call that the registry may not hold: a busy one lets calls wait for 2 s
+_CONNECT_TIMEOUT_S = 1.5  # longer than the first retransmission of a lost SYN
+_EMPTY_RESPONSE_PAUSE_S = 0.1  # after a watch that ends at once with nothing: within the 200 ms of one watch
+_MAX_RESPONSE_BYTES = 8 * 1024 * 1024
+_OK = 200
+
+
+class RegistryConnectionError(ConnectionResetError):
+    """The connection to the registry broke before its response was complete."""
+
+    def __init__(self) -> None:
+        super().__init__("the connection broke")
+
+
+class RegistryStatusError(ConnectionRefusedError):
+    """The registry responded with another status than 200."""
+
+    def __init__(self, status: int) -> None:
+        super().__init__(f"status {status}")
+
+
+class DiscoveryClient:
+    """Watches the endpoint list while that is wanted; each call has a connection of its own."""
+
+    def __init__(
+        self, address: Address, version: int, on_response: Callable[[RegistryResponse | None], None]
+    ) -> None:
+        """Make a client that is idle.
+
+        Args:
+            address: Where the registry listens.
+            version: Version of the endpoint list that is cached.
+            on_response: Called with each response of the registry, and with None for each call that failed.
+        """
+        self._address = address
+        self._version: int | None = version  # None: the next call fetches the complete list
+        self._has_last_call_failed = False
+        self._on_response = on_response
+        self._is_stopped = False
+        self._watch: asyncio.Task[None] | None = None
+        self._fetches: set[asyncio.Task[bool]] = set()  # as many as the balancer asks for
+        self._unanswered: Connection | None = None  # of a call that timed out, until the next one is sent
+
+    def start_watch(self) -> None:
+        """Start to watch; a watch that is under way goes on."""
+        if not self._is_stopped and (self._watch is None or self._watch.done()):
+            self._watch = asyncio.get_running_loop().create_task(self._watch_until_failure())
+
+    def stop_watch(self) -> None:
+        """Stop to watch."""
+        if self._watch is not None:
+            self._watch.cancel()
+            self._watch = None
+        self._abort_unanswered()
+
+    def fetch(self) -> None:
+        """Fetch the complete list once."""
+        task = asyncio.get_running_loop().create_task(self._poll(_PATH, _POLL_TIMEOUT_S))
+        self._fetches.add(task)
+        task.add_done_callback(self._fetches.discard)
+
+    def migrate(self, address: Address) -> None:
+        """Migrate to another address of the registry, and fetch the complete list there at once.
+
+        What was received from the former one may be behind, or ahead.
+        """
+        self._address = address
+        self._version = None
+        for fetch in self._fetches:
+            fetch.cancel()
+        self.stop_watch()
+        self.start_watch()
+
+    def stop(self) -> None:
+        """Stop for good."""
+        self._is_stopped = True
+        self.stop_watch()
+
+    def _abort_unanswered(self) -> None:
+        connection, self._unanswered = self._unanswered, None
+        if connection is not None:
+            connection.abort()
+
+    async def _watch_until_failure(self) -> None:
+        """Call again as soon as a call is answered: later than 200 ms it would be a new watch.
+
+        A watch that fell silent is opened anew as soon: a registry with many such clients takes them in turn.
+        """
+        loop = asyncio.get_running_loop()
+        while True:
+            began, version = loop.time(), self._version
+            if not await self._poll(*self._next_call()):
+                return
+            if self._version == version and loop.time() < began + _EMPTY_RESPONSE_PAUSE_S:
+                # Guards against spinning on a registry that does not hold watches.
+                await asyncio.sleep(_EMPTY_RESPONSE_PAUSE_S)
+
+    def _next_call(self) -> tuple[str, float]:
+        """Return the target of the watch's next call, and its time limit in seconds.
+
+        After a failure the registry may not hold the next call, so that another failure is noticed soon.
+        """
+        if self._version is None:
+            return _PATH, _POLL_TIMEOUT_S
+        if self._has_last_call_failed:
+            return f"{_PATH}?after={self._version}&wait_ms=0", _POLL_TIMEOUT_S
+        wait_ms = random.randint(*_WATCH_WAIT_MS)
+        return f"{_PATH}?after={self._version}&wait_ms={wait_ms}", wait_ms / 1000 + _WATCH_MARGIN_S
+
+    async def _poll(self, target: str, timeout_s: float) -> bool:
+        """Make a call and notify of what came of it; return whether the next may be made at once."""
+        response: RegistryResponse | None = None
+        version = self._version
+        timeout = asyncio.timeout(timeout_s)
+        try:
+            async with timeout:
+                response = self._parse(await self._call(target, timeout))
+                if self._is_superseded(response, version):
+                    self._has_last_call_failed = False
+                    return True
+                self._version = response.version
+        except (OSError, ValueError) as fault:  # TimeoutError is an OSError
+            log.warning("registry at %s:%d: %s failed: %r", *self._address, target, fault)
+        except Exception:  # a defect or junk: the watch is opened anew
+            log.exception("registry at %s:%d: %s could not be handled", *self._address, target)
+        has_succeeded = response is not None and self._apply(response)
+        if not has_succeeded:
+            self._on_response(None)
+        self._has_last_call_failed = not has_succeeded
+        return has_succeeded or timeout.expired()
+
+    def _is_superseded(self, response: RegistryResponse, version: int | None) -> bool:
+        """Return whether another call has told of more since this one began at a version.
+
+        Guards against undoing what the other one told of.
+        """
+        return self._version not in (None, version) and response.version < self._version
+
+    def _apply(self, response: RegistryResponse) -> bool:
+        """Notify of a response; return whether it could be put into force."""
+        try:
+            self._on_response(response)
+        except Exception:
+            log.exception("registry: version %d could not be put into force", response.version)
+            self._version = None  # a part of it may be missing: the complete list is needed
+            return False
+        return True
+
+    @staticmethod
+    def _parse(response: Response | None) -> RegistryResponse:
+        if response is None:
+            raise RegistryConnectionError
+        if response.status != _OK:
+            raise RegistryStatusError(response.status)
+        return parse_registry_response(json.loads(response.body))
+
+    async def _call(self, target: str, time_limit: asyncio.Timeout) -> Response | None:
+        """Make a call within a time limit; return its response, or None where the connection broke."""
+        async with asyncio.timeout(_CONNECT_TIMEOUT_S):
+            connection = await connect(self._address, _MAX_RESPONSE_BYTES)
+        try:
+            return await self._exchange(connection, target)
+        finally:
+            if time_limit.expired():
+                # A sidecar with no call in flight counts as notified of all that is older than the longest
+                # interval between calls: this one stays open until the next is sent.
+                self._abort_unanswered()
+                self._unanswered = connection
+            else:
+                connection.abort()
+
+    async def _exchange(self, connection: Connection, target: str) -> Response | None:
+        if not connection.is_idle():  # it broke as it came up, and would never tell that it has ended
+            raise RegistryConnectionError
+        received: asyncio.Future[Response | None] = asyncio.get_running_loop().create_future()
+
+        def on_response(response: Response | None) -> None:
+            if not received.done():
+                received.set_result(response)
+
+        connection.request(self._encode_request(target), on_response)
+        self._abort_unanswered()
+        return await received
+
+    def _encode_request(self, target: str) -> bytes:
+        host = f"{self._address[0]}:{self._address[1]}".encode()
+        return message(b"GET %b HTTP/1.1" % target.encode(), [(b"Host", host), (b"Connection", b"close")])
--- a/sidecar/proxy/driver.py
+++ b/sidecar/proxy/driver.py
@@ -66,7 +66,7 @@
             OSError: The address to listen at can't be used.
         """
         self._settings = settings = config.settings
-        self._cached_endpoints = config.known
+        self._cached_endpoints = config.cached_endpoints
         self._balancer = Balancer(settings, config.seed)
         self._clock = Clock()
         self._events: deque[Event] = deque()
@@ -79,7 +79,7 @@
             limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, max_connections
         )
         self._endpoint_list = EndpointList(
-            config.discovery, config.known.version, settings.discovery, self._upstream, self.handle
+            config.discovery, config.cached_endpoints.version, settings.discovery, self._upstream, self.handle
         )
         self._requests = RequestLifecycle(self._active, self._upstream, self._clock, self.handle)
         self._attempts = AttemptSender(settings, self._requests, self._upstream, self._clock, self.handle)
@@ -149,7 +149,7 @@
     def migrate_discovery(self, address: Address) -> None:
         """Migrate to another address of the registry, and fetch the complete list there at once."""
         log.info("registry is at %s:%d now", *address)
-        self._endpoint_list.client.move(address)
+        self._endpoint_list.client.migrate(address)
 
     def handle(self, event: Event) -> None:
         """Process an event, and those that its actions cause, in order.
--- a/sidecar/proxy/endpoint_list.py
+++ b/sidecar/proxy/endpoint_list.py
@@ -9,7 +9,7 @@
 from sidecar.balancer.events import Endpoint, Event, RegistryUpdated, RegistryUpdateKind, ServerState
 from sidecar.proxy.addresses import Address
 from sidecar.proxy.connection_pool import ConnectionPool
-from sidecar.proxy.discovery import Discovery
+from sidecar.proxy.discovery_client import DiscoveryClient
 from sidecar.proxy.registry_messages import RegistryResponse
 from sidecar.settings import Discovery as DiscoveryMode
 
@@ -30,12 +30,12 @@
         address: Address,
         version: int,
         mode: DiscoveryMode,
-        upstream: ConnectionPool,
+        pool: ConnectionPool,
         handle: Callable[[Event], None],
     ) -> None:
-        self.client = Discovery(address, version, self.on_response)
+        self.client = DiscoveryClient(address, version, self.on_response)
         self._mode = mode
-        self._upstream = upstream
+        self._pool = pool
         self._handle = handle
 
     def start(self, cached: RegistryResponse) -> None:
@@ -51,8 +51,10 @@
     def carry_out(self, action: WatchRegistry | FetchRegistry) -> None:
         """Watch the registry, stop to do so, or fetch the complete list once."""
         match action:
+            case WatchRegistry() if action.wanted:
+                self.client.start_watch()
             case WatchRegistry():
-                self.client.follow(action.wanted)
+                self.client.stop_watch()
             case FetchRegistry():
                 self.client.fetch()
 
@@ -64,22 +66,24 @@
             return
         self._handle(RegistryUpdated(RegistryUpdateKind.FAILED))
         if self._mode is DiscoveryMode.PUSHED:
-            asyncio.get_running_loop().call_later(_PUSHED_RETRY_S, self.client.follow, True)
+            asyncio.get_running_loop().call_later(_PUSHED_RETRY_S, self.client.start_watch)
 
     def apply(self, kind: RegistryUpdateKind, response: RegistryResponse) -> None:
         """Apply a list: addresses first, as the balancer may send to a server once it knows of it."""
         if kind is not RegistryUpdateKind.DELTA:
-            self._upstream.retain({line.server.server for line in response.lines})
-        for line in response.lines:
-            server = line.server
-            self._upstream.update(server.server, line.address, server.started_at, server.state)
-        servers = [line.server for line in response.lines]
-        if servers:
-            servers += [
-                Endpoint(name, state=ServerState.REMOVED) for name in self._upstream.remove_superseded()
-            ]
-        self._handle(RegistryUpdated(kind, servers, response.version))
+            self._pool.retain({resolved.endpoint.server for resolved in response.endpoints})
+        for resolved in response.endpoints:
+            endpoint = resolved.endpoint
+            self._pool.update(endpoint.server, resolved.address, endpoint.started_at, endpoint.state)
+        endpoints = [resolved.endpoint for resolved in response.endpoints]
+        if endpoints:
+            endpoints += self._remove_superseded()
+        self._handle(RegistryUpdated(kind, endpoints, response.version))
+
+    def _remove_superseded(self) -> list[Endpoint]:
+        """Remove the servers whose address another one has taken over; return them as removed."""
+        return [Endpoint(name, state=ServerState.REMOVED) for name in self._pool.remove_superseded()]
 
     def _watch_if_pushed(self) -> None:
         if self._mode is DiscoveryMode.PUSHED:
-            self.client.follow(True)
+            self.client.start_watch()
--- a/sidecar/proxy/health_checks.py
+++ b/sidecar/proxy/health_checks.py
@@ -25,10 +25,10 @@
     """
 
     def __init__(
-        self, settings: Settings, upstream: ConnectionPool, clock: Clock, handle: Callable[[Event], None]
+        self, settings: Settings, pool: ConnectionPool, clock: Clock, handle: Callable[[Event], None]
     ) -> None:
         self.settings = settings
-        self._upstream = upstream
+        self._pool = pool
         self._clock = clock
         self._handle = handle
 
@@ -37,7 +37,7 @@
         has_reports = self.settings.report_source is not ReportSource.NONE
         path = _LOAD_PATH if has_reports else _HEALTH_PATH
         ended = partial(self._on_ended, action.server, self._clock.now())
-        self._upstream.check_health(action.server, path, ended)
+        self._pool.check_health(action.server, path, ended)
 
     def _on_ended(self, server: str, sent_at_us: int, outcome: Outcome, response: Response | None) -> None:
         report = None
--- a/sidecar/proxy/registry_messages.py
+++ b/sidecar/proxy/registry_messages.py
@@ -1,4 +1,4 @@
-"""The registry's messages: its endpoint lists, complete or as changes."""
+"""The registry's messages: its endpoint list, complete or as the changes since a version."""
 
 from __future__ import annotations
 
@@ -14,62 +14,145 @@
 log = logging.getLogger(__name__)
 
 _STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.REMOVED}
+_UNKNOWN_STATE = ServerState.DRAINING  # of any other status: such a server gets no new requests
+
+
+class InvalidEndpointError(ValueError):
+    """An entry of the endpoint list is not of the registry's form."""
+
+    def __init__(self, key: str, expected: str) -> None:
+        super().__init__(f"{key}: {expected} is needed")
+
+
+class InvalidRegistryResponseError(ValueError):
+    """A response of the registry is no endpoint list."""
+
+    def __init__(self, key: str, expected: str) -> None:
+        super().__init__(f"{key}: {expected} is needed")
 
 
 @dataclass(slots=True)
 class ResolvedEndpoint:
-    """A line of the list, with the address that the server has for this sidecar."""
+    """An entry of the endpoint list.
+
+    Attributes:
+        endpoint: What the balancer is told of it.
+        address: Where it listens, as seen from this sidecar; None where it takes nothing new.
+    """
 
-    server: Endpoint
+    endpoint: Endpoint
     address: Address | None
 
 
 @dataclass(slots=True)
 class RegistryResponse:
-    """What discovery answered."""
+    """An endpoint list.
+
+    Attributes:
+        version: Version of the list.
+        complete: Whether it holds all endpoints; else it holds those that have changed.
+        endpoints: Its entries.
+    """
 
     version: int
     complete: bool
-    lines: list[ResolvedEndpoint]
+    endpoints: list[ResolvedEndpoint]
+
 
+def parse_registry_response(value: object) -> RegistryResponse:
+    """Parse an endpoint list, from JSON; an invalid entry is logged and skipped.
 
-def parse_registry(given: object) -> RegistryResponse:
-    """Read discovery's form; a junk entry is skipped with a log line, a junk list is a ValueError."""
-    if not isinstance(given, Mapping) or not isinstance(given.get("endpoints"), list):
-        raise ValueError("a list of servers is an object with endpoints")
-    version = given.get("index")
+    Raises:
+        InvalidRegistryResponseError: It is no endpoint list.
+    """
+    if not isinstance(value, Mapping):
+        raise InvalidRegistryResponseError("response", "an object")
+    entries, version = value.get("endpoints"), value.get("index")
+    if not isinstance(entries, list):
+        raise InvalidRegistryResponseError("endpoints", "a list")
     if type(version) is not int:
-        raise ValueError("index: a whole number is needed")
-    lines = []
-    for entry in given["endpoints"]:
+        raise InvalidRegistryResponseError("index", "a whole number")
+    endpoints = []
+    for entry in entries:
         try:
-            lines.append(_listed(entry))
-        except (ValueError, TypeError, KeyError, AttributeError, OverflowError) as junk:
-            log.warning("list entry skipped: %r: %.120r", junk, entry)
-    return RegistryResponse(version, given.get("snapshot") is True, lines)
-
-
-def _listed(entry: Mapping[str, Any]) -> ResolvedEndpoint:
-    name, zone, kind = entry["name"], entry.get("zone", ""), entry.get("type", "")
-    group, weight, since_ms = entry.get("group", 0), entry.get("weight", 1.0), entry.get("since_ms", 0)
-    if not all(isinstance(each, str) for each in (name, zone, kind)) or not name:
-        raise ValueError("name, zone and type must be texts")
-    if type(group) is not int or type(since_ms) is not int or since_ms < 0:
-        raise ValueError("group and since_ms must be whole numbers")
-    if isinstance(weight, bool) or not isinstance(weight, int | float) or not math.isfinite(weight):
-        raise ValueError("weight must be a number")
-    # A status that is not known here takes nothing new.
-    state = _STATES.get(entry["status"], ServerState.DRAINING)
-    started_at = since_ms * 1000 or None
-    server = Endpoint(name, zone, kind, group, state, float(weight), started_at)
-    return ResolvedEndpoint(server, _place(entry.get("address"), state))
-
-
-def _place(value: object, state: ServerState) -> Address | None:
-    """Where the server listens; one that takes nothing new needs no address, and its leaving must be told."""
+            endpoints.append(_parse_endpoint(entry))
+        except InvalidEndpointError as invalid:
+            log.warning("registry: entry skipped: %s: %.120r", invalid, entry)
+    return RegistryResponse(version, value.get("snapshot") is True, endpoints)
+
+
+def _parse_endpoint(entry: object) -> ResolvedEndpoint:
+    if not isinstance(entry, Mapping):
+        raise InvalidEndpointError("entry", "an object")
+    state = _parse_state(entry)
+    endpoint = Endpoint(
+        server=_parse_name(entry),
+        zone=_parse_text(entry, "zone"),
+        kind=_parse_text(entry, "type"),
+        cell=_parse_integer(entry, "group"),
+        state=state,
+        nominal=_parse_weight(entry),
+        started_at=_parse_started_at(entry),
+    )
+    return ResolvedEndpoint(endpoint, _parse_address(entry, state))
+
+
+def _parse_name(entry: Mapping[str, Any]) -> str:
+    name = _parse_text(entry, "name")
+    if not name:
+        raise InvalidEndpointError("name", "a text that is not empty")
+    return name
+
+
+def _parse_text(entry: Mapping[str, Any], key: str) -> str:
+    value = entry.get(key, "")
+    if not isinstance(value, str):
+        raise InvalidEndpointError(key, "a text")
+    return value
+
+
+def _parse_integer(entry: Mapping[str, Any], key: str) -> int:
+    value = entry.get(key, 0)
+    if type(value) is not int:
+        raise InvalidEndpointError(key, "a whole number")
+    return value
+
+
+def _parse_weight(entry: Mapping[str, Any]) -> float:
+    value = entry.get("weight", 1.0)
+    if isinstance(value, bool) or not isinstance(value, int | float):
+        raise InvalidEndpointError("weight", "a number")
+    try:
+        weight = float(value)
+    except OverflowError:
+        weight = math.inf
+    if not math.isfinite(weight):
+        raise InvalidEndpointError("weight", "a finite number")
+    return weight
+
+
+def _parse_started_at(entry: Mapping[str, Any]) -> int | None:
+    """Return when the server's process started, in microseconds of Unix time; None: long ago."""
+    since_ms = _parse_integer(entry, "since_ms")
+    if since_ms < 0:
+        raise InvalidEndpointError("since_ms", "a number of milliseconds from 0")
+    return since_ms * 1000 or None
+
+
+def _parse_state(entry: Mapping[str, Any]) -> ServerState:
+    if "status" not in entry or isinstance(entry["status"], list | dict):
+        raise InvalidEndpointError("status", "a text")
+    return _STATES.get(entry["status"], _UNKNOWN_STATE)
+
+
+def _parse_address(entry: Mapping[str, Any], state: ServerState) -> Address | None:
+    """Return where the server listens.
+
+    One that gets no new requests needs no address: skipped for the lack of one, it would stay in use.
+    """
     try:
-        return parse_address(str(value))
-    except ValueError:
+        return parse_address(str(entry.get("address")))
+    except ValueError as invalid:
         if state is ServerState.READY:
-            raise
+            raise InvalidEndpointError("address", "host:port") from invalid
         return None
--- a/sidecar/proxy/request_lifecycle.py
+++ b/sidecar/proxy/request_lifecycle.py
@@ -22,10 +22,10 @@
     """
 
     def __init__(
-        self, active: ActiveRequests, upstream: ConnectionPool, clock: Clock, handle: Callable[[Event], None]
+        self, active: ActiveRequests, pool: ConnectionPool, clock: Clock, handle: Callable[[Event], None]
     ) -> None:
         self.active = active
-        self._upstream = upstream
+        self._pool = pool
         self._clock = clock
         self._handle = handle
 
@@ -81,7 +81,7 @@
             return
         self.answer(request, 500, [], b"")
         for exchange in request.exchanges_in_flight():
-            self._upstream.cancel(exchange)
+            self._pool.cancel(exchange)
 
     def fail_all(self) -> int:
         """Answer all unanswered requests as failed (500); return how many they were."""
@@ -96,5 +96,5 @@
         if request.deadline_timer is not None:
             request.deadline_timer.cancel()
         for exchange in request.exchanges_in_flight():
-            self._upstream.abandon_unwritten(exchange)  # nothing is sent for a request that is over
+            self._pool.abandon_unwritten(exchange)  # nothing is sent for a request that is over
         self.active.remove_if_finished(request)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,7 +8,7 @@
 import pytest
 from virtual_time import Service
 
-from sidecar.proxy import discovery, server_connection
+from sidecar.proxy import discovery_client, server_connection
 from sidecar.proxy.addresses import Address
 from sidecar.proxy.server_connection import Connection
 
@@ -28,5 +28,5 @@
         made.append(Service())
         return made[-1]
 
-    monkeypatch.setattr(discovery, "connect", dial)
+    monkeypatch.setattr(discovery_client, "connect", dial)
     return make
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -17,7 +17,7 @@
 from sidecar.proxy import sockets
 from sidecar.proxy.addresses import Address
 from sidecar.proxy.driver import Sidecar
-from sidecar.proxy.registry_messages import parse_registry
+from sidecar.proxy.registry_messages import parse_registry_response
 
 PATIENCE_S = 20.0  # for what must come; no test takes it as proof of anything
 
@@ -229,7 +229,9 @@
         await server.start()
     await discovery.start()
     given = settings(**{"classes": CLASSES, "limits": LIMITS, **changes})
-    known = parse_registry({"index": 41, "snapshot": True, "endpoints": [each.entry() for each in servers]})
+    known = parse_registry_response(
+        {"index": 41, "snapshot": True, "endpoints": [each.entry() for each in servers]}
+    )
     config = Config(("127.0.0.1", 0), discovery.address, 7, sockets, given, known)
     made = World(config, servers, discovery)
     running = asyncio.create_task(made.sidecar.run(made.stop))
--- a/tests/scale/test_registry_standin.py
+++ b/tests/scale/test_registry_standin.py
@@ -16,7 +16,7 @@
 from scale.standins.fleet import make_endpoints
 from scale.standins.registry import RegistryServer
 from scale.standins.registry_state import Availability
-from sidecar.proxy.registry_messages import parse_registry
+from sidecar.proxy.registry_messages import parse_registry_response
 
 TIMEOUT_S = 20.0
 ENDPOINTS = [Endpoint("s-1", "10.0.0.1:80", "a"), Endpoint("s-2", "10.0.0.2:80", "b", weight=2.0)]
@@ -78,8 +78,11 @@
             True,
             ["s-1", "s-2"],
         )
-        parsed = parse_registry(payload)
-        assert [(line.server.zone, line.server.nominal) for line in parsed.lines] == [("a", 1.0), ("b", 2.0)]
+        parsed = parse_registry_response(payload)
+        assert [(each.endpoint.zone, each.endpoint.nominal) for each in parsed.endpoints] == [
+            ("a", 1.0),
+            ("b", 2.0),
+        ]
 
         log.drain(["s-1"])
         log.remove(["s-1"])
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -39,9 +39,9 @@
 from sidecar.proxy.addresses import Address
 from sidecar.proxy.connection_pool import ConnectionPool, Exchange, classify_outcome
 from sidecar.proxy.connection_state import STATE_TIME_LIMITS_S, ConnectionState
-from sidecar.proxy.discovery import Discovery
+from sidecar.proxy.discovery_client import DiscoveryClient
 from sidecar.proxy.http_messages import Response, message
-from sidecar.proxy.registry_messages import RegistryResponse, parse_registry
+from sidecar.proxy.registry_messages import RegistryResponse, parse_registry_response
 from sidecar.proxy.server_connection import Connection
 from sidecar.proxy.sockets import has_ended
 
@@ -466,7 +466,9 @@
                 await until(lambda: len(w.sidecar._active) == 2)
                 where = "{}:{}".format(*address)
                 entry = w.servers[0].entry(status="leaving", address=where)
-                w.sidecar._endpoint_list.on_response(parse_registry({"index": 42, "endpoints": [entry]}))
+                w.sidecar._endpoint_list.on_response(
+                    parse_registry_response({"index": 42, "endpoints": [entry]})
+                )
                 dialling = w.sidecar._upstream.servers["s-0"].dialing
                 assert not dialling
                 assert {(await each)[0] for each in outs} == {503}
@@ -605,16 +607,16 @@
         heard: list[RegistryResponse | None] = []
         called: list[tuple[Address, str, asyncio.Future[Response]]] = []
 
-        async def call(self: Discovery, target: str, _: asyncio.Timeout) -> Response:
+        async def call(self: DiscoveryClient, target: str, _: asyncio.Timeout) -> Response:
             called.append((self._address, target, asyncio.get_running_loop().create_future()))
             return await called[-1][2]
 
-        monkeypatch.setattr(Discovery, "_call", call)
-        discovery = Discovery(("127.0.0.1", 1), 41, heard.append)
-        discovery.follow(True)
+        monkeypatch.setattr(DiscoveryClient, "_call", call)
+        discovery = DiscoveryClient(("127.0.0.1", 1), 41, heard.append)
+        discovery.start_watch()
         await until(lambda: called)
         called[0][2].set_result(Response(200, [], b'{"index": 99, "snapshot": true, "endpoints": []}'))
-        discovery.move(("127.0.0.1", 2))  # before the watch had a turn
+        discovery.migrate(("127.0.0.1", 2))  # before the watch had a turn
         await until(lambda: len(called) == 2)
         assert heard == [] and called[1][:2] == (("127.0.0.1", 2), "/registry/instances")
         called[1][2].set_result(Response(200, [], b'{"index": 7, "snapshot": true, "endpoints": []}'))
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,8 +11,8 @@
 
 from sidecar.balancer.events import ServerState
 from sidecar.proxy.connection_pool import ConnectionPool
-from sidecar.proxy.discovery import _IDLE_S, Discovery
-from sidecar.proxy.registry_messages import RegistryResponse, parse_registry
+from sidecar.proxy.discovery_client import _EMPTY_RESPONSE_PAUSE_S, DiscoveryClient
+from sidecar.proxy.registry_messages import RegistryResponse, parse_registry_response
 
 
 def entry(name: Any = "s-1", **changes: Any) -> dict[str, Any]:
@@ -28,7 +28,7 @@
             await until(lambda: len(w.discovery.targets) == 4)
             paths = [each.split("&")[0] for each in w.discovery.targets]
             assert paths == [f"/registry/instances?after={index}" for index in (41, 42, 43, 44)]
-            assert _IDLE_S < 0.2  # the only pause there is; later it would be a new watch
+            assert _EMPTY_RESPONSE_PAUSE_S < 0.2  # the only pause there is; later it would be a new watch
 
     play(scene())
 
@@ -93,11 +93,11 @@
         down = FakeDiscovery()
         await down.start()
         down.stop()
-        discovery = Discovery(down.address, 1, heard.append)
-        discovery.follow(True)
+        discovery = DiscoveryClient(down.address, 1, heard.append)
+        discovery.start_watch()
         await until(lambda: heard == [None])
         await until(lambda: discovery._watch is None or discovery._watch.done())
-        discovery.follow(True)  # and a new watch may begin
+        discovery.start_watch()  # and a new watch may begin
         await until(lambda: heard == [None, None])
 
     play(scene())
@@ -108,16 +108,16 @@
         service = FakeDiscovery()
         await service.start()
         heard: list[RegistryResponse | None] = []
-        discovery = Discovery(service.address, 1, heard.append)
+        discovery = DiscoveryClient(service.address, 1, heard.append)
         for _ in range(3):
-            discovery.follow(True)
+            discovery.start_watch()
         await until(lambda: service.targets)
         discovery.fetch()
         await until(lambda: len(service.targets) == 2)
         assert service.targets[1] == "/registry/instances"
         service.say(7, [entry()], snapshot=True)
         await until(lambda: heard)
-        discovery.follow(False)
+        discovery.stop_watch()
         assert discovery._watch is None
         service.stop()
 
@@ -129,8 +129,8 @@
 ) -> None:
     # Guards rule 3: with no call out for a moment, or a pause before the next one, a sidecar counts as told
     # of drains that it has not heard of.  The module asks again too late here.
-    monkeypatch.setattr("sidecar.proxy.discovery._WAIT_MS", (20, 20))
-    monkeypatch.setattr("sidecar.proxy.discovery._LATE_S", 0.02)
+    monkeypatch.setattr("sidecar.proxy.discovery_client._WATCH_WAIT_MS", (20, 20))
+    monkeypatch.setattr("sidecar.proxy.discovery_client._WATCH_MARGIN_S", 0.02)
 
     async def scene() -> None:
         async with world(served, rules={"max_poll_interval_us": 600 * S}) as w:
@@ -177,12 +177,16 @@
         entry(since_ms=-1),
         entry(status=[]),
     ]
-    told = parse_registry({"index": 5, "snapshot": True, "endpoints": [*junk, entry(since_ms=2, group=3)]})
-    assert [each.server.server for each in told.lines] == ["s-1"]
-    line = told.lines[0]
+    told = parse_registry_response(
+        {"index": 5, "snapshot": True, "endpoints": [*junk, entry(since_ms=2, group=3)]}
+    )
+    assert [each.endpoint.server for each in told.endpoints] == ["s-1"]
+    line = told.endpoints[0]
     assert (told.version, told.complete, line.address) == (5, True, ("127.0.0.1", 9))
-    assert (line.server.started_at, line.server.cell, line.server.zone) == (2000, 3, "a")
-    assert parse_registry({"index": 5, "endpoints": [entry()]}).lines[0].server.started_at is None
+    assert (line.endpoint.started_at, line.endpoint.cell, line.endpoint.zone) == (2000, 3, "a")
+    assert (
+        parse_registry_response({"index": 5, "endpoints": [entry()]}).endpoints[0].endpoint.started_at is None
+    )
 
 
 @pytest.mark.parametrize(
@@ -195,8 +199,8 @@
     ],
 )
 def test_a_status_that_is_not_known_takes_nothing_new(status: str, state: ServerState) -> None:
-    told = parse_registry({"index": 5, "snapshot": False, "endpoints": [entry(status=status)]})
-    assert told.lines[0].server.state is state
+    told = parse_registry_response({"index": 5, "snapshot": False, "endpoints": [entry(status=status)]})
+    assert told.endpoints[0].endpoint.state is state
 
 
 def test_a_new_server_at_a_former_one_s_address_takes_its_place() -> None:
--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -13,10 +13,10 @@
 from loopback import answer, reset, served, until, world
 from virtual_time import Service, now_s, play_in_virtual_time, told_within
 
-from sidecar.proxy import discovery, server_connection, sockets
+from sidecar.proxy import discovery_client, server_connection, sockets
 from sidecar.proxy.addresses import Address
 from sidecar.proxy.connection_pool import ConnectionPool
-from sidecar.proxy.registry_messages import parse_registry
+from sidecar.proxy.registry_messages import parse_registry_response
 from sidecar.proxy.server_connection import Connection
 
 TOLD_S = 6.0  # after discovery has a change and can be reached
@@ -84,7 +84,7 @@
             return dialled[-1]
 
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(discovery, "connect", dial)
+            patch.setattr(discovery_client, "connect", dial)
             async with world(served, served, service=there, rules=RULES, discovery=mode) as w:
                 await until(lambda: there.targets)
                 transport: Any = dialled[-1]._transport
@@ -125,7 +125,7 @@
                 await asyncio.sleep(0)  # and its end has been told by now
             return connection
 
-        monkeypatch.setattr(discovery, "connect", dial)
+        monkeypatch.setattr(discovery_client, "connect", dial)
         async with world(served, served, service=there, rules=RULES) as w:
             await until(lambda: there.targets)
             there.left = 3
@@ -143,11 +143,11 @@
 
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("defect", DEFECTS, ids=lambda each: type(each).__name__)
-@pytest.mark.parametrize("where", ["parse_registry", "remove_superseded"])
+@pytest.mark.parametrize("where", ["parse_registry_response", "remove_superseded"])
 def test_a_change_is_applied_in_time_though_a_list_can_not_be_handled_once(
     where: str, defect: Exception, mode: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    place: Any = discovery if where == "parse_registry" else ConnectionPool
+    place: Any = discovery_client if where == "parse_registry_response" else ConnectionPool
     handle = getattr(place, where)
     failures = [defect]
 
@@ -215,5 +215,5 @@
 
 def test_an_entry_with_a_number_too_large_spoils_no_other() -> None:
     large = {"name": "s-0", "address": "127.0.0.1:9", "status": "active", "weight": 10**400}
-    told = parse_registry({"index": 1, "endpoints": [large, large | {"name": "s-1", "weight": 1}]})
-    assert [line.server.server for line in told.lines] == ["s-1"]
+    told = parse_registry_response({"index": 1, "endpoints": [large, large | {"name": "s-1", "weight": 1}]})
+    assert [each.endpoint.server for each in told.endpoints] == ["s-1"]
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -85,7 +85,7 @@
 def test_the_same_contents_change_nothing(version: int | None) -> None:
     # Not even where the list of the start differs: whoever writes the file may put in what it knows by now.
     start, applying = replace(START, version=version), Applying()
-    again = replace(start, known=RegistryResponse(9, True, []))
+    again = replace(start, cached_endpoints=RegistryResponse(9, True, []))
     assert Reloader(start, applying).reload(read_from(again)) == Unchanged(version)
     assert applying.done == []
 
@@ -170,7 +170,7 @@
 
     def lines(known: object, with_known: bool) -> int:
         path.write_text(json.dumps(given | {"known": known}), encoding="utf-8")
-        return len(read_config({"RELAY_CONFIG": str(path)}, with_known).known.lines)
+        return len(read_config({"RELAY_CONFIG": str(path)}, with_known).cached_endpoints.endpoints)
 
     known = {"index": 1, "snapshot": True, "endpoints": [line]}
     assert [lines(known, with_known) for with_known in (True, False)] == [1, 0]
