--- a/tests/proxy/test_client_disconnect_races.py
+++ b/tests/proxy/test_client_disconnect_races.py
@@ -31,7 +31,7 @@
 from sidecar.proxy.server_connection import Connection
 
 
-def test_a_client_leaves_while_it_waits_to_be_accepted_or_read() -> None:
+def test_client_disconnects_while_queued_or_unread() -> None:
     async def scene() -> None:
         async with world(served) as w:
             address = w.sidecar.frontend.address
@@ -52,7 +52,7 @@
     play(scene())
 
 
-def test_a_client_leaves_as_the_connection_for_its_request_comes_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_client_disconnects_as_the_connection_for_its_request_opens(monkeypatch: pytest.MonkeyPatch) -> None:
     dialled, go_on = asyncio.Event(), asyncio.Event()
     connect = server_connection.connect
 
@@ -79,7 +79,7 @@
     play(scene())
 
 
-def test_a_client_leaves_as_its_request_is_drawn_anew() -> None:
+def test_client_disconnects_as_its_request_is_retried() -> None:
     async def scene() -> None:
         async with world(served, served) as w:
             await rested_everywhere(w)
@@ -98,7 +98,7 @@
     play(scene())
 
 
-def test_a_client_leaves_as_its_request_comes_to_its_turn() -> None:
+def test_client_disconnects_as_its_request_is_next_for_its_key() -> None:
     classes = [each | {"ordered_by_key": True} for each in CLASSES]
 
     async def scene() -> None:
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("left", [True, False])
-def test_a_client_leaves_as_its_long_request_is_half_written(left: bool) -> None:
+def test_client_disconnects_as_its_long_request_is_half_written(left: bool) -> None:
     # With the last byte a server begins, and a busy event loop may write it long after the client left.
     async def scene() -> None:
         loop = asyncio.get_running_loop()
@@ -156,7 +156,7 @@
 
 
 @pytest.mark.parametrize("leaves", [False, True])
-def test_a_client_leaves_as_its_request_waits_for_probes(
+def test_client_disconnects_as_its_request_waits_for_load_probes(
     leaves: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     made: list[Connection] = []
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -20,7 +20,7 @@
     return given | {"status": "active", "weight": 1.0, "since_ms": 0} | changes
 
 
-def test_the_watch_goes_on_from_the_known_list_and_again_at_once() -> None:
+def test_watch_continues_from_the_cached_list_and_repeats_at_once() -> None:
     async def scene() -> None:
         async with world(served) as w:
             for index in (42, 43, 44):
@@ -54,7 +54,7 @@
     play(scene())
 
 
-def test_a_server_that_restarted_is_cold_from_then_on() -> None:
+def test_restarted_server_is_in_slow_start() -> None:
     async def scene() -> None:
         async with world(served) as w:
             server = w.sidecar._balancer._context.registry.servers["s-0"]
@@ -76,7 +76,7 @@
         b"HTTP/1.1 200 X\r\nContent-Length: 99\r\n\r\n{",
     ],
 )
-def test_a_failed_registry_call_is_reported_and_made_again(bad: bytes) -> None:
+def test_failed_registry_call_is_reported_and_retried(bad: bytes) -> None:
     async def scene() -> None:
         async with world(served, rules={"max_poll_interval_us": 1 * S}) as w:
             w.discovery.answers.put_nowait(bad)
@@ -87,7 +87,7 @@
     play(scene())
 
 
-def test_discovery_that_is_down_is_a_failed_call() -> None:
+def test_registry_that_is_down_is_a_failed_call() -> None:
     async def scene() -> None:
         heard: list[RegistryResponse | None] = []
         down = FakeDiscovery()
@@ -103,7 +103,7 @@
     play(scene())
 
 
-def test_a_watch_under_way_is_not_doubled_and_can_be_ended() -> None:
+def test_watch_is_not_started_twice_and_can_be_stopped() -> None:
     async def scene() -> None:
         service = FakeDiscovery()
         await service.start()
@@ -124,7 +124,7 @@
     play(scene())
 
 
-def test_a_watch_that_fell_silent_is_opened_anew_before_the_old_call_is_left(
+def test_silent_watch_is_reopened_before_the_former_call_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards rule 3: with no call out for a moment, or a pause before the next one, a sidecar counts as told
@@ -148,7 +148,7 @@
     play(scene())
 
 
-def test_pushed_lists_are_read_without_being_asked_for() -> None:
+def test_pushed_lists_are_watched_by_themselves() -> None:
     async def scene() -> None:
         async with world(served, discovery="pushed") as w:
             w.discovery.answers.put_nowait(answer(503, b""))
@@ -160,7 +160,7 @@
     play(scene())
 
 
-def test_a_list_holds_what_makes_sense_and_junk_is_skipped() -> None:
+def test_invalid_entries_of_a_list_are_skipped() -> None:
     junk: list[Any] = [
         7,
         None,
@@ -198,12 +198,12 @@
         ("resting", ServerState.DRAINING),
     ],
 )
-def test_a_status_that_is_not_known_takes_nothing_new(status: str, state: ServerState) -> None:
+def test_unknown_status_counts_as_draining(status: str, state: ServerState) -> None:
     told = parse_registry_response({"index": 5, "snapshot": False, "endpoints": [entry(status=status)]})
     assert told.endpoints[0].endpoint.state is state
 
 
-def test_a_new_server_at_a_former_one_s_address_takes_its_place() -> None:
+def test_new_server_at_the_address_of_a_former_one_supersedes_it() -> None:
     # The list may name the former one for seconds yet: what is sent to it would go to the new process, which
     # is cold, over connections that no process holds any more.
     async def scene() -> None:
@@ -227,7 +227,7 @@
 
 
 @pytest.mark.parametrize("status", ["leaving", "left"])
-def test_a_server_that_leaves_is_reported_even_without_its_address(status: str) -> None:
+def test_draining_server_is_reported_even_without_its_address(status: str) -> None:
     # Guards rule 3: skipped as junk, the entry would leave the server in use.
     async def scene() -> None:
         async with world(served) as w:
@@ -240,7 +240,7 @@
     play(scene())
 
 
-def test_a_service_that_does_not_wait_is_not_called_without_a_pause() -> None:
+def test_registry_that_does_not_hold_watches_is_polled_with_a_pause() -> None:
     async def scene() -> None:
         async with world(served) as w:
             for _ in range(4):
@@ -251,7 +251,7 @@
     play_in_virtual_time(scene())
 
 
-def test_an_answer_without_changes_looks_at_no_address(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_response_without_changes_compares_no_addresses(monkeypatch: pytest.MonkeyPatch) -> None:
     looks: list[int] = []
     remove_superseded = ConnectionPool.remove_superseded
 
--- a/tests/proxy/test_drain_races.py
+++ b/tests/proxy/test_drain_races.py
@@ -18,7 +18,7 @@
 from sidecar.proxy import shutdown
 
 
-def test_a_drain_stops_listening_while_a_connection_waits_for_room(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_drain_stops_listening_while_a_connection_waits_for_capacity(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(shutdown, "_ACCEPT_S", 0.0)
     monkeypatch.setattr(shutdown, "_MAX_DEADLINE_S", 600.0)
 
--- a/tests/proxy/test_endpoint_list_races.py
+++ b/tests/proxy/test_endpoint_list_races.py
@@ -25,7 +25,7 @@
 from sidecar.proxy.registry_messages import RegistryResponse, parse_registry_response
 
 
-def test_a_slow_snapshot_arrives_after_the_delta_of_a_watch() -> None:
+def test_slow_snapshot_arrives_after_the_delta_of_a_watch() -> None:
     async def scene() -> None:
         async with world(served) as w:
             await until(lambda: w.discovery.called(1))
@@ -47,7 +47,7 @@
     play(scene())
 
 
-def test_a_server_moves_while_a_connection_to_its_old_place_is_dialled() -> None:
+def test_server_changes_its_address_while_its_former_one_is_dialed() -> None:
     async def scene() -> None:
         with deaf() as address:
             servers = ConnectionPool(600.0, 600.0, 10)
@@ -61,7 +61,7 @@
     play(scene())
 
 
-def test_a_dial_ends_with_the_drain_of_its_server_and_the_next_in_turn_is_drawn_for_it() -> None:
+def test_dial_ends_as_its_server_drains_and_the_next_request_of_the_key_is_due() -> None:
     # The end of the dial reaches the balancer ahead of the list, and lets the next request of its key out.
     classes = [each | {"ordered_by_key": True} for each in CLASSES]
     limits = LIMITS | {"max_attempts": 1, "dial_timeout_us": 600 * S}
@@ -87,7 +87,7 @@
     play(scene())
 
 
-def test_discovery_moves_as_its_former_place_answers(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_migration_as_the_former_registry_responds(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene() -> None:
         heard: list[RegistryResponse | None] = []
         called: list[tuple[Address, str, asyncio.Future[Response]]] = []
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -133,7 +133,7 @@
     ("deadline_s", "noticed_late"),
     [(0.05, False), (0.1, False), (0.1, True), (1.0, False), (1.0, True), (30.0, False), (30.0, True)],
 )
-def test_all_that_hung_servers_leave_open_is_answered_before_sigkill(
+def test_requests_at_hung_servers_are_answered_before_sigkill(
     deadline_s: float, held_before_kill_s: float, noticed_late: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
@@ -162,7 +162,7 @@
 
 @pytest.mark.parametrize("noticed_late", [False, True])
 @pytest.mark.parametrize("deadline_s", [0.1, 1.0])
-def test_a_request_whose_end_comes_at_any_moment_of_a_shutdown_gets_an_answer(
+def test_request_completed_at_any_moment_of_a_shutdown_gets_a_response(
     deadline_s: float, noticed_late: bool
 ) -> None:
     async def scene() -> None:
--- a/tests/proxy/test_hedging_races.py
+++ b/tests/proxy/test_hedging_races.py
@@ -15,7 +15,7 @@
 
 @pytest.mark.parametrize("leaves", [True, False])
 @pytest.mark.parametrize("dialled", [True, False])
-def test_a_client_leaves_as_its_request_is_hedged(
+def test_client_disconnects_as_its_request_is_hedged(
     dialled: bool, leaves: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
--- a/tests/proxy/test_long_outages.py
+++ b/tests/proxy/test_long_outages.py
@@ -36,7 +36,7 @@
         ("silent", RULES[1], "pushed"),
     ],
 )
-def test_a_change_after_ten_quiet_minutes_is_applied_in_time(
+def test_change_after_ten_quiet_minutes_is_applied_in_time(
     fault: str | None, rules: dict[str, int], mode: str, service: Callable[[], Service]
 ) -> None:
     async def scene() -> None:
@@ -67,7 +67,7 @@
         ("silent", RULES[1], "pushed"),
     ],
 )
-def test_a_change_after_an_outage_of_five_minutes_is_applied_in_time(
+def test_change_after_an_outage_of_five_minutes_is_applied_in_time(
     fault: str, rules: dict[str, int], mode: str, service: Callable[[], Service]
 ) -> None:
     async def scene() -> None:
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize(("fault", "mode"), [("refused", "on_request"), ("cut off", "pushed")])
-def test_a_reload_in_an_outage_of_five_minutes_is_followed_at_once(
+def test_reload_in_an_outage_of_five_minutes_is_applied_at_once(
     fault: str, mode: str, service: Callable[[], Service]
 ) -> None:
     async def scene() -> None:
--- a/tests/proxy/test_pipelined_client_races.py
+++ b/tests/proxy/test_pipelined_client_races.py
@@ -28,7 +28,7 @@
     return reader, writer
 
 
-def test_a_client_that_has_sent_far_ahead_leaves_while_its_request_is_held() -> None:
+def test_client_that_pipelines_too_much_disconnects_while_its_request_is_in_flight() -> None:
     async def scene() -> None:
         async with world(hung) as w:
             _, writer = await flood(w, request("pay", body=b"held", budget="500"))
@@ -39,7 +39,7 @@
     play(scene())
 
 
-def test_a_client_that_has_sent_far_ahead_gets_its_answer_and_an_end() -> None:
+def test_client_that_pipelines_too_much_gets_its_response_and_a_close() -> None:
     async def scene() -> None:
         async with world(hung) as w:
             reader, writer = await flood(w, request("pay", body=b"held", budget="500"))
@@ -55,7 +55,7 @@
     play(scene())
 
 
-def test_a_client_that_never_ends_behind_a_held_request_gets_its_answer_and_an_end(
+def test_client_that_never_stops_sending_gets_its_response_and_a_close(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("sidecar.proxy.client_connection._MAX_DISCARDED_BYTES", 1024 * 1024)
--- a/tests/proxy/test_process_lifecycle.py
+++ b/tests/proxy/test_process_lifecycle.py
@@ -89,7 +89,7 @@
         config(limits={"sockets": "many"}),
     ],
 )
-def test_a_bad_configuration_ends_the_start_with_one_line(given: object, tmp_path: Path) -> None:
+def test_invalid_configuration_ends_the_start_with_one_line(given: object, tmp_path: Path) -> None:
     async def scene() -> None:
         process = await launch(tmp_path / "config.json", given)
         _, err = await asyncio.wait_for(process.communicate(), PATIENCE_S)
@@ -99,7 +99,7 @@
     play(scene())
 
 
-def test_a_flood_of_log_lines_is_cut() -> None:
+def test_log_lines_are_rate_limited() -> None:
     flood = Flood(3)
     lines = [logging.makeLogRecord({"created": at}) for at in (7.0, 7.1, 7.2, 7.3, 7.9, 8.0)]
     assert [flood.filter(each) for each in lines] == [True, True, True, False, False, True]
@@ -146,7 +146,7 @@
         discovery.stop()
 
 
-def test_on_sigterm_all_that_is_held_is_answered_and_the_program_ends(tmp_path: Path) -> None:
+def test_sigterm_answers_requests_in_flight_and_ends_the_process(tmp_path: Path) -> None:
     async def scene() -> None:
         server = FakeServer("s-0", lambda first, *_: None if "held" in first else answer(200, b"served"))
         async with program(tmp_path, server) as (process, listen):
@@ -172,7 +172,7 @@
     play(scene())
 
 
-def test_after_sigterm_a_request_that_never_ends_is_failed_in_time(tmp_path: Path) -> None:
+def test_request_that_never_ends_is_failed_in_time_after_sigterm(tmp_path: Path) -> None:
     async def scene() -> None:
         server = FakeServer("s-0", lambda *_: None)
         async with program(tmp_path, server) as (process, listen):
@@ -187,7 +187,7 @@
     play(scene())
 
 
-def test_a_drain_still_takes_connections_and_serves_those_just_opened(
+def test_drain_still_accepts_connections_and_serves_those_just_opened(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards the 0.4 s in which connections still come; made long, so that a slow machine can't miss them.
@@ -226,7 +226,7 @@
             return line
 
 
-def test_on_sighup_discovery_is_asked_at_its_new_place_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_migrates_discovery_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     async def scene() -> None:
         old, first, second = FakeDiscovery(), FakeDiscovery(), FakeDiscovery()
         await first.start()
@@ -263,7 +263,7 @@
     play(scene())
 
 
-def test_it_calls_itself_ready_only_once_its_event_loop_keeps_time(
+def test_readiness_waits_for_an_event_loop_on_time(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     # Guards the first clients: a platform may hold a program back for the CPU that it spent on starting.
@@ -281,7 +281,7 @@
     play(scene())
 
 
-def test_a_machine_that_always_lags_is_called_ready_all_the_same(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_readiness_comes_in_time_on_a_machine_that_always_lags(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene() -> None:
         monkeypatch.setattr(loop_lag, "SETTLED_AFTER_S", 0.05)
         monkeypatch.setattr(loop_lag, "_LAG_WARNING_S", -1.0)
@@ -360,7 +360,7 @@
     play(scene())
 
 
-def test_a_restart_with_a_thousand_servers_is_ready_in_time_while_discovery_is_down(tmp_path: Path) -> None:
+def test_restart_with_a_thousand_servers_is_ready_in_time_while_discovery_is_down(tmp_path: Path) -> None:
     # Nine in ten have to be ready within 10 s, on a part of a core and in 32 MB.
     async def scene() -> None:
         server, down = FakeServer("s-0", lambda *_: answer(200, b"served")), FakeDiscovery()
--- a/tests/proxy/test_registry_faults.py
+++ b/tests/proxy/test_registry_faults.py
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize("times", [1, 3])
 @pytest.mark.parametrize("code", DIAL_FAULTS)
 @pytest.mark.parametrize("in_socket", [True, False])
-def test_a_change_is_applied_in_time_though_dials_to_discovery_fail(
+def test_change_is_applied_in_time_though_dials_to_the_registry_fail(
     in_socket: bool, code: int, times: int, mode: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("code", BREAKS)
-def test_a_change_is_applied_in_time_though_the_watch_breaks(code: int, mode: str) -> None:
+def test_change_is_applied_in_time_though_the_watch_breaks(code: int, mode: str) -> None:
     async def scene() -> None:
         there = Service()
         dialled: list[Connection] = []
@@ -109,7 +109,7 @@
         await super()._serve(reader, writer)
 
 
-def test_a_connection_that_breaks_as_it_comes_up_is_no_call_that_waits(
+def test_connection_that_breaks_as_it_opens_does_not_count_as_a_watch(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     connect = server_connection.connect
@@ -144,7 +144,7 @@
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("defect", DEFECTS, ids=lambda each: type(each).__name__)
 @pytest.mark.parametrize("where", ["parse_registry_response", "remove_superseded"])
-def test_a_change_is_applied_in_time_though_a_list_can_not_be_handled_once(
+def test_change_is_applied_in_time_though_a_list_can_not_be_applied_once(
     where: str, defect: Exception, mode: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     place: Any = discovery_client if where == "parse_registry_response" else ConnectionPool
@@ -199,7 +199,7 @@
 
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("what", JUNK)
-def test_a_change_is_applied_in_time_though_junk_came_in_its_place(what: str, mode: str) -> None:
+def test_change_is_applied_in_time_though_junk_came_in_its_place(what: str, mode: str) -> None:
     async def scene() -> None:
         there = JunkService()
         async with world(served, served, service=there, rules=RULES, discovery=mode) as w:
@@ -213,7 +213,7 @@
     play_in_virtual_time(scene())
 
 
-def test_an_entry_with_a_number_too_large_spoils_no_other() -> None:
+def test_entry_with_a_number_too_large_affects_no_other() -> None:
     large = {"name": "s-0", "address": "127.0.0.1:9", "status": "active", "weight": 10**400}
     told = parse_registry_response({"index": 1, "endpoints": [large, large | {"name": "s-1", "weight": 1}]})
     assert [each.endpoint.server for each in told.endpoints] == ["s-1"]
--- a/tests/proxy/test_registry_races.py
+++ b/tests/proxy/test_registry_races.py
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("reload_first", [True, False])
-def test_a_drain_is_applied_in_time_where_a_reload_moves_discovery(
+def test_drain_is_applied_in_time_where_a_reload_migrates_discovery(
     reload_first: bool, mode: str, service: Callable[[], Service]
 ) -> None:
     async def scene() -> None:
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("reload_first", [True, False])
-def test_a_drain_told_after_sigterm_and_a_reload_keeps_late_requests_from_its_server(
+def test_drain_notified_after_sigterm_and_a_reload_keeps_late_requests_from_its_server(
     reload_first: bool, service: Callable[[], Service], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(shutdown, "_ACCEPT_S", 600.0)  # connections are taken for as long as the test needs
@@ -129,7 +129,7 @@
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("missed_after_s", [0.0, 1.0, 2.4, 3.9, 5.0])
 @pytest.mark.parametrize("open_for_s", [0.0, 1.5, 3.1])
-def test_a_change_missed_by_a_watch_that_falls_silent_after_telling_others_is_applied_in_time(
+def test_change_missed_by_a_watch_that_falls_silent_after_other_events_is_applied_in_time(
     open_for_s: float, missed_after_s: float, mode: str, service: Callable[[], Service]
 ) -> None:
     async def scene() -> None:
@@ -158,7 +158,7 @@
 
 
 @pytest.mark.parametrize("drained_first", [True, False])
-def test_a_server_left_out_of_a_whole_list_gets_nothing_more_and_finishes_what_it_has(
+def test_server_missing_from_a_snapshot_gets_no_new_requests_and_completes_those_in_flight(
     drained_first: bool,
 ) -> None:
     async def scene() -> None:
@@ -189,7 +189,7 @@
     play_in_virtual_time(scene())
 
 
-def test_a_request_whose_server_is_left_out_of_a_whole_list_and_dies_goes_elsewhere_only_if_safe() -> None:
+def test_request_whose_server_is_missing_from_a_snapshot_and_dies_is_retried_only_if_safe() -> None:
     async def scene() -> None:
         async with world(hung, hung) as w:
             safe = asyncio.create_task(w.ask(kind="look", budget="500"))
@@ -242,9 +242,7 @@
 
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("how", ["reset", "503", "half an answer", "end"])
-def test_a_watch_ends_instead_of_telling_and_the_whole_list_leaves_out_what_drains(
-    how: str, mode: str
-) -> None:
+def test_watch_ends_without_its_event_and_the_snapshot_lacks_what_drains(how: str, mode: str) -> None:
     async def scene() -> None:
         there = EndingService()
         there.how = how
--- a/tests/proxy/test_registry_update_delay.py
+++ b/tests/proxy/test_registry_update_delay.py
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("change_first", [True, False])
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_change_is_applied_in_time_after_any_fault(
+def test_change_is_applied_in_time_after_any_fault(
     fault: str, change_first: bool, service: Callable[[], Service]
 ) -> None:
     async def scene() -> None:
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("after_s", [0.1, 1.0, 2.4, 3.9, 4.2])
-def test_a_change_is_applied_in_time_while_a_watch_is_silent(
+def test_change_is_applied_in_time_while_a_watch_is_silent(
     after_s: float, service: Callable[[], Service]
 ) -> None:
     # The watch alone fell silent: its service has the change, and answers whoever calls anew.
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_change_is_applied_in_time_where_discovery_moved_while_it_was_down(
+def test_change_is_applied_in_time_where_discovery_migrated_while_it_was_down(
     fault: str, service: Callable[[], Service]
 ) -> None:
     async def scene() -> None:
@@ -84,7 +84,7 @@
     play_in_virtual_time(scene())
 
 
-def test_a_change_is_applied_four_seconds_after_a_move_though_the_first_call_falls_silent(
+def test_change_is_applied_four_seconds_after_a_migration_though_the_first_call_falls_silent(
     service: Callable[[], Service],
 ) -> None:
     async def scene() -> None:
@@ -105,7 +105,7 @@
     play_in_virtual_time(scene())
 
 
-def test_a_watch_calls_no_more_than_it_must(service: Callable[[], Service]) -> None:
+def test_watch_makes_no_more_calls_than_needed(service: Callable[[], Service]) -> None:
     # Each call costs a service that answers a whole fleet in turn; shorter waits than this buy nothing.
     async def scene() -> None:
         there = service()
--- a/tests/proxy/test_response_races.py
+++ b/tests/proxy/test_response_races.py
@@ -28,7 +28,7 @@
 from sidecar.proxy.sockets import has_ended
 
 
-def test_a_second_answer_crosses_the_next_request_where_connections_are_scarce() -> None:
+def test_second_response_arrives_as_the_next_request_is_sent_where_connections_are_scarce() -> None:
     async def scene() -> None:
         async with world(hung, sockets=66) as w:  # room for one connection to servers
             w.sidecar._upstream._reuse_delay_s = 600.0
@@ -47,7 +47,7 @@
     play(scene())
 
 
-def test_a_new_connection_comes_while_an_answer_is_still_being_written(
+def test_new_connection_arrives_while_a_response_is_being_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setitem(STATE_TIME_LIMITS_S, ConnectionState.CLOSING, 600.0)
@@ -77,7 +77,7 @@
     play(scene())
 
 
-def test_an_answer_that_comes_before_its_request_is_written_is_no_answer_to_it() -> None:
+def test_response_before_its_request_is_written_does_not_count_as_one() -> None:
     early = Response(200, [], b"again to the one before")
     assert classify_outcome(early, written=False, protocol_error=False) is Outcome.CONNECT_FAILED
     assert classify_outcome(early, written=True, protocol_error=False) is Outcome.SUCCEEDED
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("how", ENDS)
-def test_an_attempt_ends_as_its_answer_comes(how: str) -> None:
+def test_attempt_ends_as_its_response_arrives(how: str) -> None:
     end, ended = ENDS[how]
 
     async def scene() -> None:
@@ -128,7 +128,7 @@
     play(scene())
 
 
-def test_an_attempt_that_is_given_up_is_out_no_more_as_the_next_one_is_written() -> None:
+def test_abandoned_attempt_is_not_in_flight_as_the_next_one_is_written() -> None:
     # Guards rule 2 where second copies are not allowed: the end of one decides on the next in the same turn.
     async def scene() -> None:
         server = FakeServer("s", hung)
@@ -142,7 +142,7 @@
     play(scene())
 
 
-def test_an_idle_connection_s_time_is_up_as_the_next_request_takes_it() -> None:
+def test_idle_connection_times_out_as_the_next_request_takes_it() -> None:
     async def scene() -> None:
         server = FakeServer("s", served)
         upstream, _, connection, heard = await written(server)
@@ -162,7 +162,7 @@
     play(scene())
 
 
-def test_a_client_has_left_as_its_request_takes_an_idle_connection() -> None:
+def test_client_has_disconnected_as_its_request_takes_an_idle_connection() -> None:
     # Kept as if it had just been used, the connection would be held for longer than its server holds it.
     async def scene() -> None:
         server = FakeServer("s", served)
@@ -178,7 +178,7 @@
     play(scene())
 
 
-def test_idle_connections_that_their_server_has_closed_make_no_room() -> None:
+def test_idle_connections_closed_by_their_server_free_no_capacity() -> None:
     async def scene() -> None:
         idle, busy = FakeServer("a", served), FakeServer("s", hung)
         servers = ConnectionPool(600.0, 600.0, 2)
--- a/tests/proxy/test_wall_clock_steps.py
+++ b/tests/proxy/test_wall_clock_steps.py
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("span_s", STEPS_S)
-def test_the_clock_of_the_driver_runs_on_through_a_step(span_s: float, step: Step) -> None:
+def test_clock_runs_on_through_a_step(span_s: float, step: Step) -> None:
     clock = Clock()
     before_us, began_us = clock.now(), time.monotonic_ns() // 1000
     step(span_s)
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("before", [True, False])
 @pytest.mark.parametrize("span_s", STEPS_S)
-def test_a_deadline_is_kept_through_a_step(span_s: float, before: bool, step: Step) -> None:
+def test_deadline_is_kept_through_a_step(span_s: float, before: bool, step: Step) -> None:
     async def scene() -> None:
         if before:
             step(span_s)
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("span_s", STEPS_S)
-def test_a_bound_on_log_lines_holds_and_ends_in_time_after_a_step(span_s: float) -> None:
+def test_rate_limit_of_log_lines_holds_and_ends_in_time_after_a_step(span_s: float) -> None:
     flood = Flood(2)
     lines = [7.0, 7.1, 7.2, 7.3 + span_s, 7.4 + span_s, 7.5 + span_s, 8.4 + span_s]
     passed = [flood.filter(logging.makeLogRecord({"created": at})) for at in lines]
