--- a/sidecar/proxy/discovery_client.py
+++ b/sidecar/proxy/discovery_client.py
@@ -68,12 +68,12 @@
         self._unanswered: Connection | None = None  # of a call that timed out, until the next one is sent
 
     def start_watch(self) -> None:
-        """Start to watch; a watch that is under way goes on."""
+        """Start the watch; one that is running goes on."""
         if not self._is_stopped and (self._watch is None or self._watch.done()):
             self._watch = asyncio.get_running_loop().create_task(self._watch_until_failure())
 
     def stop_watch(self) -> None:
-        """Stop to watch."""
+        """Stop the watch."""
         if self._watch is not None:
             self._watch.cancel()
             self._watch = None
@@ -134,7 +134,7 @@
         return f"{_PATH}?after={self._version}&wait_ms={wait_ms}", wait_ms / 1000 + _WATCH_MARGIN_S
 
     async def _poll(self, target: str, timeout_s: float) -> bool:
-        """Make a call and notify of what came of it; return whether the next may be made at once."""
+        """Make a call and notify of its result; return whether the next may be made at once."""
         response: RegistryResponse | None = None
         version = self._version
         timeout = asyncio.timeout(timeout_s)
@@ -156,9 +156,9 @@
         return has_succeeded or timeout.expired()
 
     def _is_superseded(self, response: RegistryResponse, version: int | None) -> bool:
-        """Return whether another call has told of more since this one began at a version.
+        """Return whether another call has brought a newer version since this one began at a version.
 
-        Guards against undoing what the other one told of.
+        Guards against undoing what the other one brought.
         """
         return self._version not in (None, version) and response.version < self._version
 
@@ -196,7 +196,7 @@
                 connection.abort()
 
     async def _exchange(self, connection: Connection, target: str) -> Response | None:
-        if not connection.is_idle():  # it broke as it came up, and would never tell that it has ended
+        if not connection.is_idle():  # it broke as it opened, and would never report its end
             raise RegistryConnectionError
         received: asyncio.Future[Response | None] = asyncio.get_running_loop().create_future()
 
--- a/sidecar/proxy/driver.py
+++ b/sidecar/proxy/driver.py
@@ -98,11 +98,11 @@
         await self._upstream.close()
 
     async def drain(self) -> None:
-        """Answer what was taken and what still comes, before SIGKILL may come."""
+        """Shut down gracefully: answer all requests that were accepted or still arrive, before SIGKILL."""
         await GracefulShutdown(self._settings, self.frontend, self._active, self._requests).run()
 
     def handle_request(self, request: ClientRequest) -> None:
-        """Take a request, which is answered later."""
+        """Process a new request, which is answered later."""
         self._requests.handle_request(request)
 
     def handle_disconnect(self, request: ClientRequest) -> None:
@@ -121,7 +121,7 @@
         """Put the difference between two configurations into force.
 
         Raises:
-            ValueError: The balancer rejects the settings; then nothing has changed.
+            Exception: What the balancer raises on the settings; then nothing has changed.
         """
         if given.settings != former.settings:
             self.apply_settings(given.settings)
@@ -134,7 +134,7 @@
         Limits on descriptors and the listening socket are set at the start and stay.
 
         Raises:
-            ValueError: The balancer rejects them; then nothing has changed.
+            Exception: What the balancer raises on them; then nothing has changed.
         """
         actions = self._balancer.handle(self._clock.now(), SettingsChanged(settings))
         self._settings = settings
--- a/sidecar/proxy/endpoint_list.py
+++ b/sidecar/proxy/endpoint_list.py
@@ -49,7 +49,7 @@
         self._watch_if_pushed()
 
     def carry_out(self, action: WatchRegistry | FetchRegistry) -> None:
-        """Watch the registry, stop to do so, or fetch the complete list once."""
+        """Start or stop the watch, or fetch the complete list once."""
         match action:
             case WatchRegistry() if action.wanted:
                 self.client.start_watch()
--- a/sidecar/proxy/loop_lag.py
+++ b/sidecar/proxy/loop_lag.py
@@ -1,4 +1,4 @@
-"""Event loop lag: logs it, and tells from when on the event loop runs on time."""
+"""Event loop lag: logs it, and reports from when on the event loop runs on time."""
 
 from __future__ import annotations
 
@@ -17,6 +17,9 @@
 class LoopLagMonitor:
     """Checks the lag of the running event loop at regular intervals.
 
+    Attributes:
+        has_settled: Whether the event loop has been on time since the start.
+
     Guards clients that come while the platform still throttles this program for the CPU that it spent on
     starting: their requests would wait that out, and most be late.
     """
@@ -26,18 +29,18 @@
         self._checks: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start to check."""
+        """Start the checks, and the time after which the event loop counts as on time."""
         loop = asyncio.get_running_loop()
         self._checks = loop.create_task(self._check_forever())
         loop.call_later(SETTLED_AFTER_S, self.settle)
 
     def stop(self) -> None:
-        """Stop to check."""
+        """Stop the checks."""
         if self._checks is not None:
             self._checks.cancel()
 
     def settle(self) -> None:
-        """Take the event loop as running on time from now on."""
+        """Let the event loop count as on time from now on."""
         self.has_settled = True
 
     async def _check_forever(self) -> None:
@@ -49,6 +52,8 @@
 
     def _note_lag(self, lag_s: float) -> None:
         if lag_s > _LAG_WARNING_S:
-            log.warning("the event loop was %.0f ms late", lag_s * 1000)
+            log.warning(
+                "the event loop was %.0f ms late; warned from %.0f ms on", lag_s * 1000, _LAG_WARNING_S * 1000
+            )
         else:
             self.settle()
--- a/sidecar/proxy/request_lifecycle.py
+++ b/sidecar/proxy/request_lifecycle.py
@@ -30,7 +30,7 @@
         self._handle = handle
 
     def handle_request(self, client_request: ClientRequest) -> None:
-        """Take a request; the balancer decides on it before this returns."""
+        """Process a new request; the balancer decides on it before this returns."""
         deadline_us = self._clock.now() + client_request.budget_us
         request = self.active.add(client_request, deadline_us)
         deadline = self._clock.to_loop_time(request.deadline_us)
--- a/sidecar/proxy/shutdown.py
+++ b/sidecar/proxy/shutdown.py
@@ -1,8 +1,8 @@
-"""Graceful shutdown: after SIGTERM, answers every request that was taken before SIGKILL may come.
+"""Graceful shutdown: after SIGTERM, answers every accepted request before SIGKILL may come.
 
 The terms: SIGKILL may come 0.7 s after the longest deadline, of which the platform waits for no longer one
 than 3 s.  Connections come for 0.4 s after SIGTERM.  Both the notice of SIGTERM and the last answers may be
-held up for 0.15 s.
+delayed for 0.15 s.
 """
 
 from __future__ import annotations
@@ -21,11 +21,10 @@
 # Counted from SIGTERM.
 _ACCEPT_S = 0.45  # how long connections are accepted: they come for 0.4 s
 _UNUSED_S = 0.55  # how long one that has carried nothing stays open for a request on its way
-# Counted from SIGTERM and the longest deadline.
-_FAIL_ALL_S = (
-    0.38  # when all requests that are left are answered as failed: 0.7 s less two hold-ups of 0.15 s
-)
-_LINGER_S = 0.65  # when the last connections end, so that their clients have read the answers
+# Counted from the longest deadline after SIGTERM.
+# When all requests that are left are failed: of the 0.7 s, less the two delays and a poll interval.
+_FAIL_ALL_S = 0.38
+_LINGER_S = 0.65  # when the last connections end, so that their clients have read the responses
 _MAX_DEADLINE_S = 3.0  # the platform waits for no longer deadline
 _POLL_INTERVAL_S = 0.02
 
@@ -54,13 +53,13 @@
         log.info("drained after %.3f s: %d requests failed", self._elapsed_s(), failed)
 
     async def _accept(self) -> None:
-        """Still accept connections; close those that have carried requests as they become idle."""
+        """Go on accepting connections; close those that have carried requests as they become idle."""
         while self._elapsed_s() < _ACCEPT_S:
             await asyncio.sleep(_POLL_INTERVAL_S)
             self._frontend.close_idle(used=True)
 
     async def _finish_requests(self) -> None:
-        """Stop to accept, and wait for the answers of the requests in flight."""
+        """Stop accepting connections, and wait for the requests in flight."""
         until_s = max(self._longest_deadline_s + _FAIL_ALL_S, _ACCEPT_S)
         while not self._is_drained() and self._elapsed_s() < until_s:
             await asyncio.sleep(_POLL_INTERVAL_S)
