--- a/sidecar/proxy/driver.py
+++ b/sidecar/proxy/driver.py
@@ -45,8 +45,9 @@
     TimerFired,
 )
 from sidecar.proxy.addresses import Address
-from sidecar.proxy.connection_pool import ConnectionPool, Exchange
+from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.discovery import Discovery, RegistryResponse
+from sidecar.proxy.exchange import DeferredRequest, Exchange
 from sidecar.proxy.frontend import Call, Frontend, Hooks, Phase, retry_after
 from sidecar.proxy.http_messages import Headers, Response, message
 from sidecar.proxy.load_reports import parse_health_check, parse_report
@@ -378,7 +379,7 @@
         live.out[index] = None
         until = self._clock.on_loop(min(action.until or live.answer_by, live.answer_by))
         ended = partial(self._attempt_ended, live, index, action.server, self._clock.now())
-        order = partial(self._order, live, index, action.write_by)
+        order = DeferredRequest(partial(self._order, live, index, action.write_by))
         try:
             exchange = self._upstream.send(action.server, order, until, ended)
         except Exception:
--- /dev/null
+++ b/sidecar/proxy/exchange.py
@@ -0,0 +1,188 @@
+"""One attempt or health check: its request, its response, and the single `Outcome` that it ends with."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+from dataclasses import dataclass
+from http import HTTPStatus
+from typing import TYPE_CHECKING, Protocol
+
+from sidecar.balancer.events import Outcome
+from sidecar.proxy.http_messages import Response
+from sidecar.proxy.server_connection import Connection
+from sidecar.proxy.sockets import is_connected
+
+if TYPE_CHECKING:
+    from sidecar.proxy.pooled_servers import PooledServer
+
+# With these the response is not awaited any more, and what has not been written must never be.
+_ABORTING_OUTCOMES = (Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+
+
+class RequestWriter(Protocol):
+    """Encodes a request at the moment when it is written, as it states the remaining time."""
+
+    def encode(self, remaining_s: float, /) -> bytes | None:
+        """Encode the request.
+
+        This is called when a connection is ready, and again before the last byte of a long request.
+
+        Args:
+            remaining_s: Seconds until the deadline, at least 0.
+
+        Returns:
+            The encoded request, or None if it is not wanted any more.
+        """
+
+
+class OutcomeCallback(Protocol):
+    """Is called exactly once when an exchange ends."""
+
+    def __call__(self, outcome: Outcome, response: Response | None, /) -> None:
+        """Take the outcome, and the complete response if there is one."""
+
+
+@dataclass(frozen=True, slots=True)
+class EncodedRequest:
+    """A request that is the same whenever it is written.
+
+    Attributes:
+        data: The encoded request.
+    """
+
+    data: bytes
+
+    def encode(self, _remaining_s: float, /) -> bytes:
+        """Return the request."""
+        return self.data
+
+
+@dataclass(frozen=True, slots=True)
+class DeferredRequest:
+    """A request that a function encodes when it is written.
+
+    Attributes:
+        encode: As of `RequestWriter`.
+    """
+
+    encode: Callable[[float], bytes | None]
+
+
+class Exchange:
+    """One attempt or health check, from its dial to its outcome.
+
+    Attributes:
+        server: Where it goes to.
+        generation: The generation of the server's process at its start.
+        deadline: Event loop time at which it ends in any case.
+        connection: What its request is written to; None until then.
+        written_at: Event loop time at which its request was started to be written.
+        idle_s: Seconds that its connection had been idle; None: it is new.
+        dial_task: Its dial while that is in progress.
+        connecting_socket: What its dial is connecting.
+        local_failure: Whether its dial has failed for a cause on this machine, and is retried.
+        timers: Are cancelled when it ends.
+    """
+
+    def __init__(
+        self, server: PooledServer, writer: RequestWriter, deadline: float, on_outcome: OutcomeCallback
+    ) -> None:
+        """Create an exchange; nothing is dialed or written yet.
+
+        Args:
+            server: Where it goes to.
+            writer: Encodes its request.
+            deadline: Event loop time at which it ends in any case.
+            on_outcome: Is called exactly once when it ends.
+        """
+        self.server = server
+        self.generation = server.generation
+        self.deadline = deadline
+        self.connection: Connection | None = None
+        self.written_at = 0.0
+        self.idle_s: float | None = None
+        self.dial_task: asyncio.Task[bool] | None = None
+        self.connecting_socket: socket.socket | None = None
+        self.local_failure = False
+        self.timers: list[asyncio.TimerHandle] = []
+        self._writer = writer
+        self._on_outcome: OutcomeCallback | None = on_outcome
+
+    def is_over(self) -> bool:
+        """Return whether it has ended."""
+        return self._on_outcome is None
+
+    def is_written(self) -> bool:
+        """Return whether the last byte of its request has been handed to the kernel."""
+        return self.connection is not None and self.connection.request_written
+
+    def encode_request(self, now: float) -> bytes | None:
+        """Encode its request at an event loop time; return None if it is not wanted any more."""
+        return self._writer.encode(max(self.deadline - now, 0.0))
+
+    def is_still_wanted(self) -> bool:
+        """Return whether a long request may be written to its end; end the exchange if not."""
+        if self.encode_request(asyncio.get_running_loop().time()) is None:
+            self.end(Outcome.NOT_SENT)
+        return not self.is_over()
+
+    def on_deadline(self) -> None:
+        """End it, whatever its progress."""
+        self.end(Outcome.TIMED_OUT if self.is_written() else self._unwritten_outcome())
+
+    def on_dial_timeout(self) -> None:
+        """End it if its dial has not succeeded.
+
+        Guards a busy sidecar against taking its own lag for dead servers: a dial has succeeded if the kernel
+        says so, even if the event loop has not seen it.  The deadline bounds the exchange still.
+        """
+        if self.connection is not None:
+            return
+        if self.connecting_socket is None or not is_connected(self.connecting_socket):
+            self.end(self._unwritten_outcome())
+
+    def end(self, outcome: Outcome, response: Response | None = None) -> None:
+        """Report the outcome; only the first call has an effect."""
+        on_outcome, self._on_outcome = self._on_outcome, None
+        if on_outcome is None:
+            return
+        for timer in self.timers:
+            timer.cancel()
+        self.server.dialing.discard(self)
+        if outcome in _ABORTING_OUTCOMES:
+            self._abort()
+        on_outcome(outcome, response)
+
+    def _abort(self) -> None:
+        if self.connection is not None:
+            self.connection.shutdown_and_abort()
+        if self.dial_task is not None:
+            self.dial_task.cancel()
+
+    def _unwritten_outcome(self) -> Outcome:
+        """Return what it proves that the request was not written in time."""
+        if self.connection is None and self.local_failure:
+            return Outcome.NOT_SENT
+        return Outcome.CONNECT_FAILED
+
+
+def classify_outcome(response: Response | None, written: bool, protocol_error: bool) -> Outcome:
+    """Return what the end of an exchange proves; that the request never ran only if that is certain.
+
+    Args:
+        response: The complete response; None: there is none.
+        written: Whether the last byte of the request has been handed to the kernel.  A server begins a
+            request with its last byte: what came before belongs to another request.
+        protocol_error: Whether the response is malformed, or more than one came.  A rejection that more bytes
+            follow proves nothing, as one of the two may answer the request before.
+    """
+    if response is not None and response.is_rejection() and not protocol_error:
+        return Outcome.REJECTED
+    if not written:
+        return Outcome.CONNECT_FAILED
+    if response is None:
+        # A server that sends malformed responses is reachable all the same.
+        return Outcome.ERROR if protocol_error else Outcome.RESET
+    return Outcome.SUCCEEDED if response.status == HTTPStatus.OK else Outcome.ERROR
--- /dev/null
+++ b/sidecar/proxy/idle_connections.py
@@ -0,0 +1,117 @@
+"""Reuse of connections: which idle one carries the next request, and how long they are kept."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from sidecar.proxy.idle_lifetimes import IdleLifetimeEstimator
+from sidecar.proxy.pooled_servers import IdleConnection, PooledServer
+from sidecar.proxy.server_connection import Connection
+
+_REUSE_DELAY_FRACTION = 0.12  # of the dial timeout
+_CLOSE_MARGIN = 0.1  # of the servers' idle timeout: connections are closed that much earlier here
+
+
+@dataclass(frozen=True, slots=True)
+class ReusedConnection:
+    """An idle connection that is to carry a request.
+
+    Attributes:
+        connection: The connection.
+        idle_s: Seconds that it has been idle.
+    """
+
+    connection: Connection
+    idle_s: float
+
+
+class IdleConnections:
+    """Keeps idle connections and picks the ones that are reused.
+
+    Attributes:
+        reuse_delay_s: Seconds that a connection is not reused for after a response.  What a server does to it
+            after the response (close it, or send more bytes) is in flight for that long.  A request that is
+            written meanwhile may run and be lost, or get the response to another.
+    """
+
+    def __init__(self, dial_timeout_s: float, idle_timeout_s: float) -> None:
+        """Create the policy.
+
+        Args:
+            dial_timeout_s: Seconds within which a server accepts a connection.
+            idle_timeout_s: Seconds after which servers close an idle connection.
+        """
+        self._lifetimes = IdleLifetimeEstimator(idle_timeout_s)
+        self._keep_s = (1.0 - _CLOSE_MARGIN) * idle_timeout_s
+        self.reuse_delay_s = _REUSE_DELAY_FRACTION * dial_timeout_s
+
+    def set_timeouts(
+        self, servers: Iterable[PooledServer], dial_timeout_s: float, idle_timeout_s: float
+    ) -> None:
+        """Put other timeouts into force, also for connections that are idle now.
+
+        For those the time counts from when they became idle, as it does at their servers.
+        """
+        former_keep_s = self._keep_s
+        self._keep_s = (1.0 - _CLOSE_MARGIN) * idle_timeout_s
+        self.reuse_delay_s = _REUSE_DELAY_FRACTION * dial_timeout_s
+        self._lifetimes.set_time_constant(idle_timeout_s)
+        if self._keep_s == former_keep_s:
+            return
+        for server in servers:
+            for idle in server.idle:
+                idle.close_timer.cancel()
+                idle_since = idle.close_timer.when() - former_keep_s
+                idle.close_timer = self._schedule_close(server, idle.connection, idle_since)
+
+    def keep(self, server: PooledServer, connection: Connection) -> None:
+        """Keep a connection whose request has just ended."""
+        now = asyncio.get_running_loop().time()
+        timer = self._schedule_close(server, connection, idle_since=now)
+        server.idle.append(IdleConnection(connection, timer))
+
+    def take(self, server: PooledServer, *, accept_untrusted: bool) -> ReusedConnection | None:
+        """Take the most recently used connection that may be reused; close those that may not.
+
+        Args:
+            server: Whose connections to look at.
+            accept_untrusted: Whether one may be taken although it has been idle for longer than such
+                connections last.
+
+        Returns:
+            The connection, or None if there is none.
+        """
+        now = asyncio.get_running_loop().time()
+        for index in reversed(range(len(server.idle))):
+            idle = server.idle[index]
+            idle_s = now + self._keep_s - idle.close_timer.when()
+            if idle_s < self.reuse_delay_s:
+                continue
+            del server.idle[index]
+            idle.close_timer.cancel()
+            if idle.connection.is_idle() and (accept_untrusted or self._lifetimes.is_trusted(idle_s, now)):
+                return ReusedConnection(idle.connection, idle_s)
+            idle.connection.abort()
+        return None
+
+    def record_use(self, idle_s: float | None, broke: bool) -> None:
+        """Learn from a request.
+
+        Args:
+            idle_s: Seconds that its connection had been idle; None: it was new.
+            broke: Whether the connection broke on the request.
+        """
+        self._lifetimes.record(idle_s, broke)
+
+    def _schedule_close(
+        self, server: PooledServer, connection: Connection, idle_since: float
+    ) -> asyncio.TimerHandle:
+        close_at = idle_since + self._keep_s
+        return asyncio.get_running_loop().call_at(close_at, self._on_idle_timeout, server, connection)
+
+    @staticmethod
+    def _on_idle_timeout(server: PooledServer, connection: Connection) -> None:
+        server.idle = [idle for idle in server.idle if idle.connection is not connection]
+        connection.abort()
--- a/tests/faulty_sockets.py
+++ b/tests/faulty_sockets.py
@@ -14,6 +14,7 @@
 
 from sidecar.balancer.events import Outcome
 from sidecar.proxy.connection_pool import ConnectionPool
+from sidecar.proxy.exchange import EncodedRequest
 from sidecar.proxy.http_messages import message
 
 Failures = Iterator[int | None]  # what a system call fails with, call by call; None: it works
@@ -93,5 +94,7 @@
     loop = asyncio.get_running_loop()
     ended: asyncio.Future[Outcome] = loop.create_future()
     data = message(b"POST / HTTP/1.1", [(b"Host", b"x"), (b"Content-Length", b"%d" % len(body))], body)
-    servers.send("s", lambda _: data, loop.time() + seconds, lambda outcome, _: ended.set_result(outcome))
+    servers.send(
+        "s", EncodedRequest(data), loop.time() + seconds, lambda outcome, _: ended.set_result(outcome)
+    )
     return await asyncio.wait_for(ended, PATIENCE_S)
--- a/tests/test_answers_without_length.py
+++ b/tests/test_answers_without_length.py
@@ -10,7 +10,9 @@
 from loopback import PATIENCE_S, FakeServer, hung, play, reset, until, world
 
 from sidecar.balancer.events import Outcome, ServerState
-from sidecar.proxy.connection_pool import MAX_BODY_BYTES, ConnectionPool
+from sidecar.proxy.connection_dialer import MAX_BODY_BYTES
+from sidecar.proxy.connection_pool import ConnectionPool
+from sidecar.proxy.exchange import EncodedRequest
 from sidecar.proxy.http_messages import Response, message
 
 _HEAD = b"HTTP/1.1 200 X\r\n\r\n"
@@ -28,7 +30,7 @@
     loop = asyncio.get_running_loop()
     ended: asyncio.Future[tuple[Outcome, Response | None]] = loop.create_future()
     data = message(b"POST / HTTP/1.1", [(b"Host", b"x"), (b"Content-Length", b"0")])
-    upstream.send("s", lambda _: data, loop.time() + PATIENCE_S, lambda *end: ended.set_result(end))
+    upstream.send("s", EncodedRequest(data), loop.time() + PATIENCE_S, lambda *end: ended.set_result(end))
     return await ended
 
 
@@ -53,7 +55,7 @@
         server = FakeServer("s", hung)
         await server.start()
         upstream = ConnectionPool(PATIENCE_S, 60.0, 10)
-        upstream._reuse_delay_s = 0.0
+        upstream._idle_connections.reuse_delay_s = 0.0
         upstream.update("s", server.address, None, ServerState.READY)
         sending = asyncio.create_task(send_one(upstream))
         await until(lambda: server.requests)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -26,7 +26,8 @@
 
 from sidecar.balancer.actions import Action
 from sidecar.balancer.events import AttemptEnded, Event, Outcome, ServerState
-from sidecar.proxy.connection_pool import ConnectionPool, Exchange, Order, classify_outcome
+from sidecar.proxy.connection_pool import ConnectionPool
+from sidecar.proxy.exchange import EncodedRequest, Exchange, classify_outcome
 from sidecar.proxy.http_messages import Response, message
 from sidecar.proxy.idle_lifetimes import IdleLifetimeEstimator
 from sidecar.proxy.load_reports import parse_report
@@ -234,7 +235,7 @@
     async def scene() -> None:
         async with world(served) as w:
             assert (await w.ask(kind="pay", body=b"x"))[0] == 200
-            connection = w.sidecar._upstream.servers["s-0"].idle[0][0]
+            connection = w.sidecar._upstream.servers["s-0"].idle[0].connection
             writer = w.servers[0].writers[0]
             if how == "end":
                 raw = writer.get_extra_info("socket")
@@ -287,7 +288,7 @@
         server = FakeServer("s", once)
         await server.start()
         upstream = ConnectionPool(30.0, 60.0, 10)
-        upstream._reuse_delay_s = 0.0  # connections are used again at once
+        upstream._idle_connections.reuse_delay_s = 0.0  # connections are used again at once
         upstream.update("s", server.address, None, ServerState.READY)
         outcomes = [await outcome_of(upstream) for _ in range(100)]
         assert Outcome.RESET in outcomes
@@ -305,7 +306,7 @@
         async with world(served, limits=limits) as w:
             assert (await w.ask())[0] == 200
             loop = asyncio.get_running_loop()
-            timer = w.sidecar._upstream.servers["s-0"].idle[0][1]
+            timer = w.sidecar._upstream.servers["s-0"].idle[0].close_timer
             assert timer.when() - loop.time() < 0.95
             await until(lambda: w.servers[0].closed == 1)
 
@@ -342,8 +343,8 @@
     return await asyncio.wait_for(ended, PATIENCE_S)
 
 
-def order(body: bytes = b"") -> Order:
-    return lambda _: data(body)
+def order(body: bytes = b"") -> EncodedRequest:
+    return EncodedRequest(data(body))
 
 
 def data(body: bytes = b"") -> bytes:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -35,10 +35,11 @@
 )
 
 from sidecar.balancer.events import Outcome, ServerState
-from sidecar.proxy import connection_pool, driver, server_connection
+from sidecar.proxy import connection_dialer, driver, server_connection
 from sidecar.proxy.addresses import Address
-from sidecar.proxy.connection_pool import ConnectionPool, Exchange, classify_outcome
+from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.discovery import Discovery, RegistryResponse, parse_registry
+from sidecar.proxy.exchange import DeferredRequest, EncodedRequest, Exchange, classify_outcome
 from sidecar.proxy.frontend import _LIMITS_S, Phase
 from sidecar.proxy.http_messages import Response, message
 from sidecar.proxy.server_connection import Connection
@@ -78,7 +79,7 @@
 
 async def rested_everywhere(w: World) -> None:
     """Let each server have a connection that carries nothing: what is sent next is written at once."""
-    w.sidecar._upstream._reuse_delay_s = 0.0
+    w.sidecar._upstream._idle_connections.reuse_delay_s = 0.0
     while not all(each.writers for each in w.servers):
         assert (await w.ask())[0] == 200
 
@@ -119,7 +120,7 @@
 
     async def scene() -> None:
         async with world(served) as w:
-            monkeypatch.setattr(connection_pool, "connect", held_up)
+            monkeypatch.setattr(connection_dialer, "connect", held_up)
             client = Client(w.sidecar.frontend.address, request("pay", body=b"x"))
             await dialled.wait()
             client.leave()
@@ -158,7 +159,7 @@
 
     async def scene() -> None:
         async with world(hung, classes=classes) as w:
-            w.sidecar._upstream._reuse_delay_s = 0.0  # what is free is used at once
+            w.sidecar._upstream._idle_connections.reuse_delay_s = 0.0  # what is free is used at once
             first = Client(w.sidecar.frontend.address, request(X_Call_Id="first"))
             await until(w.sent)
             second = Client(w.sidecar.frontend.address, request(X_Call_Id="second"))
@@ -188,7 +189,9 @@
             data = message(b"POST / HTTP/1.1", [(b"Content-Length", b"8000000")], bytes(8_000_000))
             orders = [data, None if left else data]
             heard: list[Outcome] = []
-            exchange = servers.send("s", lambda _: orders.pop(0), LATER, lambda end, _: heard.append(end))
+            exchange = servers.send(
+                "s", DeferredRequest(lambda _: orders.pop(0)), LATER, lambda end, _: heard.append(end)
+            )
             accepted, _ = await loop.sock_accept(listener)
             with accepted:
                 await until(lambda: exchange.connection is not None)
@@ -223,7 +226,7 @@
         made.append(await connect(address, body_most, stall_s, sock))
         return made[-1]
 
-    monkeypatch.setattr(connection_pool, "connect", noted)
+    monkeypatch.setattr(connection_dialer, "connect", noted)
     report = {"source": "probes", "columns": ["inflight"]}
 
     def holds_probes(first: str, *_: object) -> bytes | None:
@@ -235,7 +238,7 @@
         limits = LIMITS | {"allow_probes": True, "dial_timeout_us": 600 * S}
         changes: dict[str, Any] = {"classes": classes, "limits": limits, "prices": {"probe": 0.001}}
         async with world(holds_probes, holds_probes, report=report, **changes) as w:
-            w.sidecar._upstream._reuse_delay_s = 0.0  # what was probed is written at once
+            w.sidecar._upstream._idle_connections.reuse_delay_s = 0.0  # what was probed is written at once
             client = Client(w.sidecar.frontend.address, request(budget="500"))
             await until(lambda: len(w.sent()) == 2)
             if leaves:
@@ -311,7 +314,7 @@
 def test_a_second_answer_crosses_the_next_request_where_connections_are_scarce() -> None:
     async def scene() -> None:
         async with world(hung, sockets=66) as w:  # room for one connection to servers
-            w.sidecar._upstream._reuse_delay_s = 600.0
+            w.sidecar._upstream._idle_connections.reuse_delay_s = 600.0
             (server,) = w.servers
 
             def answered_twice(first: str, *_: object) -> bytes:
@@ -438,7 +441,7 @@
             servers = ConnectionPool(600.0, 600.0, 10)
             servers.update("s", address, None, ServerState.READY)
             heard: list[Outcome] = []
-            servers.send("s", lambda _: b"", LATER, lambda outcome, _: heard.append(outcome))
+            servers.send("s", EncodedRequest(b""), LATER, lambda outcome, _: heard.append(outcome))
             servers.update("s", ("127.0.0.1", 9), None, ServerState.READY)
             assert heard == [Outcome.NOT_SENT]  # which is no strike against the server
             await until(lambda: servers.open_connections == 0)
@@ -483,14 +486,14 @@
     upstream.update("s", server.address, None, ServerState.READY)
     heard: list[Outcome] = []
     get = message(b"GET /api/1 HTTP/1.1", [(b"Host", b"x")])
-    exchange = upstream.send("s", lambda _: get, LATER, lambda outcome, _: heard.append(outcome))
+    exchange = upstream.send("s", EncodedRequest(get), LATER, lambda outcome, _: heard.append(outcome))
     await until(lambda: server.requests)
     assert exchange.connection is not None
     return upstream, exchange, exchange.connection, heard
 
 
 ENDS: dict[str, tuple[Callable[[ConnectionPool, Exchange], None], list[Outcome]]] = {
-    "its time is up": (lambda u, e: u._on_deadline(e), [Outcome.TIMED_OUT]),
+    "its time is up": (lambda u, e: e.on_deadline(), [Outcome.TIMED_OUT]),
     "it is called off": (lambda u, e: u.cancel(e), [Outcome.CANCELLED]),
     "its connection breaks": (lambda u, e: e.connection.connection_lost(None), [Outcome.RESET]),  # type: ignore[union-attr]
 }
@@ -536,11 +539,11 @@
         server = FakeServer("s", served)
         upstream, _, connection, heard = await written(server)
         await until(lambda: heard)
-        upstream._reuse_delay_s = 0.0
-        (_, timer) = upstream.servers["s"].idle[0]
+        upstream._idle_connections.reuse_delay_s = 0.0
+        timer = upstream.servers["s"].idle[0].close_timer
         server.script = hung
         upstream.send(
-            "s", lambda _: b"GET / HTTP/1.1\r\n\r\n", LATER, lambda outcome, _: heard.append(outcome)
+            "s", EncodedRequest(b"GET / HTTP/1.1\r\n\r\n"), LATER, lambda outcome, _: heard.append(outcome)
         )
         timer._run()  # it was due in the same turn of the loop
         await until(lambda: len(server.requests) == 2)
@@ -557,8 +560,8 @@
         server = FakeServer("s", served)
         upstream, _, connection, heard = await written(server)
         await until(lambda: heard)
-        upstream._reuse_delay_s = 0.0
-        upstream.send("s", lambda _: None, LATER, lambda outcome, _: heard.append(outcome))
+        upstream._idle_connections.reuse_delay_s = 0.0
+        upstream.send("s", DeferredRequest(lambda _: None), LATER, lambda outcome, _: heard.append(outcome))
         assert heard == [Outcome.SUCCEEDED, Outcome.NOT_SENT]
         assert not upstream.servers["s"].idle and not connection.is_idle()
         await until(lambda: upstream.open_connections == 0)
@@ -581,7 +584,7 @@
 
         def send(name: str) -> None:
             get = message(b"GET / HTTP/1.1", [(b"Host", b"x")])
-            servers.send(name, lambda _: get, LATER, lambda outcome, _: heard.append(outcome))
+            servers.send(name, EncodedRequest(get), LATER, lambda outcome, _: heard.append(outcome))
 
         send("a")
         await until(lambda: heard)
--- a/tests/test_dedup_window.py
+++ b/tests/test_dedup_window.py
@@ -10,7 +10,7 @@
 from loopback import FakeServer, World, broken, play, served, shrink_send_buffers, unread, until, world
 
 from sidecar.balancer.events import ServerState
-from sidecar.proxy import connection_pool, server_connection
+from sidecar.proxy import connection_dialer, server_connection
 from sidecar.proxy.addresses import Address
 from sidecar.proxy.server_connection import Connection
 
@@ -38,7 +38,7 @@
             await go_on.wait()
         return connection
 
-    monkeypatch.setattr(connection_pool, "connect", second_held_up)
+    monkeypatch.setattr(connection_dialer, "connect", second_held_up)
 
     async def scene() -> None:
         async with world(broken, broken) as w:
@@ -55,7 +55,7 @@
             if late:
                 assert (status, body) == (500, b"") and len(w.sent()) == 1
                 (kept,) = w.sidecar._upstream.servers[other_than(w, first)].idle
-                assert kept[0].is_idle()  # the connection serves others
+                assert kept.connection.is_idle()  # the connection serves others
             else:
                 assert (status, body) == (200, b"served")
                 assert [each["x-call-id"] for _, each, _ in w.sent()] == [head["x-call-id"]] * 2
--- a/tests/test_registry_crossings.py
+++ b/tests/test_registry_crossings.py
@@ -164,7 +164,7 @@
     async def scene() -> None:
         async with world(served, served) as w:
             first, second = w.servers
-            w.sidecar._upstream._reuse_delay_s = (
+            w.sidecar._upstream._idle_connections.reuse_delay_s = (
                 600.0  # what is kept from one request is not taken by the next
             )
             while not first.requests:
--- a/tests/test_remaining_time.py
+++ b/tests/test_remaining_time.py
@@ -10,7 +10,7 @@
 from loopback import CLASSES, LIMITS, Head, World, answer, full, hung, play, reset, served, until, world
 
 from sidecar.balancer.policy.overdue import OverdueDetector
-from sidecar.proxy import connection_pool, server_connection
+from sidecar.proxy import connection_dialer, server_connection
 from sidecar.proxy.server_connection import Connection
 
 _BUDGET_S = 5.0
@@ -40,7 +40,7 @@
     async def scene() -> None:
         limits = LIMITS | {"dial_timeout_us": 600 * S}
         async with world(served, limits=limits) as w:
-            monkeypatch.setattr(connection_pool, "connect", slow)
+            monkeypatch.setattr(connection_dialer, "connect", slow)
             assert (await w.ask(budget=str(_BUDGET_S)))[0] == 200
             ((_, head, _),) = w.sent()
             assert 0.0 < told(head) <= _BUDGET_S - _HELD_S
@@ -161,7 +161,7 @@
 def test_an_idle_connection_that_its_server_ends_costs_no_request(kind: str, how: str) -> None:
     async def scene() -> None:
         async with world(served) as w:
-            w.sidecar._upstream._reuse_delay_s = 0.0
+            w.sidecar._upstream._idle_connections.reuse_delay_s = 0.0
             for _ in range(5):
                 assert await answered_in_time(w, kind, _BUDGET_S) == 200
                 for writer in w.servers[0].writers:
@@ -186,7 +186,7 @@
             return served() if is_new else b""
 
         async with world(forgets, served) as w:
-            w.sidecar._upstream._reuse_delay_s = 0.0
+            w.sidecar._upstream._idle_connections.reuse_delay_s = 0.0
             statuses = []
             while len(w.servers[0].requests) == len(used):  # until one was broken
                 statuses.append(await answered_in_time(w, kind, _BUDGET_S))
--- a/tests/test_request_crossings.py
+++ b/tests/test_request_crossings.py
@@ -27,7 +27,7 @@
 from virtual_time import now_s, pass_s, play_in_virtual_time
 
 from sidecar.balancer.events import ServerState
-from sidecar.proxy import connection_pool, server_connection
+from sidecar.proxy import connection_dialer, server_connection
 from sidecar.proxy.addresses import Address
 from sidecar.proxy.server_connection import Connection
 from sidecar.proxy.sockets import is_connected
@@ -68,7 +68,7 @@
             await until(lambda: not is_connected(connection.sock))
         return connection
 
-    monkeypatch.setattr(connection_pool, "connect", delayed)
+    monkeypatch.setattr(connection_dialer, "connect", delayed)
 
 
 async def ask_until_met(w: World, kind: str, body: bytes, is_met: Callable[[], object]) -> tuple[int, bytes]:
--- a/tests/test_socket_errors.py
+++ b/tests/test_socket_errors.py
@@ -11,7 +11,8 @@
 from loopback import PATIENCE_S, FakeServer, answer, hung, play, served, until
 
 from sidecar.balancer.events import Outcome, ServerState
-from sidecar.proxy.connection_pool import ConnectionPool, Exchange
+from sidecar.proxy.connection_pool import ConnectionPool
+from sidecar.proxy.exchange import EncodedRequest, Exchange
 from sidecar.proxy.http_messages import message
 
 _BROKEN = (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH)
@@ -101,7 +102,9 @@
         outcomes: list[Outcome] = []
         data = message(b"GET / HTTP/1.1", [(b"Host", b"x")])
         until_at = asyncio.get_running_loop().time() + PATIENCE_S
-        exchange: Exchange = servers.send("s", lambda _: data, until_at, lambda end, _: outcomes.append(end))
+        exchange: Exchange = servers.send(
+            "s", EncodedRequest(data), until_at, lambda end, _: outcomes.append(end)
+        )
         await until(lambda: server.requests)
         servers.cancel(exchange)
         await until(lambda: server.closed == 1 and servers.open_connections == 0)
