--- /dev/null
+++ b/tests/proxy/test_attempt_outcomes.py
@@ -0,0 +1,239 @@
+"""What attempts forward, and what the end of each one proves about its request."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+import pytest
+from loopback import (
+    PATIENCE_S,
+    FakeServer,
+    answer,
+    ask,
+    hung,
+    play,
+    request,
+    reset,
+    served,
+    until,
+    world,
+)
+from pool_requests import data, order, outcome_of
+
+from sidecar.balancer.actions import Action
+from sidecar.balancer.events import AttemptEnded, Event, Outcome, ServerState
+from sidecar.proxy.connection_pool import ConnectionPool
+from sidecar.proxy.exchange import Exchange, classify_outcome
+from sidecar.proxy.http_messages import Response
+from sidecar.proxy.server_connection import connect
+
+
+def test_a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged() -> None:
+    async def scene() -> None:
+        body = bytes(range(256)) * 16
+        async with world(lambda *_: answer(200, body, Content_Type="x/y")) as w:
+            sent = request("amend", "/api/7f3a?q=1", b"\0body\xff", X_Caller="acme")
+            status, headers, got = await ask(w.sidecar.frontend.address, sent)
+            assert (status, headers["content-type"], got) == (200, "x/y", body)
+            ((first, given, there),) = w.sent()
+            assert first == "POST /api/7f3a?q=1 HTTP/1.1" and there == b"\0body\xff"
+            assert given["x-call-id"] == "9b1f03aa5c7e2d41" and given["idempotency-key"] == "5c0f6e1a"
+            assert 0.0 < float(given["x-budget"]) < 5.0
+
+    play(scene())
+
+
+# Guards rule 2: of an unsafe request only these ends prove that it never ran.
+@pytest.mark.parametrize(
+    ("reply", "status", "attempts"),
+    [
+        (answer(503, b"", X_Rejected="1"), 200, 2),
+        (answer(504, b"", X_Rejected="1"), 200, 2),
+        (answer(503, b""), 500, 1),
+        (answer(500, b"", X_Rejected="1"), 500, 1),
+        # These say two things: one answer may be another request's, and one header takes the other back.
+        (answer(503, b"", X_Rejected="1") + answer(200, b"served"), 500, 1),
+        (answer(503, b"", X_Rejected="1") + answer(503, b"", X_Rejected="1"), 500, 1),
+        (answer(503, b"", X_Rejected="1") + b"nonsense", 500, 1),
+        (answer(503, b"", X_Rejected="1", x_rejected="0"), 500, 1),
+        (b"", 500, 1),
+        (b"HTTP/1.1 200 X\r\nContent-Length: 10\r\nConnection: close\r\n\r\nshort", 500, 1),
+        (b"nonsense\r\n\r\n", 500, 1),
+    ],
+)
+def test_an_unsafe_request_is_sent_again_only_where_it_never_ran(
+    reply: bytes, status: int, attempts: int
+) -> None:
+    async def scene() -> None:
+        replies = [reply]
+
+        def first_so(*_: object) -> bytes:
+            return replies.pop() if replies else answer(200, b"served")
+
+        async with world(first_so, first_so, first_so) as w:
+            got, _, body = await w.ask(kind="pay", body=b"x")
+            assert got == status and (body == b"served") == (status == 200)
+            assert len(w.sent()) == attempts
+
+    play(scene())
+
+
+def test_a_refused_connection_lets_even_an_unsafe_request_go_elsewhere() -> None:
+    async def scene() -> None:
+        async with world(served, served) as w:
+            w.servers[0].stop()
+            for _ in range(3):
+                assert (await w.ask(kind="pay", body=b"x"))[0] == 200
+
+    play(scene())
+
+
+# Guards rule 1: what announces more than came has been cut short, and is never passed on.
+@pytest.mark.parametrize(
+    "cut",
+    [
+        b"HTTP/1.1 200 X\r\nContent-Length: 99\r\n\r\nnot all of it",
+        b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nnot a\r\n",
+    ],
+)
+def test_a_body_that_is_not_whole_is_not_passed_on(cut: bytes) -> None:
+    async def scene() -> None:
+        async with world(lambda *_: cut) as w:
+            asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
+            await until(w.sent)
+            await asyncio.sleep(0)
+            server = w.servers[0]
+            await until(lambda: server.writers)
+            server.writers[0].close()
+            assert (await asking)[0] == 500
+
+    play(scene())
+
+
+MALFORMED = [
+    b"nonsense\r\n\r\n",
+    b"HTTP/1.1 200 X\r\nContent-Length: 3000000000\r\n\r\nand more",
+    b"HTTP/1.1 200 X\r\nContent-Length: -5\r\n\r\nabcde",
+    b"HTTP/1.1 200 X\r\nContent-Length: 99\r\n\r\nnot all of it",
+    b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n" + b"4000\r\n" + bytes(0x4000) + b"\r\n" * 8,
+    b"HTTP/1.1 200 X\r\nX-Long: " + b"a" * 200_000,
+    b"HTTP/1.1 200 X\r\nX-Half",
+    b"HTTP/1.1 103 X\r\n\r\n" * 9,
+]
+
+
+@pytest.mark.parametrize("malformed", MALFORMED, ids=range(len(MALFORMED)))
+def test_a_spoilt_answer_is_an_error_at_once_and_its_connection_is_not_used_again(
+    malformed: bytes, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    # The server keeps the connection open: nothing but the answer itself tells.
+    async def scene() -> None:
+        async with world(lambda *_: malformed) as w:
+            real, heard = w.sidecar._balancer.handle, []
+
+            def handle(now: int, event: Event) -> list[Action]:
+                heard.append(event)
+                return real(now, event)
+
+            monkeypatch.setattr(w.sidecar._balancer, "handle", handle)
+            assert (await w.ask(kind="pay", body=b"x"))[0] == 500  # it may have run
+            assert [each.outcome for each in heard if isinstance(each, AttemptEnded)] == [Outcome.ERROR]
+            await until(lambda: w.servers[0].closed == 1)
+            w.servers[0].script = served
+            assert (await w.ask())[0] == 200 and len(w.servers[0].writers) == 2
+
+    play(scene())
+
+
+@pytest.mark.parametrize("more", [answer(200, b"a second copy"), b"noise"])
+def test_more_than_belongs_to_an_answer_costs_its_connection_and_nothing_else(more: bytes) -> None:
+    async def scene() -> None:
+        async with world(lambda *_: b"HTTP/1.1 103 X\r\n\r\n" + answer(200, b"done") + more) as w:
+            for number in range(3):
+                assert (await w.ask(X_Call_Id=f"{number}"))[2] == b"done"
+            assert len(w.servers[0].writers) == 3
+
+    play(scene())
+
+
+def test_a_hung_server_leaves_time_for_an_answer_and_its_connection_is_closed() -> None:
+    async def scene() -> None:
+        async with world(hung) as w:
+            loop = asyncio.get_running_loop()
+            began = loop.time()
+            status, _, _ = await w.ask(kind="pay", body=b"x", budget="0.6")
+            assert status == 500 and 0.3 < loop.time() - began
+            await until(lambda: w.servers[0].closed == 1)
+            assert len(w.sent()) == 1
+
+    play(scene())
+
+
+def test_a_break_before_the_last_byte_was_written_proves_that_it_never_ran() -> None:
+    async def scene() -> None:
+        body = bytes(32 * 1024 * 1024)  # more than the kernel takes: the rest waits in the transport
+        listener = socket.create_server(("127.0.0.1", 0))
+        connection = await connect(listener.getsockname()[:2], 1024)
+        other, _ = listener.accept()
+        ended: asyncio.Future[Response | None] = asyncio.get_running_loop().create_future()
+        connection.request(data(body), ended.set_result)
+        assert not connection.request_written
+        other.close()  # with bytes unread: a reset
+        assert await asyncio.wait_for(ended, PATIENCE_S) is None
+        assert (
+            classify_outcome(None, connection.request_written, connection.protocol_error)
+            is Outcome.CONNECT_FAILED
+        )
+        listener.close()
+
+    play(scene())
+
+
+def test_a_request_counts_as_written_once_the_transport_has_passed_all_of_it_on() -> None:
+    async def scene() -> None:
+        body = bytes(32 * 1024 * 1024)
+        listener = socket.create_server(("127.0.0.1", 0))
+        listener.setblocking(False)
+        connection = await connect(listener.getsockname()[:2], 1024)
+        other, _ = listener.accept()
+        reader, writer = await asyncio.open_connection(sock=other, limit=2**26)
+        ended: asyncio.Future[Response | None] = asyncio.get_running_loop().create_future()
+        connection.request(data(body), ended.set_result)
+        await reader.readuntil(b"\r\n\r\n")
+        await reader.readexactly(len(body))
+        await until(lambda: connection.request_written)
+        reset(writer)
+        assert await asyncio.wait_for(ended, PATIENCE_S) is None
+        assert classify_outcome(None, connection.request_written, connection.protocol_error) is Outcome.RESET
+        listener.close()
+
+    play(scene())
+
+
+def test_an_attempt_whose_time_is_up_is_never_sent() -> None:
+    async def scene() -> None:
+        upstream = ConnectionPool(1.0, 60.0, 10)
+        upstream.update("s", ("127.0.0.1", 1), None, ServerState.READY)
+        assert await outcome_of(upstream, -1.0) is Outcome.NOT_SENT
+
+    play(scene())
+
+
+def test_a_cancelled_attempt_has_one_outcome_and_its_connection_is_closed() -> None:
+    async def scene() -> None:
+        server = FakeServer("s", hung)
+        await server.start()
+        upstream = ConnectionPool(1.0, 60.0, 10)
+        upstream.update("s", server.address, None, ServerState.READY)
+        outcomes: list[Outcome] = []
+        loop = asyncio.get_running_loop()
+        exchange: Exchange = upstream.send("s", order(), loop.time() + 30, lambda o, _: outcomes.append(o))
+        await until(lambda: server.requests)
+        upstream.cancel(exchange)
+        upstream.cancel(exchange)
+        await until(lambda: server.closed == 1)
+        assert outcomes == [Outcome.CANCELLED] and upstream.open_connections == 0
+        server.stop()
+
+    play(scene())
--- /dev/null
+++ b/tests/proxy/test_connection_reuse.py
@@ -0,0 +1,153 @@
+"""Which idle connections carry further requests, and how long they are kept."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+import pytest
+from helpers import S
+from loopback import (
+    LIMITS,
+    FakeServer,
+    play,
+    served,
+    until,
+    world,
+)
+from pool_requests import outcome_of
+
+from sidecar.balancer.events import Outcome, ServerState
+from sidecar.proxy.connection_pool import ConnectionPool
+from sidecar.proxy.idle_lifetimes import IdleLifetimeEstimator
+
+
+def test_connections_are_used_again() -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            for _ in range(5):
+                assert (await w.ask())[0] == 200
+                await asyncio.sleep(0.05)  # longer than it has to rest
+            assert len(w.servers[0].writers) == 1
+
+    play(scene())
+
+
+def test_a_connection_rests_before_it_is_used_again_even_where_there_is_no_room_for_another() -> None:
+    # Guards against an end or a second copy that is under way behind the answer: it would pass for the answer
+    # to the next request.  What has no room takes the place of a connection instead.
+    async def scene() -> None:
+        limits = LIMITS | {"dial_timeout_us": 600 * S}
+        async with world(served, sockets=72, limits=limits) as w:
+            for _ in range(9):
+                assert (await w.ask())[0] == 200
+                assert w.sidecar._upstream.open_connections <= 4  # all that the descriptors allow
+            assert len(w.servers[0].writers) == 9
+
+    play(scene())
+
+
+# Guards against a request that is written to a connection which its server has already ended.
+@pytest.mark.parametrize("how", ["end", "stray"])
+def test_a_connection_with_an_end_or_stray_bytes_is_not_used_again(how: str) -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            assert (await w.ask(kind="pay", body=b"x"))[0] == 200
+            connection = w.sidecar._upstream.servers["s-0"].idle[0].connection
+            writer = w.servers[0].writers[0]
+            if how == "end":
+                raw = writer.get_extra_info("socket")
+                raw.shutdown(socket.SHUT_WR)
+            else:
+                writer.write(b"HTTP/1.1 200 X\r\n")
+            # Blocks until the kernel has it, so that the event loop can't have seen it: the peek must.
+            connection.sock.setblocking(True)
+            assert connection.sock.recv(1, socket.MSG_PEEK) is not None
+            connection.sock.setblocking(False)
+            assert not connection.is_idle()
+            assert (await w.ask(kind="pay", body=b"x"))[0] == 200
+            assert len(w.servers[0].writers) == 2
+
+    play(scene())
+
+
+def test_connections_that_break_once_idle_for_long_are_not_trusted_for_that_long() -> None:
+    lifetimes = IdleLifetimeEstimator(10.0)
+    for _ in range(40):
+        lifetimes.record(None, False)
+        lifetimes.record(0.04, False)
+    assert lifetimes.is_trusted(5.0, 0.0)
+    for number in range(40):
+        lifetimes.record(0.3, number % 3 == 0)
+    assert lifetimes.is_trusted(0.04, 0.0)
+    assert not lifetimes.is_trusted(0.3, 0.0) and not lifetimes.is_trusted(5.0, 0.0)
+    assert lifetimes.is_trusted(5.0, 40.0)  # what was learnt has faded
+
+
+def test_breaks_that_new_connections_suffer_too_are_not_laid_to_idleness() -> None:
+    lifetimes = IdleLifetimeEstimator(10.0)
+    for number in range(60):
+        lifetimes.record(None, number % 4 == 0)
+        lifetimes.record(0.3, number % 4 == 0)
+    assert lifetimes.is_trusted(0.3, 0.0)
+
+
+def test_where_idle_connections_break_requests_get_new_ones() -> None:
+    async def scene() -> None:
+        used: set[asyncio.StreamWriter] = set()
+
+        def once(*_: object) -> bytes:
+            writer = server.writers[-1]
+            if writer in used:
+                return b""
+            used.add(writer)
+            return served()
+
+        server = FakeServer("s", once)
+        await server.start()
+        upstream = ConnectionPool(30.0, 60.0, 10)
+        upstream._idle_connections.reuse_delay_s = 0.0  # connections are used again at once
+        upstream.update("s", server.address, None, ServerState.READY)
+        outcomes = [await outcome_of(upstream) for _ in range(100)]
+        assert Outcome.RESET in outcomes
+        assert set(outcomes[60:]) == {
+            Outcome.SUCCEEDED
+        }  # lags spread requests over more idle times, each learnt apart
+        server.stop()
+
+    play(scene())
+
+
+def test_an_idle_connection_is_closed_before_its_server_would() -> None:
+    async def scene() -> None:
+        limits = {"max_attempts": 3, "allow_cancel": True, "idle_close_us": 1 * S}
+        async with world(served, limits=limits) as w:
+            assert (await w.ask())[0] == 200
+            loop = asyncio.get_running_loop()
+            timer = w.sidecar._upstream.servers["s-0"].idle[0].close_timer
+            assert timer.when() - loop.time() < 0.95
+            await until(lambda: w.servers[0].closed == 1)
+
+    play(scene())
+
+
+def test_a_restarted_or_moved_server_loses_its_old_connections() -> None:
+    async def scene() -> None:
+        server = FakeServer("s", served)
+        await server.start()
+        upstream = ConnectionPool(1.0, 60.0, 10)
+        upstream.update("s", server.address, None, ServerState.READY)
+        assert await outcome_of(upstream) is Outcome.SUCCEEDED
+        upstream.update("s", server.address, 5, ServerState.READY)
+        await until(lambda: server.closed == 1)
+        assert await outcome_of(upstream) is Outcome.SUCCEEDED
+        assert len(server.writers) == 2
+        other = FakeServer("s", served)
+        await other.start()
+        upstream.update("s", other.address, 5, ServerState.READY)
+        assert await outcome_of(upstream) is Outcome.SUCCEEDED
+        assert len(other.requests) == 1
+        server.stop()
+        other.stop()
+
+    play(scene())
--- /dev/null
+++ b/tests/proxy/test_load_report_parsing.py
@@ -0,0 +1,27 @@
+"""Malformed load reports of servers."""
+
+from __future__ import annotations
+
+from loopback import (
+    answer,
+    play,
+    world,
+)
+
+from sidecar.proxy.load_reports import parse_report
+
+
+def test_junk_load_reports_are_skipped() -> None:
+    columns = ("util", "qps")
+    assert parse_report("TEXT util=0.5, qps=7, other=1", columns) == {"util": 0.5, "qps": 7.0}
+    for junk in ("TEXT util=nan", "TEXT util", "BIN xyz", "", "TEXT "):
+        assert parse_report(junk, columns) is None
+    assert parse_report("TEXT util=inf, qps=3", columns) == {"qps": 3.0}
+    assert parse_report("TEXT util=0.5", ()) is None
+
+    async def scene() -> None:
+        report = {"source": "answers", "columns": ["util"]}
+        async with world(lambda *_: answer(200, b"x", X_Load_Report="TEXT util=;;="), report=report) as w:
+            assert (await w.ask())[0] == 200
+
+    play(scene())
