--- a/tests/proxy/faulty_sockets.py
+++ b/tests/proxy/faulty_sockets.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
 import errno
 import os
 import socket
@@ -10,12 +9,6 @@
 from typing import Any
 
 import pytest
-from loopback import PATIENCE_S
-
-from sidecar.balancer.events import Outcome
-from sidecar.proxy.connection_pool import ConnectionPool
-from sidecar.proxy.exchange import EncodedRequest
-from sidecar.proxy.http_messages import message
 
 Failures = Iterator[int | None]  # what a system call fails with, call by call; None: it works
 
@@ -88,13 +81,3 @@
         return made
 
     monkeypatch.setattr("sidecar.proxy.sockets.new_socket", new_socket)
-
-
-async def outcome_of(servers: ConnectionPool, seconds: float = PATIENCE_S, body: bytes = b"") -> Outcome:
-    loop = asyncio.get_running_loop()
-    ended: asyncio.Future[Outcome] = loop.create_future()
-    data = message(b"POST / HTTP/1.1", [(b"Host", b"x"), (b"Content-Length", b"%d" % len(body))], body)
-    servers.send(
-        "s", EncodedRequest(data), loop.time() + seconds, lambda outcome, _: ended.set_result(outcome)
-    )
-    return await asyncio.wait_for(ended, PATIENCE_S)
--- a/tests/proxy/pool_requests.py
+++ b/tests/proxy/pool_requests.py
@@ -4,9 +4,7 @@
 
 import asyncio
 
-from loopback import (
-    PATIENCE_S,
-)
+from loopback import PATIENCE_S
 
 from sidecar.balancer.events import Outcome
 from sidecar.proxy.connection_pool import ConnectionPool
@@ -14,20 +12,23 @@
 from sidecar.proxy.http_messages import Response, message
 
 
-def data(body: bytes = b"") -> bytes:
+def encode_post(body: bytes = b"") -> bytes:
+    """Encode a POST with a body."""
     return message(b"POST / HTTP/1.1", [(b"Host", b"x"), (b"Content-Length", b"%d" % len(body))], body)
 
 
-def order(body: bytes = b"") -> EncodedRequest:
-    return EncodedRequest(data(body))
+def post_request(body: bytes = b"") -> EncodedRequest:
+    """Make a POST with a body, ready to be sent."""
+    return EncodedRequest(encode_post(body))
 
 
-async def outcome_of(upstream: ConnectionPool, seconds: float = 5.0, body: bytes = b"") -> Outcome:
+async def outcome_of(pool: ConnectionPool, timeout_s: float = PATIENCE_S, body: bytes = b"") -> Outcome:
+    """Send a POST to server s; return its outcome."""
     loop = asyncio.get_running_loop()
     ended: asyncio.Future[Outcome] = loop.create_future()
 
-    def end(outcome: Outcome, _: Response | None) -> None:
+    def on_outcome(outcome: Outcome, _: Response | None) -> None:
         ended.set_result(outcome)  # a second outcome would raise here
 
-    upstream.send("s", order(body), loop.time() + seconds, end)
+    pool.send("s", post_request(body), loop.time() + timeout_s, on_outcome)
     return await asyncio.wait_for(ended, PATIENCE_S)
--- a/tests/proxy/test_attempt_outcomes.py
+++ b/tests/proxy/test_attempt_outcomes.py
@@ -6,20 +6,8 @@
 import socket
 
 import pytest
-from loopback import (
-    PATIENCE_S,
-    FakeServer,
-    answer,
-    ask,
-    hung,
-    play,
-    request,
-    reset,
-    served,
-    until,
-    world,
-)
-from pool_requests import data, order, outcome_of
+from loopback import PATIENCE_S, FakeServer, answer, ask, hung, play, request, reset, served, until, world
+from pool_requests import encode_post, outcome_of, post_request
 
 from sidecar.balancer.actions import Action
 from sidecar.balancer.events import AttemptEnded, Event, Outcome, ServerState
@@ -29,7 +17,7 @@
 from sidecar.proxy.server_connection import connect
 
 
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged() -> None:
+def test_request_and_response_are_forwarded_unchanged() -> None:
     async def scene() -> None:
         body = bytes(range(256)) * 16
         async with world(lambda *_: answer(200, body, Content_Type="x/y")) as w:
@@ -62,7 +50,7 @@
         (b"nonsense\r\n\r\n", 500, 1),
     ],
 )
-def test_an_unsafe_request_is_sent_again_only_where_it_never_ran(
+def test_non_idempotent_request_is_retried_only_if_it_never_ran(
     reply: bytes, status: int, attempts: int
 ) -> None:
     async def scene() -> None:
@@ -79,7 +67,7 @@
     play(scene())
 
 
-def test_a_refused_connection_lets_even_an_unsafe_request_go_elsewhere() -> None:
+def test_refused_connection_lets_even_a_non_idempotent_request_be_retried() -> None:
     async def scene() -> None:
         async with world(served, served) as w:
             w.servers[0].stop()
@@ -97,7 +85,7 @@
         b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nnot a\r\n",
     ],
 )
-def test_a_body_that_is_not_whole_is_not_passed_on(cut: bytes) -> None:
+def test_truncated_body_is_not_forwarded(cut: bytes) -> None:
     async def scene() -> None:
         async with world(lambda *_: cut) as w:
             asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
@@ -124,7 +112,7 @@
 
 
 @pytest.mark.parametrize("malformed", MALFORMED, ids=range(len(MALFORMED)))
-def test_a_spoilt_answer_is_an_error_at_once_and_its_connection_is_not_used_again(
+def test_malformed_response_is_an_error_at_once_and_its_connection_is_not_reused(
     malformed: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The server keeps the connection open: nothing but the answer itself tells.
@@ -147,7 +135,7 @@
 
 
 @pytest.mark.parametrize("more", [answer(200, b"a second copy"), b"noise"])
-def test_more_than_belongs_to_an_answer_costs_its_connection_and_nothing_else(more: bytes) -> None:
+def test_excess_data_after_a_response_costs_its_connection_and_nothing_else(more: bytes) -> None:
     async def scene() -> None:
         async with world(lambda *_: b"HTTP/1.1 103 X\r\n\r\n" + answer(200, b"done") + more) as w:
             for number in range(3):
@@ -157,7 +145,7 @@
     play(scene())
 
 
-def test_a_hung_server_leaves_time_for_an_answer_and_its_connection_is_closed() -> None:
+def test_hung_server_leaves_time_for_a_response_and_its_connection_is_closed() -> None:
     async def scene() -> None:
         async with world(hung) as w:
             loop = asyncio.get_running_loop()
@@ -170,14 +158,14 @@
     play(scene())
 
 
-def test_a_break_before_the_last_byte_was_written_proves_that_it_never_ran() -> None:
+def test_reset_before_the_last_byte_is_written_proves_that_the_request_never_ran() -> None:
     async def scene() -> None:
         body = bytes(32 * 1024 * 1024)  # more than the kernel takes: the rest waits in the transport
         listener = socket.create_server(("127.0.0.1", 0))
         connection = await connect(listener.getsockname()[:2], 1024)
         other, _ = listener.accept()
         ended: asyncio.Future[Response | None] = asyncio.get_running_loop().create_future()
-        connection.request(data(body), ended.set_result)
+        connection.request(encode_post(body), ended.set_result)
         assert not connection.request_written
         other.close()  # with bytes unread: a reset
         assert await asyncio.wait_for(ended, PATIENCE_S) is None
@@ -190,7 +178,7 @@
     play(scene())
 
 
-def test_a_request_counts_as_written_once_the_transport_has_passed_all_of_it_on() -> None:
+def test_request_is_written_once_the_transport_has_handed_all_of_it_to_the_kernel() -> None:
     async def scene() -> None:
         body = bytes(32 * 1024 * 1024)
         listener = socket.create_server(("127.0.0.1", 0))
@@ -199,7 +187,7 @@
         other, _ = listener.accept()
         reader, writer = await asyncio.open_connection(sock=other, limit=2**26)
         ended: asyncio.Future[Response | None] = asyncio.get_running_loop().create_future()
-        connection.request(data(body), ended.set_result)
+        connection.request(encode_post(body), ended.set_result)
         await reader.readuntil(b"\r\n\r\n")
         await reader.readexactly(len(body))
         await until(lambda: connection.request_written)
@@ -211,29 +199,29 @@
     play(scene())
 
 
-def test_an_attempt_whose_time_is_up_is_never_sent() -> None:
+def test_attempt_past_its_deadline_is_never_sent() -> None:
     async def scene() -> None:
-        upstream = ConnectionPool(1.0, 60.0, 10)
-        upstream.update("s", ("127.0.0.1", 1), None, ServerState.READY)
-        assert await outcome_of(upstream, -1.0) is Outcome.NOT_SENT
+        pool = ConnectionPool(1.0, 60.0, 10)
+        pool.update("s", ("127.0.0.1", 1), None, ServerState.READY)
+        assert await outcome_of(pool, -1.0) is Outcome.NOT_SENT
 
     play(scene())
 
 
-def test_a_cancelled_attempt_has_one_outcome_and_its_connection_is_closed() -> None:
+def test_cancelled_attempt_has_one_outcome_and_its_connection_is_closed() -> None:
     async def scene() -> None:
         server = FakeServer("s", hung)
         await server.start()
-        upstream = ConnectionPool(1.0, 60.0, 10)
-        upstream.update("s", server.address, None, ServerState.READY)
+        pool = ConnectionPool(1.0, 60.0, 10)
+        pool.update("s", server.address, None, ServerState.READY)
         outcomes: list[Outcome] = []
         loop = asyncio.get_running_loop()
-        exchange: Exchange = upstream.send("s", order(), loop.time() + 30, lambda o, _: outcomes.append(o))
+        exchange: Exchange = pool.send("s", post_request(), loop.time() + 30, lambda o, _: outcomes.append(o))
         await until(lambda: server.requests)
-        upstream.cancel(exchange)
-        upstream.cancel(exchange)
+        pool.cancel(exchange)
+        pool.cancel(exchange)
         await until(lambda: server.closed == 1)
-        assert outcomes == [Outcome.CANCELLED] and upstream.open_connections == 0
+        assert outcomes == [Outcome.CANCELLED] and pool.open_connections == 0
         server.stop()
 
     play(scene())
--- a/tests/proxy/test_connection_reuse.py
+++ b/tests/proxy/test_connection_reuse.py
@@ -7,14 +7,7 @@
 
 import pytest
 from helpers import S
-from loopback import (
-    LIMITS,
-    FakeServer,
-    play,
-    served,
-    until,
-    world,
-)
+from loopback import LIMITS, FakeServer, play, served, until, world
 from pool_requests import outcome_of
 
 from sidecar.balancer.events import Outcome, ServerState
@@ -22,7 +15,7 @@
 from sidecar.proxy.idle_lifetimes import IdleLifetimeEstimator
 
 
-def test_connections_are_used_again() -> None:
+def test_connections_are_reused() -> None:
     async def scene() -> None:
         async with world(served) as w:
             for _ in range(5):
@@ -33,7 +26,7 @@
     play(scene())
 
 
-def test_a_connection_rests_before_it_is_used_again_even_where_there_is_no_room_for_another() -> None:
+def test_connection_is_not_reused_before_the_reuse_delay_even_at_the_connection_limit() -> None:
     # Guards against an end or a second copy that is under way behind the answer: it would pass for the answer
     # to the next request.  What has no room takes the place of a connection instead.
     async def scene() -> None:
@@ -49,7 +42,7 @@
 
 # Guards against a request that is written to a connection which its server has already ended.
 @pytest.mark.parametrize("how", ["end", "stray"])
-def test_a_connection_with_an_end_or_stray_bytes_is_not_used_again(how: str) -> None:
+def test_connection_with_an_unread_end_or_stray_bytes_is_not_reused(how: str) -> None:
     async def scene() -> None:
         async with world(served) as w:
             assert (await w.ask(kind="pay", body=b"x"))[0] == 200
@@ -71,7 +64,7 @@
     play(scene())
 
 
-def test_connections_that_break_once_idle_for_long_are_not_trusted_for_that_long() -> None:
+def test_idle_times_after_which_connections_break_are_not_trusted() -> None:
     lifetimes = IdleLifetimeEstimator(10.0)
     for _ in range(40):
         lifetimes.record(None, False)
@@ -84,7 +77,7 @@
     assert lifetimes.is_trusted(5.0, 40.0)  # what was learnt has faded
 
 
-def test_breaks_that_new_connections_suffer_too_are_not_laid_to_idleness() -> None:
+def test_breaks_that_new_connections_suffer_too_do_not_count_against_idle_ones() -> None:
     lifetimes = IdleLifetimeEstimator(10.0)
     for number in range(60):
         lifetimes.record(None, number % 4 == 0)
@@ -92,7 +85,7 @@
     assert lifetimes.is_trusted(0.3, 0.0)
 
 
-def test_where_idle_connections_break_requests_get_new_ones() -> None:
+def test_requests_get_new_connections_if_idle_ones_break() -> None:
     async def scene() -> None:
         used: set[asyncio.StreamWriter] = set()
 
@@ -105,10 +98,10 @@
 
         server = FakeServer("s", once)
         await server.start()
-        upstream = ConnectionPool(30.0, 60.0, 10)
-        upstream._idle_connections.reuse_delay_s = 0.0  # connections are used again at once
-        upstream.update("s", server.address, None, ServerState.READY)
-        outcomes = [await outcome_of(upstream) for _ in range(100)]
+        pool = ConnectionPool(30.0, 60.0, 10)
+        pool._idle_connections.reuse_delay_s = 0.0  # connections are used again at once
+        pool.update("s", server.address, None, ServerState.READY)
+        outcomes = [await outcome_of(pool) for _ in range(100)]
         assert Outcome.RESET in outcomes
         assert set(outcomes[60:]) == {
             Outcome.SUCCEEDED
@@ -118,7 +111,7 @@
     play(scene())
 
 
-def test_an_idle_connection_is_closed_before_its_server_would() -> None:
+def test_idle_connection_is_closed_before_the_idle_timeout_of_its_server() -> None:
     async def scene() -> None:
         limits = {"max_attempts": 3, "allow_cancel": True, "idle_close_us": 1 * S}
         async with world(served, limits=limits) as w:
@@ -131,21 +124,21 @@
     play(scene())
 
 
-def test_a_restarted_or_moved_server_loses_its_old_connections() -> None:
+def test_connections_of_a_restarted_or_moved_server_are_closed() -> None:
     async def scene() -> None:
         server = FakeServer("s", served)
         await server.start()
-        upstream = ConnectionPool(1.0, 60.0, 10)
-        upstream.update("s", server.address, None, ServerState.READY)
-        assert await outcome_of(upstream) is Outcome.SUCCEEDED
-        upstream.update("s", server.address, 5, ServerState.READY)
+        pool = ConnectionPool(1.0, 60.0, 10)
+        pool.update("s", server.address, None, ServerState.READY)
+        assert await outcome_of(pool) is Outcome.SUCCEEDED
+        pool.update("s", server.address, 5, ServerState.READY)
         await until(lambda: server.closed == 1)
-        assert await outcome_of(upstream) is Outcome.SUCCEEDED
+        assert await outcome_of(pool) is Outcome.SUCCEEDED
         assert len(server.writers) == 2
         other = FakeServer("s", served)
         await other.start()
-        upstream.update("s", other.address, 5, ServerState.READY)
-        assert await outcome_of(upstream) is Outcome.SUCCEEDED
+        pool.update("s", other.address, 5, ServerState.READY)
+        assert await outcome_of(pool) is Outcome.SUCCEEDED
         assert len(other.requests) == 1
         server.stop()
         other.stop()
--- a/tests/proxy/test_dedup_window.py
+++ b/tests/proxy/test_dedup_window.py
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("late", [True, False])
-def test_a_connection_comes_up_as_servers_forget_the_attempt_before(
+def test_connection_comes_up_at_the_end_of_the_dedup_window(
     late: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     dialled, go_on = asyncio.Event(), asyncio.Event()
@@ -29,10 +29,13 @@
     connect = server_connection.connect
 
     async def second_held_up(
-        address: Address, body_most: int, stall_s: float | None = None, sock: socket.socket | None = None
+        address: Address,
+        max_body_bytes: int,
+        response_timeout_s: float | None = None,
+        sock: socket.socket | None = None,
     ) -> Connection:
         dials.append(address)
-        connection = await connect(address, body_most, stall_s, sock)
+        connection = await connect(address, max_body_bytes, response_timeout_s, sock)
         if len(dials) == 2:
             dialled.set()
             await go_on.wait()
@@ -63,7 +66,7 @@
     play(scene())
 
 
-def test_servers_forget_a_request_as_its_repeat_is_half_written(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_dedup_window_ends_while_the_retry_is_partly_written(monkeypatch: pytest.MonkeyPatch) -> None:
     shrink_send_buffers(monkeypatch)
 
     async def scene() -> None:
--- a/tests/proxy/test_dialing.py
+++ b/tests/proxy/test_dialing.py
@@ -8,9 +8,10 @@
 from collections.abc import Callable
 
 import pytest
-from faulty_sockets import Failures, failing, named, outcome_of, use_faulty
+from faulty_sockets import Failures, failing, named, use_faulty
 from helpers import S
 from loopback import LIMITS, PATIENCE_S, FakeServer, deaf, play, served, until, world
+from pool_requests import outcome_of
 
 from sidecar.balancer.events import Outcome, ServerState
 from sidecar.proxy.addresses import Address
@@ -36,13 +37,13 @@
     return len(os.listdir("/proc/self/fd"))
 
 
-def dial(expected: Outcome, dial_limit_s: float = PATIENCE_S, address: Address | None = None) -> None:
+def dial(expected: Outcome, dial_timeout_s: float = PATIENCE_S, address: Address | None = None) -> None:
     """Send one request; check its outcome, and that neither a descriptor nor a count of one is left."""
 
     async def scene() -> None:
         server = FakeServer("s", served)
         await server.start()
-        servers = ConnectionPool(dial_limit_s, 60.0, 10)
+        servers = ConnectionPool(dial_timeout_s, 60.0, 10)
         servers.update("s", address or server.address, None, ServerState.READY)
         before = descriptors()
         assert await outcome_of(servers) is expected
@@ -56,32 +57,30 @@
 
 
 @pytest.mark.parametrize("code", _LOCAL, ids=named)
-def test_a_dial_that_fails_for_a_local_cause_is_tried_again(
-    code: int, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_dial_that_fails_for_a_local_cause_is_retried(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
     use_faulty(monkeypatch, connects=failing(code, 3))
     dial(Outcome.SUCCEEDED)
 
 
 @pytest.mark.parametrize("code", _LOCAL, ids=named)
-def test_a_server_is_not_blamed_for_a_local_cause_that_lasts(
+def test_server_is_not_blamed_for_a_persistent_local_failure(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     use_faulty(monkeypatch, connects=failing(code, 10**9))
-    dial(Outcome.NOT_SENT, dial_limit_s=0.1)
+    dial(Outcome.NOT_SENT, dial_timeout_s=0.1)
 
 
 @pytest.mark.parametrize("code", _NO_SOCKET, ids=named)
 @pytest.mark.parametrize(("times", "expected"), [(3, Outcome.SUCCEEDED), (10**9, Outcome.NOT_SENT)])
-def test_a_lack_of_sockets_says_nothing_of_a_server(
+def test_lack_of_sockets_is_not_a_failure_of_the_server(
     code: int, times: int, expected: Outcome, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     use_faulty(monkeypatch, sockets=failing(code, times))
-    dial(expected, dial_limit_s=PATIENCE_S if expected is Outcome.SUCCEEDED else 0.1)
+    dial(expected, dial_timeout_s=PATIENCE_S if expected is Outcome.SUCCEEDED else 0.1)
 
 
 @pytest.mark.parametrize("code", _OF_THE_SERVER, ids=named)
-def test_a_dial_that_fails_for_the_servers_cause_is_not_tried_again(
+def test_dial_that_fails_for_a_cause_of_the_server_is_not_retried(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     use_faulty(monkeypatch, connects=failing(code, 1))
@@ -89,7 +88,7 @@
 
 
 @pytest.mark.parametrize("code", [errno.ENOBUFS, errno.ENOMEM, errno.EINVAL], ids=named)
-def test_a_socket_that_takes_no_option_is_given_up_for_another(
+def test_socket_that_cannot_be_configured_is_replaced_by_another(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     use_faulty(monkeypatch, options=failing(code, 2))
@@ -97,23 +96,23 @@
 
 
 @pytest.mark.parametrize("code", [errno.EIO, errno.EINTR], ids=named)
-def test_a_close_that_fails_changes_no_outcome(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failure_to_close_a_socket_changes_no_outcome(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
     use_faulty(monkeypatch, connects=failing(errno.EADDRNOTAVAIL, 2), closes=failing(code, 10**9))
     dial(Outcome.SUCCEEDED)
     use_faulty(monkeypatch, connects=failing(errno.ECONNREFUSED, 1), closes=failing(code, 10**9))
     dial(Outcome.CONNECT_FAILED)
 
 
-def test_an_address_that_cannot_be_looked_up_is_a_failed_dial() -> None:
+def test_address_that_cannot_be_resolved_is_a_failed_dial() -> None:
     dial(Outcome.CONNECT_FAILED, address=("a..b", 80))
 
 
-def test_a_dial_that_only_a_silent_server_held_up_is_the_servers() -> None:
+def test_dial_timeout_without_a_local_failure_is_a_failure_of_the_server() -> None:
     with deaf() as address:
-        dial(Outcome.CONNECT_FAILED, dial_limit_s=0.1, address=address)
+        dial(Outcome.CONNECT_FAILED, dial_timeout_s=0.1, address=address)
 
 
-def test_a_dial_held_up_by_a_local_cause_is_never_written_and_ends_with_its_attempt(
+def test_request_of_a_dial_that_fails_locally_is_never_written_and_ends_with_its_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     use_faulty(monkeypatch, connects=failing(errno.EADDRNOTAVAIL, 10**9))
@@ -134,7 +133,7 @@
     play(scene(leave, Outcome.CONNECT_FAILED, PATIENCE_S))
 
 
-def test_dials_wait_between_tries(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_dials_back_off_between_retries(monkeypatch: pytest.MonkeyPatch) -> None:
     tries: list[None] = []
 
     def counted() -> Failures:
@@ -143,11 +142,13 @@
             yield errno.EADDRNOTAVAIL
 
     use_faulty(monkeypatch, connects=counted())
-    dial(Outcome.NOT_SENT, dial_limit_s=0.3)
+    dial(Outcome.NOT_SENT, dial_timeout_s=0.3)
     assert 2 <= len(tries) <= 6  # at 0, 10, 30, 70, 150 and 310 ms at the earliest
 
 
-def test_local_causes_eject_no_server_and_each_request_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_local_failures_eject_no_server_and_each_request_gets_a_response(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     limits = LIMITS | {"dial_timeout_us": S // 10}
 
     async def scene() -> None:
@@ -166,7 +167,9 @@
 
 # Guards discovery's calls, which have retries of their own.
 @pytest.mark.parametrize("code", [*_LOCAL, *_OF_THE_SERVER], ids=named)
-def test_a_connection_of_its_own_fails_with_an_os_error(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connect_without_a_given_socket_raises_an_os_error(
+    code: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     use_faulty(monkeypatch, connects=failing(code, 1))
 
     async def scene() -> None:
--- a/tests/proxy/test_disconnected_clients.py
+++ b/tests/proxy/test_disconnected_clients.py
@@ -6,21 +6,12 @@
 import socket
 
 from helpers import S
-from loopback import (
-    answer,
-    deaf,
-    hung,
-    play,
-    request,
-    served,
-    until,
-    world,
-)
+from loopback import answer, deaf, hung, play, request, served, until, world
 
 from sidecar.balancer.events import ServerState
 
 
-def test_a_client_that_leaves_ends_its_attempt() -> None:
+def test_client_disconnect_cancels_the_attempt() -> None:
     async def scene() -> None:
         async with world(hung) as w:
             _, writer = await w.connect()
@@ -33,7 +24,7 @@
     play(scene())
 
 
-def test_nothing_is_sent_for_a_client_that_left_before_its_request_was_read() -> None:
+def test_nothing_is_sent_for_a_client_that_disconnected_before_its_request_was_read() -> None:
     async def scene() -> None:
         async with world(served) as w:
             assert (await w.ask(path="/api/1"))[0] == 200
@@ -49,7 +40,7 @@
     play(scene())
 
 
-def test_nothing_is_sent_for_a_request_that_is_over_even_where_nothing_may_be_cancelled() -> None:
+def test_nothing_is_sent_for_a_request_that_is_over_even_if_cancelling_is_not_allowed() -> None:
     # Guards rule 1: a dial that came up after the final answer would still write the request.
     async def scene() -> None:
         limits = {"max_attempts": 3, "allow_cancel": False, "dial_timeout_us": 600 * S}
@@ -65,7 +56,7 @@
     play(scene())
 
 
-def test_a_client_that_reads_nothing_neither_holds_up_others_nor_stays() -> None:
+def test_client_that_reads_nothing_neither_delays_others_nor_stays_connected() -> None:
     async def scene() -> None:
         async with world(lambda *_: answer(200, bytes(60_000))) as w:
             slow = socket.socket()
--- a/tests/proxy/test_load_report_parsing.py
+++ b/tests/proxy/test_load_report_parsing.py
@@ -2,16 +2,12 @@
 
 from __future__ import annotations
 
-from loopback import (
-    answer,
-    play,
-    world,
-)
+from loopback import answer, play, world
 
 from sidecar.proxy.load_reports import parse_report
 
 
-def test_junk_load_reports_are_skipped() -> None:
+def test_malformed_load_reports_are_skipped() -> None:
     columns = ("util", "qps")
     assert parse_report("TEXT util=0.5, qps=7, other=1", columns) == {"util": 0.5, "qps": 7.0}
     for junk in ("TEXT util=nan", "TEXT util", "BIN xyz", "", "TEXT "):
--- a/tests/proxy/test_remaining_time.py
+++ b/tests/proxy/test_remaining_time.py
@@ -29,7 +29,7 @@
     return float(head["x-budget"])
 
 
-def test_an_attempt_tells_what_is_left_after_a_slow_dial(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_attempt_states_the_remaining_time_after_a_slow_dial(monkeypatch: pytest.MonkeyPatch) -> None:
     connect = server_connection.connect
 
     async def slow(*given: Any) -> Connection:
@@ -48,7 +48,7 @@
     play(scene())
 
 
-def test_a_retry_tells_what_is_left_then() -> None:
+def test_retry_states_the_remaining_time() -> None:
     async def scene() -> None:
         async with world(hung, hung) as w:
             asking = asyncio.create_task(w.ask(kind="pay", body=b"x", budget=str(_BUDGET_S)))
@@ -83,7 +83,7 @@
         return world(self.answer, self.answer, self.answer, classes=classes, limits=limits)
 
 
-def test_a_hedged_request_tells_what_is_left_then(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_hedged_request_states_the_remaining_time(monkeypatch: pytest.MonkeyPatch) -> None:
     copies = Copies(served())
 
     async def scene() -> None:
@@ -118,9 +118,7 @@
 
 @pytest.mark.parametrize("kind", ["look", "pay", "amend"])
 @pytest.mark.parametrize("budget_s", [0.0, 0.001, 0.01, 0.05, 0.2])
-def test_a_request_with_little_time_left_gets_its_answer_though_servers_drop_it(
-    kind: str, budget_s: float
-) -> None:
+def test_request_near_its_deadline_gets_a_response_even_if_servers_hang(kind: str, budget_s: float) -> None:
     async def scene() -> None:
         async with world(hung, hung, hung) as w:
             for _ in range(3):
@@ -130,7 +128,7 @@
 
 
 @pytest.mark.parametrize("reply", [b"", full(), answer(500, b"")], ids=["reset", "rejected", "failed"])
-def test_a_hedged_request_that_fails_at_once_leaves_an_answer_in_time(
+def test_hedged_request_that_fails_at_once_leaves_time_for_a_response(
     reply: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     copies = Copies(reply)
@@ -145,7 +143,7 @@
 
 @pytest.mark.parametrize("kind", ["look", "pay", "amend"])
 @pytest.mark.parametrize("end", [b"", full(), answer(500, b"")], ids=["reset", "rejected", "failed"])
-def test_retries_that_fail_at_once_leave_an_answer_in_time(kind: str, end: bytes) -> None:
+def test_retries_that_fail_at_once_leave_time_for_a_response(kind: str, end: bytes) -> None:
     async def scene() -> None:
         async with world(lambda *_: end, lambda *_: end, served) as w:
             w.servers[2].stop()  # dials to it are refused
@@ -158,7 +156,7 @@
 
 @pytest.mark.parametrize("how", ["close", "reset"])
 @pytest.mark.parametrize("kind", ["look", "pay", "amend"])
-def test_an_idle_connection_that_its_server_ends_costs_no_request(kind: str, how: str) -> None:
+def test_idle_connection_closed_by_its_server_fails_no_request(kind: str, how: str) -> None:
     async def scene() -> None:
         async with world(served) as w:
             w.sidecar._upstream._idle_connections.reuse_delay_s = 0.0
@@ -174,7 +172,7 @@
 
 
 @pytest.mark.parametrize("kind", ["look", "pay", "amend"])
-def test_a_connection_forgotten_while_idle_costs_at_most_one_attempt(kind: str) -> None:
+def test_connection_forgotten_while_idle_fails_at_most_one_attempt(kind: str) -> None:
     used: set[asyncio.StreamWriter] = set()
 
     async def scene() -> None:
--- a/tests/proxy/test_responses_without_length.py
+++ b/tests/proxy/test_responses_without_length.py
@@ -25,18 +25,18 @@
 _BODIES = {"empty": b"", "short": b"served", "the longest": bytes(MAX_BODY_BYTES)}
 
 
-async def send_one(upstream: ConnectionPool) -> tuple[Outcome, Response | None]:
+async def send_one(pool: ConnectionPool) -> tuple[Outcome, Response | None]:
     """Send one short request to server s; give its outcome."""
     loop = asyncio.get_running_loop()
     ended: asyncio.Future[tuple[Outcome, Response | None]] = loop.create_future()
     data = message(b"POST / HTTP/1.1", [(b"Host", b"x"), (b"Content-Length", b"0")])
-    upstream.send("s", EncodedRequest(data), loop.time() + PATIENCE_S, lambda *end: ended.set_result(end))
+    pool.send("s", EncodedRequest(data), loop.time() + PATIENCE_S, lambda *end: ended.set_result(end))
     return await ended
 
 
 @pytest.mark.parametrize("body", _BODIES.values(), ids=_BODIES)
 @pytest.mark.parametrize("head", _HEADS.values(), ids=_HEADS)
-def test_an_orderly_end_completes_an_answer(head: bytes, body: bytes) -> None:
+def test_orderly_close_completes_a_response(head: bytes, body: bytes) -> None:
     async def scene() -> None:
         async with world(hung) as w:
             asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
@@ -50,14 +50,14 @@
     play(scene())
 
 
-def test_an_orderly_end_completes_an_answer_that_came_in_pieces_and_its_connection_is_not_reused() -> None:
+def test_orderly_close_completes_a_response_in_pieces_and_its_connection_is_not_reused() -> None:
     async def scene() -> None:
         server = FakeServer("s", hung)
         await server.start()
-        upstream = ConnectionPool(PATIENCE_S, 60.0, 10)
-        upstream._idle_connections.reuse_delay_s = 0.0
-        upstream.update("s", server.address, None, ServerState.READY)
-        sending = asyncio.create_task(send_one(upstream))
+        pool = ConnectionPool(PATIENCE_S, 60.0, 10)
+        pool._idle_connections.reuse_delay_s = 0.0
+        pool.update("s", server.address, None, ServerState.READY)
+        sending = asyncio.create_task(send_one(pool))
         await until(lambda: server.requests)
         for piece in (_HEAD[:9], _HEAD[9:] + b"ser", b"ved"):
             server.writers[0].write(piece)
@@ -66,15 +66,15 @@
         server.writers[0].close()
         outcome, response = await sending
         assert outcome is Outcome.SUCCEEDED and response is not None and response.body == b"served"
-        assert not upstream.servers["s"].idle
-        await until(lambda: upstream.open_connections == 0)
+        assert not pool.servers["s"].idle
+        await until(lambda: pool.open_connections == 0)
         server.stop()
 
     play(scene())
 
 
 @pytest.mark.parametrize("body", [b"", b"part of it or all", bytes(MAX_BODY_BYTES)], ids=_BODIES)
-def test_a_reset_breaks_an_answer_however_much_of_it_came(body: bytes) -> None:
+def test_reset_truncates_a_response_however_much_of_it_was_received(body: bytes) -> None:
     # Read by the sidecar or not: the reset is in its kernel behind the bytes, or comes after they were read.
     async def scene(is_read_before: bool) -> None:
         async with world(hung) as w:
@@ -97,15 +97,15 @@
     play(scene(False))
 
 
-def test_a_close_over_unread_bytes_is_a_reset() -> None:
+def test_close_with_unread_bytes_is_a_reset() -> None:
     # The kernel resets a connection that is closed over bytes that nobody has read.
     async def scene() -> None:
         loop = asyncio.get_running_loop()
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
-        upstream = ConnectionPool(PATIENCE_S, 60.0, 10)
-        upstream.update("s", listener.getsockname()[:2], None, ServerState.READY)
-        sending = asyncio.create_task(send_one(upstream))
+        pool = ConnectionPool(PATIENCE_S, 60.0, 10)
+        pool.update("s", listener.getsockname()[:2], None, ServerState.READY)
+        sending = asyncio.create_task(send_one(pool))
         accepted, _ = await loop.sock_accept(listener)
         assert await loop.sock_recv(accepted, 1)  # the rest of the request stays unread
         await loop.sock_sendall(accepted, _HEAD + b"all of it")
@@ -116,7 +116,7 @@
     play(scene())
 
 
-def test_a_process_that_dies_breaks_its_answers() -> None:
+def test_killed_process_truncates_its_responses() -> None:
     async def scene() -> None:
         async with world(hung) as w:
             asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("ends", [True, False])
-def test_an_answer_over_the_limit_is_not_forwarded(ends: bool) -> None:
+def test_response_over_the_size_limit_is_not_forwarded(ends: bool) -> None:
     async def scene() -> None:
         async with world(hung) as w:
             asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
@@ -155,7 +155,7 @@
         b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nnot\r\n0\r\n",
     ],
 )
-def test_an_orderly_end_does_not_complete_an_answer_that_announces_more(cut: bytes) -> None:
+def test_orderly_close_does_not_complete_a_response_that_announces_more(cut: bytes) -> None:
     async def scene() -> None:
         async with world(hung) as w:
             asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
@@ -168,26 +168,26 @@
     play(scene())
 
 
-def test_an_answer_that_never_ends_is_given_up() -> None:
+def test_response_that_never_ends_times_out() -> None:
     async def scene() -> None:
         server = FakeServer("s", lambda *_: _HEAD + b"and no end")
         await server.start()
-        upstream = ConnectionPool(0.1, 60.0, 10)  # the dial limit bounds an answer that has begun
-        upstream.update("s", server.address, None, ServerState.READY)
-        assert await send_one(upstream) == (Outcome.ERROR, None)
-        await until(lambda: server.closed == 1 and upstream.open_connections == 0)
+        pool = ConnectionPool(0.1, 60.0, 10)  # the dial limit bounds an answer that has begun
+        pool.update("s", server.address, None, ServerState.READY)
+        assert await send_one(pool) == (Outcome.ERROR, None)
+        await until(lambda: server.closed == 1 and pool.open_connections == 0)
         server.stop()
 
     play(scene())
 
 
-def test_a_rejection_without_length_is_a_rejection_once_it_has_ended() -> None:
+def test_rejection_without_length_is_a_rejection_once_it_is_complete() -> None:
     async def scene(resets: bool) -> None:
         server = FakeServer("s", hung)
         await server.start()
-        upstream = ConnectionPool(PATIENCE_S, 60.0, 10)
-        upstream.update("s", server.address, None, ServerState.READY)
-        sending = asyncio.create_task(send_one(upstream))
+        pool = ConnectionPool(PATIENCE_S, 60.0, 10)
+        pool.update("s", server.address, None, ServerState.READY)
+        sending = asyncio.create_task(send_one(pool))
         await until(lambda: server.requests)
         (writer,) = server.writers
         writer.write(b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\n\r\n")
--- a/tests/proxy/test_socket_errors.py
+++ b/tests/proxy/test_socket_errors.py
@@ -7,8 +7,9 @@
 import itertools
 
 import pytest
-from faulty_sockets import Failures, failing, named, outcome_of, use_faulty
+from faulty_sockets import Failures, failing, named, use_faulty
 from loopback import PATIENCE_S, FakeServer, answer, hung, play, served, until
+from pool_requests import outcome_of
 
 from sidecar.balancer.events import Outcome, ServerState
 from sidecar.proxy.connection_pool import ConnectionPool
@@ -45,7 +46,7 @@
 
 @pytest.mark.parametrize("code", _BROKEN, ids=named)
 @pytest.mark.parametrize(("body", "sends"), [(b"", 0), (_LONG, 0), (_LONG, 1)])
-def test_a_write_that_fails_before_the_last_byte_proves_that_it_never_ran(
+def test_failed_write_before_the_last_byte_proves_that_the_request_never_ran(
     body: bytes, sends: int, code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     use_faulty(monkeypatch, sends=working_then(code, sends))
@@ -53,13 +54,13 @@
 
 
 @pytest.mark.parametrize("code", _BROKEN, ids=named)
-def test_a_short_write_does_not_count_as_the_last_byte(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_short_write_does_not_count_as_the_last_byte(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
     use_faulty(monkeypatch, sends=working_then(code, 3), send_most=9)
     attempt(Outcome.CONNECT_FAILED, 0)
 
 
 @pytest.mark.parametrize("code", _BROKEN, ids=named)
-def test_a_read_that_fails_after_the_last_byte_is_a_reset(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failed_read_after_the_last_byte_is_a_reset(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
     use_faulty(monkeypatch, reads=working_then(code, 0))
     attempt(Outcome.RESET, 1)
     use_faulty(monkeypatch, reads=working_then(code, 1), read_most=30)  # in the middle of the answer
@@ -68,7 +69,9 @@
 
 @pytest.mark.parametrize("code", [errno.EINTR, errno.EAGAIN], ids=named)
 @pytest.mark.parametrize("body", [b"", _LONG])
-def test_interrupted_calls_are_made_again(body: bytes, code: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_interrupted_system_calls_are_retried(
+    body: bytes, code: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     use_faulty(monkeypatch, sends=failing(code, 2), reads=failing(code, 2))
     attempt(Outcome.SUCCEEDED, 1, body)
 
@@ -81,7 +84,7 @@
 
 @pytest.mark.parametrize("code", [errno.ENOBUFS, errno.ENOMEM], ids=named)
 @pytest.mark.parametrize(("body", "sends"), [(b"", 0), (_LONG, 0), (_LONG, 1)])
-def test_a_write_that_fails_for_a_local_cause_says_nothing_of_the_server(
+def test_write_that_fails_for_a_local_cause_is_not_a_failure_of_the_server(
     body: bytes, sends: int, code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     use_faulty(monkeypatch, sends=working_then(code, sends))
@@ -89,7 +92,7 @@
 
 
 @pytest.mark.parametrize("code", [errno.ENOTCONN, errno.EIO], ids=named)
-def test_an_attempt_is_given_up_though_shutdown_and_close_fail(
+def test_attempt_is_cancelled_even_if_shutdown_and_close_fail(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     use_faulty(monkeypatch, shutdowns=working_then(code, 0), closes=working_then(code, 0))
