--- a/sidecar/proxy/connection_dialer.py
+++ b/sidecar/proxy/connection_dialer.py
@@ -102,6 +102,7 @@
             try:
                 sock = open_socket(partial(sockets.new_socket, address))
                 exchange.connecting_socket = sock
+                # A response that has begun may take as long as a dial.
                 return await connect(address, MAX_BODY_BYTES, self.dial_timeout_s, sock)
             except LocalDialError as error:
                 log.debug("dial of %s failed locally and is retried: %r", exchange.server.name, error)
--- a/sidecar/proxy/exchange.py
+++ b/sidecar/proxy/exchange.py
@@ -64,7 +64,7 @@
     """A request that a function encodes when it is written.
 
     Attributes:
-        encode: As of `RequestWriter`.
+        encode: Encodes the request, as `RequestWriter.encode` does.
     """
 
     encode: Callable[[float], bytes | None]
@@ -78,7 +78,7 @@
         generation: The generation of the server's process at its start.
         deadline: Event loop time at which it ends in any case.
         connection: What its request is written to; None until then.
-        written_at: Event loop time at which its request was started to be written.
+        written_at: Event loop time at which writing its request began.
         idle_s: Seconds that its connection had been idle; None: it is new.
         dial_task: Its dial while that is in progress.
         connecting_socket: What its dial is connecting.
--- a/sidecar/proxy/pooled_servers.py
+++ b/sidecar/proxy/pooled_servers.py
@@ -64,9 +64,12 @@
             self.idle.pop().close()
 
     def end_unwritten(self, outcome: Outcome = Outcome.CONNECT_FAILED) -> None:
-        """Close its idle connections and end the exchanges whose request has not been started to be written.
+        """Close its idle connections and end the exchanges that wait for a new one.
 
-        A slow dial may last longer than a server that is draining still serves.
+        Guards against a slow dial that would write its request after a draining server has stopped.
+
+        Args:
+            outcome: What these exchanges end with.
         """
         self.close_idle()
         for exchange in list(self.dialing):
