--- a/sidecar/proxy/active_requests.py
+++ b/sidecar/proxy/active_requests.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from sidecar.proxy.client_request import ClientRequest
-from sidecar.proxy.connection_pool import Exchange
+from sidecar.proxy.exchange import Exchange
 from sidecar.settings import Idempotency
 
 
--- a/sidecar/proxy/attempts.py
+++ b/sidecar/proxy/attempts.py
@@ -12,7 +12,8 @@
 from sidecar.proxy.active_requests import ActiveRequest
 from sidecar.proxy.client_request import ClientRequest
 from sidecar.proxy.clock import Clock
-from sidecar.proxy.connection_pool import ConnectionPool, Exchange
+from sidecar.proxy.connection_pool import ConnectionPool
+from sidecar.proxy.exchange import DeferredRequest, Exchange
 from sidecar.proxy.http_messages import Response, message
 from sidecar.proxy.load_reports import parse_report
 from sidecar.proxy.request_lifecycle import RequestLifecycle
@@ -87,7 +88,7 @@
     def _start(self, attempt: Attempt, deadline_us: int) -> None:
         deadline = self._clock.to_loop_time(deadline_us)
         ended = partial(self._on_ended, attempt)
-        order = partial(self._encode_if_wanted, attempt)
+        order = DeferredRequest(partial(self._encode_if_wanted, attempt))
         try:
             exchange = self._pool.send(attempt.server, order, deadline, ended)
         except Exception:
--- a/tests/proxy/test_client_disconnect_races.py
+++ b/tests/proxy/test_client_disconnect_races.py
@@ -24,9 +24,10 @@
 from race_stage import LATER, Client, connection_of, rested_everywhere
 
 from sidecar.balancer.events import Outcome, ServerState
-from sidecar.proxy import connection_pool, server_connection
+from sidecar.proxy import connection_dialer, server_connection
 from sidecar.proxy.addresses import Address
 from sidecar.proxy.connection_pool import ConnectionPool
+from sidecar.proxy.exchange import DeferredRequest
 from sidecar.proxy.http_messages import message
 from sidecar.proxy.server_connection import Connection
 
@@ -64,7 +65,7 @@
 
     async def scene() -> None:
         async with world(served) as w:
-            monkeypatch.setattr(connection_pool, "connect", held_up)
+            monkeypatch.setattr(connection_dialer, "connect", held_up)
             client = Client(w.sidecar.frontend.address, request("pay", body=b"x"))
             await dialled.wait()
             client.leave()
@@ -103,7 +104,7 @@
 
     async def scene() -> None:
         async with world(hung, classes=classes) as w:
-            w.sidecar._upstream._reuse_delay_s = 0.0  # what is free is used at once
+            w.sidecar._upstream._idle_connections.reuse_delay_s = 0.0  # what is free is used at once
             first = Client(w.sidecar.frontend.address, request(X_Call_Id="first"))
             await until(w.sent)
             second = Client(w.sidecar.frontend.address, request(X_Call_Id="second"))
@@ -133,7 +134,9 @@
             data = message(b"POST / HTTP/1.1", [(b"Content-Length", b"8000000")], bytes(8_000_000))
             orders = [data, None if left else data]
             heard: list[Outcome] = []
-            exchange = servers.send("s", lambda _: orders.pop(0), LATER, lambda end, _: heard.append(end))
+            exchange = servers.send(
+                "s", DeferredRequest(lambda _: orders.pop(0)), LATER, lambda end, _: heard.append(end)
+            )
             accepted, _ = await loop.sock_accept(listener)
             with accepted:
                 await until(lambda: exchange.connection is not None)
@@ -168,7 +171,7 @@
         made.append(await connect(address, body_most, stall_s, sock))
         return made[-1]
 
-    monkeypatch.setattr(connection_pool, "connect", noted)
+    monkeypatch.setattr(connection_dialer, "connect", noted)
     report = {"source": "probes", "columns": ["inflight"]}
 
     def holds_probes(first: str, *_: object) -> bytes | None:
@@ -180,7 +183,7 @@
         limits = LIMITS | {"allow_probes": True, "dial_timeout_us": 600 * S}
         changes: dict[str, Any] = {"classes": classes, "limits": limits, "prices": {"probe": 0.001}}
         async with world(holds_probes, holds_probes, report=report, **changes) as w:
-            w.sidecar._upstream._reuse_delay_s = 0.0  # what was probed is written at once
+            w.sidecar._upstream._idle_connections.reuse_delay_s = 0.0  # what was probed is written at once
             client = Client(w.sidecar.frontend.address, request(budget="500"))
             await until(lambda: len(w.sent()) == 2)
             if leaves:
--- a/tests/proxy/test_endpoint_list_races.py
+++ b/tests/proxy/test_endpoint_list_races.py
@@ -21,6 +21,7 @@
 from sidecar.proxy.addresses import Address
 from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.discovery_client import DiscoveryClient
+from sidecar.proxy.exchange import EncodedRequest
 from sidecar.proxy.http_messages import Response
 from sidecar.proxy.registry_messages import RegistryResponse, parse_registry_response
 
@@ -53,7 +54,7 @@
             servers = ConnectionPool(600.0, 600.0, 10)
             servers.update("s", address, None, ServerState.READY)
             heard: list[Outcome] = []
-            servers.send("s", lambda _: b"", LATER, lambda outcome, _: heard.append(outcome))
+            servers.send("s", EncodedRequest(b""), LATER, lambda outcome, _: heard.append(outcome))
             servers.update("s", ("127.0.0.1", 9), None, ServerState.READY)
             assert heard == [Outcome.NOT_SENT]  # which is no strike against the server
             await until(lambda: servers.open_connections == 0)
--- a/tests/proxy/test_registry_races.py
+++ b/tests/proxy/test_registry_races.py
@@ -164,7 +164,7 @@
     async def scene() -> None:
         async with world(served, served) as w:
             first, second = w.servers
-            w.sidecar._upstream._reuse_delay_s = (
+            w.sidecar._upstream._idle_connections.reuse_delay_s = (
                 600.0  # what is kept from one request is not taken by the next
             )
             while not first.requests:
--- a/tests/proxy/test_response_races.py
+++ b/tests/proxy/test_response_races.py
@@ -21,8 +21,9 @@
 from race_stage import LATER
 
 from sidecar.balancer.events import Outcome, ServerState
-from sidecar.proxy.connection_pool import ConnectionPool, Exchange, classify_outcome
+from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.connection_state import STATE_TIME_LIMITS_S, ConnectionState
+from sidecar.proxy.exchange import DeferredRequest, EncodedRequest, Exchange, classify_outcome
 from sidecar.proxy.http_messages import Response, message
 from sidecar.proxy.server_connection import Connection
 from sidecar.proxy.sockets import has_ended
@@ -31,7 +32,7 @@
 def test_second_response_arrives_as_the_next_request_is_sent_where_connections_are_scarce() -> None:
     async def scene() -> None:
         async with world(hung, sockets=66) as w:  # room for one connection to servers
-            w.sidecar._upstream._reuse_delay_s = 600.0
+            w.sidecar._upstream._idle_connections.reuse_delay_s = 600.0
             (server,) = w.servers
 
             def answered_twice(first: str, *_: object) -> bytes:
@@ -94,14 +95,14 @@
     upstream.update("s", server.address, None, ServerState.READY)
     heard: list[Outcome] = []
     get = message(b"GET /api/1 HTTP/1.1", [(b"Host", b"x")])
-    exchange = upstream.send("s", lambda _: get, LATER, lambda outcome, _: heard.append(outcome))
+    exchange = upstream.send("s", EncodedRequest(get), LATER, lambda outcome, _: heard.append(outcome))
     await until(lambda: server.requests)
     assert exchange.connection is not None
     return upstream, exchange, exchange.connection, heard
 
 
 ENDS: dict[str, tuple[Callable[[ConnectionPool, Exchange], None], list[Outcome]]] = {
-    "its time is up": (lambda u, e: u._on_deadline(e), [Outcome.TIMED_OUT]),
+    "its time is up": (lambda u, e: e.on_deadline(), [Outcome.TIMED_OUT]),
     "it is called off": (lambda u, e: u.cancel(e), [Outcome.CANCELLED]),
     "its connection breaks": (lambda u, e: e.connection.connection_lost(None), [Outcome.RESET]),  # type: ignore[union-attr]
 }
@@ -147,11 +148,11 @@
         server = FakeServer("s", served)
         upstream, _, connection, heard = await written(server)
         await until(lambda: heard)
-        upstream._reuse_delay_s = 0.0
-        (_, timer) = upstream.servers["s"].idle[0]
+        upstream._idle_connections.reuse_delay_s = 0.0
+        timer = upstream.servers["s"].idle[0].close_timer
         server.script = hung
         upstream.send(
-            "s", lambda _: b"GET / HTTP/1.1\r\n\r\n", LATER, lambda outcome, _: heard.append(outcome)
+            "s", EncodedRequest(b"GET / HTTP/1.1\r\n\r\n"), LATER, lambda outcome, _: heard.append(outcome)
         )
         timer._run()  # it was due in the same turn of the loop
         await until(lambda: len(server.requests) == 2)
@@ -168,8 +169,8 @@
         server = FakeServer("s", served)
         upstream, _, connection, heard = await written(server)
         await until(lambda: heard)
-        upstream._reuse_delay_s = 0.0
-        upstream.send("s", lambda _: None, LATER, lambda outcome, _: heard.append(outcome))
+        upstream._idle_connections.reuse_delay_s = 0.0
+        upstream.send("s", DeferredRequest(lambda _: None), LATER, lambda outcome, _: heard.append(outcome))
         assert heard == [Outcome.SUCCEEDED, Outcome.NOT_SENT]
         assert not upstream.servers["s"].idle and not connection.is_idle()
         await until(lambda: upstream.open_connections == 0)
@@ -189,7 +190,7 @@
 
         def send(name: str) -> None:
             get = message(b"GET / HTTP/1.1", [(b"Host", b"x")])
-            servers.send(name, lambda _: get, LATER, lambda outcome, _: heard.append(outcome))
+            servers.send(name, EncodedRequest(get), LATER, lambda outcome, _: heard.append(outcome))
 
         send("a")
         await until(lambda: heard)
