--- a/sidecar/proxy/client_request.py
+++ b/sidecar/proxy/client_request.py
@@ -62,7 +62,7 @@
         request_id: Unique among the requests in flight.
         service_class: As in the settings when the request arrived.
         tenant: Who asks, where the settings list tenants.
-        key: What of the service's data the request is about, for servers that cache it.
+        key: Identifies the data that the request is about, for cache affinity and ordering.
         budget_us: What was left of the client's time when the request arrived, in microseconds.
         cost_us: The client's estimate of the work, in microseconds.
         is_retry: Whether the client has sent this request before.
--- a/sidecar/proxy/listener.py
+++ b/sidecar/proxy/listener.py
@@ -14,7 +14,7 @@
 
 BACKLOG = 512
 _OPEN_RETRY_INTERVAL_S = 0.1
-_OPEN_TIMEOUT_S = 10.0  # a former process and its connections have gone by then
+_OPEN_TIMEOUT_S = 10.0  # a previous process has ended and its connections are closed by then
 _MAX_ACCEPT_ATTEMPTS = 8  # then the caller backs off
 # Errors that pass: a former process is ending, or the machine lacks a resource for a moment.
 _TRANSIENT_OPEN_ERRORS = frozenset(
@@ -29,7 +29,7 @@
         errno.ENOMEM,
     )
 )
-# Errors of one connection in the queue, which is gone with it; accept(2) says to retry on these as on EAGAIN.
+# Errors of one connection, which leaves the queue with it; accept(2) says to retry on these as on EAGAIN.
 _CONNECTION_ACCEPT_ERRORS = frozenset(
     (
         errno.EINTR,
--- a/sidecar/proxy/request_reader.py
+++ b/sidecar/proxy/request_reader.py
@@ -47,7 +47,7 @@
             write: Sends an interim response to the client.
         """
         self._write = write
-        self._h11 = h11.Connection(h11.SERVER)  # only reads, one request; it is told of no response
+        self._h11 = h11.Connection(h11.SERVER)  # only reads, and only one request
         self._head: h11.Request | None = None
         self._body = bytearray()
 
--- a/tests/proxy/test_accept_faults.py
+++ b/tests/proxy/test_accept_faults.py
@@ -1,4 +1,4 @@
-"""System calls round the listening socket fail in the ways that Linux documents."""
+"""System calls on the listener and on accepted sockets fail with the errors that Linux documents."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class FailingListener:
-    """A listener of which accepts fail so many times."""
+    """A listener whose first accepts fail."""
 
     def __init__(self, real: socket.socket, code: int, failures: int) -> None:
         self._real, self._code, self.failures = real, code, failures
@@ -52,14 +52,14 @@
 
 
 def fail_accepts(w: World, code: int, failures: int) -> FailingListener:
-    """Let the next accepts of a sidecar fail."""
+    """Make the next accepts of a sidecar fail."""
     frontend = w.sidecar.frontend
     frontend._sock = made = FailingListener(frontend._sock, code, failures)  # type: ignore[assignment]
     return made
 
 
 def record_loop_faults() -> list[dict[str, Any]]:
-    """What escapes into the event loop from now on."""
+    """The exceptions that reach the event loop from now on."""
     faults: list[dict[str, Any]] = []
     asyncio.get_running_loop().set_exception_handler(lambda _, context: faults.append(context))
     return faults
@@ -104,7 +104,7 @@
 
 
 def fail_method(method: str) -> Callable[[pytest.MonkeyPatch, World], None]:
-    """Let a method of the next accepted socket fail, as after a reset."""
+    """Makes a method of the next accepted socket fail, as after a reset."""
 
     class Broken(socket.socket):
         pass
@@ -129,7 +129,7 @@
 
 
 def fail_transport(monkeypatch: pytest.MonkeyPatch, w: World) -> None:
-    """Let the next accepted socket fail as its transport is made."""
+    """Make the next accepted socket fail while its transport is set up."""
     loop = asyncio.get_running_loop()
     connect = loop.connect_accepted_socket
 
@@ -170,7 +170,7 @@
 
 
 def fail_opening(monkeypatch: pytest.MonkeyPatch, code: int, failures: int) -> list[int]:
-    """Let the next calls that open a listening socket fail; give the calls."""
+    """Make the next calls that open a listener fail; the list returned has an entry for each call."""
     create_server = socket.create_server
     calls: list[int] = []
 
--- a/tests/proxy/test_client_connections.py
+++ b/tests/proxy/test_client_connections.py
@@ -42,7 +42,7 @@
 
 
 def test_connection_with_an_unread_request_is_not_idle() -> None:
-    # Guards against closing a connection under a request that was taken by the kernel, not yet by us.
+    # Guards against closing a connection whose request is in the kernel and has not been read yet.
     async def scene() -> None:
         async with world(served) as w:
             _, writer = await w.connect()
--- a/tests/proxy/test_connection_capacity.py
+++ b/tests/proxy/test_connection_capacity.py
@@ -19,7 +19,7 @@
 
 
 def test_connections_beyond_the_capacity_replace_idle_ones() -> None:
-    # Guards the descriptors: 66 sockets leave one for clients.
+    # Guards the descriptor limit: 66 sockets leave one for clients.
     async def scene() -> None:
         async with world(served, sockets=66) as w:
             first, writer = await w.connect()
@@ -48,7 +48,7 @@
 
 
 def test_idle_connections_leave_capacity_for_others() -> None:
-    # Guards clients that hold few connections: what they keep without use would be all they have.
+    # Guards clients with few connections: idle ones could otherwise take up the whole capacity.
     async def scene() -> None:
         async with world(served, sockets=88) as w:
             readers = []
@@ -66,7 +66,7 @@
 
 
 def test_connections_are_evicted_only_for_a_pending_one() -> None:
-    # What fills the table is no reason to close what was just opened: no further connection has come.
+    # A full table is no reason to close connections just opened while no further one is pending.
     async def scene() -> None:
         async with world(served, sockets=80) as w:
             frontend = w.sidecar.frontend
@@ -88,7 +88,7 @@
 
 
 def test_evictions_hold_no_more_descriptors_than_the_table() -> None:
-    # A connection that was ended for another one holds its descriptor until the loop's next turn.
+    # An evicted connection holds its descriptor until the next iteration of the event loop.
     async def scene() -> None:
         async with world(served, sockets=256) as w:
             frontend = w.sidecar.frontend
@@ -119,7 +119,7 @@
 
 @pytest.mark.parametrize("turns", range(6))
 def test_connection_being_set_up_counts_once(turns: int) -> None:
-    # Counted twice for a few turns of the loop, it closed others that had only just been opened.
+    # Counted twice for a few iterations of the event loop, it evicted others that were new as well.
     async def scene() -> None:
         async with world(served, sockets=80) as w:
             frontend = w.sidecar.frontend
--- a/tests/proxy/test_descriptor_shortage.py
+++ b/tests/proxy/test_descriptor_shortage.py
@@ -36,7 +36,7 @@
 
 def test_lack_of_descriptors_neither_spins_nor_ends_the_listener() -> None:
     class ListenerWithoutDescriptors:
-        """A listener of which the first accepts fail."""
+        """A listener whose first accepts fail."""
 
         def __init__(self, real: socket.socket) -> None:
             self.real, self.failures = real, 3
--- a/tests/proxy/test_failed_requests.py
+++ b/tests/proxy/test_failed_requests.py
@@ -1,4 +1,4 @@
-"""A defect or a lack of servers fails its request, in time, and nothing else."""
+"""Exceptions, forgotten requests and a lack of servers: each request gets a response, in time."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     play(scene())
 
 
-# Guards against a defect that would kill the process or leave its request without an answer.
+# Guards against a defect that would end the process or leave a request without a response.
 def test_exception_in_the_balancer_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene() -> None:
         async with world(served) as w:
@@ -97,7 +97,7 @@
 
 
 def names_used_by_the_balancer() -> set[str]:
-    """Every name that the decisions and their state use."""
+    """Every name that the balancer, its policies and their state use."""
     package = Path(sidecar.__file__).parent / "balancer"
     sources = [package / "balancer.py", *package.glob("policy/*.py"), *package.glob("state/*.py")]
     nodes = [node for path in sources for node in ast.walk(ast.parse(path.read_text(encoding="utf-8")))]
--- a/tests/proxy/test_new_connection_responses.py
+++ b/tests/proxy/test_new_connection_responses.py
@@ -1,4 +1,4 @@
-"""A request on a new connection gets an answer, also while the CPU falls behind or in a drain."""
+"""A request on a new connection gets a response, also under overload and while draining."""
 
 from __future__ import annotations
 
@@ -80,7 +80,7 @@
 
 def test_request_in_flight_to_the_end_of_a_drain_gets_a_response_before_sigkill() -> None:
     async def scene() -> None:
-        # It came late, and hangs at its server for longer than the drain may last.
+        # It arrives late, and its server hangs for longer than the drain may last.
         async with world(hung) as w:
             w.stop.set()
             await until(lambda: w.sidecar.frontend.draining)
@@ -97,7 +97,7 @@
 
 
 def test_no_connection_is_evicted_before_its_response_has_been_read() -> None:
-    # A close over unread bytes resets the connection, and with it an answer that its client has yet to read.
+    # A close over unread bytes resets the connection, and a response that its client has yet to read is lost.
     async def scene() -> None:
         async with world(served, sockets=66) as w:  # room for one client
             frontend = w.sidecar.frontend
--- a/tests/proxy/test_overload_detection.py
+++ b/tests/proxy/test_overload_detection.py
@@ -23,7 +23,7 @@
 def test_new_connections_are_rejected_while_overloaded_and_served_afterwards(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # An answer to each: of requests whose connection is closed with none, more than a few count as lost.
+    # Each gets a response: a request whose connection is closed without one counts as lost.
     # It stays overloaded until the clients have gone.
     monkeypatch.setattr("sidecar.proxy.overload._LIMIT_INCREASE", 1.0)
     limits = LIMITS | {"retry_after": True, "max_retry_after_us": 750_000}
@@ -58,7 +58,7 @@
 
 
 def test_silent_clients_do_not_count_as_load_after_a_lag(monkeypatch: pytest.MonkeyPatch) -> None:
-    # A table full of connections that say nothing is no sign of requests that the CPU can't keep up with.
+    # A table full of silent connections is no sign of more requests than the CPU can keep up with.
     monkeypatch.setattr("sidecar.proxy.overload._LIMIT_INCREASE", 1.0)  # a late sweep is not forgotten
     monkeypatch.setitem(STATE_TIME_LIMITS_S, ConnectionState.READING, 600.0)
 
@@ -79,7 +79,7 @@
             await until(lambda: frontend.table._sweep_due > swept)  # it has looked since the last client came
             status, _, body = await w.ask(kind="pay", body=b"x")
             assert (status, body) == (200, b"served")
-            # What has begun to come does count.
+            # Requests that have begun to arrive do count.
             for _, writer in clients:
                 writer.write(request()[:20])
             begun = frontend.table._by_state[ConnectionState.READING]
--- a/tests/proxy/test_request_crossings.py
+++ b/tests/proxy/test_request_crossings.py
@@ -1,4 +1,4 @@
-"""Servers that die as connections come up, requests that come in pieces, and what is sent after SIGTERM."""
+"""Races of requests with dying servers, draining servers and SIGTERM."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class DyingServer(Listening):
-    """Accepts connections and resets each, at once or behind the last byte of its request."""
+    """Accepts connections and resets each, at once or after the last byte of its request."""
 
     def __init__(self, at_once: bool) -> None:
         self.at_once = at_once
@@ -53,7 +53,7 @@
 
 
 def dial_until_reset(monkeypatch: pytest.MonkeyPatch, victim: Address) -> None:
-    """Let each dial to an address come to its end only with the reset of the connection in the kernel."""
+    """Make each dial to an address return only once the kernel has seen the connection reset."""
     connect = upstream.connect
 
     async def delayed(
@@ -72,7 +72,7 @@
 async def ask_until_reached(
     w: World, kind: str, body: bytes, is_reached: Callable[[], object]
 ) -> tuple[int, bytes]:
-    """Ask until a request has met the server that dies; give its answer."""
+    """Send requests until one has reached the server that dies; return its response."""
     for _ in range(200):
         status, _, answered = await w.ask(kind=kind, body=body, budget="500")
         if is_reached():
@@ -232,7 +232,7 @@
 
 
 async def new_connection(w: World) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """A connection that has carried nothing yet."""
+    """A connection that has carried no request yet."""
     before = len(w.sidecar.frontend.connections)
     streams = await w.connect()
     await until(lambda: len(w.sidecar.frontend.connections) > before)
@@ -240,7 +240,7 @@
 
 
 async def partial_request(w: World) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """A connection on which a part of a request has come."""
+    """A connection on which part of a request has arrived."""
     reader, writer = await new_connection(w)
     writer.write(CROSSING[:30])
     await until(lambda: any(each.has_partial_request() for each in w.sidecar.frontend.connections))
--- a/tests/proxy/test_request_ids.py
+++ b/tests/proxy/test_request_ids.py
@@ -30,7 +30,7 @@
             assert (await read_answer(reader))[2] == b"the first's"
             assert [body for _, _, body in w.sent()] == [b"first"]
             w.servers[0].script = served
-            # What may run but once was sent, and its client may not have got the answer: not even then.
+            # An unsafe request was forwarded, and its client may not have the response: rejected even then.
             assert (await w.ask(kind="pay", body=b"third", X_Call_Id="one"))[0] == 409
             assert [body for _, _, body in w.sent()] == [b"first"]
             for kind, ident in (("pay", "other"), ("look", "safe"), ("look", "safe")):
@@ -66,7 +66,7 @@
 def test_request_id_in_flight_is_rejected_under_overload_too(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards rule 2: a 503 says that trying again is harmless, and the other one may have run.
+    # Guards rule 2: a 503 says that a retry is safe, and the other request may have been executed.
     async def scene() -> None:
         async with world(lambda *_: None) as w:
             _, writer = await w.connect()
--- a/tests/proxy/test_request_parsing.py
+++ b/tests/proxy/test_request_parsing.py
@@ -20,7 +20,7 @@
 BIG = bytes(64 * 1024 + 1)
 
 
-# Guards servers against what this sidecar could not account for: none of these may be sent on.
+# Guards servers against requests that the proxy can't account for: none of these may be forwarded.
 @pytest.mark.parametrize(
     ("data", "status"),
     [
@@ -95,7 +95,7 @@
 
 
 def test_rejection_arrives_while_the_body_is_still_being_sent() -> None:
-    # Guards against closing on unread bytes, which resets the connection and the answer with it.
+    # Guards against a close over unread bytes, which resets the connection and loses the response.
     async def scene() -> None:
         async with world(served) as w:
             reader, writer = await w.connect()
--- a/tests/proxy/test_request_wait.py
+++ b/tests/proxy/test_request_wait.py
@@ -1,4 +1,4 @@
-"""What a request waited before it was read counts as time of its client, on a clock that tests move on."""
+"""The time that a request waits to be read counts against its budget, on a clock that tests advance."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Clock:
-    """The machine's clock, moved on by as long as a process was held up."""
+    """The machine's clock, advanced by the time for which a process was stopped."""
 
     def __init__(self) -> None:
         self._skipped_s = 0.0
@@ -45,7 +45,7 @@
 
 
 def play_with_stalls(scene: Callable[[Clock], Coroutine[Any, Any, None]]) -> None:
-    """Run a test on an event loop whose clock it can move on; the sidecar reads that clock too."""
+    """Run a test on an event loop whose clock it can advance; the sidecar reads that clock, too."""
     clock = Clock()
 
     async def bounded() -> None:
@@ -66,7 +66,7 @@
 
 
 class Client:
-    """A client whose bytes are in the sidecar's kernel once sent, with no turn of the event loop."""
+    """A client whose bytes are in the sidecar's kernel once sent, with no iteration of the event loop."""
 
     def __init__(self, address: Address) -> None:
         self.sock = socket.create_connection(address)
@@ -82,7 +82,7 @@
 
 @contextlib.asynccontextmanager
 async def connected(w: World) -> AsyncIterator[Client]:
-    """A client whose connection the sidecar has accepted and polled without finding anything."""
+    """A client whose connection the sidecar has accepted and polled without finding data."""
     client = Client(w.sidecar.frontend.address)
     await until(lambda: w.sidecar.frontend.connections)
     await asyncio.sleep(0.01)
@@ -192,7 +192,7 @@
 
 
 class SleepClock:
-    """A clock that a poll moves on: by a time for each poll that is about to return."""
+    """A clock that each poll with a timeout advances."""
 
     def __init__(self) -> None:
         self.now = 100.0
--- a/tests/proxy/test_stalled_clients.py
+++ b/tests/proxy/test_stalled_clients.py
@@ -1,4 +1,4 @@
-"""Clients that stop in the middle of a request and stay get their error or a close in time."""
+"""Clients that stop in the middle of a request and stay connected get an error or a close in time."""
 
 from __future__ import annotations
 
