--- a/tests/proxy/test_request_crossings.py
+++ b/tests/proxy/test_request_crossings.py
@@ -53,7 +53,7 @@
 
 
 def dial_until_reset(monkeypatch: pytest.MonkeyPatch, victim: Address) -> None:
-    """Make each dial to an address return only once the kernel has seen the connection reset."""
+    """Let each dial to an address come to its end only with the reset of the connection in the kernel."""
     connect = upstream.connect
 
     async def delayed(
