--- a/scale/control/stub_sidecar.py
+++ b/scale/control/stub_sidecar.py
@@ -38,7 +38,7 @@
         self._clock = Clock()
         self.balancer = Balancer(settings, seed)
         limits = settings.limits
-        self._upstream = ConnectionPool(
+        self._pool = ConnectionPool(
             limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, _SOCKETS_PER_SIDECAR
         )
         self._discovery = DiscoveryClient(discovery, 0, self._on_registry_response)
@@ -69,12 +69,12 @@
     def _apply(self, response: RegistryResponse) -> None:
         """Apply an update in the order of `Sidecar`: addresses first, then the balancer."""
         if response.complete:
-            self._upstream.retain({resolved.endpoint.server for resolved in response.endpoints})
+            self._pool.retain({resolved.endpoint.server for resolved in response.endpoints})
         for resolved in response.endpoints:
             endpoint = resolved.endpoint
-            self._upstream.update(endpoint.server, resolved.address, endpoint.started_at, endpoint.state)
+            self._pool.update(endpoint.server, resolved.address, endpoint.started_at, endpoint.state)
         servers = [resolved.endpoint for resolved in response.endpoints]
-        servers += [Endpoint(name, state=ServerState.REMOVED) for name in self._upstream.remove_superseded()]
+        servers += [Endpoint(name, state=ServerState.REMOVED) for name in self._pool.remove_superseded()]
         kind = RegistryUpdateKind.SNAPSHOT if response.complete else RegistryUpdateKind.DELTA
         self._handle(RegistryUpdated(kind, servers, response.version))
 
--- a/sidecar/proxy/driver.py
+++ b/sidecar/proxy/driver.py
@@ -75,15 +75,13 @@
         self._active = ActiveRequests()
         max_connections = max((config.sockets - RESERVED_DESCRIPTORS) // 2, 1)
         limits = settings.limits
-        self._upstream = ConnectionPool(
-            limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, max_connections
-        )
+        self._pool = ConnectionPool(limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, max_connections)
         self._endpoint_list = EndpointList(
-            config.discovery, config.cached_endpoints.version, settings.discovery, self._upstream, self.handle
+            config.discovery, config.cached_endpoints.version, settings.discovery, self._pool, self.handle
         )
-        self._requests = RequestLifecycle(self._active, self._upstream, self._clock, self.handle)
-        self._attempts = AttemptSender(settings, self._requests, self._upstream, self._clock, self.handle)
-        self._health_checks = HealthChecker(settings, self._upstream, self._clock, self.handle)
+        self._requests = RequestLifecycle(self._active, self._pool, self._clock, self.handle)
+        self._attempts = AttemptSender(settings, self._requests, self._pool, self._clock, self.handle)
+        self._health_checks = HealthChecker(settings, self._pool, self._clock, self.handle)
         self.frontend = Frontend(config.listen, max_connections, self, settings)
 
     async def run(self, stop: asyncio.Event) -> None:
@@ -95,7 +93,7 @@
         await self.drain()
         self._lag_monitor.stop()
         self._endpoint_list.client.stop()
-        await self._upstream.close()
+        await self._pool.close()
 
     async def drain(self) -> None:
         """Shut down gracefully: answer all requests that were accepted or still arrive, before SIGKILL."""
@@ -142,7 +140,7 @@
         self._attempts.settings = settings
         self._health_checks.settings = settings
         limits = settings.limits
-        self._upstream.set_timeouts(limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6)
+        self._pool.set_timeouts(limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6)
         self._process(actions)
         self._endpoint_list.set_mode(settings.discovery)
 
@@ -206,7 +204,7 @@
             case CheckHealth():
                 self._health_checks.check(action)
             case CloseIdleConnections():
-                self._upstream.close_idle(action.server)
+                self._pool.close_idle(action.server)
             case WatchRegistry() | FetchRegistry():
                 self._endpoint_list.carry_out(action)
             case Log():
--- a/tests/proxy/race_stage.py
+++ b/tests/proxy/race_stage.py
@@ -51,6 +51,6 @@
 
 async def rested_everywhere(w: World) -> None:
     """Let each server have a connection that carries nothing: what is sent next is written at once."""
-    w.sidecar._upstream._idle_connections.reuse_delay_s = 0.0
+    w.sidecar._pool._idle_connections.reuse_delay_s = 0.0
     while not all(each.writers for each in w.servers):
         assert (await w.ask())[0] == 200
--- a/tests/proxy/test_client_disconnect_races.py
+++ b/tests/proxy/test_client_disconnect_races.py
@@ -74,7 +74,7 @@
             assert (await w.ask(kind="pay", body=b"next", X_Call_Id="next"))[0] == 200
             assert [body for _, _, body in w.sent()] == [b"next"]
             # The connection was kept for others, and is counted once.
-            assert w.sidecar._upstream.open_connections == len(w.sidecar._upstream.servers["s-0"].idle)
+            assert w.sidecar._pool.open_connections == len(w.sidecar._pool.servers["s-0"].idle)
             client.close()
 
     play(scene())
@@ -104,7 +104,7 @@
 
     async def scene() -> None:
         async with world(hung, classes=classes) as w:
-            w.sidecar._upstream._idle_connections.reuse_delay_s = 0.0  # what is free is used at once
+            w.sidecar._pool._idle_connections.reuse_delay_s = 0.0  # what is free is used at once
             first = Client(w.sidecar.frontend.address, request(X_Call_Id="first"))
             await until(w.sent)
             second = Client(w.sidecar.frontend.address, request(X_Call_Id="second"))
@@ -183,7 +183,7 @@
         limits = LIMITS | {"allow_probes": True, "dial_timeout_us": 600 * S}
         changes: dict[str, Any] = {"classes": classes, "limits": limits, "prices": {"probe": 0.001}}
         async with world(holds_probes, holds_probes, report=report, **changes) as w:
-            w.sidecar._upstream._idle_connections.reuse_delay_s = 0.0  # what was probed is written at once
+            w.sidecar._pool._idle_connections.reuse_delay_s = 0.0  # what was probed is written at once
             client = Client(w.sidecar.frontend.address, request(budget="500"))
             await until(lambda: len(w.sent()) == 2)
             if leaves:
--- a/tests/proxy/test_connection_reuse.py
+++ b/tests/proxy/test_connection_reuse.py
@@ -34,7 +34,7 @@
         async with world(served, sockets=72, limits=limits) as w:
             for _ in range(9):
                 assert (await w.ask())[0] == 200
-                assert w.sidecar._upstream.open_connections <= 4  # all that the descriptors allow
+                assert w.sidecar._pool.open_connections <= 4  # all that the descriptors allow
             assert len(w.servers[0].writers) == 9
 
     play(scene())
@@ -46,7 +46,7 @@
     async def scene() -> None:
         async with world(served) as w:
             assert (await w.ask(kind="pay", body=b"x"))[0] == 200
-            connection = w.sidecar._upstream.servers["s-0"].idle[0].connection
+            connection = w.sidecar._pool.servers["s-0"].idle[0].connection
             writer = w.servers[0].writers[0]
             if how == "end":
                 raw = writer.get_extra_info("socket")
@@ -117,7 +117,7 @@
         async with world(served, limits=limits) as w:
             assert (await w.ask())[0] == 200
             loop = asyncio.get_running_loop()
-            timer = w.sidecar._upstream.servers["s-0"].idle[0].close_timer
+            timer = w.sidecar._pool.servers["s-0"].idle[0].close_timer
             assert timer.when() - loop.time() < 0.95
             await until(lambda: w.servers[0].closed == 1)
 
--- a/tests/proxy/test_dedup_window.py
+++ b/tests/proxy/test_dedup_window.py
@@ -57,7 +57,7 @@
             status, _, body = await asked
             if late:
                 assert (status, body) == (500, b"") and len(w.sent()) == 1
-                (kept,) = w.sidecar._upstream.servers[other_than(w, first)].idle
+                (kept,) = w.sidecar._pool.servers[other_than(w, first)].idle
                 assert kept.connection.is_idle()  # the connection serves others
             else:
                 assert (status, body) == (200, b"served")
@@ -75,7 +75,7 @@
 
                 def breaks_and_leaves_the_other(*_: object) -> bytes:
                     (first,) = [each for each in w.servers if each.requests]
-                    w.sidecar._upstream.update(
+                    w.sidecar._pool.update(
                         other_than(w, first), listener.getsockname()[:2], None, ServerState.READY
                     )
                     return b""
--- a/tests/proxy/test_disconnected_clients.py
+++ b/tests/proxy/test_disconnected_clients.py
@@ -46,12 +46,12 @@
         limits = {"max_attempts": 3, "allow_cancel": False, "dial_timeout_us": 600 * S}
         with deaf() as address:
             async with world(served, limits=limits) as w:
-                w.sidecar._upstream.update("s-0", address, None, ServerState.READY)
+                w.sidecar._pool.update("s-0", address, None, ServerState.READY)
                 _, writer = await w.connect()
                 writer.write(request("pay", body=b"x", budget="600"))
-                await until(lambda: w.sidecar._upstream.open_connections == 1)
+                await until(lambda: w.sidecar._pool.open_connections == 1)
                 writer.close()
-                await until(lambda: not w.sidecar._active and not w.sidecar._upstream.open_connections)
+                await until(lambda: not w.sidecar._active and not w.sidecar._pool.open_connections)
 
     play(scene())
 
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -45,7 +45,7 @@
             assert not first.requests
             w.discovery.say(43, [first.entry()], snapshot=True)  # who is missing is gone
             await until(lambda: "s-1" not in states)
-            assert set(w.sidecar._upstream.servers) == {"s-0"}
+            assert set(w.sidecar._pool.servers) == {"s-0"}
             seen = len(second.requests)
             for _ in range(10):
                 assert (await w.ask())[0] == 200
@@ -218,7 +218,7 @@
             await until(lambda: len(w.discovery.targets) == 3)
             assert (
                 list(w.sidecar._balancer._context.registry.servers)
-                == list(w.sidecar._upstream.servers)
+                == list(w.sidecar._pool.servers)
                 == ["s-new"]
             )
             assert (await w.ask())[0] == 200 and len(old.writers) == 2
--- a/tests/proxy/test_endpoint_list_races.py
+++ b/tests/proxy/test_endpoint_list_races.py
@@ -70,7 +70,7 @@
     async def scene() -> None:
         with deaf() as address:
             async with world(served, classes=classes, limits=limits) as w:
-                w.sidecar._upstream.update("s-0", address, None, ServerState.READY)
+                w.sidecar._pool.update("s-0", address, None, ServerState.READY)
                 outs = [
                     asyncio.create_task(w.ask(kind="pay", body=b"x", X_Call_Id=each, budget="500"))
                     for each in ("first", "second")
@@ -81,7 +81,7 @@
                 w.sidecar._endpoint_list.on_response(
                     parse_registry_response({"index": 42, "endpoints": [entry]})
                 )
-                dialling = w.sidecar._upstream.servers["s-0"].dialing
+                dialling = w.sidecar._pool.servers["s-0"].dialing
                 assert not dialling
                 assert {(await each)[0] for each in outs} == {503}
 
--- a/tests/proxy/test_failed_requests.py
+++ b/tests/proxy/test_failed_requests.py
@@ -68,7 +68,7 @@
 def test_exception_in_carrying_out_an_action_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene() -> None:
         async with world(served) as w:
-            monkeypatch.setattr(w.sidecar._upstream, "send", None)
+            monkeypatch.setattr(w.sidecar._pool, "send", None)
             assert (await w.ask(kind="pay", body=b"x"))[0] == 500
             monkeypatch.undo()
             assert (await w.ask())[0] == 200
--- a/tests/proxy/test_registry_races.py
+++ b/tests/proxy/test_registry_races.py
@@ -24,7 +24,7 @@
 
 async def gone_within(w: World, limit_s: float, began: float) -> None:
     """Wait until connections to s-0 are no use any more, which has to be in time."""
-    while "s-0" in w.sidecar._upstream.servers:
+    while "s-0" in w.sidecar._pool.servers:
         assert now_s() < began + limit_s, f"not told {limit_s} s later"
         await asyncio.sleep(STEP_S)
 
@@ -164,7 +164,7 @@
     async def scene() -> None:
         async with world(served, served) as w:
             first, second = w.servers
-            w.sidecar._upstream._idle_connections.reuse_delay_s = (
+            w.sidecar._pool._idle_connections.reuse_delay_s = (
                 600.0  # what is kept from one request is not taken by the next
             )
             while not first.requests:
@@ -198,7 +198,7 @@
             survivor = FakeServer("s-2", served)
             await survivor.start()
             w.discovery.say(42, [survivor.entry()], snapshot=True)
-            await until(lambda: list(w.sidecar._upstream.servers) == ["s-2"])
+            await until(lambda: list(w.sidecar._pool.servers) == ["s-2"])
             for each in w.servers:
                 each.stop()
             assert (await safe)[::2] == (200, b"served")
--- a/tests/proxy/test_remaining_time.py
+++ b/tests/proxy/test_remaining_time.py
@@ -159,14 +159,14 @@
 def test_idle_connection_closed_by_its_server_fails_no_request(kind: str, how: str) -> None:
     async def scene() -> None:
         async with world(served) as w:
-            w.sidecar._upstream._idle_connections.reuse_delay_s = 0.0
+            w.sidecar._pool._idle_connections.reuse_delay_s = 0.0
             for _ in range(5):
                 assert await answered_in_time(w, kind, _BUDGET_S) == 200
                 for writer in w.servers[0].writers:
                     if how == "reset":
                         reset(writer)
                     writer.close()
-                await until(lambda: w.sidecar._upstream.open_connections == 0)
+                await until(lambda: w.sidecar._pool.open_connections == 0)
 
     play(scene())
 
@@ -184,7 +184,7 @@
             return served() if is_new else b""
 
         async with world(forgets, served) as w:
-            w.sidecar._upstream._idle_connections.reuse_delay_s = 0.0
+            w.sidecar._pool._idle_connections.reuse_delay_s = 0.0
             statuses = []
             while len(w.servers[0].requests) == len(used):  # until one was broken
                 statuses.append(await answered_in_time(w, kind, _BUDGET_S))
--- a/tests/proxy/test_request_crossings.py
+++ b/tests/proxy/test_request_crossings.py
@@ -93,7 +93,7 @@
         if at_once:
             dial_until_reset(monkeypatch, victim.address)
         async with world(served, served) as w:
-            w.sidecar._upstream.update("s-0", victim.address, None, ServerState.READY)
+            w.sidecar._pool.update("s-0", victim.address, None, ServerState.READY)
             body = b"" if kind == "look" else b"whole"
             got = await ask_until_reached(w, kind, body, lambda: victim.accepted)
             sent = w.servers[1].requests
@@ -127,7 +127,7 @@
 
             dying = asyncio.create_task(accept_and_die())
             async with world(served, served) as w:
-                w.sidecar._upstream.update("s-0", listener.getsockname()[:2], None, ServerState.READY)
+                w.sidecar._pool.update("s-0", listener.getsockname()[:2], None, ServerState.READY)
                 status, body = await ask_until_reached(w, kind, bytes(60_000), lambda: met)
                 assert (status, body) == (200, b"served") and met == [1]
                 last = f"{w._asked:016x}"
@@ -167,7 +167,7 @@
         async with world(served, served) as w:
             reader, writer = await (idle_connection(w) if used else w.connect())
             before = len(w.servers[0].requests)
-            drained = w.sidecar._upstream.servers["s-0"]
+            drained = w.sidecar._pool.servers["s-0"]
             for number in range(4):
                 data = in_pieces(f"{number}")
                 await send_bytes(writer, data[:cut])
--- a/tests/proxy/test_request_ids.py
+++ b/tests/proxy/test_request_ids.py
@@ -46,7 +46,7 @@
             w.servers[0].stop()
             assert (await w.ask(kind="pay", X_Call_Id="one"))[0] == 503
             await w.servers[0].start()
-            w.sidecar._upstream.update("s-0", w.servers[0].address, None, ServerState.READY)
+            w.sidecar._pool.update("s-0", w.servers[0].address, None, ServerState.READY)
             assert (await w.ask(kind="pay", X_Call_Id="one"))[0] == 200
 
     play(scene())
--- a/tests/proxy/test_response_races.py
+++ b/tests/proxy/test_response_races.py
@@ -32,7 +32,7 @@
 def test_second_response_arrives_as_the_next_request_is_sent_where_connections_are_scarce() -> None:
     async def scene() -> None:
         async with world(hung, sockets=66) as w:  # room for one connection to servers
-            w.sidecar._upstream._idle_connections.reuse_delay_s = 600.0
+            w.sidecar._pool._idle_connections.reuse_delay_s = 600.0
             (server,) = w.servers
 
             def answered_twice(first: str, *_: object) -> bytes:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -341,10 +341,10 @@
         async with reloading(limits=LIMITS | {"idle_close_us": 600_000_000}) as r:
             [server] = r.world.servers
             assert await r.status("look") == 200
-            [idle] = r.world.sidecar._upstream.servers[server.name].idle
+            [idle] = r.world.sidecar._pool.servers[server.name].idle
             idle_since = idle.close_timer.when() - 0.9 * 600.0
             r.reload(settings=changed(limits=LIMITS | {"idle_close_us": 400_000_000}))
-            [idle] = r.world.sidecar._upstream.servers[server.name].idle
+            [idle] = r.world.sidecar._pool.servers[server.name].idle
             assert idle.close_timer.when() == pytest.approx(idle_since + 0.9 * 400.0)
             r.reload(settings=changed(limits=LIMITS | {"idle_close_us": 1}))
             await until(lambda: server.closed == 1)
