--- a/scale/control/stub_process.py
+++ b/scale/control/stub_process.py
@@ -27,7 +27,7 @@
 from scale.histogram import LatencyHistogram
 from scale.standins.registry_commands import CommittedChange
 from sidecar.proxy.upstream import Address, parse_address
-from sidecar.wire_settings import settings_from_wire
+from sidecar.settings.wire_names import settings_from_wire
 
 _GC_THRESHOLDS = (700, 5, 2)  # as the sidecar's own program sets them
 
--- a/sidecar/configuration.py
+++ b/sidecar/configuration.py
@@ -9,7 +9,7 @@
 from sidecar.proxy.discovery import RegistryResponse, parse_registry
 from sidecar.proxy.driver import Config
 from sidecar.proxy.upstream import parse_address
-from sidecar.wire_settings import settings_from_wire
+from sidecar.settings.wire_names import settings_from_wire
 
 _SOCKETS = 1024  # unless the configuration tells
 
--- a/sidecar/simulator/adapter.py
+++ b/sidecar/simulator/adapter.py
@@ -41,7 +41,7 @@
     ServerState,
     TimerFired,
 )
-from sidecar.wire_settings import settings_from_wire
+from sidecar.settings.wire_names import settings_from_wire
 
 
 class WireError(Exception):
--- a/tests/scale/test_control.py
+++ b/tests/scale/test_control.py
@@ -25,7 +25,7 @@
 from scale.standins.registry import RegistryServer
 from sidecar.balancer.actions import SendAttempt
 from sidecar.balancer.events import RequestArrived
-from sidecar.wire_settings import settings_from_wire
+from sidecar.settings.wire_names import settings_from_wire
 
 ROOT = Path(__file__).parent.parent.parent
 SMALL = ROOT / "scale" / "experiments" / "control-small.toml"
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -15,8 +15,8 @@
 from hypothesis import settings as how
 from hypothesis import strategies as st
 
+from sidecar.settings.wire_names import settings_from_wire
 from sidecar.simulator.adapter import run
-from sidecar.wire_settings import settings_from_wire
 
 BOOT: dict[str, Any] = {
     "bounds": {"sendCap": 3, "secondCopies": True, "mayCancel": True, "streamsPerConn": 1},
