--- a/sidecar/settings/__init__.py
+++ b/sidecar/settings/__init__.py
@@ -1,5 +1,6 @@
-"""The settings of a service, and how they are read."""
+"""The settings of a service, and how they are read from plain mappings."""
 
+from sidecar.settings.errors import ConfigurationError, DuplicateNameError, InvalidSettingError
 from sidecar.settings.model import (
     DedupScope,
     Discovery,
@@ -16,9 +17,12 @@
 )
 
 __all__ = [
+    "ConfigurationError",
     "DedupScope",
     "Discovery",
+    "DuplicateNameError",
     "Idempotency",
+    "InvalidSettingError",
     "Limits",
     "Prices",
     "ReportSource",
--- a/sidecar/settings/mapping_reader.py
+++ b/sidecar/settings/mapping_reader.py
@@ -1,91 +1,165 @@
-"""A typed reader of plain mappings."""
+"""A typed reader of plain mappings, such as JSON gives them, whose errors name the path of the key."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
+from dataclasses import dataclass, field
 from enum import Enum
-from typing import Any, TypeVar
+from typing import TypeGuard, TypeVar
+
+from sidecar.settings.errors import InvalidSettingError
+from sidecar.settings.model import Bounds
 
 _Choice = TypeVar("_Choice", bound=Enum)
-_LARGEST = 2**53  # every whole number up to here survives a double
+_ROOT = "settings"  # the name of the outermost section
+_UNBOUNDED = Bounds()
+
+
+@dataclass(frozen=True, slots=True)
+class NameTable:
+    """The names that a mapping has for fields and for the members of enums.
+
+    Attributes:
+        keys: Key of each field, by section and field.  A key with a dot names a field of an inner object;
+            where there is no such object, the field is absent.  A section that isn't listed has the fields'
+            own names.
+        words: Word of each enum member.  The member's own value is accepted, too.
+    """
+
+    keys: Mapping[str, Mapping[str, str]] = field(default_factory=dict)
+    words: Mapping[Enum, str] = field(default_factory=dict)
+
+    def key(self, section: str, name: str) -> str:
+        """Return the key of a field."""
+        section_keys = self.keys.get(section)
+        return name if section_keys is None else section_keys[name]
+
+    def word(self, member: Enum) -> str:
+        """Return the word for a member of an enum."""
+        return self.words.get(member, str(member.value))
 
 
 class MappingReader:
-    """Reads one mapping; each complaint names the path of the key.  A null counts as absent."""
+    """Reads the fields of one mapping by their type.
 
-    def __init__(self, given: object, path: str) -> None:
-        if not isinstance(given, Mapping):
-            raise ValueError(f"{path}: a mapping is needed")
-        self._given = given
-        self._path = "" if path == "settings" else path + "."
+    None counts as absent.  Every method that reads a value raises InvalidSettingError where it has another
+    type, lies out of bounds or is absent without a default.
+    """
 
-    def _value(self, key: str) -> Any:
-        return self._given.get(key)
+    def __init__(self, given: object, names: NameTable, path: str = "", section: str = _ROOT) -> None:
+        """Take the mapping to read.
 
-    def _nonsense(self, key: str, needed: str) -> ValueError:
-        return ValueError(f"{self._path}{key}: {needed} is needed, not {self._value(key)!r:.60}")
+        Args:
+            given: The mapping.
+            names: How the mapping names its fields.
+            path: Path of the mapping itself, for error messages; empty for the outermost one.
+            section: Which section of `names` holds its fields.
+
+        Raises:
+            InvalidSettingError: `given` isn't a mapping.
+        """
+        if not isinstance(given, Mapping):
+            raise InvalidSettingError(path or section, "a mapping", given)
+        self._given = given
+        self._names = names
+        self._path = path
+        self._section = section
+
+    def path(self, name: str) -> str:
+        """Return the path of a field as the mapping has it."""
+        key = self._names.key(self._section, name)
+        return f"{self._path}.{key}" if self._path else key
+
+    def value(self, name: str) -> object:
+        """Return the value of a field as it came, or None."""
+        value: object = self._given
+        for key in self._names.key(self._section, name).split("."):
+            if not isinstance(value, Mapping):
+                return None
+            value = value.get(key)
+        return value
 
-    def part(self, key: str) -> MappingReader:
-        value = self._value(key)
-        return MappingReader({} if value is None else value, self._path + key)
+    def section(self, name: str) -> MappingReader:
+        """Return a reader of the mapping in a field; it is empty where the field is absent."""
+        value = self.value(name)
+        return MappingReader({} if value is None else value, self._names, self.path(name), name)
 
-    def parts(self, key: str) -> list[MappingReader]:
-        value = self._value(key)
+    def sections(self, name: str) -> list[MappingReader]:
+        """Return readers of all mappings in the list that a field holds."""
+        value = self.value(name)
         if value is None:
             return []
-        if not isinstance(value, Sequence) or isinstance(value, (str, bytes)):
-            raise self._nonsense(key, "a list")
-        return [MappingReader(each, f"{self._path}{key}[{index}]") for index, each in enumerate(value)]
-
-    def text(self, key: str, default: str | None = None) -> str:
-        value = self._value(key)
+        if not isinstance(value, Sequence) or isinstance(value, str | bytes):
+            raise self.invalid(name, "a list")
+        path = self.path(name)
+        return [
+            MappingReader(each, self._names, f"{path}[{index}]", name) for index, each in enumerate(value)
+        ]
+
+    def string(self, name: str, default: str | None = None) -> str:
+        """Return the text in a field."""
+        value = self.value(name)
         if value is None and default is not None:
             return default
         if not isinstance(value, str):
-            raise self._nonsense(key, "a text")
+            raise self.invalid(name, "a text")
         return value
 
-    def texts(self, key: str) -> tuple[str, ...]:
-        value = self._value(key)
+    def strings(self, name: str, default: tuple[str, ...] = ()) -> tuple[str, ...]:
+        """Return the list of texts in a field."""
+        value = self.value(name)
         if value is None:
-            return ()
+            return default
         if not isinstance(value, Sequence) or isinstance(value, str):
-            raise self._nonsense(key, "a list of texts")
+            raise self.invalid(name, "a list of texts")
         if not all(isinstance(each, str) for each in value):
-            raise self._nonsense(key, "a list of texts")
+            raise self.invalid(name, "a list of texts")
         return tuple(value)
 
-    def flag(self, key: str, default: bool) -> bool:
-        value = self._value(key)
-        if value is None:
+    def boolean(self, name: str, default: bool | None = None) -> bool:
+        """Return the truth value in a field."""
+        value = self.value(name)
+        if value is None and default is not None:
             return default
         if not isinstance(value, bool):
-            raise self._nonsense(key, "true or false")
+            raise self.invalid(name, "true or false")
         return value
 
-    def number(self, key: str, default: float, low: float = 0.0, high: float = _LARGEST) -> float:
-        value = self._value(key)
-        if value is None:
+    def number(self, name: str, default: float | None = None, bounds: Bounds = _UNBOUNDED) -> float:
+        """Return the number in a field."""
+        value = self.value(name)
+        if value is None and default is not None:
             return default
-        if isinstance(value, bool) or not isinstance(value, (int, float)) or not low <= value <= high:
-            raise self._nonsense(key, f"a number from {low:g} to {high:g}")
+        if not _is_number(value) or not bounds.low <= value <= bounds.high:
+            raise self.invalid(name, f"a number from {bounds.low:g} to {bounds.high:g}")
         return float(value)
 
-    def whole(self, key: str, default: int | None, low: int = 0) -> int:
-        value = self._value(key)
+    def integer(self, name: str, default: int | None = None, bounds: Bounds = _UNBOUNDED) -> int:
+        """Return the whole number in a field; 2.0 counts as one."""
+        value = self.value(name)
         if value is None and default is not None:
             return default
-        if isinstance(value, bool) or not isinstance(value, (int, float)) or not low <= value <= _LARGEST:
-            raise self._nonsense(key, f"a whole number from {low}")
+        if not _is_number(value) or not bounds.low <= value <= bounds.high:
+            raise self.invalid(name, f"a whole number from {bounds.low:g}")
         if value != int(value):
-            raise self._nonsense(key, "a whole number")
+            raise self.invalid(name, "a whole number")
         return int(value)
 
-    def choice(self, key: str, kind: type[_Choice], default: _Choice) -> _Choice:
-        value = self._value(key)
-        if value is None:
+    def choice(self, name: str, kind: type[_Choice], default: _Choice | None = None) -> _Choice:
+        """Return the member of an enum whose word a field holds."""
+        value = self.value(name)
+        if value is None and default is not None:
             return default
-        for each in kind:
-            if value == each.value:
-                return each
-        raise self._nonsense(key, "one of " + ", ".join(str(each.value) for each in kind))
+        for member in kind:
+            if value in (self._names.word(member), member.value):
+                return member
+        words = ", ".join(self._names.word(member) for member in kind)
+        raise self.invalid(name, f"one of {words}")
+
+    def invalid(self, name: str, needed: str) -> InvalidSettingError:
+        """Return the error about the value of a field."""
+        return InvalidSettingError(self.path(name), needed, self.value(name))
+
+
+def _is_number(value: object) -> TypeGuard[float]:
+    return isinstance(value, int | float) and not isinstance(value, bool)
--- a/sidecar/simulator/adapter.py
+++ b/sidecar/simulator/adapter.py
@@ -41,6 +41,7 @@
     ServerState,
     TimerFired,
 )
+from sidecar.settings import ConfigurationError
 from sidecar.settings.wire_names import settings_from_wire
 
 
@@ -263,8 +264,8 @@
             self._need(message, 4)
             try:
                 self._balancers[who] = Balancer(settings_from_wire(message[3]), _whole(message[2]))
-            except ValueError as nonsense:
-                raise WireError(f"settings: {nonsense}") from None
+            except ConfigurationError as nonsense:
+                raise WireError(str(nonsense)) from None
             return
         balancer = self._balancers.get(who)
         if balancer is None:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -108,8 +108,8 @@
         ('["ATTEMPT_END","sidecar-1",5,0,"a:1","lost",1,true,null]', "unknown word"),
         ('["PAGE",0,[["a:1"]]]', "at least 6"),
         ('["MEMO","sidecar-1",0,"xyz"]', "hex"),
-        ('["BEGIN","sidecar-2",1,{"lanes":[]}]', "classes"),
-        ('["BEGIN","sidecar-2",1,{"lanes":[{"name":"a","giveUpUs":-1}]}]', "classes[0].deadline_us"),
+        ('["BEGIN","sidecar-2",1,{"lanes":[]}]', "settings.lanes: at least one class"),
+        ('["BEGIN","sidecar-2",1,{"lanes":[{"name":"a","giveUpUs":-1}]}]', "settings.lanes[0].giveUpUs: "),
     ],
 )
 def test_bad_input_is_named_with_its_line_and_ends_the_run(line: str, complaint: str) -> None:
@@ -195,9 +195,9 @@
 
 def test_nonsense_in_the_further_rules_is_named() -> None:
     for boot, key in (
-        ({**BOOT, "guarantees": {"lateShedding": "yes"}}, "late_shedding"),
-        ({**BOOT, "guarantees": {"turnGapUs": -1}}, "key_cooldown_us"),
-        ({**BOOT, "domain": {"warmKeys": 3}}, "warm_keys"),
+        ({**BOOT, "guarantees": {"lateShedding": "yes"}}, "guarantees.lateShedding"),
+        ({**BOOT, "guarantees": {"turnGapUs": -1}}, "guarantees.turnGapUs"),
+        ({**BOOT, "domain": {"warmKeys": 3}}, "domain.warmKeys"),
     ):
         code, _, err = play(begin(boot=boot))
-        assert code == 2 and key in err and err.count("\n") == 1
+        assert code == 2 and err.startswith(f"line 2: settings.{key}: ") and err.count("\n") == 1
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from dataclasses import fields
 from typing import Any
 
 import pytest
@@ -11,8 +12,19 @@
 
 from sidecar import Balancer, Settings
 from sidecar.balancer.events import RequestArrived
-from sidecar.settings import Discovery, Idempotency
+from sidecar.settings import (
+    ConfigurationError,
+    Discovery,
+    Idempotency,
+    Limits,
+    Prices,
+    Rules,
+    ServiceClass,
+    Tenant,
+)
+from sidecar.settings.wire_names import WIRE_NAMES, settings_from_wire
 
+WIRE_CLASS = {"name": "a", "giveUpUs": 1_000_000}
 LEAST = {"classes": [{"name": "a", "deadline_us": 1_000_000}]}
 
 
@@ -101,3 +113,50 @@
         return
     balancer = Balancer(given, 1)
     assert len(balancer.handle(5_000_000, RequestArrived(1, "a", None, None, 500_000))) > 0
+
+
+@pytest.mark.parametrize(
+    ("given", "complaint"),
+    [
+        (None, "settings: a mapping is needed"),
+        ({"lanes": [{"name": "a"}]}, "settings.lanes[0].giveUpUs: a whole number from 1 is needed"),
+        ({"lanes": [WIRE_CLASS, WIRE_CLASS]}, "settings.lanes: duplicate name 'a'"),
+        (
+            {"lanes": [{**WIRE_CLASS, "repeat": "maybe"}]},
+            "settings.lanes[0].repeat: "
+            "one of read_like, idempotency_key, non_idempotent is needed, not 'maybe'",
+        ),
+        (
+            {"lanes": [WIRE_CLASS], "guarantees": {"turnGapUs": -1}},
+            "settings.guarantees.turnGapUs: a whole number from 0 is needed, not -1",
+        ),
+        (
+            {"lanes": [WIRE_CLASS], "domain": {"warmKeys": 3}},
+            "settings.domain.warmKeys: true or false is needed, not 3",
+        ),
+        (
+            {"lanes": [WIRE_CLASS], "report": {"source": 5}},
+            "settings.report.source: one of piggyback, pull, silent is needed, not 5",
+        ),
+    ],
+)
+def test_a_complaint_about_the_wire_s_settings_names_the_key_as_the_wire_has_it(
+    given: object, complaint: str
+) -> None:
+    with pytest.raises(ConfigurationError) as error:
+        settings_from_wire(given)
+    assert str(error.value) == complaint
+
+
+def test_the_wire_has_a_name_for_every_field() -> None:
+    models = {"classes": ServiceClass, "tenants": Tenant, "limits": Limits, "rules": Rules, "prices": Prices}
+    for section, model in models.items():
+        assert set(WIRE_NAMES.keys[section]) == {each.name for each in fields(model)}
+    in_report = {"report_source", "report_columns"}
+    names = {each.name for each in fields(Settings)} - in_report
+    assert set(WIRE_NAMES.keys["settings"]) == names | {"report"}
+    assert set(WIRE_NAMES.keys["report"]) == {"source", "columns"}
+
+
+def test_a_domain_that_is_no_object_is_skipped() -> None:
+    assert not settings_from_wire({"lanes": [WIRE_CLASS], "domain": "search"}).warm_keys
