--- a/sidecar/__main__.py
+++ b/sidecar/__main__.py
@@ -13,10 +13,10 @@
 import signal
 import sys
 
-from sidecar.configuration import read_config
+from sidecar.configuration import READ_ERRORS, read_config
 from sidecar.proxy.driver import Config, Sidecar
 from sidecar.proxy.event_loop import EventLoop
-from sidecar.reload import UNUSABLE, Reloader, ReloadSignal
+from sidecar.reload import Reloader, ReloadSignal
 
 # An asyncio transport refers to itself, so what a closed connection leaves is freed by full collections
 # alone.  They are cheap here, and by the defaults come once in a minute and 2 MB or so.
@@ -54,7 +54,7 @@
         loop.add_signal_handler(each, stop.set)
     sidecar = Sidecar(config)
     reloader = Reloader(config, sidecar.reconfigure)
-    reload_signal = ReloadSignal(reloader, lambda: read_config(os.environ, with_known=False))
+    reload_signal = ReloadSignal(reloader, lambda: read_config(os.environ, with_known_endpoints=False))
     loop.add_signal_handler(signal.SIGHUP, reload_signal.received)
     await sidecar.run(stop)
 
@@ -64,7 +64,7 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to move
     try:
         config = read_config(os.environ)
-    except UNUSABLE as bad:
+    except READ_ERRORS as bad:
         print(f"bad configuration: {bad}".replace("\n", " "), file=sys.stderr)
         return 2
     gc.freeze()  # what is loaded by now stays; collections look at requests alone
--- a/sidecar/configuration.py
+++ b/sidecar/configuration.py
@@ -4,68 +4,145 @@
 
 import json
 from collections.abc import Mapping
-from typing import Any
 
 from sidecar.proxy.discovery import RegistryResponse, parse_registry
 from sidecar.proxy.driver import Config
-from sidecar.proxy.upstream import parse_address
+from sidecar.proxy.upstream import Address, parse_address
+from sidecar.settings import ConfigurationError, InvalidSettingError
 from sidecar.settings.wire_names import settings_from_wire
 
-_SOCKETS = 1024  # unless the configuration tells
+READ_ERRORS = (OSError, ConfigurationError)
+"""What `read_config` raises: the file can't be read, or what it holds can't be used."""
 
+_FILE_VARIABLE = "RELAY_CONFIG"
+_LISTEN_VARIABLE = "RELAY_LISTEN"
+_DISCOVERY_VARIABLE = "RELAY_DISCOVERY"
+_DEFAULT_SEED = "0"
+_DEFAULT_SOCKETS = 1024
 
-def read_config(environ: Mapping[str, str], with_known: bool = True) -> Config:
-    """Read what the sidecar is told; raise ValueError or OSError, saying what is wrong.
 
-    Without `with_known` the lines of the last known list are left out: the start alone needs them, and while
-    the sidecar serves its requests would wait for thousands to be read.
+class NoConfigurationFileError(ConfigurationError):
+    """The environment names no configuration file."""
+
+    def __init__(self) -> None:
+        """Make the error."""
+        super().__init__(f"{_FILE_VARIABLE} names no file")
+
+
+class ConfigurationSyntaxError(ConfigurationError):
+    """The configuration file isn't JSON."""
+
+    def __init__(self, reason: Exception) -> None:
+        """Make the error from what the JSON reader raised."""
+        super().__init__(f"not JSON: {reason}")
+
+
+class InvalidEndpointListError(ConfigurationError):
+    """The last known endpoint list has another form than that of service discovery."""
+
+    def __init__(self, key: str, reason: Exception) -> None:
+        """Make the error from what the reader of the list at `key` raised."""
+        super().__init__(f"{key}: {reason}")
+
+
+def read_config(environ: Mapping[str, str], *, with_known_endpoints: bool = True) -> Config:
+    """Read the configuration that the environment names.
+
+    Args:
+        environ: Environment variables.
+        with_known_endpoints: Whether to read the entries of the last known endpoint list.  The start alone
+            needs them, and while the sidecar serves, its requests would wait for thousands to be read.
+
+    Returns:
+        The configuration.
+
+    Raises:
+        OSError: The file can't be read.
+        ConfigurationError: What the file holds can't be used; the message names the key.
     """
-    path = environ.get("RELAY_CONFIG")
-    if not path:
-        raise ValueError("RELAY_CONFIG names no file")
-    with open(path, encoding="utf-8") as file:
-        given = json.load(file)
-    if not isinstance(given, dict):
-        raise ValueError("an object is needed")
+    given = _read_json_object(environ.get(_FILE_VARIABLE))
     return Config(
-        listen=_address(environ.get("RELAY_LISTEN") or given.get("listen"), "listen"),
-        discovery=_address(given.get("discovery") or environ.get("RELAY_DISCOVERY"), "discovery"),
-        seed=_seed(given.get("seed", "0")),
+        listen=_listen_address(given, environ),
+        discovery=_discovery_address(given, environ),
+        seed=_seed(given.get("seed", _DEFAULT_SEED)),
         sockets=_sockets(given.get("limits")),
         settings=settings_from_wire(given.get("settings")),
-        known=_known(given.get("known"), with_known),
+        known=_known_endpoints(given.get("known"), with_known_endpoints),
         version=_version(given.get("version")),
     )
 
 
-def _address(value: Any, name: str) -> tuple[str, int]:
+def _read_json_object(path: str | None) -> dict[str, object]:
+    if not path:
+        raise NoConfigurationFileError
+    with open(path, encoding="utf-8") as file:
+        try:
+            given = json.load(file)
+        except (ValueError, RecursionError) as error:
+            raise ConfigurationSyntaxError(error) from error
+    if not isinstance(given, dict):
+        raise InvalidSettingError("configuration", "an object", given)
+    return given
+
+
+def _listen_address(given: Mapping[str, object], environ: Mapping[str, str]) -> Address:
+    from_environment = environ.get(_LISTEN_VARIABLE)
+    if from_environment:
+        return _address(from_environment, _LISTEN_VARIABLE)
+    return _address(given.get("listen"), "listen")
+
+
+def _discovery_address(given: Mapping[str, object], environ: Mapping[str, str]) -> Address:
+    from_environment = environ.get(_DISCOVERY_VARIABLE)
+    if from_environment and not given.get("discovery"):
+        return _address(from_environment, _DISCOVERY_VARIABLE)
+    return _address(given.get("discovery"), "discovery")
+
+
+def _address(value: object, key: str) -> Address:
+    needed = "an address host:port"
     if not isinstance(value, str):
-        raise ValueError(f"{name}: an address is needed")
-    return parse_address(value)
+        raise InvalidSettingError(key, needed, value)
+    try:
+        return parse_address(value)
+    except ValueError:
+        raise InvalidSettingError(key, needed, value) from None
 
 
-def _seed(value: Any) -> int:
-    if isinstance(value, str):
+def _seed(value: object) -> int:
+    needed = "a text of hex digits"
+    if not isinstance(value, str):
+        raise InvalidSettingError("seed", needed, value)
+    try:
         return int(value, 16)
-    raise ValueError("seed: hex digits are needed")
+    except ValueError:
+        raise InvalidSettingError("seed", needed, value) from None
 
 
-def _known(value: Any, with_lines: bool) -> RegistryResponse:
+def _known_endpoints(value: object, with_entries: bool) -> RegistryResponse:
     if value is None:
         return RegistryResponse(0, True, [])
-    if not with_lines and isinstance(value, dict) and isinstance(value.get("endpoints"), list):
+    if not with_entries and isinstance(value, dict) and isinstance(value.get("endpoints"), list):
         value = value | {"endpoints": []}
-    return parse_registry(value)
+    try:
+        return parse_registry(value)
+    except ValueError as error:
+        raise InvalidEndpointListError("known", error) from error
 
 
-def _version(value: Any) -> int | None:
-    if value is not None and (type(value) is not int or value < 0):
-        raise ValueError("version: a whole number from 0 is needed")
-    return value
+def _version(value: object) -> int | None:
+    if value is None:
+        return None
+    return _integer(value, "version", low=0)
+
+
+def _sockets(limits: object) -> int:
+    value = limits.get("sockets", _DEFAULT_SOCKETS) if isinstance(limits, dict) else _DEFAULT_SOCKETS
+    return _integer(value, "limits.sockets", low=1)
 
 
-def _sockets(limits: Any) -> int:
-    value = limits.get("sockets", _SOCKETS) if isinstance(limits, dict) else _SOCKETS
-    if type(value) is not int or value < 1:
-        raise ValueError("limits.sockets: a whole number is needed")
+def _integer(value: object, key: str, low: int) -> int:
+    """Check a whole number strictly: unlike in the settings, neither 2.0 nor null will do."""
+    if type(value) is not int or value < low:
+        raise InvalidSettingError(key, f"a whole number from {low}", value)
     return value
--- a/sidecar/reload.py
+++ b/sidecar/reload.py
@@ -13,11 +13,10 @@
 from dataclasses import dataclass, fields
 
 from sidecar.proxy.driver import Config
-from sidecar.settings import Settings
+from sidecar.settings import ConfigurationError, Settings
 
 log = logging.getLogger(__name__)
 
-UNUSABLE = (OSError, ValueError, RecursionError)  # what reading a bad configuration raises
 # Waits before a file that could not be read is read again: of the 4 s until changes at a new address of
 # discovery count as notified, most are left to the call there.
 _RETRIES_S = (0.1, 0.2, 0.4, 0.8)
@@ -70,7 +69,7 @@
             result = self._replace(read(), began)
         except OSError as fault:
             result = Rejected(str(fault), unread=True)
-        except UNUSABLE as bad:
+        except ConfigurationError as bad:
             result = Rejected(str(bad))
         _log(result)
         return result
--- /dev/null
+++ b/tests/test_read_config.py
@@ -0,0 +1,69 @@
+"""The configuration file: what a complaint about it says."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+
+import pytest
+
+from sidecar.configuration import read_config
+from sidecar.settings import ConfigurationError
+
+SETTINGS = {"lanes": [{"name": "look", "giveUpUs": 2_000_000}]}
+GOOD: dict[str, object] = {
+    "listen": "127.0.0.1:1",
+    "discovery": "127.0.0.1:2",
+    "settings": SETTINGS,
+}
+
+
+def complaint(path: Path, content: str, **environ: str) -> str:
+    path.write_text(content, encoding="utf-8")
+    with pytest.raises(ConfigurationError) as error:
+        read_config({"RELAY_CONFIG": str(path), **environ})
+    return str(error.value)
+
+
+@pytest.mark.parametrize(
+    ("changes", "expected"),
+    [
+        ({"listen": None}, "listen: an address host:port is needed"),
+        ({"listen": "here"}, "listen: an address host:port is needed, not 'here'"),
+        ({"discovery": 5}, "discovery: an address host:port is needed, not 5"),
+        ({"seed": "xyz"}, "seed: a text of hex digits is needed, not 'xyz'"),
+        ({"seed": 7}, "seed: a text of hex digits is needed, not 7"),
+        ({"version": 2.0}, "version: a whole number from 0 is needed, not 2.0"),
+        ({"limits": {"sockets": 0}}, "limits.sockets: a whole number from 1 is needed, not 0"),
+        ({"known": {"index": 1}}, "known: a list of servers is an object with endpoints"),
+        ({"settings": None}, "settings: a mapping is needed"),
+        (
+            {"settings": SETTINGS | {"guarantees": {"turnGapUs": "long"}}},
+            "settings.guarantees.turnGapUs: a whole number from 0 is needed, not 'long'",
+        ),
+    ],
+)
+def test_a_complaint_names_the_key_as_the_file_has_it(
+    changes: dict[str, object], expected: str, tmp_path: Path
+) -> None:
+    assert complaint(tmp_path / "config.json", json.dumps(GOOD | changes)) == expected
+
+
+def test_a_complaint_about_an_address_of_the_environment_names_the_variable(tmp_path: Path) -> None:
+    path, without_discovery = tmp_path / "config.json", json.dumps(GOOD | {"discovery": None})
+    assert complaint(path, json.dumps(GOOD), RELAY_LISTEN="here").startswith("RELAY_LISTEN: ")
+    assert complaint(path, without_discovery, RELAY_DISCOVERY="here").startswith("RELAY_DISCOVERY: ")
+
+
+@pytest.mark.parametrize("content", ["", "{", "[" * 100_000, "\x00"])
+def test_a_file_that_is_not_json_is_a_typed_error(content: str, tmp_path: Path) -> None:
+    assert complaint(tmp_path / "config.json", content).startswith("not JSON: ")
+
+
+def test_a_file_that_holds_no_object_is_a_typed_error(tmp_path: Path) -> None:
+    assert complaint(tmp_path / "config.json", "[]") == "configuration: an object is needed, not []"
+
+
+def test_without_a_file_the_variable_is_named() -> None:
+    with pytest.raises(ConfigurationError, match=r"^RELAY_CONFIG names no file$"):
+        read_config({})
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -168,16 +168,17 @@
     given = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": {"lanes": [WIRE_CLASS]}}
     line = {"name": "s-0", "address": "127.0.0.1:3", "status": "active"}
 
-    def lines(known: object, with_known: bool) -> int:
+    def lines(known: object, with_entries: bool) -> int:
         path.write_text(json.dumps(given | {"known": known}), encoding="utf-8")
-        return len(read_config({"RELAY_CONFIG": str(path)}, with_known).known.lines)
+        config = read_config({"RELAY_CONFIG": str(path)}, with_known_endpoints=with_entries)
+        return len(config.known.lines)
 
     known = {"index": 1, "snapshot": True, "endpoints": [line]}
-    assert [lines(known, with_known) for with_known in (True, False)] == [1, 0]
+    assert [lines(known, with_entries) for with_entries in (True, False)] == [1, 0]
     junks: list[object] = [[], {"index": 1}, {"index": "1", "endpoints": []}, {"index": 1, "endpoints": {}}]
     for junk in junks:
         with pytest.raises(ValueError):
-            lines(junk, with_known=False)
+            lines(junk, with_entries=False)
 
 
 # -- Requests, discovery and connections
--- a/tests/test_reload_succession.py
+++ b/tests/test_reload_succession.py
@@ -16,6 +16,7 @@
 from sidecar import reload
 from sidecar.proxy.driver import Config
 from sidecar.reload import Applied, Rejected, Reloader, ReloadSignal
+from sidecar.settings import ConfigurationError
 
 RELOADED_S = 4.0  # after SIGHUP, what discovery's new place has counts as told
 RULES = {"max_poll_interval_us": 60 * S}
@@ -93,7 +94,7 @@
 
 
 def bad() -> Config:
-    raise ValueError("not json")
+    raise ConfigurationError("not JSON")
 
 
 BETWEEN = ("nothing", "a bad file", "the same file", "a drain")
