--- a/scale/latency/traced_sidecar.py
+++ b/scale/latency/traced_sidecar.py
@@ -25,9 +25,9 @@
 def set_collector(collector: Collector) -> None:
     """Replace the collection thresholds that the program is going to set."""
     if collector is Collector.DEFAULT:
-        program._COLLECTED = gc.get_threshold()
+        program.GC_THRESHOLDS = gc.get_threshold()
     elif collector is Collector.OFF:
-        program._COLLECTED = _COLLECTION_DISABLED
+        program.GC_THRESHOLDS = _COLLECTION_DISABLED
 
 
 def trace_registry(tracer: Tracer) -> None:
--- a/sidecar/__main__.py
+++ b/sidecar/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one sidecar: serves by its configuration, and drains on SIGTERM.
+"""Starts one sidecar: serves by its configuration, and shuts down gracefully on SIGTERM.
 
 Run as `python -m sidecar`, with RELAY_CONFIG naming the configuration.  A bad one ends the start with one
 line on standard error and exit code 2.  SIGHUP puts it into force as it is now; a bad one changes nothing.
@@ -8,73 +8,63 @@
 
 import asyncio
 import gc
-import logging
 import os
 import signal
 import sys
 
 from sidecar.configuration import READ_ERRORS, read_config
+from sidecar.logs import configure_logging
 from sidecar.proxy.driver import Config, Sidecar
 from sidecar.proxy.event_loop import EventLoop
-from sidecar.reload import Reloader, ReloadSignal
+from sidecar.reload import Reloader, ReloadSignalHandler
 
 # An asyncio transport refers to itself, so what a closed connection leaves is freed by full collections
 # alone.  They are cheap here, and by the defaults come once in a minute and 2 MB or so.
-_COLLECTED = (700, 5, 2)
-_LOG_LINES = 50  # a second at most
+GC_THRESHOLDS = (700, 5, 2)
+_EXIT_CANNOT_SERVE = 1
+_EXIT_BAD_CONFIGURATION = 2
 
 
-class Flood(logging.Filter):
-    """Lets through so many lines a second: guards against junk from outside that would fill the log."""
-
-    def __init__(self, most: int) -> None:
-        super().__init__()
-        self._most = most
-        self._second = 0
-        self._lines = 0
-
-    def filter(self, record: logging.LogRecord) -> bool:
-        if int(record.created) != self._second:
-            self._second, self._lines = int(record.created), 0
-        self._lines += 1
-        return self._lines <= self._most
-
-
-def start_log() -> None:
-    handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(logging.Formatter("%(asctime)s %(name)s %(message)s"))
-    handler.addFilter(Flood(_LOG_LINES))
-    logging.basicConfig(level=logging.INFO, handlers=[handler])
+async def serve(config: Config) -> None:
+    """Serve until SIGTERM or SIGINT; SIGHUP reloads the configuration.
 
+    Args:
+        config: The configuration of the start.
 
-async def serve(config: Config) -> None:
+    Raises:
+        OSError: The address to listen at can't be bound.
+    """
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for each in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(each, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     sidecar = Sidecar(config)
-    reloader = Reloader(config, sidecar.reconfigure)
-    reload_signal = ReloadSignal(reloader, lambda: read_config(os.environ, with_known_endpoints=False))
-    loop.add_signal_handler(signal.SIGHUP, reload_signal.received)
+    handler = ReloadSignalHandler(Reloader(config, sidecar.reconfigure), _read_again)
+    loop.add_signal_handler(signal.SIGHUP, handler.handle_signal)
     await sidecar.run(stop)
 
 
+def _read_again() -> Config:
+    return read_config(os.environ, with_known_endpoints=False)
+
+
 def main() -> int:
-    start_log()
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to move
+    """Run the sidecar; return the exit code of the process."""
+    configure_logging()
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is a configuration to replace
     try:
         config = read_config(os.environ)
-    except READ_ERRORS as bad:
-        print(f"bad configuration: {bad}".replace("\n", " "), file=sys.stderr)
-        return 2
+    except READ_ERRORS as error:
+        print(f"bad configuration: {error}".replace("\n", " "), file=sys.stderr)
+        return _EXIT_BAD_CONFIGURATION
     gc.freeze()  # what is loaded by now stays; collections look at requests alone
-    gc.set_threshold(*_COLLECTED)
+    gc.set_threshold(*GC_THRESHOLDS)
     try:
         with asyncio.Runner(loop_factory=EventLoop) as runner:
             runner.run(serve(config))
-    except OSError as fault:
-        print(f"can't serve: {fault}", file=sys.stderr)
-        return 1
+    except OSError as error:
+        print(f"can't serve: {error}", file=sys.stderr)
+        return _EXIT_CANNOT_SERVE
     return 0
 
 
--- a/sidecar/reload.py
+++ b/sidecar/reload.py
@@ -1,4 +1,4 @@
-"""Reloads: a configuration that was read anew is put into force while the sidecar runs, or rejected.
+"""Reloads: a configuration that was read again is put into force while the sidecar runs, or rejected.
 
 Settings and the address of discovery take force at once.  What is bound to the start (`listen`, `seed` and
 `limits.sockets`) needs a restart: a change of it is named in the log and otherwise left alone.
@@ -17,145 +17,192 @@
 
 log = logging.getLogger(__name__)
 
-# Waits before a file that could not be read is read again: of the 4 s until changes at a new address of
+# Backoff before a file that could not be read is read again: of the 4 s until changes at a new address of
 # discovery count as notified, most are left to the call there.
-_RETRIES_S = (0.1, 0.2, 0.4, 0.8)
+_RETRY_DELAYS_S = (0.1, 0.2, 0.4, 0.8)
 _RESTART_ONLY = ("listen", "seed", "sockets")  # fields of Config that are set at the start for good
 
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """A configuration is in force."""
+    """A new configuration is in force.
+
+    Attributes:
+        version: Its version, if it has one.
+        changed: Parts of the settings, and the address of discovery, that differ from what was in force.
+        needs_restart: Fields that differ from those of the start and take force at the next one.
+        duration_s: How long reading and applying it took, in seconds.
+    """
 
     version: int | None
-    changed: tuple[str, ...]  # discovery and the parts of the settings that differ from what was in force
-    needs_restart: tuple[str, ...]  # fields that differ from those of the start
-    took_s: float
+    changed: tuple[str, ...]
+    needs_restart: tuple[str, ...]
+    duration_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Unchanged:
-    """The configuration says what is in force already."""
+    """The configuration says what is in force already.
+
+    Attributes:
+        version: Its version, if it has one.
+    """
 
     version: int | None
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The configuration in force stays."""
+    """The configuration in force stays.
+
+    Attributes:
+        reason: What is wrong with the new one.
+        is_transient: Whether the system failed to read the file, which may work a moment later.
+    """
 
     reason: str
-    unread: bool = False  # whether the system failed to read the file, which may work a moment later
+    is_transient: bool = False
 
 
-Reload = Applied | Unchanged | Rejected
+ReloadResult = Applied | Unchanged | Rejected
 
 
 class Reloader:
     """Holds the configuration in force and replaces it.
 
-    `apply` puts the difference between two configurations, the former first, into force.
+    Attributes:
+        active: The configuration in force.
     """
 
-    def __init__(self, started: Config, apply: Callable[[Config, Config], None]) -> None:
-        self._started = started
+    def __init__(self, initial: Config, apply: Callable[[Config, Config], None]) -> None:
+        """Begin with the configuration of the start.
+
+        Args:
+            initial: The configuration that is in force.
+            apply: Puts the difference between two configurations, the present one first, into force.
+        """
+        self._initial = initial
         self._apply = apply
-        self.active = started
+        self.active = initial
 
-    def reload(self, read: Callable[[], Config]) -> Reload:
-        """Read a configuration and put it into force; the log has one line on what came of it."""
-        began = time.monotonic()
+    def reload(self, read: Callable[[], Config]) -> ReloadResult:
+        """Read a configuration and put it into force; the log has one line about the result.
+
+        Args:
+            read: Reads the new configuration; its OSError or ConfigurationError rejects it.
+
+        Returns:
+            What came of it.
+        """
+        started_s = time.monotonic()
         try:
-            result = self._replace(read(), began)
-        except OSError as fault:
-            result = Rejected(str(fault), unread=True)
-        except ConfigurationError as bad:
-            result = Rejected(str(bad))
-        _log(result)
+            result = self._replace(read(), started_s)
+        except OSError as error:
+            result = Rejected(str(error), is_transient=True)
+        except ConfigurationError as error:
+            result = Rejected(str(error))
+        _log_result(result)
         return result
 
-    def _replace(self, given: Config, began: float) -> Reload:
-        former = self.active
-        if given == former:
-            return Unchanged(given.version)
-        reason = _conflict(former.version, given.version)
-        if reason is not None:
-            return Rejected(reason)
+    def _replace(self, new: Config, started_s: float) -> ReloadResult:
+        old = self.active
+        if new == old:
+            return Unchanged(new.version)
+        conflict = _version_conflict(old.version, new.version)
+        if conflict is not None:
+            return Rejected(conflict)
         try:
-            self._apply(former, given)
-        except Exception as defect:
-            log.exception("version %s could not be put into force", _name(given.version))
-            self._apply(given, former)
-            return Rejected(f"it could not be put into force: {defect!r}")
-        self.active = given
-        needs_restart = tuple(
-            name for name in _RESTART_ONLY if getattr(given, name) != getattr(self._started, name)
+            self._apply(old, new)
+        except Exception as error:
+            log.exception("version %s could not be put into force", _version_text(new.version))
+            self._apply(new, old)
+            return Rejected(f"it could not be put into force: {error!r}")
+        self.active = new
+        return Applied(
+            version=new.version,
+            changed=_changed_parts(old, new),
+            needs_restart=self._fields_needing_restart(new),
+            duration_s=time.monotonic() - started_s,
         )
-        return Applied(given.version, _changed(former, given), needs_restart, time.monotonic() - began)
+
+    def _fields_needing_restart(self, new: Config) -> tuple[str, ...]:
+        return tuple(name for name in _RESTART_ONLY if getattr(new, name) != getattr(self._initial, name))
 
 
-class ReloadSignal:
-    """Reloads whenever a signal asks for it, and again where the file could not be read.
+class ReloadSignalHandler:
+    """Reloads whenever a signal asks for it, with retries where the file could not be read.
 
-    Guards against a moment without descriptors or a fault of the disk: nobody signals again, and the former
-    address of discovery may tell of no more changes.  A file that was read and is bad is not read again, as
-    whoever completes it signals anew.
+    The retries guard against a moment without file descriptors or a fault of the disk: nobody signals again,
+    and the old address of discovery may notify of no more changes.  A file that was read and is bad is not
+    read again, as whoever completes it sends another signal.
     """
 
     def __init__(self, reloader: Reloader, read: Callable[[], Config]) -> None:
+        """Make a handler.
+
+        Args:
+            reloader: Holds the configuration in force.
+            read: Reads the new configuration.
+        """
         self._reloader = reloader
         self._read = read
         self._retry: asyncio.TimerHandle | None = None
 
-    def received(self) -> None:
-        """Reload now; this takes the place of a retry that is still to come."""
+    def handle_signal(self) -> None:
+        """Reload now, in place of a retry that is still pending; needs a running event loop."""
         if self._retry is not None:
             self._retry.cancel()
-        self._attempt(_RETRIES_S)
+        self._attempt(_RETRY_DELAYS_S)
 
-    def _attempt(self, retries_s: Sequence[float]) -> None:
+    def _attempt(self, retry_delays_s: Sequence[float]) -> None:
         self._retry = None
         result = self._reloader.reload(self._read)
-        if retries_s and isinstance(result, Rejected) and result.unread:
-            wait_s, *later_s = retries_s
-            self._retry = asyncio.get_running_loop().call_later(wait_s, self._attempt, later_s)
+        if retry_delays_s and isinstance(result, Rejected) and result.is_transient:
+            delay_s, *later_delays_s = retry_delays_s
+            self._retry = asyncio.get_running_loop().call_later(delay_s, self._attempt, later_delays_s)
 
 
-def _conflict(active: int | None, given: int | None) -> str | None:
-    """Why a version may not follow the active one: a file that comes late must not undo a newer one."""
-    if active is None or given is None or given > active:
+def _version_conflict(active: int | None, new: int | None) -> str | None:
+    """Say why a version may not follow the active one: a file that comes late must not undo a newer one."""
+    if active is None or new is None or new > active:
         return None
-    if given == active:
-        return f"version {given} is in force with other contents"
-    return f"version {given} is older than version {active}, which is in force"
+    if new == active:
+        return f"version {new} is in force with other contents"
+    return f"version {new} is older than version {active}, which is in force"
 
 
-def _changed(former: Config, given: Config) -> tuple[str, ...]:
+def _changed_parts(old: Config, new: Config) -> tuple[str, ...]:
     names = [
         each.name
         for each in fields(Settings)
-        if getattr(former.settings, each.name) != getattr(given.settings, each.name)
+        if getattr(old.settings, each.name) != getattr(new.settings, each.name)
     ]
-    if former.discovery != given.discovery:
+    if old.discovery != new.discovery:
         names.append("address of discovery")
     return tuple(names)
 
 
-def _name(version: int | None) -> str:
+def _version_text(version: int | None) -> str:
     return "without a number" if version is None else str(version)
 
 
-def _log(result: Reload) -> None:
+def _log_result(result: ReloadResult) -> None:
     match result:
         case Applied():
-            changed = ", ".join(result.changed) or "nothing"
-            version, took_ms = _name(result.version), result.took_s * 1000
-            if result.needs_restart:
-                changed += f"; needs a restart: {', '.join(result.needs_restart)}"
-            log.info(
-                "configuration version %s in force after %.1f ms; changed: %s", version, took_ms, changed
-            )
+            _log_applied(result)
         case Unchanged():
-            log.info("configuration version %s in force already", _name(result.version))
+            log.info("configuration version %s in force already", _version_text(result.version))
         case Rejected():
             log.error("the configuration stays as it was: %s", result.reason.replace("\n", " "))
+
+
+def _log_applied(result: Applied) -> None:
+    changed = ", ".join(result.changed) or "nothing"
+    if result.needs_restart:
+        changed += f"; needs a restart: {', '.join(result.needs_restart)}"
+    log.info(
+        "configuration version %s in force after %.1f ms; changed: %s",
+        _version_text(result.version),
+        result.duration_s * 1000,
+        changed,
+    )
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -32,7 +32,7 @@
 )
 
 from scale.ports import ReservedAddress
-from sidecar.__main__ import Flood
+from sidecar.logs import RateLimitFilter
 from sidecar.proxy import driver
 from sidecar.proxy.upstream import Address
 
@@ -99,7 +99,7 @@
 
 
 def test_a_flood_of_log_lines_is_cut() -> None:
-    flood = Flood(3)
+    flood = RateLimitFilter(3)
     lines = [logging.makeLogRecord({"created": at}) for at in (7.0, 7.1, 7.2, 7.3, 7.9, 8.0)]
     assert [flood.filter(each) for each in lines] == [True, True, True, False, False, True]
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -20,7 +20,7 @@
 from sidecar.configuration import read_config
 from sidecar.proxy.discovery import RegistryResponse
 from sidecar.proxy.driver import Config
-from sidecar.reload import Applied, Rejected, Reload, Reloader, Unchanged
+from sidecar.reload import Applied, Rejected, Reloader, ReloadResult, Unchanged
 from sidecar.settings import Settings
 
 ADDED = CLASSES[0] | {"name": "added"}
@@ -131,7 +131,7 @@
     def read() -> Config:
         return read_config({"RELAY_CONFIG": str(path)})
 
-    def put(content: object) -> Reload:
+    def put(content: object) -> ReloadResult:
         path.write_text(content if isinstance(content, str) else json.dumps(content), encoding="utf-8")
         return reloader.reload(read)
 
@@ -191,7 +191,7 @@
         self.world = made
         self._reloader = Reloader(made.config, made.sidecar.reconfigure)
 
-    def reload(self, **changes: Any) -> Reload:
+    def reload(self, **changes: Any) -> ReloadResult:
         return self._reloader.reload(read_from(replace(self._reloader.active, **changes)))
 
     def hold(self, kind: str) -> asyncio.Task[tuple[int, dict[str, str], bytes]]:
@@ -362,7 +362,7 @@
             classes = [ADDED | {"name": f"c{number}"} for number in range(MANY)]
             tenants = [{"name": f"t{number}", "share": 1.0} for number in range(MANY)]
             result = r.reload(settings=changed(classes=classes, tenants=tenants))
-            assert isinstance(result, Applied) and result.took_s < AT_ONCE_S
+            assert isinstance(result, Applied) and result.duration_s < AT_ONCE_S
             r.world.servers[0].script = lambda *_: answer()
             last = f"{MANY - 1}"
             assert (await r.world.ask(kind=f"c{last}", method="GET", X_Caller=f"t{last}"))[0] == 200
--- a/tests/test_reload_succession.py
+++ b/tests/test_reload_succession.py
@@ -15,7 +15,7 @@
 
 from sidecar import reload
 from sidecar.proxy.driver import Config
-from sidecar.reload import Applied, Rejected, Reloader, ReloadSignal
+from sidecar.reload import Applied, Rejected, Reloader, ReloadSignalHandler
 from sidecar.settings import ConfigurationError
 
 RELOADED_S = 4.0  # after SIGHUP, what discovery's new place has counts as told
@@ -51,10 +51,10 @@
         await latter.start()
         async with world(served, served, service=former, rules=RULES) as w:
             file = File(replace(w.config, discovery=latter.address), code, failures)
-            signal = ReloadSignal(Reloader(w.config, w.sidecar.reconfigure), file.read)
+            signal = ReloadSignalHandler(Reloader(w.config, w.sidecar.reconfigure), file.read)
             await latter.change(w.servers[0].entry(status="leaving"))
             began = now_s()
-            signal.received()
+            signal.handle_signal()
             await told_within(w, RELOADED_S, began)
         latter.stop()
 
@@ -66,9 +66,9 @@
         async with world(served) as w:
             reloader = Reloader(w.config, w.sidecar.reconfigure)
             file = File(w.config, errno.EIO, failures=1_000)
-            ReloadSignal(reloader, file.read).received()
+            ReloadSignalHandler(reloader, file.read).handle_signal()
             await pass_s(10.0)
-            assert file.reads == 1 + len(reload._RETRIES_S)
+            assert file.reads == 1 + len(reload._RETRY_DELAYS_S)
             assert reloader.active is w.config
 
     play_in_virtual_time(scene())
@@ -79,10 +79,10 @@
         async with world(served) as w:
             reloader = Reloader(w.config, w.sidecar.reconfigure)
             file = File(w.config, errno.EIO, failures=1)
-            signal = ReloadSignal(reloader, file.read)
-            signal.received()
+            signal = ReloadSignalHandler(reloader, file.read)
+            signal.handle_signal()
             file.content = replace(w.config, version=5)
-            signal.received()
+            signal.handle_signal()
             await pass_s(5.0)
             assert file.reads == 2 and reloader.active.version == 5
 
--- a/tests/test_wall_clock_steps.py
+++ b/tests/test_wall_clock_steps.py
@@ -10,7 +10,7 @@
 import pytest
 from loopback import hung, play, served, until, world
 
-from sidecar.__main__ import Flood
+from sidecar.logs import RateLimitFilter
 from sidecar.proxy.driver import Clock
 
 HOUR_S = 3600.0
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("span_s", STEPS_S)
 def test_a_bound_on_log_lines_holds_and_ends_in_time_after_a_step(span_s: float) -> None:
-    flood = Flood(2)
+    flood = RateLimitFilter(2)
     lines = [7.0, 7.1, 7.2, 7.3 + span_s, 7.4 + span_s, 7.5 + span_s, 8.4 + span_s]
     passed = [flood.filter(logging.makeLogRecord({"created": at})) for at in lines]
     assert passed == [True, True, False, True, True, False, True]
