--- a/sidecar/settings/mapping_reader.py
+++ b/sidecar/settings/mapping_reader.py
@@ -72,12 +72,11 @@
 
     def value(self, name: str) -> object:
         """Return the value of a field as it came, or None."""
-        value: object = self._given
-        for key in self._names.key(self._section, name).split("."):
-            if not isinstance(value, Mapping):
-                return None
-            value = value.get(key)
-        return value
+        outer_key, _, inner_key = self._names.key(self._section, name).partition(".")
+        value: object = self._given.get(outer_key)
+        if not inner_key:
+            return value
+        return value.get(inner_key) if isinstance(value, Mapping) else None
 
     def section(self, name: str) -> MappingReader:
         """Return a reader of the mapping in a field; it is empty where the field is absent."""
--- /dev/null
+++ b/sidecar/simulator/codec.py
@@ -0,0 +1,398 @@
+"""Decodes the lines of the simulator's wire into messages, and encodes actions into lines.
+
+Each line is a JSON array that starts with the name of its message.  Values beyond those known here are
+skipped.
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from typing import Any, TypeVar
+
+from sidecar.balancer.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    FailRequest,
+    FetchRegistry,
+    Log,
+    RejectRequest,
+    SendAttempt,
+    SendMessage,
+    SetTimer,
+    WatchRegistry,
+)
+from sidecar.balancer.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    Endpoint,
+    Event,
+    HealthCheckEnded,
+    MessageReceived,
+    Outcome,
+    RegistryUpdateKind,
+    RequestArrived,
+    ResponseStarted,
+    ServerState,
+    TimerFired,
+)
+from sidecar.settings import ConfigurationError
+from sidecar.settings.wire_names import settings_from_wire
+from sidecar.simulator.errors import (
+    InvalidJsonError,
+    InvalidMessageError,
+    InvalidSettingsError,
+    InvalidValueError,
+    MissingValuesError,
+    Needed,
+    ShortEndpointError,
+    UnknownMessageError,
+    UnknownWordError,
+)
+from sidecar.simulator.messages import (
+    EndpointPage,
+    EndpointsNotified,
+    EventReceived,
+    InstanceStarted,
+    InstanceStopped,
+    Message,
+)
+
+BATCH_START = "FRAME"
+BATCH_END = "COMMIT"
+BATCH_DONE = '["DONE"]'
+"""The last line of the reply to a batch."""
+
+_REGISTRY_UPDATE_KINDS = {
+    "delta": RegistryUpdateKind.DELTA,
+    "full": RegistryUpdateKind.SNAPSHOT,
+    "cached": RegistryUpdateKind.CACHED,
+    "failed": RegistryUpdateKind.FAILED,
+}
+_SERVER_STATES = {
+    "ready": ServerState.READY,
+    "draining": ServerState.DRAINING,
+    "gone": ServerState.REMOVED,
+}
+_OUTCOMES = {
+    "delivered": Outcome.SUCCEEDED,
+    "app_error": Outcome.ERROR,
+    "shed": Outcome.REJECTED,
+    "expired": Outcome.TIMED_OUT,
+    "dial_failed": Outcome.CONNECT_FAILED,
+    "dropped": Outcome.RESET,
+    "revoked": Outcome.CANCELLED,
+    "unused": Outcome.NOT_SENT,
+}
+# Flags of a request, by their bit.
+_HAS_COST_HINT = 1
+_IS_CLIENT_RETRY = 2
+_IS_WRITE = 4
+
+_ALL_INSTANCES = -1  # the receiver of a message to all
+_ENDPOINT_VALUES = 6  # of an entry of an endpoint list, at least
+_ERROR_TEXT_LENGTH = 500
+
+_Word = TypeVar("_Word")
+_encode_json = json.JSONEncoder(separators=(",", ":")).encode
+
+
+@dataclass(slots=True)
+class WireMessage:
+    """A message whose values have not been checked.
+
+    Attributes:
+        name: Its name.
+        values: All its values, of which the first is the name.
+    """
+
+    name: object
+    values: list[object]
+
+    def require(self, count: int) -> None:
+        """Raise MissingValuesError unless so many values, the name included, are there."""
+        if len(self.values) < count:
+            raise MissingValuesError(self.name, count - 1, len(self.values) - 1)
+
+
+# -- Decoding
+
+
+def parse_line(line: str) -> WireMessage:
+    """Read a line up to its name.
+
+    Args:
+        line: The line, with or without its end.
+
+    Returns:
+        The message, for `decode_batch_start` or `decode_message`.
+
+    Raises:
+        WireError: The line is no message.
+    """
+    try:
+        values = json.loads(line)
+    except (ValueError, RecursionError):
+        raise InvalidJsonError from None
+    if not isinstance(values, list) or not values:
+        raise InvalidMessageError
+    return WireMessage(values[0], values)
+
+
+def decode_batch_start(message: WireMessage) -> int:
+    """Return the clock time of a batch, in microseconds, from the message that starts it.
+
+    Raises:
+        WireError: The message has other values.
+    """
+    message.require(2)
+    _, now_us, *_ = message.values
+    return _integer(now_us)
+
+
+def decode_message(message: WireMessage) -> Message:
+    """Decode a message inside a batch.
+
+    Args:
+        message: A message other than the start and the end of a batch.
+
+    Returns:
+        The decoded message.
+
+    Raises:
+        WireError: The name is unknown, or the message has other values than it should.
+    """
+    name = message.name
+    if not isinstance(name, str):
+        raise UnknownMessageError(name)
+    event_decoder = _EVENT_DECODERS.get(name)
+    if event_decoder is not None:
+        least, decode_event = event_decoder
+        message.require(least)
+        return EventReceived(_string(message.values[1]), decode_event(message.values))
+    message_decoder = _MESSAGE_DECODERS.get(name)
+    if message_decoder is None:
+        raise UnknownMessageError(name)
+    least, decode = message_decoder
+    message.require(least)
+    return decode(message.values)
+
+
+def _decode_page(values: list[object]) -> EndpointPage:
+    _, number, entries, *_ = values
+    if not isinstance(entries, list):
+        raise InvalidValueError(Needed.ENDPOINT_LIST, entries)
+    return EndpointPage(_integer(number), [_endpoint(entry) for entry in entries])
+
+
+def _decode_instance_started(values: list[object]) -> InstanceStarted:
+    _, instance, seed, given, *_ = values
+    try:
+        settings = settings_from_wire(given)
+    except ConfigurationError as error:
+        raise InvalidSettingsError(error) from error
+    return InstanceStarted(_string(instance), _integer(seed), settings)
+
+
+def _decode_instance_stopped(values: list[object]) -> InstanceStopped:
+    _, instance, *_ = values
+    return InstanceStopped(_string(instance))
+
+
+def _decode_endpoints_notified(values: list[object]) -> EndpointsNotified:
+    _, instance, word, page, version, *_ = values
+    kind = _word(word, _REGISTRY_UPDATE_KINDS)
+    if kind is RegistryUpdateKind.FAILED:
+        return EndpointsNotified(_string(instance), kind)
+    return EndpointsNotified(_string(instance), kind, _integer(page), _integer(version))
+
+
+def _decode_request_arrived(values: list[object]) -> RequestArrived:
+    _, _, request, service_class, tenant, key, remaining_us, cost_us, flags, *_ = values
+    flags = _integer(flags)
+    return RequestArrived(
+        request=_integer(request),
+        service_class=_string(service_class),
+        tenant=None if tenant is None or tenant == 0 else _string(tenant),
+        key=_optional_integer(key),
+        remaining_us=_integer(remaining_us),
+        cost_us=_optional_integer(cost_us) if flags & _HAS_COST_HINT else None,
+        client_retry=bool(flags & _IS_CLIENT_RETRY),
+        write=bool(flags & _IS_WRITE),
+    )
+
+
+def _decode_response_started(values: list[object]) -> ResponseStarted:
+    _, _, request, attempt, elapsed_us, server, *_ = values
+    return ResponseStarted(
+        request=_integer(request),
+        attempt=_integer(attempt),
+        server=_string(server),
+        elapsed_us=_integer(elapsed_us),
+    )
+
+
+def _decode_attempt_ended(values: list[object]) -> AttemptEnded:
+    _, _, request, attempt, server, outcome, elapsed_us, answered, *optional = values
+    return AttemptEnded(
+        request=_integer(request),
+        attempt=_integer(attempt),
+        server=_string(server),
+        outcome=_word(outcome, _OUTCOMES),
+        elapsed_us=_integer(elapsed_us),
+        answered=_boolean(answered),
+        report=_load_report(optional[0]) if optional else None,
+    )
+
+
+def _decode_client_disconnected(values: list[object]) -> ClientDisconnected:
+    _, _, request, *_ = values
+    return ClientDisconnected(_integer(request))
+
+
+def _decode_timer_fired(values: list[object]) -> TimerFired:
+    _, _, token, *_ = values
+    return TimerFired(_string(token))
+
+
+def _decode_health_check_ended(values: list[object]) -> HealthCheckEnded:
+    _, _, elapsed_us, outcome, server, *optional = values
+    return HealthCheckEnded(
+        server=_string(server),
+        outcome=_word(outcome, _OUTCOMES),
+        elapsed_us=_integer(elapsed_us),
+        report=_load_report(optional[0]) if optional else None,
+    )
+
+
+def _decode_message_received(values: list[object]) -> MessageReceived:
+    _, _, sender, payload, *_ = values
+    return MessageReceived(_integer(sender), _payload(payload))
+
+
+# By the message's name: how many values it has at least, the name included, and what decodes them.
+_EVENT_DECODERS: dict[str, tuple[int, Callable[[list[object]], Event]]] = {
+    "WORK_ITEM": (9, _decode_request_arrived),
+    "FIRST": (6, _decode_response_started),
+    "ATTEMPT_END": (8, _decode_attempt_ended),
+    "CLIENT_GONE": (3, _decode_client_disconnected),
+    "WAKE": (3, _decode_timer_fired),
+    "SAMPLED": (5, _decode_health_check_ended),
+    "MEMO": (4, _decode_message_received),
+}
+_MESSAGE_DECODERS: dict[str, tuple[int, Callable[[list[object]], Message]]] = {
+    "PAGE": (3, _decode_page),
+    "BEGIN": (4, _decode_instance_started),
+    "EXIT": (2, _decode_instance_stopped),
+    "TARGETS": (5, _decode_endpoints_notified),
+}
+
+
+# -- Values
+
+
+def _integer(value: object) -> int:
+    if type(value) is not int:
+        raise InvalidValueError(Needed.INTEGER, value)
+    return value
+
+
+def _optional_integer(value: object) -> int | None:
+    return None if value is None else _integer(value)
+
+
+def _string(value: object) -> str:
+    if type(value) is not str:
+        raise InvalidValueError(Needed.STRING, value)
+    return value
+
+
+def _boolean(value: object) -> bool:
+    if type(value) is not bool:
+        raise InvalidValueError(Needed.BOOLEAN, value)
+    return value
+
+
+def _number(value: object) -> float:
+    if isinstance(value, bool) or not isinstance(value, int | float):
+        raise InvalidValueError(Needed.NUMBER, value)
+    return value
+
+
+def _word(value: object, words: Mapping[str, _Word]) -> _Word:
+    meaning = words.get(value) if isinstance(value, str) else None
+    if meaning is None:
+        raise UnknownWordError(value)
+    return meaning
+
+
+def _payload(value: object) -> bytes:
+    try:
+        return bytes.fromhex(_string(value))
+    except ValueError:
+        raise InvalidValueError(Needed.HEX_DIGITS, value) from None
+
+
+def _load_report(value: object) -> Mapping[str, float] | None:
+    if value is None:
+        return None
+    if not isinstance(value, dict):
+        raise InvalidValueError(Needed.LOAD_REPORT, value)
+    for figure in value.values():
+        _number(figure)
+    return value
+
+
+def _endpoint(entry: object) -> Endpoint:
+    if not isinstance(entry, list):
+        raise InvalidValueError(Needed.ENDPOINT, entry)
+    if len(entry) < _ENDPOINT_VALUES:
+        raise ShortEndpointError(_ENDPOINT_VALUES, len(entry))
+    server, zone, kind, cell, state, nominal, *optional = entry
+    started_at = _optional_integer(optional[0]) if optional else None
+    return Endpoint(
+        server=_string(server),
+        zone=_string(zone),
+        kind=_string(kind),
+        cell=_integer(cell),
+        state=_word(state, _SERVER_STATES),
+        nominal=float(_number(nominal)),
+        started_at=started_at or None,  # on the wire, 0 is long ago, too
+    )
+
+
+# -- Encoding
+
+# By the action's type: the message's name, and what gives its values after the instance's name.
+_ACTION_ENCODERS: dict[type[Action], tuple[str, Callable[[Any], list[object]]]] = {
+    SendAttempt: ("ASSIGN", lambda action: [action.request, action.server, action.until]),
+    RejectRequest: ("NOT_NOW", lambda action: [action.request, action.retry_after_us]),
+    FailRequest: ("SURRENDER", lambda action: [action.request]),
+    CancelAttempt: ("ABORT_ATTEMPT", lambda action: [action.request, action.attempt]),
+    SetTimer: ("REMIND", lambda action: [action.in_us, action.token]),
+    CheckHealth: ("CHECK", lambda action: [action.server]),
+    CloseIdleConnections: ("SHUT_IDLE", lambda action: [action.server]),
+    SendMessage: ("POST", lambda action: [_receiver(action), action.payload.hex()]),
+    WatchRegistry: ("FOLLOW", lambda action: [action.wanted]),
+    FetchRegistry: ("REFRESH", lambda _: []),
+    Log: ("REMARK", lambda action: [action.text]),
+}
+
+
+def _receiver(action: SendMessage) -> int:
+    return _ALL_INSTANCES if action.receiver is None else action.receiver
+
+
+def encode_action(instance: str, action: Action) -> str:
+    """Return the line, without its end, for an action of an instance."""
+    name, values_of = _ACTION_ENCODERS[type(action)]
+    return _encode_json([name, instance, *values_of(action)])
+
+
+def encode_defect(instance: str, error: Exception) -> str:
+    """Return the line, without its end, for an exception in the decisions of an instance."""
+    text = f"{type(error).__name__}: {error}"[:_ERROR_TEXT_LENGTH]
+    return json.dumps(["INTERNAL_ERROR", instance, text])
