--- a/tests/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -165,7 +165,7 @@
             capture_output=True,
             text=True,
             check=True,
-            cwd=Path(__file__).parent.parent,
+            cwd=Path(__file__).parents[2],
             env={**os.environ, "PYTHONHASHSEED": hash_seed},
         ).stdout
         for hash_seed in ("1", "2")
