--- a/tests/configuration/test_read_config.py
+++ b/tests/configuration/test_configuration_file.py
@@ -1,4 +1,4 @@
-"""The configuration file: what a complaint about it says."""
+"""The configuration file: what the errors about it say."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 }
 
 
-def complaint(path: Path, content: str, **environ: str) -> str:
+def error_message(path: Path, content: str, **environ: str) -> str:
     path.write_text(content, encoding="utf-8")
     with pytest.raises(ConfigurationError) as error:
         read_config({"RELAY_CONFIG": str(path), **environ})
@@ -43,25 +43,25 @@
         ),
     ],
 )
-def test_a_complaint_names_the_key_as_the_file_has_it(
+def test_an_error_names_the_key_as_the_file_has_it(
     changes: dict[str, object], expected: str, tmp_path: Path
 ) -> None:
-    assert complaint(tmp_path / "config.json", json.dumps(GOOD | changes)) == expected
+    assert error_message(tmp_path / "config.json", json.dumps(GOOD | changes)) == expected
 
 
-def test_a_complaint_about_an_address_of_the_environment_names_the_variable(tmp_path: Path) -> None:
+def test_an_error_about_an_address_of_the_environment_names_the_variable(tmp_path: Path) -> None:
     path, without_discovery = tmp_path / "config.json", json.dumps(GOOD | {"discovery": None})
-    assert complaint(path, json.dumps(GOOD), RELAY_LISTEN="here").startswith("RELAY_LISTEN: ")
-    assert complaint(path, without_discovery, RELAY_DISCOVERY="here").startswith("RELAY_DISCOVERY: ")
+    assert error_message(path, json.dumps(GOOD), RELAY_LISTEN="here").startswith("RELAY_LISTEN: ")
+    assert error_message(path, without_discovery, RELAY_DISCOVERY="here").startswith("RELAY_DISCOVERY: ")
 
 
 @pytest.mark.parametrize("content", ["", "{", "[" * 100_000, "\x00"])
 def test_a_file_that_is_not_json_is_a_typed_error(content: str, tmp_path: Path) -> None:
-    assert complaint(tmp_path / "config.json", content).startswith("not JSON: ")
+    assert error_message(tmp_path / "config.json", content).startswith("not JSON: ")
 
 
 def test_a_file_that_holds_no_object_is_a_typed_error(tmp_path: Path) -> None:
-    assert complaint(tmp_path / "config.json", "[]") == "configuration: an object is needed, not []"
+    assert error_message(tmp_path / "config.json", "[]") == "configuration: an object is needed, not []"
 
 
 def test_without_a_file_the_variable_is_named() -> None:
--- a/tests/configuration/test_reload_succession.py
+++ b/tests/configuration/test_consecutive_reloads.py
@@ -11,6 +11,7 @@
 import pytest
 from helpers import S
 from loopback import hung, served, until, world
+from reload_stage import read_from
 from virtual_time import Service, now_s, pass_s, play_in_virtual_time, told_within
 
 from sidecar import reload
@@ -18,14 +19,14 @@
 from sidecar.reload import Applied, Rejected, Reloader, ReloadSignalHandler
 from sidecar.settings import ConfigurationError
 
-RELOADED_S = 4.0  # after SIGHUP, what discovery's new place has counts as told
+RELOADED_S = 4.0  # after SIGHUP, changes at the new address of discovery count as notified
 RULES = {"max_poll_interval_us": 60 * S}
 MODES = ("on_request", "pushed")
 FAULTS = [errno.ENFILE, errno.EMFILE, errno.EIO, errno.EINTR, errno.ENOENT]
 
 
-class File:
-    """Stands for the file: cannot be read some times, then gives what was put last."""
+class FlakyFile:
+    """Stands in for the file: can't be read some times, then has the content that was put last."""
 
     def __init__(self, content: Config, code: int, failures: int) -> None:
         self.content = content
@@ -43,29 +44,27 @@
 
 @pytest.mark.parametrize("failures", [1, 4])
 @pytest.mark.parametrize("code", FAULTS)
-def test_a_drain_is_applied_in_time_though_the_file_of_a_reload_can_not_be_read_at_first(
-    code: int, failures: int
-) -> None:
+def test_a_drain_is_applied_in_time_though_the_file_is_unreadable_at_first(code: int, failures: int) -> None:
     async def scene() -> None:
-        former, latter = Service(), Service()
-        await latter.start()
-        async with world(served, served, service=former, rules=RULES) as w:
-            file = File(replace(w.config, discovery=latter.address), code, failures)
+        old, new = Service(), Service()
+        await new.start()
+        async with world(served, served, service=old, rules=RULES) as w:
+            file = FlakyFile(replace(w.config, discovery=new.address), code, failures)
             signal = ReloadSignalHandler(Reloader(w.config, w.sidecar.reconfigure), file.read)
-            await latter.change(w.servers[0].entry(status="leaving"))
+            await new.change(w.servers[0].entry(status="leaving"))
             began = now_s()
             signal.handle_signal()
             await told_within(w, RELOADED_S, began)
-        latter.stop()
+        new.stop()
 
     play_in_virtual_time(scene())
 
 
-def test_a_file_that_is_never_readable_leaves_the_configuration_and_is_given_up_on() -> None:
+def test_retries_of_an_unreadable_file_end_and_leave_the_configuration() -> None:
     async def scene() -> None:
         async with world(served) as w:
             reloader = Reloader(w.config, w.sidecar.reconfigure)
-            file = File(w.config, errno.EIO, failures=1_000)
+            file = FlakyFile(w.config, errno.EIO, failures=1_000)
             ReloadSignalHandler(reloader, file.read).handle_signal()
             await pass_s(10.0)
             assert file.reads == 1 + len(reload._RETRY_DELAYS_S)
@@ -74,11 +73,11 @@
     play_in_virtual_time(scene())
 
 
-def test_a_signal_takes_the_place_of_the_retries_of_an_earlier_one() -> None:
+def test_a_signal_cancels_the_retries_of_an_earlier_one() -> None:
     async def scene() -> None:
         async with world(served) as w:
             reloader = Reloader(w.config, w.sidecar.reconfigure)
-            file = File(w.config, errno.EIO, failures=1)
+            file = FlakyFile(w.config, errno.EIO, failures=1)
             signal = ReloadSignalHandler(reloader, file.read)
             signal.handle_signal()
             file.content = replace(w.config, version=5)
@@ -89,11 +88,7 @@
     play_in_virtual_time(scene())
 
 
-def read_from(given: Config) -> Callable[[], Config]:
-    return lambda: given
-
-
-def bad() -> Config:
+def read_bad_file() -> Config:
     raise ConfigurationError("not JSON")
 
 
@@ -104,7 +99,7 @@
 @pytest.mark.parametrize("between", BETWEEN)
 @pytest.mark.parametrize("apart_s", [0.0, 0.01, 1.0])
 @pytest.mark.parametrize("fault", [None, "silent", "cut off", "503", "reset", "refused"])
-def test_of_reloads_in_a_row_the_last_is_in_force_and_its_changes_are_applied_in_time(
+def test_of_consecutive_reloads_the_last_is_in_force_and_its_changes_are_applied_in_time(
     fault: str | None, apart_s: float, between: str, mode: str, service: Callable[[], Service]
 ) -> None:
     async def scene() -> None:
@@ -115,17 +110,17 @@
             middle.fail(fault)
         async with world(hung, served, service=first, rules=RULES, discovery=mode) as w:
             await until(lambda: first.targets)
-            held = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="500"))
+            pending = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="500"))
             await until(w.sent)
             reloader = Reloader(w.config, w.sidecar.reconfigure)
             configs = [replace(w.config, discovery=each.address) for each in (middle, first, middle, last)]
-            for number, given in enumerate(configs, start=1):
+            for number, config in enumerate(configs, start=1):
                 await pass_s(apart_s)
                 began = now_s()
-                result = reloader.reload(read_from(replace(given, version=number)))
+                result = reloader.reload(read_from(replace(config, version=number)))
                 assert isinstance(result, Applied)
                 if between == "a bad file":
-                    assert isinstance(reloader.reload(bad), Rejected)
+                    assert isinstance(reloader.reload(read_bad_file), Rejected)
                 elif between == "the same file":
                     reloader.reload(lambda: reloader.active)
                 elif between == "a drain" and number == 2:
@@ -136,7 +131,7 @@
             assert last.targets[0] == "/registry/instances"
             assert w.sidecar._discovery._address == last.address
             await until(lambda: len(last.targets) > 1)  # the watch goes on there
-            held.cancel()
+            pending.cancel()
         for each in (middle, last):
             each.stop()
 
--- a/tests/configuration/test_settings.py
+++ b/tests/configuration/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: what is skipped, what gets a default, and what is nonsense."""
+"""Settings: what is skipped, what gets a default, and what is invalid."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 from sidecar.settings.wire_names import WIRE_NAMES, settings_from_wire
 
 WIRE_CLASS = {"name": "a", "giveUpUs": 1_000_000}
-LEAST = {"classes": [{"name": "a", "deadline_us": 1_000_000}]}
+MINIMAL = {"classes": [{"name": "a", "deadline_us": 1_000_000}]}
 
 
 def test_absent_keys_get_the_cautious_default() -> None:
-    given = Settings.from_mapping(LEAST)
+    given = Settings.from_mapping(MINIMAL)
     assert given.classes[0].idempotency is Idempotency.UNSAFE
     assert given.classes[0].latency_target_us == 1_000_000
     assert given.discovery is Discovery.ON_REQUEST
@@ -39,8 +39,8 @@
 
 def test_unknown_keys_are_skipped_and_null_counts_as_absent() -> None:
     assert Settings.from_mapping(
-        {**LEAST, "news": 1, "limits": {"x": 2}, "rules": None}
-    ) == Settings.from_mapping(LEAST)
+        {**MINIMAL, "unknown": 1, "limits": {"x": 2}, "rules": None}
+    ) == Settings.from_mapping(MINIMAL)
 
 
 @pytest.mark.parametrize(
@@ -52,21 +52,21 @@
         ({"classes": [{"name": "a", "deadline_us": 0}]}, "classes[0].deadline_us"),
         ({"classes": [{"name": "a", "deadline_us": float("nan")}]}, "classes[0].deadline_us"),
         ({"classes": [{"name": "a", "deadline_us": 9, "idempotency": "maybe"}]}, "classes[0].idempotency"),
-        ({"classes": [*LEAST["classes"], *LEAST["classes"]]}, "classes"),
-        ({**LEAST, "limits": {"max_attempts": -1}}, "limits.max_attempts"),
-        ({**LEAST, "limits": {"allow_hedging": 1}}, "limits.allow_hedging"),
-        ({**LEAST, "rules": {"slow_start_from": 2}}, "rules.slow_start_from"),
-        ({**LEAST, "rules": {"overload_window_us": "long"}}, "rules.overload_window_us"),
-        ({**LEAST, "report": {"columns": "util"}}, "report.columns"),
-        ({**LEAST, "tenants": [3]}, "tenants[0]"),
-        ({**LEAST, "sidecar_count": 0}, "sidecar_count"),
-        ({**LEAST, "prices": []}, "prices"),
+        ({"classes": [*MINIMAL["classes"], *MINIMAL["classes"]]}, "classes"),
+        ({**MINIMAL, "limits": {"max_attempts": -1}}, "limits.max_attempts"),
+        ({**MINIMAL, "limits": {"allow_hedging": 1}}, "limits.allow_hedging"),
+        ({**MINIMAL, "rules": {"slow_start_from": 2}}, "rules.slow_start_from"),
+        ({**MINIMAL, "rules": {"overload_window_us": "long"}}, "rules.overload_window_us"),
+        ({**MINIMAL, "report": {"columns": "util"}}, "report.columns"),
+        ({**MINIMAL, "tenants": [3]}, "tenants[0]"),
+        ({**MINIMAL, "sidecar_count": 0}, "sidecar_count"),
+        ({**MINIMAL, "prices": []}, "prices"),
     ],
 )
-def test_nonsense_is_named(given: dict[str, Any], key: str) -> None:
-    with pytest.raises(ValueError) as complaint:
+def test_an_invalid_value_is_named_by_its_key(given: dict[str, Any], key: str) -> None:
+    with pytest.raises(ValueError) as error:
         Settings.from_mapping(given)
-    assert str(complaint.value).startswith(key + ":")
+    assert str(error.value).startswith(key + ":")
 
 
 values = (
@@ -104,9 +104,7 @@
         values,
     ),
 )
-def test_any_settings_give_a_working_balancer_or_a_complaint(
-    kind: dict[str, Any], rest: dict[str, Any]
-) -> None:
+def test_any_settings_give_a_working_balancer_or_an_error(kind: dict[str, Any], rest: dict[str, Any]) -> None:
     try:
         given = Settings.from_mapping({"classes": [{"name": "a", **kind}], "limits": rest, "rules": rest})
     except ValueError:
@@ -116,7 +114,7 @@
 
 
 @pytest.mark.parametrize(
-    ("given", "complaint"),
+    ("given", "message"),
     [
         (None, "settings: a mapping is needed"),
         ({"lanes": [{"name": "a"}]}, "settings.lanes[0].giveUpUs: a whole number from 1 is needed"),
@@ -140,12 +138,12 @@
         ),
     ],
 )
-def test_a_complaint_about_the_wire_s_settings_names_the_key_as_the_wire_has_it(
-    given: object, complaint: str
+def test_an_error_about_the_wire_s_settings_names_the_key_as_the_wire_has_it(
+    given: object, message: str
 ) -> None:
     with pytest.raises(ConfigurationError) as error:
         settings_from_wire(given)
-    assert str(error.value) == complaint
+    assert str(error.value) == message
 
 
 def test_the_wire_has_a_name_for_every_field() -> None:
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire: what it accepts, what it complains of, and that it adds nothing of its own."""
+"""The simulator's wire: what it accepts, what it rejects, and that replies are deterministic."""
 
 from __future__ import annotations
 
@@ -52,11 +52,11 @@
     return code, [json.loads(each) for each in out.getvalue().splitlines()], err.getvalue()
 
 
-def test_an_empty_batch_is_answered_by_done() -> None:
+def test_the_reply_to_an_empty_batch_is_done() -> None:
     assert play([]) == (0, [["DONE"]], "")
 
 
-def test_a_request_is_assigned() -> None:
+def test_a_request_is_forwarded_to_a_server() -> None:
     work = ["WORK_ITEM", "sidecar-1", 5, "look", 0, None, 900_000, 12_000, 1, "a field to come"]
     code, reply, _ = play(begin(), [work])
     sends = [each for each in reply if each[0] == "ASSIGN"]
@@ -68,7 +68,7 @@
     )
 
 
-def test_a_killed_instance_forgets_all_and_may_begin_again_in_the_same_batch() -> None:
+def test_a_stopped_instance_may_begin_again_in_the_same_batch_with_nothing_learned() -> None:
     work = ["WORK_ITEM", "sidecar-1", 5, "look", None, None, 900_000, None, 0]
     end = ["ATTEMPT_END", "sidecar-1", 5, 0, "10.0.0.1:80", "delivered", 100, True, {"util": 0.5}]
     code, reply, _ = play(begin(), [work, ["EXIT", "sidecar-1"], *begin()], [end])
@@ -76,7 +76,7 @@
     assert [each[0] for each in reply].count("FOLLOW") == 2
 
 
-def test_a_page_number_may_be_used_again_within_a_batch() -> None:
+def test_a_page_number_may_be_reused_within_a_batch() -> None:
     other = ["PAGE", 0, [["10.0.0.9:80", "east", "box", 0, "ready", 1, None]]]
     work = [["WORK_ITEM", f"sidecar-{n}", n, "look", None, None, 900_000, None, 0] for n in (1, 2)]
     batch = [
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "complaint"),
+    ("line", "message"),
     [
         ("nonsense", "not JSON"),
         ("[" * 100_000, "not JSON"),
@@ -112,11 +112,11 @@
         ('["BEGIN","sidecar-2",1,{"lanes":[{"name":"a","giveUpUs":-1}]}]', "settings.lanes[0].giveUpUs: "),
     ],
 )
-def test_bad_input_is_named_with_its_line_and_ends_the_run(line: str, complaint: str) -> None:
+def test_invalid_input_is_named_with_its_line_and_ends_the_run(line: str, message: str) -> None:
     good = "".join(json.dumps(each) + "\n" for each in (["FRAME", 1], *begin()))
     code, _, err = play_text(good + line + "\n")
     assert code != 0
-    assert err.startswith("line 5: ") and complaint in err and err.count("\n") == 1
+    assert err.startswith("line 5: ") and message in err and err.count("\n") == 1
 
 
 @how(max_examples=150, deadline=None, derandomize=True)
@@ -145,7 +145,7 @@
         max_size=5,
     )
 )
-def test_no_line_makes_a_traceback(lines: list[str]) -> None:
+def test_no_line_raises_an_unexpected_exception(lines: list[str]) -> None:
     start = "".join(json.dumps(each) + "\n" for each in (["FRAME", 1], *begin()))
     body = "".join(each.replace("\n", " ").replace("\r", " ") + "\n" for each in lines)
     code, _, err = play_text(start + body + '["COMMIT"]\n')
@@ -173,7 +173,7 @@
     assert replies[0] == replies[1] and replies[0].count("ASSIGN") == 60
 
 
-def test_the_further_rules_and_prices_of_the_wire_reach_the_settings() -> None:
+def test_rules_prices_and_warm_keys_of_the_wire_reach_the_settings() -> None:
     lane = {**BOOT["lanes"][0], "byArrival": True}
     read = settings_from_wire(
         {
@@ -193,7 +193,7 @@
     assert not (plain.classes[0].ordered_by_key or plain.warm_keys or plain.rules.late_shedding)
 
 
-def test_nonsense_in_the_further_rules_is_named() -> None:
+def test_an_invalid_rule_is_named_by_its_key() -> None:
     for boot, key in (
         ({**BOOT, "guarantees": {"lateShedding": "yes"}}, "guarantees.lateShedding"),
         ({**BOOT, "guarantees": {"turnGapUs": -1}}, "guarantees.turnGapUs"),
