--- a/sidecar/__main__.py
+++ b/sidecar/__main__.py
@@ -1,7 +1,7 @@
 """Starts one sidecar: serves by its configuration, and shuts down gracefully on SIGTERM.
 
 Run as `python -m sidecar`, with RELAY_CONFIG naming the configuration.  A bad one ends the start with one
-line on standard error and exit code 2.  SIGHUP puts it into force as it is now; a bad one changes nothing.
+line on standard error and exit code 2.  SIGHUP reloads the configuration; a bad one changes nothing.
 """
 
 from __future__ import annotations
--- a/sidecar/reload.py
+++ b/sidecar/reload.py
@@ -1,7 +1,7 @@
-"""Reloads: a configuration that was read again is put into force while the sidecar runs, or rejected.
+"""Reloads: a configuration that was read again is applied while the sidecar runs, or rejected.
 
-Settings and the address of discovery take force at once.  What is bound to the start (`listen`, `seed` and
-`limits.sockets`) needs a restart: a change of it is named in the log and otherwise left alone.
+Settings and the address of discovery take effect at once.  What is fixed at the start (`listen`, `seed` and
+`limits.sockets`) needs a restart: a change of it is named in the log and otherwise ignored.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     Attributes:
         version: Its version, if it has one.
         changed: Parts of the settings, and the address of discovery, that differ from what was in force.
-        needs_restart: Fields that differ from those of the start and take force at the next one.
+        needs_restart: Fields that differ from those of the start and take effect at the next one.
         duration_s: How long reading and applying it took, in seconds.
     """
 
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unchanged:
-    """The configuration says what is in force already.
+    """The configuration is the same as the one in force.
 
     Attributes:
         version: Its version, if it has one.
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The configuration in force stays.
+    """The new configuration is not applied; the one in force stays.
 
     Attributes:
         reason: What is wrong with the new one.
@@ -79,20 +79,20 @@
 
         Args:
             initial: The configuration that is in force.
-            apply: Puts the difference between two configurations, the present one first, into force.
+            apply: Applies the difference between two configurations, the present one first.
         """
         self._initial = initial
         self._apply = apply
         self.active = initial
 
     def reload(self, read: Callable[[], Config]) -> ReloadResult:
-        """Read a configuration and put it into force; the log has one line about the result.
+        """Read a configuration and apply it; the log has one line about the result.
 
         Args:
             read: Reads the new configuration; its OSError or ConfigurationError rejects it.
 
         Returns:
-            What came of it.
+            Whether it was applied.
         """
         started_s = time.monotonic()
         try:
