--- a/sidecar/settings/model.py
+++ b/sidecar/settings/model.py
@@ -23,7 +23,10 @@
     high: float = LARGEST_NUMBER
 
 
-PositiveInt = Annotated[int, Bounds(low=1)]
+POSITIVE = Bounds(low=1)
+"""The positive whole numbers."""
+
+PositiveInt = Annotated[int, POSITIVE]
 PositiveFloat = Annotated[float, Bounds(low=0.001)]
 PositiveFraction = Annotated[float, Bounds(low=0.001, high=1.0)]
 Fraction = Annotated[float, Bounds(high=1.0)]
--- a/sidecar/settings/parsing.py
+++ b/sidecar/settings/parsing.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import MISSING, dataclass, fields, replace
+from dataclasses import MISSING, dataclass, fields
 from enum import Enum
 from functools import cache
 from typing import Annotated, Any, TypeVar, get_args, get_origin, get_type_hints
 
 from sidecar.settings.errors import DuplicateNameError
 from sidecar.settings.mapping_reader import MappingReader, NameTable
-from sidecar.settings.model import Bounds, Limits, Prices, Rules, ServiceClass, Settings, Tenant
+from sidecar.settings.model import POSITIVE, Bounds, Limits, Prices, Rules, ServiceClass, Settings, Tenant
 
 FIELD_NAMES = NameTable()
 """The names of a mapping whose keys are the names of the fields."""
@@ -54,13 +54,15 @@
 
 
 def _parse_service_class(reader: MappingReader) -> ServiceClass:
-    """Read a class of requests; without a latency target of its own, its deadline is that, too."""
-    target = "latency_target_us"
-    source = target if reader.value(target) is not None else "deadline_us"
-    parsed = _parse_fields(
-        ServiceClass, reader, latency_target_us=_field_specs(ServiceClass)[target].read(reader, source)
+    """Read a class of requests, whose latency target is its deadline at most, and by default."""
+    deadline_us = reader.integer("deadline_us", bounds=POSITIVE)
+    latency_target_us = reader.integer("latency_target_us", default=deadline_us, bounds=POSITIVE)
+    return _parse_fields(
+        ServiceClass,
+        reader,
+        deadline_us=deadline_us,
+        latency_target_us=min(latency_target_us, deadline_us),
     )
-    return replace(parsed, latency_target_us=min(parsed.latency_target_us, parsed.deadline_us))
 
 
 def _require_unique(path: str, names: Iterable[str]) -> None:
@@ -97,7 +99,9 @@
             return reader.string(name, self.default)
         if isinstance(self.kind, type) and issubclass(self.kind, Enum):
             return reader.choice(name, self.kind, self.default)
-        return reader.strings(name, self.default)
+        if self.kind == tuple[str, ...]:
+            return reader.strings(name, self.default)
+        raise NotImplementedError(self.kind)
 
 
 @cache
