--- a/tests/proxy/test_process_lifecycle.py
+++ b/tests/proxy/test_process_lifecycle.py
@@ -32,7 +32,7 @@
 )
 
 from scale.ports import ReservedAddress
-from sidecar.__main__ import Flood
+from sidecar.logs import RateLimitFilter
 from sidecar.proxy import loop_lag, shutdown
 from sidecar.proxy.addresses import Address
 from sidecar.proxy.driver import RESERVED_DESCRIPTORS
@@ -100,7 +100,7 @@
 
 
 def test_log_lines_are_rate_limited() -> None:
-    flood = Flood(3)
+    flood = RateLimitFilter(3)
     lines = [logging.makeLogRecord({"created": at}) for at in (7.0, 7.1, 7.2, 7.3, 7.9, 8.0)]
     assert [flood.filter(each) for each in lines] == [True, True, True, False, False, True]
 
