--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""Discovery over loopback, and how its news reach the balancer and the connections."""
+"""Discovery over loopback, and how its updates reach the balancer and the connections."""
 
 from __future__ import annotations
 
@@ -127,8 +127,8 @@
 def test_silent_watch_is_reopened_before_the_former_call_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards rule 3: with no call out for a moment, or a pause before the next one, a sidecar counts as told
-    # of drains that it has not heard of.  The module asks again too late here.
+    # Guards rule 3: with no call in flight for a moment, or a pause before the next one, a sidecar counts as
+    # notified of drains that it has not heard of.  The balancer polls again too late here.
     monkeypatch.setattr("sidecar.proxy.discovery_client._WATCH_WAIT_MS", (20, 20))
     monkeypatch.setattr("sidecar.proxy.discovery_client._WATCH_MARGIN_S", 0.02)
 
@@ -177,12 +177,12 @@
         entry(since_ms=-1),
         entry(status=[]),
     ]
-    told = parse_registry_response(
+    response = parse_registry_response(
         {"index": 5, "snapshot": True, "endpoints": [*junk, entry(since_ms=2, group=3)]}
     )
-    assert [each.endpoint.server for each in told.endpoints] == ["s-1"]
-    line = told.endpoints[0]
-    assert (told.version, told.complete, line.address) == (5, True, ("127.0.0.1", 9))
+    assert [each.endpoint.server for each in response.endpoints] == ["s-1"]
+    line = response.endpoints[0]
+    assert (response.version, response.complete, line.address) == (5, True, ("127.0.0.1", 9))
     assert (line.endpoint.started_at, line.endpoint.cell, line.endpoint.zone) == (2000, 3, "a")
     assert (
         parse_registry_response({"index": 5, "endpoints": [entry()]}).endpoints[0].endpoint.started_at is None
@@ -199,8 +199,8 @@
     ],
 )
 def test_unknown_status_counts_as_draining(status: str, state: ServerState) -> None:
-    told = parse_registry_response({"index": 5, "snapshot": False, "endpoints": [entry(status=status)]})
-    assert told.endpoints[0].endpoint.state is state
+    response = parse_registry_response({"index": 5, "snapshot": False, "endpoints": [entry(status=status)]})
+    assert response.endpoints[0].endpoint.state is state
 
 
 def test_new_server_at_the_address_of_a_former_one_supersedes_it() -> None:
--- a/tests/proxy/test_endpoint_list_races.py
+++ b/tests/proxy/test_endpoint_list_races.py
@@ -107,7 +107,7 @@
         assert heard == [] and called[1][:2] == (("127.0.0.1", 2), "/registry/instances")
         called[1][2].set_result(Response(200, [], b'{"index": 7, "snapshot": true, "endpoints": []}'))
         await until(lambda: len(called) == 3)
-        assert [told and told.version for told in heard] == [7]
+        assert [response and response.version for response in heard] == [7]
         assert called[2][1].startswith("/registry/instances?after=7&")
         discovery.stop()
 
--- a/tests/proxy/test_long_outages.py
+++ b/tests/proxy/test_long_outages.py
@@ -11,8 +11,8 @@
 
 from sidecar.proxy import connection_table, loop_lag
 
-TOLD_S = 6.0  # after a watch fell silent, or discovery has a change and can be reached
-RELOADED_S = 4.0  # after SIGHUP, what discovery's new place has counts as told
+NOTIFIED_WITHIN_S = 6.0  # after a watch fell silent, or discovery has a change and can be reached
+RELOADED_S = 4.0  # after SIGHUP, what discovery's new place has counts as notified
 QUIET_S = 600.0
 OUTAGE_S = 300.0
 FAULTS = ("503", "reset", "refused", "silent", "cut off")
@@ -52,7 +52,7 @@
                     began = now_s()
                 await there.come_back()
             await there.change(w.servers[0].entry(status="leaving"))
-            await told_within(w, TOLD_S, began)
+            await told_within(w, NOTIFIED_WITHIN_S, began)
             assert (await w.ask())[2] == b"served"
 
     play_in_virtual_time(scene())
@@ -79,7 +79,7 @@
             await there.come_back()
             began = now_s()
             await there.change(w.servers[0].entry(status="leaving"))
-            await told_within(w, TOLD_S, began)
+            await told_within(w, NOTIFIED_WITHIN_S, began)
             assert (await w.ask())[2] == b"served"
 
     play_in_virtual_time(scene())
--- a/tests/proxy/test_process_lifecycle.py
+++ b/tests/proxy/test_process_lifecycle.py
@@ -246,7 +246,7 @@
             for number, now in enumerate((first, second), start=1):
                 path.write_text(replaced(now), encoding="utf-8")
                 process.send_signal(signal.SIGHUP)
-                # The whole list is asked for: what was heard elsewhere may be behind, or ahead.
+                # The complete list is asked for: what was heard elsewhere may be behind, or ahead.
                 await until(partial(now.called, 1))
                 assert now.targets == ["/registry/instances"]
                 now.say(number, [server.entry()], snapshot=True)
--- a/tests/proxy/test_registry_faults.py
+++ b/tests/proxy/test_registry_faults.py
@@ -19,7 +19,7 @@
 from sidecar.proxy.registry_messages import parse_registry_response
 from sidecar.proxy.server_connection import Connection
 
-TOLD_S = 6.0  # after discovery has a change and can be reached
+NOTIFIED_WITHIN_S = 6.0  # after discovery has a change and can be reached
 RULES = {"max_poll_interval_us": 60 * S}
 MODES = ("on_request", "pushed")
 DIAL_FAULTS = [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EINTR]
@@ -66,7 +66,7 @@
             await until(lambda: len(failed_at) == times)
             began = failed_at[-1]
             await there.change(w.servers[0].entry(status="leaving"))
-            await told_within(w, TOLD_S, began)
+            await told_within(w, NOTIFIED_WITHIN_S, began)
 
     play_in_virtual_time(scene())
 
@@ -91,7 +91,7 @@
                 transport._fatal_error(OSError(code, os.strerror(code)))  # as reading it would
                 began = now_s()
                 await there.change(w.servers[0].entry(status="leaving"))
-                await told_within(w, TOLD_S, began)
+                await told_within(w, NOTIFIED_WITHIN_S, began)
 
     play_in_virtual_time(scene())
 
@@ -122,7 +122,7 @@
             connection = await connect(address, body_most)
             if is_reset:
                 await until(lambda: connection._transport is None or connection._transport.is_closing())
-                await asyncio.sleep(0)  # and its end has been told by now
+                await asyncio.sleep(0)  # and its end has been reported by now
             return connection
 
         monkeypatch.setattr(discovery_client, "connect", dial)
@@ -163,7 +163,7 @@
             monkeypatch.setattr(place, where, fail_once)
             began = now_s()
             await there.change(w.servers[0].entry(status="leaving"))
-            await told_within(w, TOLD_S, began)
+            await told_within(w, NOTIFIED_WITHIN_S, began)
             assert not failures
 
     play_in_virtual_time(scene())
@@ -192,9 +192,9 @@
     junk: bytes | None = None
 
     async def _answer(self, target: str) -> bytes:
-        told = await super()._answer(target)
+        response = await super()._answer(target)
         junk, self.junk = self.junk, None
-        return told if junk is None else junk
+        return response if junk is None else junk
 
 
 @pytest.mark.parametrize("mode", MODES)
@@ -207,7 +207,7 @@
             there.junk = JUNK[what]
             began = now_s()
             await there.change(w.servers[0].entry(status="leaving"))
-            await told_within(w, TOLD_S, began)
+            await told_within(w, NOTIFIED_WITHIN_S, began)
             assert there.junk is None
 
     play_in_virtual_time(scene())
@@ -215,5 +215,7 @@
 
 def test_entry_with_a_number_too_large_affects_no_other() -> None:
     large = {"name": "s-0", "address": "127.0.0.1:9", "status": "active", "weight": 10**400}
-    told = parse_registry_response({"index": 1, "endpoints": [large, large | {"name": "s-1", "weight": 1}]})
-    assert [each.endpoint.server for each in told.endpoints] == ["s-1"]
+    response = parse_registry_response(
+        {"index": 1, "endpoints": [large, large | {"name": "s-1", "weight": 1}]}
+    )
+    assert [each.endpoint.server for each in response.endpoints] == ["s-1"]
--- a/tests/proxy/test_registry_races.py
+++ b/tests/proxy/test_registry_races.py
@@ -16,8 +16,8 @@
 from sidecar.balancer.events import ServerState
 from sidecar.proxy import shutdown
 
-TOLD_S = 6.0  # after a watch fell silent, or discovery has a change and can be reached
-RELOADED_S = 4.0  # after SIGHUP, what discovery's new place has counts as told
+NOTIFIED_WITHIN_S = 6.0  # after a watch fell silent, or discovery has a change and can be reached
+RELOADED_S = 4.0  # after SIGHUP, what discovery's new place has counts as notified
 RULES = {"max_poll_interval_us": 60 * S}
 MODES = ("on_request", "pushed")  # how discovery tells, by the settings
 
@@ -25,7 +25,7 @@
 async def gone_within(w: World, limit_s: float, began: float) -> None:
     """Wait until connections to s-0 are no use any more, which has to be in time."""
     while "s-0" in w.sidecar._pool.servers:
-        assert now_s() < began + limit_s, f"not told {limit_s} s later"
+        assert now_s() < began + limit_s, f"not notified {limit_s} s later"
         await asyncio.sleep(STEP_S)
 
 
@@ -81,7 +81,7 @@
             began = now_s()
             if reload_first:
                 await pass_s(STEP_S)
-                assert latter.targets[0] == "/registry/instances"  # asked at once, for the whole list
+                assert latter.targets[0] == "/registry/instances"  # asked at once, for the complete list
                 await latter.change(leaving)
             await told_within(w, RELOADED_S, began)
             await nothing_more_reaches_the_first(w)
@@ -148,13 +148,13 @@
             began = now_s()
             await pass_s(missed_after_s)
             await there.change(w.servers[0].entry(status="leaving"))
-            await told_within(w, TOLD_S, began)
+            await told_within(w, NOTIFIED_WITHIN_S, began)
             await nothing_more_reaches_the_first(w)
 
     play_in_virtual_time(scene())
 
 
-# -- A whole list that leaves out what drains, or what is in use
+# -- A complete list that leaves out what drains, or what is in use
 
 
 @pytest.mark.parametrize("drained_first", [True, False])
@@ -176,7 +176,7 @@
                 await until(lambda: states["s-0"].state is ServerState.DRAINING)
                 await until(lambda: first.closed == len(first.writers) - 1)  # none at rest is kept
             w.discovery.say(43, [second.entry()], snapshot=True)
-            await gone_within(w, TOLD_S, now_s())
+            await gone_within(w, NOTIFIED_WITHIN_S, now_s())
             await until(lambda: first.closed == len(first.writers) - 1)
             first.script = served  # it still listens, and would answer
             await nothing_more_reaches_the_first(w)
@@ -209,11 +209,11 @@
     play_in_virtual_time(scene())
 
 
-# -- A watch that ends instead of telling x a first answer that is the whole list
+# -- A watch that ends without its event x a first response that is the complete list
 
 
 class EndingService(Service):
-    """Ends the watches that are out as something changes; calls anew get the whole list at once."""
+    """Ends the watches that are out as something changes; calls anew get the complete list at once."""
 
     how = "reset"
     listed: list[dict[str, Any]]
@@ -236,8 +236,8 @@
     async def _answer(self, target: str) -> bytes:
         if f"after={self.version}&" in target:
             return await super()._answer(target)
-        told = {"index": self.version, "snapshot": True, "endpoints": self.listed}
-        return answer(200, json.dumps(told, indent=2).encode())
+        response = {"index": self.version, "snapshot": True, "endpoints": self.listed}
+        return answer(200, json.dumps(response, indent=2).encode())
 
 
 @pytest.mark.parametrize("mode", MODES)
@@ -250,7 +250,7 @@
             there.listed = [each.entry() for each in w.servers]
             await until(partial(there.called, 2))  # a watch has ended by its time, and the next is out
             await there.change(w.servers[0].entry(status="leaving"))
-            await gone_within(w, TOLD_S, now_s())
+            await gone_within(w, NOTIFIED_WITHIN_S, now_s())
             await nothing_more_reaches_the_first(w)
             assert (await ask(w.sidecar.frontend.address, request(path="/health/ready")))[0] == 200
 
--- a/tests/proxy/test_registry_update_delay.py
+++ b/tests/proxy/test_registry_update_delay.py
@@ -11,7 +11,7 @@
 from loopback import served, world
 from virtual_time import STEP_S, Service, now_s, pass_s, play_in_virtual_time, told_within
 
-TOLD_S = 6.0  # after discovery has it and can be reached, a change counts as told
+NOTIFIED_WITHIN_S = 6.0  # after discovery has it and can be reached, a change counts as notified
 
 
 # The settings allow far longer; nothing of that counts after a failed call.
@@ -38,7 +38,7 @@
                 began = now_s()
                 if not change_first:
                     await there.change(leaving)
-                await told_within(w, TOLD_S, began)
+                await told_within(w, NOTIFIED_WITHIN_S, began)
 
     play_in_virtual_time(scene())
 
@@ -57,7 +57,7 @@
             await pass_s(after_s)
             began = now_s()
             await there.change(w.servers[0].entry(status="leaving"))
-            await told_within(w, TOLD_S, began)
+            await told_within(w, NOTIFIED_WITHIN_S, began)
 
     play_in_virtual_time(scene())
 
@@ -78,7 +78,7 @@
                 w.sidecar.migrate_discovery(latter.address)
                 await pass_s(outage_s)
                 await latter.come_back()
-                await told_within(w, TOLD_S, now_s())
+                await told_within(w, NOTIFIED_WITHIN_S, now_s())
             latter.stop()
 
     play_in_virtual_time(scene())
