--- a/scale/latency/traced_sidecar.py
+++ b/scale/latency/traced_sidecar.py
@@ -16,8 +16,8 @@
 from scale.latency.experiment import Collector
 from scale.latency.tracing import Tracer
 from sidecar import __main__ as program
-from sidecar.proxy.discovery import Discovery
-from sidecar.proxy.driver import Sidecar
+from sidecar.proxy.discovery_client import DiscoveryClient
+from sidecar.proxy.endpoint_list import EndpointList
 
 _COLLECTION_DISABLED = (0, 1, 1)  # the first threshold 0 turns collection off
 
@@ -25,18 +25,18 @@
 def set_collector(collector: Collector) -> None:
     """Replace the collection thresholds that the program is going to set."""
     if collector is Collector.DEFAULT:
-        program._COLLECTED = gc.get_threshold()
+        program.GC_THRESHOLDS = gc.get_threshold()
     elif collector is Collector.OFF:
-        program._COLLECTED = _COLLECTION_DISABLED
+        program.GC_THRESHOLDS = _COLLECTION_DISABLED
 
 
 def trace_registry(tracer: Tracer) -> None:
     """Time how registry responses are read and applied."""
-    reader, sidecar = vars(Discovery), vars(Sidecar)
-    read = tracer.registry.timed(reader["_read"].__func__)
-    apply = tracer.registry.timed(sidecar["_list"])
-    type.__setattr__(Discovery, "_read", staticmethod(read))
-    type.__setattr__(Sidecar, "_list", apply)
+    reader, endpoint_list = vars(DiscoveryClient), vars(EndpointList)
+    read = tracer.registry.timed(reader["_parse"].__func__)
+    apply = tracer.registry.timed(endpoint_list["apply"])
+    type.__setattr__(DiscoveryClient, "_parse", staticmethod(read))
+    type.__setattr__(EndpointList, "apply", apply)
 
 
 def main(
--- /dev/null
+++ b/sidecar/proxy/connection_pool.py
@@ -0,0 +1,210 @@
+"""Connections to servers: sends attempts and health checks over pooled connections.
+
+Every byte and connection is under this package's control: nothing is resent silently, and it is known whether
+the last byte of a request was written.  Only then may the server have begun it.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Collection
+from functools import partial
+
+from sidecar.balancer.events import Outcome, ServerState
+from sidecar.proxy.addresses import Address
+from sidecar.proxy.connection_dialer import ConnectionDialer
+from sidecar.proxy.exchange import (
+    EncodedRequest,
+    Exchange,
+    OutcomeCallback,
+    RequestWriter,
+    classify_outcome,
+)
+from sidecar.proxy.http_messages import Response, message
+from sidecar.proxy.idle_connections import IdleConnections
+from sidecar.proxy.pooled_servers import ServerTable
+from sidecar.proxy.server_connection import Connection
+
+log = logging.getLogger(__name__)
+
+_HEALTH_CHECK_DIAL_TIMEOUTS = 4.0  # a health check may take this many dial timeouts
+
+
+class ConnectionPool:
+    """All connections to servers, within a limit on their number.
+
+    Attributes:
+        servers: The servers of the endpoint list, by name.
+    """
+
+    def __init__(self, dial_timeout_s: float, idle_timeout_s: float, max_connections: int) -> None:
+        """Create a pool without servers.
+
+        Args:
+            dial_timeout_s: Seconds that a dial may take.
+            idle_timeout_s: Seconds after which servers close an idle connection.
+            max_connections: Limit on the number of connections and of dials in progress.
+        """
+        self.servers = ServerTable()
+        self._idle_connections = IdleConnections(dial_timeout_s, idle_timeout_s)
+        self._dialer = ConnectionDialer(self.servers, dial_timeout_s, max_connections, self._write)
+
+    @property
+    def open_connections(self) -> int:
+        """Count of connections and of dials in progress."""
+        return self._dialer.open_connections
+
+    def set_timeouts(self, dial_timeout_s: float, idle_timeout_s: float) -> None:
+        """Put other timeouts, in seconds, into force; dials in progress keep theirs."""
+        self._dialer.dial_timeout_s = dial_timeout_s
+        self._idle_connections.set_timeouts(self.servers.values(), dial_timeout_s, idle_timeout_s)
+
+    # -- The endpoint list ----------------------------------------------------------------------------
+
+    def update(self, name: str, address: Address | None, started_at: int | None, state: ServerState) -> None:
+        """Apply an entry of the endpoint list; see `ServerTable.update`."""
+        self.servers.update(name, address, started_at, state)
+
+    def retain(self, names: Collection[str]) -> None:
+        """Remove all servers except those named."""
+        self.servers.retain(names)
+
+    def remove_superseded(self) -> list[str]:
+        """Remove, and name, the servers whose address another one has taken over since."""
+        return self.servers.remove_superseded()
+
+    def close_idle(self, name: str) -> None:
+        """Close the idle connections of a server, if there is one of this name."""
+        server = self.servers.get(name)
+        if server is not None:
+            server.close_idle()
+
+    # -- Exchanges ------------------------------------------------------------------------------------
+
+    def send(
+        self, name: str, writer: RequestWriter, deadline: float, on_outcome: OutcomeCallback
+    ) -> Exchange:
+        """Start an attempt.
+
+        Args:
+            name: Name of the server, which the endpoint list must hold.
+            writer: Encodes the request.
+            deadline: Event loop time at which the attempt ends in any case.
+            on_outcome: Is called exactly once with the outcome, maybe before this returns.
+
+        Returns:
+            The attempt.
+
+        Raises:
+            KeyError: There is no such server.
+        """
+        server = self.servers[name]
+        loop = asyncio.get_running_loop()
+        exchange = Exchange(server, writer, deadline, on_outcome)
+        if deadline <= loop.time() or server.state is not ServerState.READY:
+            # Not ready: the balancer is about to be notified of that.
+            exchange.end(Outcome.NOT_SENT)
+            return exchange
+        exchange.timers.append(loop.call_at(deadline, exchange.on_deadline))
+        self._start(exchange)
+        return exchange
+
+    def check_health(self, name: str, target: str, on_outcome: OutcomeCallback) -> Exchange:
+        """Start a health check.
+
+        Args:
+            name: Name of the server, which the endpoint list must hold.
+            target: Path of the request.
+            on_outcome: Is called exactly once with the outcome, maybe before this returns.
+
+        Returns:
+            The health check.
+
+        Raises:
+            KeyError: There is no such server.
+        """
+        request = message(b"GET %b HTTP/1.1" % target.encode(), [(b"Host", name.encode())])
+        timeout_s = _HEALTH_CHECK_DIAL_TIMEOUTS * self._dialer.dial_timeout_s
+        deadline = asyncio.get_running_loop().time() + timeout_s
+        return self.send(name, EncodedRequest(request), deadline, on_outcome)
+
+    def cancel(self, exchange: Exchange) -> None:
+        """End an exchange, whatever its progress."""
+        exchange.end(Outcome.CANCELLED)
+
+    def abandon_unwritten(self, exchange: Exchange) -> None:
+        """End an exchange whose request has not been written completely, so that it never will be."""
+        if not exchange.is_written():
+            exchange.end(Outcome.NOT_SENT)
+
+    async def close(self) -> None:
+        """Close idle connections, end the dials in progress and wait for them."""
+        dialing = [exchange for server in self.servers.values() for exchange in server.dialing]
+        dials = [exchange.dial_task for exchange in dialing if exchange.dial_task is not None]
+        for server in list(self.servers.values()):
+            server.end_unwritten()
+        await asyncio.gather(*dials, return_exceptions=True)
+
+    def _start(self, exchange: Exchange) -> None:
+        """Write the request to an idle connection, or dial."""
+        # At the limit on connections any idle one is better than none.
+        reused = self._idle_connections.take(exchange.server, accept_untrusted=self._dialer.is_at_limit())
+        if reused is not None:
+            exchange.idle_s = reused.idle_s
+            self._write(exchange, reused.connection)
+        elif not self._dialer.start(exchange):
+            log.warning("connection limit reached, no connection to %s", exchange.server.name)
+            exchange.end(Outcome.CONNECT_FAILED)
+
+    def _write(self, exchange: Exchange, connection: Connection) -> None:
+        """Write the request of an exchange to its connection, if it is still wanted."""
+        exchange.dial_task = None
+        exchange.server.dialing.discard(exchange)
+        now = asyncio.get_running_loop().time()
+        data = exchange.encode_request(now)
+        if data is None:
+            self._release_unused(exchange, connection)
+            exchange.end(Outcome.NOT_SENT)
+            return
+        exchange.connection = connection
+        exchange.written_at = now
+        on_response = partial(self._on_response, exchange, connection)
+        connection.request(data, on_response, exchange.is_still_wanted)
+
+    def _on_response(self, exchange: Exchange, connection: Connection, response: Response | None) -> None:
+        self._release(exchange, connection)
+        outcome = classify_outcome(response, connection.request_written, connection.protocol_error)
+        if outcome is Outcome.CONNECT_FAILED and connection.local_failure:
+            outcome = Outcome.NOT_SENT  # the server has no part in it
+        if not exchange.is_over():  # otherwise the connection was closed here
+            self._record_use(exchange, outcome)
+        exchange.end(outcome, response)
+
+    def _record_use(self, exchange: Exchange, outcome: Outcome) -> None:
+        """Count whether the connection broke because it had been idle.
+
+        One that was forgotten while it was idle breaks at once; later it is the server that fails.
+        """
+        elapsed_s = asyncio.get_running_loop().time() - exchange.written_at
+        broke = outcome is Outcome.RESET and elapsed_s < self._dialer.dial_timeout_s
+        self._idle_connections.record_use(exchange.idle_s, broke)
+
+    def _release(self, exchange: Exchange, connection: Connection) -> None:
+        """Keep a connection for the next request, or close it if it is of no use any more."""
+        if not connection.reusable:
+            return
+        if exchange.server.may_reuse(exchange.generation):
+            self._idle_connections.keep(exchange.server, connection)
+        else:
+            connection.abort()
+
+    def _release_unused(self, exchange: Exchange, connection: Connection) -> None:
+        """Keep a new connection that no request was written to; close one that had been idle before.
+
+        The idle time of the latter goes on at its server, and must not start anew here.
+        """
+        if exchange.idle_s is None:
+            self._release(exchange, connection)
+        else:
+            connection.abort()
--- /dev/null
+++ b/sidecar/proxy/registry_messages.py
@@ -0,0 +1,158 @@
+"""The registry's messages: its endpoint list, complete or as the changes since a version."""
+
+from __future__ import annotations
+
+import logging
+import math
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any
+
+from sidecar.balancer.events import Endpoint, ServerState
+from sidecar.proxy.addresses import Address, parse_address
+
+log = logging.getLogger(__name__)
+
+_STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.REMOVED}
+_UNKNOWN_STATE = ServerState.DRAINING  # of any other status: such a server gets no new requests
+
+
+class InvalidEndpointError(ValueError):
+    """An entry of the endpoint list is not of the registry's form."""
+
+    def __init__(self, key: str, expected: str) -> None:
+        super().__init__(f"{key}: {expected} is needed")
+
+
+class InvalidRegistryResponseError(ValueError):
+    """A response of the registry is no endpoint list."""
+
+    def __init__(self, key: str, expected: str) -> None:
+        super().__init__(f"{key}: {expected} is needed")
+
+
+@dataclass(slots=True)
+class ResolvedEndpoint:
+    """An entry of the endpoint list.
+
+    Attributes:
+        endpoint: What the balancer is told of it.
+        address: Where it listens, as seen from this sidecar; None where it takes nothing new.
+    """
+
+    endpoint: Endpoint
+    address: Address | None
+
+
+@dataclass(slots=True)
+class RegistryResponse:
+    """An endpoint list.
+
+    Attributes:
+        version: Version of the list.
+        complete: Whether it holds all endpoints; else it holds those that have changed.
+        endpoints: Its entries.
+    """
+
+    version: int
+    complete: bool
+    endpoints: list[ResolvedEndpoint]
+
+
+def parse_registry_response(value: object) -> RegistryResponse:
+    """Parse an endpoint list, from JSON; an invalid entry is logged and skipped.
+
+    Raises:
+        InvalidRegistryResponseError: It is no endpoint list.
+    """
+    if not isinstance(value, Mapping):
+        raise InvalidRegistryResponseError("response", "an object")
+    entries, version = value.get("endpoints"), value.get("index")
+    if not isinstance(entries, list):
+        raise InvalidRegistryResponseError("endpoints", "a list")
+    if type(version) is not int:
+        raise InvalidRegistryResponseError("index", "a whole number")
+    endpoints = []
+    for entry in entries:
+        try:
+            endpoints.append(_parse_endpoint(entry))
+        except InvalidEndpointError as invalid:
+            log.warning("registry: entry skipped: %s: %.120r", invalid, entry)
+    return RegistryResponse(version, value.get("snapshot") is True, endpoints)
+
+
+def _parse_endpoint(entry: object) -> ResolvedEndpoint:
+    if not isinstance(entry, Mapping):
+        raise InvalidEndpointError("entry", "an object")
+    state = _parse_state(entry)
+    endpoint = Endpoint(
+        server=_parse_name(entry),
+        zone=_parse_text(entry, "zone"),
+        kind=_parse_text(entry, "type"),
+        cell=_parse_integer(entry, "group"),
+        state=state,
+        nominal=_parse_weight(entry),
+        started_at=_parse_started_at(entry),
+    )
+    return ResolvedEndpoint(endpoint, _parse_address(entry, state))
+
+
+def _parse_name(entry: Mapping[str, Any]) -> str:
+    name = _parse_text(entry, "name")
+    if not name:
+        raise InvalidEndpointError("name", "a text that is not empty")
+    return name
+
+
+def _parse_text(entry: Mapping[str, Any], key: str) -> str:
+    value = entry.get(key, "")
+    if not isinstance(value, str):
+        raise InvalidEndpointError(key, "a text")
+    return value
+
+
+def _parse_integer(entry: Mapping[str, Any], key: str) -> int:
+    value = entry.get(key, 0)
+    if type(value) is not int:
+        raise InvalidEndpointError(key, "a whole number")
+    return value
+
+
+def _parse_weight(entry: Mapping[str, Any]) -> float:
+    value = entry.get("weight", 1.0)
+    if isinstance(value, bool) or not isinstance(value, int | float):
+        raise InvalidEndpointError("weight", "a number")
+    try:
+        weight = float(value)
+    except OverflowError:
+        weight = math.inf
+    if not math.isfinite(weight):
+        raise InvalidEndpointError("weight", "a finite number")
+    return weight
+
+
+def _parse_started_at(entry: Mapping[str, Any]) -> int | None:
+    """Return when the server's process started, in microseconds of Unix time; None: long ago."""
+    since_ms = _parse_integer(entry, "since_ms")
+    if since_ms < 0:
+        raise InvalidEndpointError("since_ms", "a number of milliseconds from 0")
+    return since_ms * 1000 or None
+
+
+def _parse_state(entry: Mapping[str, Any]) -> ServerState:
+    if "status" not in entry or isinstance(entry["status"], list | dict):
+        raise InvalidEndpointError("status", "a text")
+    return _STATES.get(entry["status"], _UNKNOWN_STATE)
+
+
+def _parse_address(entry: Mapping[str, Any], state: ServerState) -> Address | None:
+    """Return where the server listens.
+
+    One that gets no new requests needs no address: skipped for the lack of one, it would stay in use.
+    """
+    try:
+        return parse_address(str(entry.get("address")))
+    except ValueError as invalid:
+        if state is ServerState.READY:
+            raise InvalidEndpointError("address", "host:port") from invalid
+        return None
--- /dev/null
+++ b/sidecar/settings/__init__.py
@@ -0,0 +1,35 @@
+"""The settings of a service, and how they are read from plain mappings."""
+
+from sidecar.settings.errors import ConfigurationError, DuplicateNameError, InvalidSettingError
+from sidecar.settings.model import (
+    DedupScope,
+    Discovery,
+    Idempotency,
+    Limits,
+    Prices,
+    ReportSource,
+    Rules,
+    ServiceClass,
+    Settings,
+    Tenant,
+    WeightBasis,
+    Weights,
+)
+
+__all__ = [
+    "ConfigurationError",
+    "DedupScope",
+    "Discovery",
+    "DuplicateNameError",
+    "Idempotency",
+    "InvalidSettingError",
+    "Limits",
+    "Prices",
+    "ReportSource",
+    "Rules",
+    "ServiceClass",
+    "Settings",
+    "Tenant",
+    "WeightBasis",
+    "Weights",
+]
--- /dev/null
+++ b/sidecar/settings/parsing.py
@@ -0,0 +1,127 @@
+"""Reads settings from plain nested mappings, field by field as the model declares them."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import MISSING, dataclass, fields
+from enum import Enum
+from functools import cache
+from typing import Annotated, Any, TypeVar, get_args, get_origin, get_type_hints
+
+from sidecar.settings.errors import DuplicateNameError
+from sidecar.settings.mapping_reader import MappingReader, NameTable
+from sidecar.settings.model import POSITIVE, Bounds, Limits, Prices, Rules, ServiceClass, Settings, Tenant
+
+FIELD_NAMES = NameTable()
+"""The names of a mapping whose keys are the names of the fields."""
+
+_Model = TypeVar("_Model")
+
+
+def parse_settings(given: object, names: NameTable = FIELD_NAMES, path: str = "") -> Settings:
+    """Read settings from plain nested mappings.
+
+    Args:
+        given: The mapping.  Keys that aren't known are skipped, and None counts as absent.
+        names: How the mapping names the fields.
+        path: Path of the mapping itself, for error messages.
+
+    Returns:
+        The settings.
+
+    Raises:
+        ConfigurationError: A value makes no sense; the message names its key as the mapping has it.
+    """
+    reader = MappingReader(given, names, path)
+    classes = tuple(_parse_service_class(each) for each in reader.sections("classes"))
+    if not classes:
+        raise reader.invalid("classes", "at least one class of requests")
+    _require_unique(reader.path("classes"), (each.name for each in classes))
+    tenants = tuple(_parse_fields(Tenant, each) for each in reader.sections("tenants"))
+    _require_unique(reader.path("tenants"), (each.name for each in tenants))
+    report, declared = reader.section("report"), _field_specs(Settings)
+    return _parse_fields(
+        Settings,
+        reader,
+        classes=classes,
+        tenants=tenants,
+        report_source=declared["report_source"].read(report, "source"),
+        report_columns=declared["report_columns"].read(report, "columns"),
+        limits=_parse_fields(Limits, reader.section("limits")),
+        rules=_parse_fields(Rules, reader.section("rules")),
+        prices=_parse_fields(Prices, reader.section("prices")),
+    )
+
+
+def _parse_service_class(reader: MappingReader) -> ServiceClass:
+    """Read a class of requests, whose latency target is its deadline at most, and by default."""
+    deadline_us = reader.integer("deadline_us", bounds=POSITIVE)
+    latency_target_us = reader.integer("latency_target_us", default=deadline_us, bounds=POSITIVE)
+    return _parse_fields(
+        ServiceClass,
+        reader,
+        deadline_us=deadline_us,
+        latency_target_us=min(latency_target_us, deadline_us),
+    )
+
+
+def _require_unique(path: str, names: Iterable[str]) -> None:
+    seen = set()
+    for name in names:
+        if name in seen:
+            raise DuplicateNameError(path, name)
+        seen.add(name)
+
+
+@dataclass(frozen=True, slots=True)
+class _FieldSpec:
+    """What the model declares of a field.
+
+    Attributes:
+        kind: Type of the value.
+        bounds: The values that a number may have.
+        default: Value of an absent field; None where it is required.
+    """
+
+    kind: object
+    bounds: Bounds
+    default: Any
+
+    def read(self, reader: MappingReader, name: str) -> object:
+        """Read the field from a mapping, where it has this name."""
+        if self.kind is bool:
+            return reader.boolean(name, self.default)
+        if self.kind is int:
+            return reader.integer(name, self.default, self.bounds)
+        if self.kind is float:
+            return reader.number(name, self.default, self.bounds)
+        if self.kind is str:
+            return reader.string(name, self.default)
+        if isinstance(self.kind, type) and issubclass(self.kind, Enum):
+            return reader.choice(name, self.kind, self.default)
+        if self.kind == tuple[str, ...]:
+            return reader.strings(name, self.default)
+        raise NotImplementedError(self.kind)
+
+
+@cache
+def _field_specs(model: type) -> dict[str, _FieldSpec]:
+    """Return what a dataclass of the model declares, by the name of the field."""
+    hints = get_type_hints(model, include_extras=True)
+    specs = {}
+    for declared in fields(model):
+        kind, bounds = hints[declared.name], Bounds()
+        if get_origin(kind) is Annotated:
+            kind, bounds = get_args(kind)
+        default = None if declared.default is MISSING else declared.default
+        specs[declared.name] = _FieldSpec(kind, bounds, default)
+    return specs
+
+
+def _parse_fields(model: type[_Model], reader: MappingReader, **parsed: object) -> _Model:
+    """Make a dataclass of the model: from what was parsed already, and the other fields from a mapping."""
+    kind: type = model  # mypy takes type[_Model] for unhashable
+    values = {
+        name: spec.read(reader, name) for name, spec in _field_specs(kind).items() if name not in parsed
+    }
+    return model(**values, **parsed)
--- /dev/null
+++ b/tests/configuration/test_reload.py
@@ -0,0 +1,164 @@
+"""Reloads: which configurations are applied, and which are rejected."""
+
+from __future__ import annotations
+
+import json
+import logging
+from dataclasses import dataclass, field, replace
+from pathlib import Path
+from typing import Any
+
+import pytest
+from reload_stage import OTHER, changed, read_from
+
+from sidecar.config import Config
+from sidecar.configuration import read_config
+from sidecar.proxy.registry_messages import RegistryResponse
+from sidecar.reload import Applied, Rejected, Reloader, ReloadResult, Unchanged
+
+WIRE_CLASS = {"name": "look", "giveUpUs": 2_000_000}
+
+
+@dataclass
+class RecordingApply:
+    """Stands in for a sidecar: records what is applied, and fails for some versions."""
+
+    failing_versions: set[int | None] = field(default_factory=set)
+    calls: list[tuple[Config, Config]] = field(default_factory=list)
+
+    def __call__(self, old: Config, new: Config) -> None:
+        self.calls.append((old, new))
+        if new.version in self.failing_versions:
+            raise RuntimeError("a defect")
+
+
+INITIAL = Config(("127.0.0.1", 1), ("127.0.0.1", 2), 7, 256, changed(), RegistryResponse(0, True, []), 4)
+
+
+def test_a_newer_version_takes_effect_and_logs_what_changed(caplog: pytest.LogCaptureFixture) -> None:
+    caplog.set_level(logging.INFO)
+    apply = RecordingApply()
+    reloader = Reloader(INITIAL, apply)
+    new = replace(INITIAL, version=5, settings=OTHER, discovery=("127.0.0.1", 3), seed=8, sockets=512)
+    result = reloader.reload(read_from(new))
+    assert isinstance(result, Applied)
+    assert (result.version, result.changed) == (5, ("classes", "address of discovery"))
+    assert result.needs_restart == ("seed", "sockets")
+    assert reloader.active is new and apply.calls == [(INITIAL, new)]
+    [line] = [each.getMessage() for each in caplog.records]
+    assert line.startswith("configuration version 5 in force after ")
+    assert line.endswith("changed: classes, address of discovery; needs a restart: seed, sockets")
+
+
+def test_fields_that_need_a_restart_are_compared_with_the_start_not_with_the_last_reload() -> None:
+    reloader = Reloader(INITIAL, RecordingApply())
+    reloader.reload(read_from(replace(INITIAL, version=5, seed=8)))
+    result = reloader.reload(read_from(replace(INITIAL, version=6, seed=8)))
+    assert isinstance(result, Applied) and result.needs_restart == ("seed",)
+    result = reloader.reload(read_from(replace(INITIAL, version=7)))
+    assert isinstance(result, Applied) and result.needs_restart == ()
+
+
+@pytest.mark.parametrize("version", [None, 4])
+def test_the_same_contents_change_nothing(version: int | None) -> None:
+    # Not even where the list of the start differs: whoever writes the file may put in what it knows by now.
+    start, apply = replace(INITIAL, version=version), RecordingApply()
+    again = replace(start, cached_endpoints=RegistryResponse(9, True, []))
+    assert Reloader(start, apply).reload(read_from(again)) == Unchanged(version)
+    assert apply.calls == []
+
+
+@pytest.mark.parametrize("version", [0, 3, 4])
+def test_a_version_that_is_not_newer_is_rejected(version: int, caplog: pytest.LogCaptureFixture) -> None:
+    apply = RecordingApply()
+    reloader = Reloader(INITIAL, apply)
+    result = reloader.reload(read_from(replace(INITIAL, version=version, settings=OTHER)))
+    assert isinstance(result, Rejected) and f"version {version}" in result.reason
+    assert reloader.active is INITIAL and apply.calls == []
+    assert caplog.messages == [f"the configuration stays as it was: {result.reason}"]
+
+
+def test_a_file_without_a_version_is_always_applied_and_any_version_after_it() -> None:
+    reloader = Reloader(INITIAL, RecordingApply())
+    for version, new_settings in ((None, OTHER), (None, INITIAL.settings), (1, OTHER)):
+        assert isinstance(
+            reloader.reload(read_from(replace(INITIAL, version=version, settings=new_settings))), Applied
+        )
+
+
+def test_a_rollback_needs_a_newer_version() -> None:
+    apply = RecordingApply()
+    reloader = Reloader(INITIAL, apply)
+    reloader.reload(read_from(replace(INITIAL, version=5, settings=OTHER)))
+    result = reloader.reload(read_from(replace(INITIAL, version=6)))
+    assert isinstance(result, Applied) and result.changed == ("classes",)
+    assert apply.calls[-1][1].settings == INITIAL.settings
+
+
+def test_a_bad_file_between_two_good_ones_leaves_the_previous_one_in_force(
+    tmp_path: Path, caplog: pytest.LogCaptureFixture
+) -> None:
+    path, apply = tmp_path / "config.json", RecordingApply()
+    lanes = [WIRE_CLASS]
+    given: dict[str, Any] = {
+        "listen": "127.0.0.1:1",
+        "discovery": "127.0.0.1:2",
+        "settings": {"lanes": lanes},
+    }
+
+    def read() -> Config:
+        return read_config({"RELAY_CONFIG": str(path)})
+
+    def put(content: object) -> ReloadResult:
+        path.write_text(content if isinstance(content, str) else json.dumps(content), encoding="utf-8")
+        return reloader.reload(read)
+
+    path.write_text(json.dumps(given | {"version": 1}), encoding="utf-8")
+    reloader = Reloader(read(), apply)
+    assert isinstance(put(given | {"version": 2, "discovery": "127.0.0.1:3"}), Applied)
+    for bad in (
+        "",
+        json.dumps(given)[:-9],
+        "[" * 100_000,
+        given | {"version": 9, "settings": {"lanes": []}},
+        given | {"version": 9, "settings": {"lanes": lanes, "bounds": {"sendCap": "many"}}},
+        *(given | {"version": version} for version in ("9", 9.5, True, -1)),
+    ):
+        assert isinstance(put(bad), Rejected)
+    path.unlink()
+    assert isinstance(reloader.reload(read), Rejected)
+    assert len(caplog.messages) == 10 and len(apply.calls) == 1
+    assert isinstance(put(given | {"version": 3, "discovery": "127.0.0.1:4"}), Applied)
+    assert [each.discovery[1] for pair in apply.calls for each in pair] == [2, 3, 3, 4]
+
+
+def test_an_exception_while_applying_restores_the_previous_configuration() -> None:
+    apply = RecordingApply(failing_versions={5})
+    reloader = Reloader(INITIAL, apply)
+    new = replace(INITIAL, version=5, settings=OTHER)
+    assert isinstance(reloader.reload(read_from(new)), Rejected)
+    assert apply.calls == [(INITIAL, new), (new, INITIAL)] and reloader.active is INITIAL
+    assert isinstance(reloader.reload(read_from(replace(new, version=6))), Applied)
+
+
+def test_a_reload_reads_no_entry_of_the_last_known_endpoint_list(tmp_path: Path) -> None:
+    path = tmp_path / "config.json"
+    given = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": {"lanes": [WIRE_CLASS]}}
+    line = {"name": "s-0", "address": "127.0.0.1:3", "status": "active"}
+
+    def entries(known: object, with_entries: bool) -> int:
+        path.write_text(json.dumps(given | {"known": known}), encoding="utf-8")
+        config = read_config({"RELAY_CONFIG": str(path)}, with_known_endpoints=with_entries)
+        return len(config.cached_endpoints.endpoints)
+
+    known = {"index": 1, "snapshot": True, "endpoints": [line]}
+    assert [entries(known, with_entries) for with_entries in (True, False)] == [1, 0]
+    invalid_lists: list[object] = [
+        [],
+        {"index": 1},
+        {"index": "1", "endpoints": []},
+        {"index": 1, "endpoints": {}},
+    ]
+    for invalid in invalid_lists:
+        with pytest.raises(ValueError):
+            entries(invalid, with_entries=False)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -13,10 +13,11 @@
 import pytest
 from helpers import KEYED, SAFE, UNSAFE, S, settings
 
-from sidecar.proxy import upstream
-from sidecar.proxy.discovery import parse_registry
-from sidecar.proxy.driver import Config, Sidecar
-from sidecar.proxy.upstream import Address
+from sidecar.config import Config
+from sidecar.proxy import sockets
+from sidecar.proxy.addresses import Address
+from sidecar.proxy.driver import Sidecar
+from sidecar.proxy.registry_messages import parse_registry_response
 
 PATIENCE_S = 20.0  # for what must come; no test takes it as proof of anything
 
@@ -228,13 +229,15 @@
         await server.start()
     await discovery.start()
     given = settings(**{"classes": CLASSES, "limits": LIMITS, **changes})
-    known = parse_registry({"index": 41, "snapshot": True, "endpoints": [each.entry() for each in servers]})
+    known = parse_registry_response(
+        {"index": 41, "snapshot": True, "endpoints": [each.entry() for each in servers]}
+    )
     config = Config(("127.0.0.1", 0), discovery.address, 7, sockets, given, known)
     made = World(config, servers, discovery)
     running = asyncio.create_task(made.sidecar.run(made.stop))
     await until(lambda: made.sidecar._balancer._begun)
     if settled:
-        made.sidecar._settle()
+        made.sidecar._lag_monitor.settle()
     try:
         yield made
     finally:
@@ -303,14 +306,14 @@
 
 def shrink_send_buffers(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let new connections to servers take little at once, so that long requests are written in parts."""
-    new_socket = upstream.new_socket
+    new_socket = sockets.new_socket
 
     def small(address: Address) -> socket.socket:
         made = new_socket(address)
         made.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         return made
 
-    monkeypatch.setattr(upstream, "new_socket", small)
+    monkeypatch.setattr(sockets, "new_socket", small)
 
 
 @contextlib.contextmanager
--- a/tests/faulty_sockets.py
+++ b/tests/proxy/faulty_sockets.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
 import errno
 import os
 import socket
@@ -10,11 +9,6 @@
 from typing import Any
 
 import pytest
-from loopback import PATIENCE_S
-
-from sidecar.balancer.events import Outcome
-from sidecar.proxy import upstream
-from sidecar.proxy.upstream import Upstream, message
 
 Failures = Iterator[int | None]  # what a system call fails with, call by call; None: it works
 
@@ -86,12 +80,4 @@
         made: socket.socket = faulty(socket.AF_INET, socket.SOCK_STREAM)
         return made
 
-    monkeypatch.setattr(upstream, "new_socket", new_socket)
-
-
-async def outcome_of(servers: Upstream, seconds: float = PATIENCE_S, body: bytes = b"") -> Outcome:
-    loop = asyncio.get_running_loop()
-    ended: asyncio.Future[Outcome] = loop.create_future()
-    data = message(b"POST / HTTP/1.1", [(b"Host", b"x"), (b"Content-Length", b"%d" % len(body))], body)
-    servers.send("s", lambda _: data, loop.time() + seconds, lambda outcome, _: ended.set_result(outcome))
-    return await asyncio.wait_for(ended, PATIENCE_S)
+    monkeypatch.setattr("sidecar.proxy.sockets.new_socket", new_socket)
--- /dev/null
+++ b/tests/proxy/test_connection_reuse.py
@@ -0,0 +1,146 @@
+"""Which idle connections carry further requests, and how long they are kept."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+import pytest
+from helpers import S
+from loopback import LIMITS, FakeServer, play, served, until, world
+from pool_requests import outcome_of
+
+from sidecar.balancer.events import Outcome, ServerState
+from sidecar.proxy.connection_pool import ConnectionPool
+from sidecar.proxy.idle_lifetimes import IdleLifetimeEstimator
+
+
+def test_connections_are_reused() -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            for _ in range(5):
+                assert (await w.ask())[0] == 200
+                await asyncio.sleep(0.05)  # longer than it has to rest
+            assert len(w.servers[0].writers) == 1
+
+    play(scene())
+
+
+def test_connection_is_not_reused_before_the_reuse_delay_even_at_the_connection_limit() -> None:
+    # Guards against an end or a second copy that is under way behind the answer: it would pass for the answer
+    # to the next request.  What has no room takes the place of a connection instead.
+    async def scene() -> None:
+        limits = LIMITS | {"dial_timeout_us": 600 * S}
+        async with world(served, sockets=72, limits=limits) as w:
+            for _ in range(9):
+                assert (await w.ask())[0] == 200
+                assert w.sidecar._pool.open_connections <= 4  # all that the descriptors allow
+            assert len(w.servers[0].writers) == 9
+
+    play(scene())
+
+
+# Guards against a request that is written to a connection which its server has already ended.
+@pytest.mark.parametrize("how", ["end", "stray"])
+def test_connection_with_an_unread_end_or_stray_bytes_is_not_reused(how: str) -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            assert (await w.ask(kind="pay", body=b"x"))[0] == 200
+            connection = w.sidecar._pool.servers["s-0"].idle[0].connection
+            writer = w.servers[0].writers[0]
+            if how == "end":
+                raw = writer.get_extra_info("socket")
+                raw.shutdown(socket.SHUT_WR)
+            else:
+                writer.write(b"HTTP/1.1 200 X\r\n")
+            # Blocks until the kernel has it, so that the event loop can't have seen it: the peek must.
+            connection.sock.setblocking(True)
+            assert connection.sock.recv(1, socket.MSG_PEEK) is not None
+            connection.sock.setblocking(False)
+            assert not connection.is_idle()
+            assert (await w.ask(kind="pay", body=b"x"))[0] == 200
+            assert len(w.servers[0].writers) == 2
+
+    play(scene())
+
+
+def test_idle_times_after_which_connections_break_are_not_trusted() -> None:
+    lifetimes = IdleLifetimeEstimator(10.0)
+    for _ in range(40):
+        lifetimes.record(None, False)
+        lifetimes.record(0.04, False)
+    assert lifetimes.is_trusted(5.0, 0.0)
+    for number in range(40):
+        lifetimes.record(0.3, number % 3 == 0)
+    assert lifetimes.is_trusted(0.04, 0.0)
+    assert not lifetimes.is_trusted(0.3, 0.0) and not lifetimes.is_trusted(5.0, 0.0)
+    assert lifetimes.is_trusted(5.0, 40.0)  # what was learnt has faded
+
+
+def test_breaks_that_new_connections_suffer_too_do_not_count_against_idle_ones() -> None:
+    lifetimes = IdleLifetimeEstimator(10.0)
+    for number in range(60):
+        lifetimes.record(None, number % 4 == 0)
+        lifetimes.record(0.3, number % 4 == 0)
+    assert lifetimes.is_trusted(0.3, 0.0)
+
+
+def test_requests_get_new_connections_if_idle_ones_break() -> None:
+    async def scene() -> None:
+        used: set[asyncio.StreamWriter] = set()
+
+        def once(*_: object) -> bytes:
+            writer = server.writers[-1]
+            if writer in used:
+                return b""
+            used.add(writer)
+            return served()
+
+        server = FakeServer("s", once)
+        await server.start()
+        pool = ConnectionPool(30.0, 60.0, 10)
+        pool._idle_connections.reuse_delay_s = 0.0  # connections are used again at once
+        pool.update("s", server.address, None, ServerState.READY)
+        outcomes = [await outcome_of(pool) for _ in range(100)]
+        assert Outcome.RESET in outcomes
+        assert set(outcomes[60:]) == {
+            Outcome.SUCCEEDED
+        }  # lags spread requests over more idle times, each learnt apart
+        server.stop()
+
+    play(scene())
+
+
+def test_idle_connection_is_closed_before_the_idle_timeout_of_its_server() -> None:
+    async def scene() -> None:
+        limits = {"max_attempts": 3, "allow_cancel": True, "idle_close_us": 1 * S}
+        async with world(served, limits=limits) as w:
+            assert (await w.ask())[0] == 200
+            loop = asyncio.get_running_loop()
+            timer = w.sidecar._pool.servers["s-0"].idle[0].close_timer
+            assert timer.when() - loop.time() < 0.95
+            await until(lambda: w.servers[0].closed == 1)
+
+    play(scene())
+
+
+def test_connections_of_a_restarted_or_moved_server_are_closed() -> None:
+    async def scene() -> None:
+        server = FakeServer("s", served)
+        await server.start()
+        pool = ConnectionPool(1.0, 60.0, 10)
+        pool.update("s", server.address, None, ServerState.READY)
+        assert await outcome_of(pool) is Outcome.SUCCEEDED
+        pool.update("s", server.address, 5, ServerState.READY)
+        await until(lambda: server.closed == 1)
+        assert await outcome_of(pool) is Outcome.SUCCEEDED
+        assert len(server.writers) == 2
+        other = FakeServer("s", served)
+        await other.start()
+        pool.update("s", other.address, 5, ServerState.READY)
+        assert await outcome_of(pool) is Outcome.SUCCEEDED
+        assert len(other.requests) == 1
+        server.stop()
+        other.stop()
+
+    play(scene())
--- a/tests/test_discovery.py
+++ b/tests/proxy/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""Discovery over loopback, and how its news reach the balancer and the connections."""
+"""Discovery over loopback, and how its updates reach the balancer and the connections."""
 
 from __future__ import annotations
 
@@ -10,8 +10,9 @@
 from virtual_time import play_in_virtual_time
 
 from sidecar.balancer.events import ServerState
-from sidecar.proxy.discovery import _IDLE_S, Discovery, RegistryResponse, parse_registry
-from sidecar.proxy.upstream import Upstream
+from sidecar.proxy.connection_pool import ConnectionPool
+from sidecar.proxy.discovery_client import _EMPTY_RESPONSE_PAUSE_S, DiscoveryClient
+from sidecar.proxy.registry_messages import RegistryResponse, parse_registry_response
 
 
 def entry(name: Any = "s-1", **changes: Any) -> dict[str, Any]:
@@ -19,7 +20,7 @@
     return given | {"status": "active", "weight": 1.0, "since_ms": 0} | changes
 
 
-def test_the_watch_goes_on_from_the_known_list_and_again_at_once() -> None:
+def test_watch_continues_from_the_cached_list_and_repeats_at_once() -> None:
     async def scene() -> None:
         async with world(served) as w:
             for index in (42, 43, 44):
@@ -27,7 +28,7 @@
             await until(lambda: len(w.discovery.targets) == 4)
             paths = [each.split("&")[0] for each in w.discovery.targets]
             assert paths == [f"/registry/instances?after={index}" for index in (41, 42, 43, 44)]
-            assert _IDLE_S < 0.2  # the only pause there is; later it would be a new watch
+            assert _EMPTY_RESPONSE_PAUSE_S < 0.2  # the only pause there is; later it would be a new watch
 
     play(scene())
 
@@ -44,7 +45,7 @@
             assert not first.requests
             w.discovery.say(43, [first.entry()], snapshot=True)  # who is missing is gone
             await until(lambda: "s-1" not in states)
-            assert set(w.sidecar._upstream._endpoints) == {"s-0"}
+            assert set(w.sidecar._pool.servers) == {"s-0"}
             seen = len(second.requests)
             for _ in range(10):
                 assert (await w.ask())[0] == 200
@@ -53,7 +54,7 @@
     play(scene())
 
 
-def test_a_server_that_restarted_is_cold_from_then_on() -> None:
+def test_restarted_server_is_in_slow_start() -> None:
     async def scene() -> None:
         async with world(served) as w:
             server = w.sidecar._balancer._context.registry.servers["s-0"]
@@ -75,7 +76,7 @@
         b"HTTP/1.1 200 X\r\nContent-Length: 99\r\n\r\n{",
     ],
 )
-def test_a_failed_registry_call_is_reported_and_made_again(bad: bytes) -> None:
+def test_failed_registry_call_is_reported_and_retried(bad: bytes) -> None:
     async def scene() -> None:
         async with world(served, rules={"max_poll_interval_us": 1 * S}) as w:
             w.discovery.answers.put_nowait(bad)
@@ -86,50 +87,50 @@
     play(scene())
 
 
-def test_discovery_that_is_down_is_a_failed_call() -> None:
+def test_registry_that_is_down_is_a_failed_call() -> None:
     async def scene() -> None:
         heard: list[RegistryResponse | None] = []
         down = FakeDiscovery()
         await down.start()
         down.stop()
-        discovery = Discovery(down.address, 1, heard.append)
-        discovery.follow(True)
+        discovery = DiscoveryClient(down.address, 1, heard.append)
+        discovery.start_watch()
         await until(lambda: heard == [None])
         await until(lambda: discovery._watch is None or discovery._watch.done())
-        discovery.follow(True)  # and a new watch may begin
+        discovery.start_watch()  # and a new watch may begin
         await until(lambda: heard == [None, None])
 
     play(scene())
 
 
-def test_a_watch_under_way_is_not_doubled_and_can_be_ended() -> None:
+def test_watch_is_not_started_twice_and_can_be_stopped() -> None:
     async def scene() -> None:
         service = FakeDiscovery()
         await service.start()
         heard: list[RegistryResponse | None] = []
-        discovery = Discovery(service.address, 1, heard.append)
+        discovery = DiscoveryClient(service.address, 1, heard.append)
         for _ in range(3):
-            discovery.follow(True)
+            discovery.start_watch()
         await until(lambda: service.targets)
         discovery.fetch()
         await until(lambda: len(service.targets) == 2)
         assert service.targets[1] == "/registry/instances"
         service.say(7, [entry()], snapshot=True)
         await until(lambda: heard)
-        discovery.follow(False)
+        discovery.stop_watch()
         assert discovery._watch is None
         service.stop()
 
     play(scene())
 
 
-def test_a_watch_that_fell_silent_is_opened_anew_before_the_old_call_is_left(
+def test_silent_watch_is_reopened_before_the_former_call_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards rule 3: with no call out for a moment, or a pause before the next one, a sidecar counts as told
-    # of drains that it has not heard of.  The module asks again too late here.
-    monkeypatch.setattr("sidecar.proxy.discovery._WAIT_MS", (20, 20))
-    monkeypatch.setattr("sidecar.proxy.discovery._LATE_S", 0.02)
+    # Guards rule 3: with no call in flight for a moment, or a pause before the next one, a sidecar counts as
+    # notified of drains that it has not heard of.  The balancer polls again too late here.
+    monkeypatch.setattr("sidecar.proxy.discovery_client._WATCH_WAIT_MS", (20, 20))
+    monkeypatch.setattr("sidecar.proxy.discovery_client._WATCH_MARGIN_S", 0.02)
 
     async def scene() -> None:
         async with world(served, rules={"max_poll_interval_us": 600 * S}) as w:
@@ -147,7 +148,7 @@
     play(scene())
 
 
-def test_pushed_lists_are_read_without_being_asked_for() -> None:
+def test_pushed_lists_are_watched_by_themselves() -> None:
     async def scene() -> None:
         async with world(served, discovery="pushed") as w:
             w.discovery.answers.put_nowait(answer(503, b""))
@@ -159,7 +160,7 @@
     play(scene())
 
 
-def test_a_list_holds_what_makes_sense_and_junk_is_skipped() -> None:
+def test_invalid_entries_of_a_list_are_skipped() -> None:
     junk: list[Any] = [
         7,
         None,
@@ -176,12 +177,16 @@
         entry(since_ms=-1),
         entry(status=[]),
     ]
-    told = parse_registry({"index": 5, "snapshot": True, "endpoints": [*junk, entry(since_ms=2, group=3)]})
-    assert [each.server.server for each in told.lines] == ["s-1"]
-    line = told.lines[0]
-    assert (told.version, told.complete, line.address) == (5, True, ("127.0.0.1", 9))
-    assert (line.server.started_at, line.server.cell, line.server.zone) == (2000, 3, "a")
-    assert parse_registry({"index": 5, "endpoints": [entry()]}).lines[0].server.started_at is None
+    response = parse_registry_response(
+        {"index": 5, "snapshot": True, "endpoints": [*junk, entry(since_ms=2, group=3)]}
+    )
+    assert [each.endpoint.server for each in response.endpoints] == ["s-1"]
+    line = response.endpoints[0]
+    assert (response.version, response.complete, line.address) == (5, True, ("127.0.0.1", 9))
+    assert (line.endpoint.started_at, line.endpoint.cell, line.endpoint.zone) == (2000, 3, "a")
+    assert (
+        parse_registry_response({"index": 5, "endpoints": [entry()]}).endpoints[0].endpoint.started_at is None
+    )
 
 
 @pytest.mark.parametrize(
@@ -193,12 +198,12 @@
         ("resting", ServerState.DRAINING),
     ],
 )
-def test_a_status_that_is_not_known_takes_nothing_new(status: str, state: ServerState) -> None:
-    told = parse_registry({"index": 5, "snapshot": False, "endpoints": [entry(status=status)]})
-    assert told.lines[0].server.state is state
+def test_unknown_status_counts_as_draining(status: str, state: ServerState) -> None:
+    response = parse_registry_response({"index": 5, "snapshot": False, "endpoints": [entry(status=status)]})
+    assert response.endpoints[0].endpoint.state is state
 
 
-def test_a_new_server_at_a_former_one_s_address_takes_its_place() -> None:
+def test_new_server_at_the_address_of_a_former_one_supersedes_it() -> None:
     # The list may name the former one for seconds yet: what is sent to it would go to the new process, which
     # is cold, over connections that no process holds any more.
     async def scene() -> None:
@@ -213,7 +218,7 @@
             await until(lambda: len(w.discovery.targets) == 3)
             assert (
                 list(w.sidecar._balancer._context.registry.servers)
-                == list(w.sidecar._upstream._endpoints)
+                == list(w.sidecar._pool.servers)
                 == ["s-new"]
             )
             assert (await w.ask())[0] == 200 and len(old.writers) == 2
@@ -222,7 +227,7 @@
 
 
 @pytest.mark.parametrize("status", ["leaving", "left"])
-def test_a_server_that_leaves_is_reported_even_without_its_address(status: str) -> None:
+def test_draining_server_is_reported_even_without_its_address(status: str) -> None:
     # Guards rule 3: skipped as junk, the entry would leave the server in use.
     async def scene() -> None:
         async with world(served) as w:
@@ -235,7 +240,7 @@
     play(scene())
 
 
-def test_a_service_that_does_not_wait_is_not_called_without_a_pause() -> None:
+def test_registry_that_does_not_hold_watches_is_polled_with_a_pause() -> None:
     async def scene() -> None:
         async with world(served) as w:
             for _ in range(4):
@@ -246,24 +251,24 @@
     play_in_virtual_time(scene())
 
 
-def test_an_answer_without_changes_looks_at_no_address(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_response_without_changes_compares_no_addresses(monkeypatch: pytest.MonkeyPatch) -> None:
     looks: list[int] = []
-    displace = Upstream.displace
+    remove_superseded = ConnectionPool.remove_superseded
 
-    def counted(self: Upstream) -> list[str]:
+    def counted(self: ConnectionPool) -> list[str]:
         looks.append(1)
-        return displace(self)
+        return remove_superseded(self)
 
-    monkeypatch.setattr(Upstream, "displace", counted)
+    monkeypatch.setattr(ConnectionPool, "remove_superseded", counted)
 
     async def scene() -> None:
         async with world(lambda *_: answer()) as w:
             before = len(looks)
             w.discovery.say(42, [])
-            await until(lambda: w.sidecar._discovery._version == 42)
+            await until(lambda: w.sidecar._endpoint_list.client._version == 42)
             assert len(looks) == before
             w.discovery.say(43, [w.servers[0].entry(status="leaving")])
-            await until(lambda: w.sidecar._discovery._version == 43)
+            await until(lambda: w.sidecar._endpoint_list.client._version == 43)
             assert len(looks) == before + 1
 
     play(scene())
--- /dev/null
+++ b/tests/proxy/test_failed_requests.py
@@ -0,0 +1,119 @@
+"""Exceptions, forgotten requests and a lack of servers: each request gets a response, in time."""
+
+from __future__ import annotations
+
+import ast
+import asyncio
+import contextlib
+from pathlib import Path
+from typing import Any, get_args
+
+import pytest
+from loopback import (
+    ask,
+    play,
+    request,
+    served,
+    world,
+)
+
+import sidecar
+from sidecar.balancer.actions import Action, RejectRequest
+from sidecar.balancer.events import Event, RequestArrived
+
+
+def test_request_without_servers_is_rejected_at_once_and_readiness_is_unaffected() -> None:
+    async def scene() -> None:
+        async with world() as w:
+            loop = asyncio.get_running_loop()
+            began = loop.time()
+            assert (await w.ask(budget="30"))[0] == 503
+            assert loop.time() - began < 15.0
+            assert (await ask(w.sidecar.frontend.address, request(path="/health/ready")))[0] == 200
+
+    play(scene())
+
+
+def test_rejection_has_a_retry_after_header() -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            w.sidecar._balancer.handle = lambda now, event: (  # type: ignore[method-assign]
+                [RejectRequest(event.request, 250_000)] if isinstance(event, RequestArrived) else []
+            )
+            status, headers, _ = await w.ask()
+            assert status == 503 and float(headers["retry-after"]) == 0.25
+
+    play(scene())
+
+
+# Guards against a defect that would end the process or leave a request without a response.
+def test_exception_in_the_balancer_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            real = w.sidecar._balancer.handle
+
+            def faulty(now: int, event: Event) -> list[Action]:
+                if isinstance(event, RequestArrived) and event.service_class == "pay":
+                    raise ZeroDivisionError
+                return real(now, event)
+
+            monkeypatch.setattr(w.sidecar._balancer, "handle", faulty)
+            assert (await w.ask(kind="pay", body=b"x"))[0] == 500
+            assert (await w.ask())[0] == 200
+            assert not w.sidecar._active
+
+    play(scene())
+
+
+def test_exception_in_carrying_out_an_action_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            monkeypatch.setattr(w.sidecar._pool, "send", None)
+            assert (await w.ask(kind="pay", body=b"x"))[0] == 500
+            monkeypatch.undo()
+            assert (await w.ask())[0] == 200
+            assert not w.sidecar._active
+
+    play(scene())
+
+
+def test_request_that_the_balancer_forgets_fails_at_its_deadline() -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            w.sidecar._balancer.handle = lambda now, event: []  # type: ignore[method-assign]
+            assert (await w.ask(budget="0.2"))[0] == 500
+
+    play(scene())
+
+
+def test_exception_in_the_request_handler_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            monkeypatch.setattr(w.sidecar.frontend.handler, "handle_request", None)
+            assert (await w.ask())[0] == 500
+            monkeypatch.undo()
+            assert (await w.ask())[0] == 200
+
+    play(scene())
+
+
+def names_used_by_the_balancer() -> set[str]:
+    """Every name that the balancer, its policies and their state use."""
+    package = Path(sidecar.__file__).parent / "balancer"
+    sources = [package / "balancer.py", *package.glob("policy/*.py"), *package.glob("state/*.py")]
+    nodes = [node for path in sources for node in ast.walk(ast.parse(path.read_text(encoding="utf-8")))]
+    names = {node.id for node in nodes if isinstance(node, ast.Name)}
+    return names | {node.attr for node in nodes if isinstance(node, ast.Attribute)}
+
+
+def test_every_action_of_the_balancer_is_carried_out() -> None:
+    async def scene() -> None:
+        async with world() as w:
+            emitted = {kind for kind in get_args(Action) if kind.__name__ in names_used_by_the_balancer()}
+            assert len(emitted) > 5
+            for kind in emitted:
+                action: Any = kind.__new__(kind)  # without its fields: they are read behind the dispatch
+                with contextlib.suppress(AttributeError):
+                    w.sidecar.carry_out(action)  # raises for kinds that it does not carry out
+
+    play(scene())
--- a/tests/test_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -13,8 +13,9 @@
 from loopback import CLASSES, World, hung, read_message, request, until, world
 from virtual_time import VirtualTimeLoop, now_s, pass_s, play_in_virtual_time
 
-from sidecar.proxy.driver import Live, Sidecar
-from sidecar.proxy.upstream import Headers
+from sidecar.proxy.active_requests import ActiveRequest
+from sidecar.proxy.http_messages import Headers
+from sidecar.proxy.request_lifecycle import RequestLifecycle
 
 KILL_AFTER_DEADLINE_S = 0.7
 OWED_S = 0.7  # what comes later after SIGTERM may stay without an answer
@@ -107,15 +108,17 @@
 def hold_up_at_an_answer(monkeypatch: pytest.MonkeyPatch, from_s: float) -> None:
     """Hold the sidecar up once, as it is about to write its first answer at or after this time."""
     held: list[float] = []
-    answer = Sidecar._answer
+    answer = RequestLifecycle.answer
 
-    def late(sidecar: Sidecar, live: Live, status: int, headers: Headers, body: bytes) -> None:
+    def late(
+        requests: RequestLifecycle, active: ActiveRequest, status: int, headers: Headers, body: bytes
+    ) -> None:
         if not held and now_s() >= from_s:
             held.append(now_s())
             hold_up()
-        answer(sidecar, live, status, headers, body)
+        answer(requests, active, status, headers, body)
 
-    monkeypatch.setattr(Sidecar, "_answer", late)
+    monkeypatch.setattr(RequestLifecycle, "answer", late)
 
 
 def lost(clients: Clients, began: float) -> list[Sent]:
@@ -130,7 +133,7 @@
     ("deadline_s", "noticed_late"),
     [(0.05, False), (0.1, False), (0.1, True), (1.0, False), (1.0, True), (30.0, False), (30.0, True)],
 )
-def test_all_that_hung_servers_leave_open_is_answered_before_sigkill(
+def test_requests_at_hung_servers_are_answered_before_sigkill(
     deadline_s: float, held_before_kill_s: float, noticed_late: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
@@ -159,7 +162,7 @@
 
 @pytest.mark.parametrize("noticed_late", [False, True])
 @pytest.mark.parametrize("deadline_s", [0.1, 1.0])
-def test_a_request_whose_end_comes_at_any_moment_of_a_shutdown_gets_an_answer(
+def test_request_completed_at_any_moment_of_a_shutdown_gets_a_response(
     deadline_s: float, noticed_late: bool
 ) -> None:
     async def scene() -> None:
@@ -172,9 +175,8 @@
             for (_, writer), each in zip(opened, data, strict=True):
                 writer.write(each[:-1])
 
-            await until(
-                lambda: len([each for each in w.sidecar.frontend.connections if each.has_begun()]) == CLIENTS
-            )
+            frontend = w.sidecar.frontend
+            await until(lambda: sum(each.has_partial_request() for each in frontend.connections) == CLIENTS)
             began = now_s()
             if noticed_late:
                 hold_up()
--- a/tests/test_hedge_crossings.py
+++ b/tests/proxy/test_hedging_races.py
@@ -5,7 +5,7 @@
 import pytest
 from loopback import LIMITS, hung, play, until, world
 from loopback import request as request_bytes
-from test_crossings import Client, rested_everywhere
+from race_stage import Client, rested_everywhere
 
 from sidecar.balancer.policy.overdue import OverdueDetector
 from sidecar.balancer.state import Attempt, Request
@@ -15,7 +15,7 @@
 
 @pytest.mark.parametrize("leaves", [True, False])
 @pytest.mark.parametrize("dialled", [True, False])
-def test_a_client_leaves_as_its_request_is_hedged(
+def test_client_disconnects_as_its_request_is_hedged(
     dialled: bool, leaves: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
@@ -39,7 +39,7 @@
             client = Client(w.sidecar.frontend.address, request_bytes())
             await until(lambda: hedged)
             if leaves:
-                await until(lambda: not w.sidecar._live)
+                await until(lambda: not w.sidecar._active)
             else:
                 await until(lambda: len(w.sent()) == before + 2)
             assert (await w.ask(path="/health/ready"))[0] == 200  # the loop has had its turns
--- a/tests/test_long_spans.py
+++ b/tests/proxy/test_long_outages.py
@@ -9,10 +9,10 @@
 from loopback import served, world
 from virtual_time import Service, now_s, pass_s, play_in_virtual_time, told_within
 
-from sidecar.proxy import driver, frontend
+from sidecar.proxy import connection_table, loop_lag
 
-TOLD_S = 6.0  # after a watch fell silent, or discovery has a change and can be reached
-RELOADED_S = 4.0  # after SIGHUP, what discovery's new place has counts as told
+NOTIFIED_WITHIN_S = 6.0  # after a watch fell silent, or discovery has a change and can be reached
+RELOADED_S = 4.0  # after SIGHUP, what discovery's new place has counts as notified
 QUIET_S = 600.0
 OUTAGE_S = 300.0
 FAULTS = ("503", "reset", "refused", "silent", "cut off")
@@ -23,8 +23,8 @@
 @pytest.fixture(autouse=True)
 def _few_moments(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let the driver look at connections and at its lag less often, as long spans are passed through."""
-    monkeypatch.setattr(frontend, "_SWEEP_S", 1.0)
-    monkeypatch.setattr(driver, "_LAG_EVERY_S", 1.0)
+    monkeypatch.setattr(connection_table, "_SWEEP_INTERVAL_S", 1.0)
+    monkeypatch.setattr(loop_lag, "_CHECK_INTERVAL_S", 1.0)
 
 
 @pytest.mark.parametrize(
@@ -36,7 +36,7 @@
         ("silent", RULES[1], "pushed"),
     ],
 )
-def test_a_change_after_ten_quiet_minutes_is_applied_in_time(
+def test_change_after_ten_quiet_minutes_is_applied_in_time(
     fault: str | None, rules: dict[str, int], mode: str, service: Callable[[], Service]
 ) -> None:
     async def scene() -> None:
@@ -52,7 +52,7 @@
                     began = now_s()
                 await there.come_back()
             await there.change(w.servers[0].entry(status="leaving"))
-            await told_within(w, TOLD_S, began)
+            await told_within(w, NOTIFIED_WITHIN_S, began)
             assert (await w.ask())[2] == b"served"
 
     play_in_virtual_time(scene())
@@ -67,7 +67,7 @@
         ("silent", RULES[1], "pushed"),
     ],
 )
-def test_a_change_after_an_outage_of_five_minutes_is_applied_in_time(
+def test_change_after_an_outage_of_five_minutes_is_applied_in_time(
     fault: str, rules: dict[str, int], mode: str, service: Callable[[], Service]
 ) -> None:
     async def scene() -> None:
@@ -79,14 +79,14 @@
             await there.come_back()
             began = now_s()
             await there.change(w.servers[0].entry(status="leaving"))
-            await told_within(w, TOLD_S, began)
+            await told_within(w, NOTIFIED_WITHIN_S, began)
             assert (await w.ask())[2] == b"served"
 
     play_in_virtual_time(scene())
 
 
 @pytest.mark.parametrize(("fault", "mode"), [("refused", "on_request"), ("cut off", "pushed")])
-def test_a_reload_in_an_outage_of_five_minutes_is_followed_at_once(
+def test_reload_in_an_outage_of_five_minutes_is_applied_at_once(
     fault: str, mode: str, service: Callable[[], Service]
 ) -> None:
     async def scene() -> None:
@@ -98,7 +98,7 @@
             former.fail(fault)
             await pass_s(OUTAGE_S)
             began = now_s()
-            w.sidecar.move_discovery(latter.address)
+            w.sidecar.migrate_discovery(latter.address)
             await latter.change(w.servers[0].entry(status="leaving"))
             await told_within(w, RELOADED_S, began)
         latter.stop()
--- a/tests/test_new_connection_answers.py
+++ b/tests/proxy/test_new_connection_responses.py
@@ -1,4 +1,4 @@
-"""A request on a new connection gets an answer, also while the CPU falls behind or in a drain."""
+"""A request on a new connection gets a response, also under overload and while draining."""
 
 from __future__ import annotations
 
@@ -9,20 +9,21 @@
 from loopback import hung, is_closed, read_answer, request, served, until, world
 from virtual_time import now_s, pass_s, play_in_virtual_time
 
-from sidecar.proxy.driver import _ACCEPT_S
-from sidecar.proxy.frontend import Frontend, Phase
+from sidecar.proxy.connection_state import ConnectionState
+from sidecar.proxy.connection_table import ConnectionTable
+from sidecar.proxy.shutdown import _ACCEPT_S
 
 SIZES = {"small": request("pay", body=b"new"), "large": request("pay", body=bytes(64 * 1024))}
 
 
 @pytest.mark.parametrize("in_pieces", [False, True], ids=["at once", "in pieces"])
 @pytest.mark.parametrize("data", SIZES.values(), ids=SIZES)
-def test_a_new_connection_is_refused_with_an_answer_while_the_cpu_falls_behind(
+def test_new_connection_is_rejected_with_a_response_under_overload(
     monkeypatch: pytest.MonkeyPatch, data: bytes, in_pieces: bool
 ) -> None:
     async def scene() -> None:
         async with world(served) as w:
-            monkeypatch.setattr(Frontend, "_is_swamped", lambda _: True)
+            monkeypatch.setattr(ConnectionTable, "is_overloaded", lambda _: True)
             reader, writer = await w.connect()
             if in_pieces:
                 writer.write(data[:30])
@@ -42,7 +43,7 @@
 # New connections come for 0.4 s after SIGTERM; the listener stays open for longer.
 @pytest.mark.parametrize("after_s", [0.0, 0.1, 0.3, 0.4, _ACCEPT_S - 0.01])
 @pytest.mark.parametrize("later_s", [0.0, 0.005, 0.1], ids=["at once", "a moment later", "later"])
-def test_a_request_on_a_new_connection_in_a_drain_gets_an_answer(after_s: float, later_s: float) -> None:
+def test_request_on_a_new_connection_while_draining_gets_a_response(after_s: float, later_s: float) -> None:
     async def scene() -> None:
         async with world(served) as w:
             w.stop.set()
@@ -59,7 +60,7 @@
     play_in_virtual_time(scene())
 
 
-def test_a_connection_that_waits_to_be_accepted_as_the_listener_closes_gets_an_answer() -> None:
+def test_connection_queued_as_the_listener_closes_gets_a_response() -> None:
     async def scene() -> None:
         async with world(served) as w:
             frontend = w.sidecar.frontend
@@ -77,9 +78,9 @@
     play_in_virtual_time(scene())
 
 
-def test_a_request_held_to_the_end_of_a_drain_gets_an_answer_before_the_kill() -> None:
+def test_request_in_flight_to_the_end_of_a_drain_gets_a_response_before_sigkill() -> None:
     async def scene() -> None:
-        # It came late, and hangs at its server for longer than the drain may last.
+        # It arrives late, and its server hangs for longer than the drain may last.
         async with world(hung) as w:
             w.stop.set()
             await until(lambda: w.sidecar.frontend.draining)
@@ -95,21 +96,21 @@
     play_in_virtual_time(scene())
 
 
-def test_no_room_is_made_at_the_cost_of_an_answer_on_its_way() -> None:
-    # A close over unread bytes resets the connection, and with it an answer that its client has yet to read.
+def test_no_connection_is_evicted_before_its_response_has_been_read() -> None:
+    # A close over unread bytes resets the connection, and a response that its client has yet to read is lost.
     async def scene() -> None:
         async with world(served, sockets=66) as w:  # room for one client
             frontend = w.sidecar.frontend
             too_large = request("pay", body=bytes(64 * 1024 + 1))
             client = socket.create_connection(frontend.address)
             client.sendall(too_large[:-1])
-            await until(lambda: frontend._phases[Phase.LEAVING])
+            await until(lambda: frontend.table._by_state[ConnectionState.CLOSING])
             client.sendall(too_large[-1:])  # within one step of the event loop
-            assert not frontend._make_room()
+            assert not frontend.table.evict_one()
             client.setblocking(False)
             reader, writer = await asyncio.open_connection(sock=client)
             assert (await read_answer(reader))[0] == 413
-            await until(frontend._make_room)
+            await until(frontend.table.evict_one)
             writer.close()
 
     play_in_virtual_time(scene())
--- a/tests/test_discovery_faults.py
+++ b/tests/proxy/test_registry_faults.py
@@ -13,10 +13,13 @@
 from loopback import answer, reset, served, until, world
 from virtual_time import Service, now_s, play_in_virtual_time, told_within
 
-from sidecar.proxy import discovery, upstream
-from sidecar.proxy.upstream import Address, Connection, Upstream
+from sidecar.proxy import discovery_client, server_connection, sockets
+from sidecar.proxy.addresses import Address
+from sidecar.proxy.connection_pool import ConnectionPool
+from sidecar.proxy.registry_messages import parse_registry_response
+from sidecar.proxy.server_connection import Connection
 
-TOLD_S = 6.0  # after discovery has a change and can be reached
+NOTIFIED_WITHIN_S = 6.0  # after discovery has a change and can be reached
 RULES = {"max_poll_interval_us": 60 * S}
 MODES = ("on_request", "pushed")
 DIAL_FAULTS = [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EINTR]
@@ -28,7 +31,7 @@
 @pytest.mark.parametrize("times", [1, 3])
 @pytest.mark.parametrize("code", DIAL_FAULTS)
 @pytest.mark.parametrize("in_socket", [True, False])
-def test_a_change_is_applied_in_time_though_dials_to_discovery_fail(
+def test_change_is_applied_in_time_though_dials_to_the_registry_fail(
     in_socket: bool, code: int, times: int, mode: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
@@ -44,7 +47,7 @@
                     failed_at.append(now_s())
                     raise OSError(fault, os.strerror(fault))
 
-            new_socket, sock_connect = upstream.new_socket, asyncio.get_running_loop().sock_connect
+            new_socket, sock_connect = sockets.new_socket, asyncio.get_running_loop().sock_connect
 
             def make(address: Address) -> socket.socket:
                 if in_socket and address == there.address:
@@ -56,39 +59,39 @@
                     fail_first()
                 await sock_connect(sock, address)
 
-            monkeypatch.setattr(upstream, "new_socket", make)
+            monkeypatch.setattr(sockets, "new_socket", make)
             monkeypatch.setattr(asyncio.get_running_loop(), "sock_connect", dial)
             there.fail("reset")
             there.fault = None
             await until(lambda: len(failed_at) == times)
             began = failed_at[-1]
             await there.change(w.servers[0].entry(status="leaving"))
-            await told_within(w, TOLD_S, began)
+            await told_within(w, NOTIFIED_WITHIN_S, began)
 
     play_in_virtual_time(scene())
 
 
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("code", BREAKS)
-def test_a_change_is_applied_in_time_though_the_watch_breaks(code: int, mode: str) -> None:
+def test_change_is_applied_in_time_though_the_watch_breaks(code: int, mode: str) -> None:
     async def scene() -> None:
         there = Service()
         dialled: list[Connection] = []
-        connect = upstream.connect
+        connect = server_connection.connect
 
         async def dial(address: Address, body_most: int) -> Connection:
             dialled.append(await connect(address, body_most))
             return dialled[-1]
 
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(discovery, "connect", dial)
+            patch.setattr(discovery_client, "connect", dial)
             async with world(served, served, service=there, rules=RULES, discovery=mode) as w:
                 await until(lambda: there.targets)
                 transport: Any = dialled[-1]._transport
                 transport._fatal_error(OSError(code, os.strerror(code)))  # as reading it would
                 began = now_s()
                 await there.change(w.servers[0].entry(status="leaving"))
-                await told_within(w, TOLD_S, began)
+                await told_within(w, NOTIFIED_WITHIN_S, began)
 
     play_in_virtual_time(scene())
 
@@ -106,10 +109,10 @@
         await super()._serve(reader, writer)
 
 
-def test_a_connection_that_breaks_as_it_comes_up_is_no_call_that_waits(
+def test_connection_that_breaks_as_it_opens_does_not_count_as_a_watch(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    connect = upstream.connect
+    connect = server_connection.connect
 
     async def scene() -> None:
         there = ResettingService()
@@ -119,10 +122,10 @@
             connection = await connect(address, body_most)
             if is_reset:
                 await until(lambda: connection._transport is None or connection._transport.is_closing())
-                await asyncio.sleep(0)  # and its end has been told by now
+                await asyncio.sleep(0)  # and its end has been reported by now
             return connection
 
-        monkeypatch.setattr(discovery, "connect", dial)
+        monkeypatch.setattr(discovery_client, "connect", dial)
         async with world(served, served, service=there, rules=RULES) as w:
             await until(lambda: there.targets)
             there.left = 3
@@ -140,11 +143,11 @@
 
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("defect", DEFECTS, ids=lambda each: type(each).__name__)
-@pytest.mark.parametrize("where", ["parse_registry", "displace"])
-def test_a_change_is_applied_in_time_though_a_list_can_not_be_handled_once(
+@pytest.mark.parametrize("where", ["parse_registry_response", "remove_superseded"])
+def test_change_is_applied_in_time_though_a_list_can_not_be_applied_once(
     where: str, defect: Exception, mode: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    place: Any = discovery if where == "parse_registry" else Upstream
+    place: Any = discovery_client if where == "parse_registry_response" else ConnectionPool
     handle = getattr(place, where)
     failures = [defect]
 
@@ -160,7 +163,7 @@
             monkeypatch.setattr(place, where, fail_once)
             began = now_s()
             await there.change(w.servers[0].entry(status="leaving"))
-            await told_within(w, TOLD_S, began)
+            await told_within(w, NOTIFIED_WITHIN_S, began)
             assert not failures
 
     play_in_virtual_time(scene())
@@ -189,14 +192,14 @@
     junk: bytes | None = None
 
     async def _answer(self, target: str) -> bytes:
-        told = await super()._answer(target)
+        response = await super()._answer(target)
         junk, self.junk = self.junk, None
-        return told if junk is None else junk
+        return response if junk is None else junk
 
 
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("what", JUNK)
-def test_a_change_is_applied_in_time_though_junk_came_in_its_place(what: str, mode: str) -> None:
+def test_change_is_applied_in_time_though_junk_came_in_its_place(what: str, mode: str) -> None:
     async def scene() -> None:
         there = JunkService()
         async with world(served, served, service=there, rules=RULES, discovery=mode) as w:
@@ -204,13 +207,15 @@
             there.junk = JUNK[what]
             began = now_s()
             await there.change(w.servers[0].entry(status="leaving"))
-            await told_within(w, TOLD_S, began)
+            await told_within(w, NOTIFIED_WITHIN_S, began)
             assert there.junk is None
 
     play_in_virtual_time(scene())
 
 
-def test_an_entry_with_a_number_too_large_spoils_no_other() -> None:
+def test_entry_with_a_number_too_large_affects_no_other() -> None:
     large = {"name": "s-0", "address": "127.0.0.1:9", "status": "active", "weight": 10**400}
-    told = discovery.parse_registry({"index": 1, "endpoints": [large, large | {"name": "s-1", "weight": 1}]})
-    assert [line.server.server for line in told.lines] == ["s-1"]
+    response = parse_registry_response(
+        {"index": 1, "endpoints": [large, large | {"name": "s-1", "weight": 1}]}
+    )
+    assert [each.endpoint.server for each in response.endpoints] == ["s-1"]
--- a/tests/test_registry_crossings.py
+++ b/tests/proxy/test_registry_races.py
@@ -14,18 +14,18 @@
 from virtual_time import STEP_S, Service, now_s, pass_s, play_in_virtual_time, told_within
 
 from sidecar.balancer.events import ServerState
-from sidecar.proxy import driver
+from sidecar.proxy import shutdown
 
-TOLD_S = 6.0  # after a watch fell silent, or discovery has a change and can be reached
-RELOADED_S = 4.0  # after SIGHUP, what discovery's new place has counts as told
+NOTIFIED_WITHIN_S = 6.0  # after a watch fell silent, or discovery has a change and can be reached
+RELOADED_S = 4.0  # after SIGHUP, what discovery's new place has counts as notified
 RULES = {"max_poll_interval_us": 60 * S}
 MODES = ("on_request", "pushed")  # how discovery tells, by the settings
 
 
 async def gone_within(w: World, limit_s: float, began: float) -> None:
     """Wait until connections to s-0 are no use any more, which has to be in time."""
-    while "s-0" in w.sidecar._upstream._endpoints:
-        assert now_s() < began + limit_s, f"not told {limit_s} s later"
+    while "s-0" in w.sidecar._pool.servers:
+        assert now_s() < began + limit_s, f"not notified {limit_s} s later"
         await asyncio.sleep(STEP_S)
 
 
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("reload_first", [True, False])
-def test_a_drain_is_applied_in_time_where_a_reload_moves_discovery(
+def test_drain_is_applied_in_time_where_a_reload_migrates_discovery(
     reload_first: bool, mode: str, service: Callable[[], Service]
 ) -> None:
     async def scene() -> None:
@@ -77,11 +77,11 @@
             leaving = w.servers[0].entry(status="leaving")
             if not reload_first:
                 await latter.change(leaving)  # and the former place never hears of it
-            w.sidecar.move_discovery(latter.address)
+            w.sidecar.migrate_discovery(latter.address)
             began = now_s()
             if reload_first:
                 await pass_s(STEP_S)
-                assert latter.targets[0] == "/registry/instances"  # asked at once, for the whole list
+                assert latter.targets[0] == "/registry/instances"  # asked at once, for the complete list
                 await latter.change(leaving)
             await told_within(w, RELOADED_S, began)
             await nothing_more_reaches_the_first(w)
@@ -94,17 +94,17 @@
 
 
 @pytest.mark.parametrize("reload_first", [True, False])
-def test_a_drain_told_after_sigterm_and_a_reload_keeps_late_requests_from_its_server(
+def test_drain_notified_after_sigterm_and_a_reload_keeps_late_requests_from_its_server(
     reload_first: bool, service: Callable[[], Service], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(driver, "_ACCEPT_S", 600.0)  # connections are taken for as long as the test needs
+    monkeypatch.setattr(shutdown, "_ACCEPT_S", 600.0)  # connections are taken for as long as the test needs
 
     async def scene() -> None:
         former, latter = service(), service()
         await latter.start()
         async with world(hung, served, service=former, rules=RULES) as w:
             reader, writer = await hold_at_first(w)
-            steps = [lambda: w.sidecar.move_discovery(latter.address), w.stop.set]
+            steps = [lambda: w.sidecar.migrate_discovery(latter.address), w.stop.set]
             for step in steps if reload_first else reversed(steps):
                 step()
                 await asyncio.sleep(0.01)
@@ -129,7 +129,7 @@
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("missed_after_s", [0.0, 1.0, 2.4, 3.9, 5.0])
 @pytest.mark.parametrize("open_for_s", [0.0, 1.5, 3.1])
-def test_a_change_missed_by_a_watch_that_falls_silent_after_telling_others_is_applied_in_time(
+def test_change_missed_by_a_watch_that_falls_silent_after_other_events_is_applied_in_time(
     open_for_s: float, missed_after_s: float, mode: str, service: Callable[[], Service]
 ) -> None:
     async def scene() -> None:
@@ -148,23 +148,25 @@
             began = now_s()
             await pass_s(missed_after_s)
             await there.change(w.servers[0].entry(status="leaving"))
-            await told_within(w, TOLD_S, began)
+            await told_within(w, NOTIFIED_WITHIN_S, began)
             await nothing_more_reaches_the_first(w)
 
     play_in_virtual_time(scene())
 
 
-# -- A whole list that leaves out what drains, or what is in use
+# -- A complete list that leaves out what drains, or what is in use
 
 
 @pytest.mark.parametrize("drained_first", [True, False])
-def test_a_server_left_out_of_a_whole_list_gets_nothing_more_and_finishes_what_it_has(
+def test_server_missing_from_a_snapshot_gets_no_new_requests_and_completes_those_in_flight(
     drained_first: bool,
 ) -> None:
     async def scene() -> None:
         async with world(served, served) as w:
             first, second = w.servers
-            w.sidecar._upstream._rest_s = 600.0  # what is kept from one request is not taken by the next
+            w.sidecar._pool._idle_connections.reuse_delay_s = (
+                600.0  # what is kept from one request is not taken by the next
+            )
             while not first.requests:
                 assert (await w.ask())[0] == 200
             reader, writer = await hold_at_first(w)
@@ -174,20 +176,20 @@
                 await until(lambda: states["s-0"].state is ServerState.DRAINING)
                 await until(lambda: first.closed == len(first.writers) - 1)  # none at rest is kept
             w.discovery.say(43, [second.entry()], snapshot=True)
-            await gone_within(w, TOLD_S, now_s())
+            await gone_within(w, NOTIFIED_WITHIN_S, now_s())
             await until(lambda: first.closed == len(first.writers) - 1)
             first.script = served  # it still listens, and would answer
             await nothing_more_reaches_the_first(w)
             first.writers[-1].write(answer(200, b"late"))
             assert (await read_answer(reader))[2] == b"late"
-            await until(lambda: not w.sidecar._live)
+            await until(lambda: not w.sidecar._active)
             await until(lambda: first.closed == len(first.writers))  # no connection to it is kept
             writer.close()
 
     play_in_virtual_time(scene())
 
 
-def test_a_request_whose_server_is_left_out_of_a_whole_list_and_dies_goes_elsewhere_only_if_safe() -> None:
+def test_request_whose_server_is_missing_from_a_snapshot_and_dies_is_retried_only_if_safe() -> None:
     async def scene() -> None:
         async with world(hung, hung) as w:
             safe = asyncio.create_task(w.ask(kind="look", budget="500"))
@@ -196,7 +198,7 @@
             survivor = FakeServer("s-2", served)
             await survivor.start()
             w.discovery.say(42, [survivor.entry()], snapshot=True)
-            await until(lambda: list(w.sidecar._upstream._endpoints) == ["s-2"])
+            await until(lambda: list(w.sidecar._pool.servers) == ["s-2"])
             for each in w.servers:
                 each.stop()
             assert (await safe)[::2] == (200, b"served")
@@ -207,11 +209,11 @@
     play_in_virtual_time(scene())
 
 
-# -- A watch that ends instead of telling x a first answer that is the whole list
+# -- A watch that ends without its event x a first response that is the complete list
 
 
 class EndingService(Service):
-    """Ends the watches that are out as something changes; calls anew get the whole list at once."""
+    """Ends the watches that are out as something changes; calls anew get the complete list at once."""
 
     how = "reset"
     listed: list[dict[str, Any]]
@@ -234,15 +236,13 @@
     async def _answer(self, target: str) -> bytes:
         if f"after={self.version}&" in target:
             return await super()._answer(target)
-        told = {"index": self.version, "snapshot": True, "endpoints": self.listed}
-        return answer(200, json.dumps(told, indent=2).encode())
+        response = {"index": self.version, "snapshot": True, "endpoints": self.listed}
+        return answer(200, json.dumps(response, indent=2).encode())
 
 
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("how", ["reset", "503", "half an answer", "end"])
-def test_a_watch_ends_instead_of_telling_and_the_whole_list_leaves_out_what_drains(
-    how: str, mode: str
-) -> None:
+def test_watch_ends_without_its_event_and_the_snapshot_lacks_what_drains(how: str, mode: str) -> None:
     async def scene() -> None:
         there = EndingService()
         there.how = how
@@ -250,7 +250,7 @@
             there.listed = [each.entry() for each in w.servers]
             await until(partial(there.called, 2))  # a watch has ended by its time, and the next is out
             await there.change(w.servers[0].entry(status="leaving"))
-            await gone_within(w, TOLD_S, now_s())
+            await gone_within(w, NOTIFIED_WITHIN_S, now_s())
             await nothing_more_reaches_the_first(w)
             assert (await ask(w.sidecar.frontend.address, request(path="/health/ready")))[0] == 200
 
--- a/tests/test_registry_delay.py
+++ b/tests/proxy/test_registry_update_delay.py
@@ -11,7 +11,7 @@
 from loopback import served, world
 from virtual_time import STEP_S, Service, now_s, pass_s, play_in_virtual_time, told_within
 
-TOLD_S = 6.0  # after discovery has it and can be reached, a change counts as told
+NOTIFIED_WITHIN_S = 6.0  # after discovery has it and can be reached, a change counts as notified
 
 
 # The settings allow far longer; nothing of that counts after a failed call.
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("change_first", [True, False])
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_change_is_applied_in_time_after_any_fault(
+def test_change_is_applied_in_time_after_any_fault(
     fault: str, change_first: bool, service: Callable[[], Service]
 ) -> None:
     async def scene() -> None:
@@ -38,13 +38,13 @@
                 began = now_s()
                 if not change_first:
                     await there.change(leaving)
-                await told_within(w, TOLD_S, began)
+                await told_within(w, NOTIFIED_WITHIN_S, began)
 
     play_in_virtual_time(scene())
 
 
 @pytest.mark.parametrize("after_s", [0.1, 1.0, 2.4, 3.9, 4.2])
-def test_a_change_is_applied_in_time_while_a_watch_is_silent(
+def test_change_is_applied_in_time_while_a_watch_is_silent(
     after_s: float, service: Callable[[], Service]
 ) -> None:
     # The watch alone fell silent: its service has the change, and answers whoever calls anew.
@@ -57,13 +57,13 @@
             await pass_s(after_s)
             began = now_s()
             await there.change(w.servers[0].entry(status="leaving"))
-            await told_within(w, TOLD_S, began)
+            await told_within(w, NOTIFIED_WITHIN_S, began)
 
     play_in_virtual_time(scene())
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_change_is_applied_in_time_where_discovery_moved_while_it_was_down(
+def test_change_is_applied_in_time_where_discovery_migrated_while_it_was_down(
     fault: str, service: Callable[[], Service]
 ) -> None:
     async def scene() -> None:
@@ -75,16 +75,16 @@
                 former.fail(fault)
                 latter.fail(fault)
                 await latter.change(w.servers[0].entry(status="leaving"))
-                w.sidecar.move_discovery(latter.address)
+                w.sidecar.migrate_discovery(latter.address)
                 await pass_s(outage_s)
                 await latter.come_back()
-                await told_within(w, TOLD_S, now_s())
+                await told_within(w, NOTIFIED_WITHIN_S, now_s())
             latter.stop()
 
     play_in_virtual_time(scene())
 
 
-def test_a_change_is_applied_four_seconds_after_a_move_though_the_first_call_falls_silent(
+def test_change_is_applied_four_seconds_after_a_migration_though_the_first_call_falls_silent(
     service: Callable[[], Service],
 ) -> None:
     async def scene() -> None:
@@ -95,7 +95,7 @@
             await latter.change(w.servers[0].entry(status="leaving"))
             latter.fail("silent")
             began = now_s()
-            w.sidecar.move_discovery(latter.address)
+            w.sidecar.migrate_discovery(latter.address)
             while not latter.targets:
                 await asyncio.sleep(STEP_S)
             await latter.come_back()
@@ -105,7 +105,7 @@
     play_in_virtual_time(scene())
 
 
-def test_a_watch_calls_no_more_than_it_must(service: Callable[[], Service]) -> None:
+def test_watch_makes_no_more_calls_than_needed(service: Callable[[], Service]) -> None:
     # Each call costs a service that answers a whole fleet in turn; shorter waits than this buy nothing.
     async def scene() -> None:
         there = service()
--- a/tests/test_socket_errors.py
+++ b/tests/proxy/test_socket_errors.py
@@ -7,11 +7,14 @@
 import itertools
 
 import pytest
-from faulty_sockets import Failures, failing, named, outcome_of, use_faulty
+from faulty_sockets import Failures, failing, named, use_faulty
 from loopback import PATIENCE_S, FakeServer, answer, hung, play, served, until
+from pool_requests import outcome_of
 
 from sidecar.balancer.events import Outcome, ServerState
-from sidecar.proxy.upstream import Exchange, Upstream, message
+from sidecar.proxy.connection_pool import ConnectionPool
+from sidecar.proxy.exchange import EncodedRequest, Exchange
+from sidecar.proxy.http_messages import message
 
 _BROKEN = (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH)
 _LONG = bytes(20_000)  # a request that is written in two parts, the last byte alone
@@ -28,11 +31,11 @@
     async def scene() -> None:
         server = FakeServer("s", lambda *_: reply)
         await server.start()
-        servers = Upstream(PATIENCE_S, 60.0, 10)
+        servers = ConnectionPool(PATIENCE_S, 60.0, 10)
         servers.update("s", server.address, None, ServerState.READY)
         assert await outcome_of(servers, body=body) is expected
         servers.close_idle("s")
-        await until(lambda: servers._open == 0)
+        await until(lambda: servers.open_connections == 0)
         if expected is not Outcome.RESET:
             await until(lambda: server.closed == 1)  # all that was sent has been read
             assert len(server.requests) == received
@@ -43,7 +46,7 @@
 
 @pytest.mark.parametrize("code", _BROKEN, ids=named)
 @pytest.mark.parametrize(("body", "sends"), [(b"", 0), (_LONG, 0), (_LONG, 1)])
-def test_a_write_that_fails_before_the_last_byte_proves_that_it_never_ran(
+def test_failed_write_before_the_last_byte_proves_that_the_request_never_ran(
     body: bytes, sends: int, code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     use_faulty(monkeypatch, sends=working_then(code, sends))
@@ -51,13 +54,13 @@
 
 
 @pytest.mark.parametrize("code", _BROKEN, ids=named)
-def test_a_short_write_does_not_count_as_the_last_byte(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_short_write_does_not_count_as_the_last_byte(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
     use_faulty(monkeypatch, sends=working_then(code, 3), send_most=9)
     attempt(Outcome.CONNECT_FAILED, 0)
 
 
 @pytest.mark.parametrize("code", _BROKEN, ids=named)
-def test_a_read_that_fails_after_the_last_byte_is_a_reset(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failed_read_after_the_last_byte_is_a_reset(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
     use_faulty(monkeypatch, reads=working_then(code, 0))
     attempt(Outcome.RESET, 1)
     use_faulty(monkeypatch, reads=working_then(code, 1), read_most=30)  # in the middle of the answer
@@ -66,7 +69,9 @@
 
 @pytest.mark.parametrize("code", [errno.EINTR, errno.EAGAIN], ids=named)
 @pytest.mark.parametrize("body", [b"", _LONG])
-def test_interrupted_calls_are_made_again(body: bytes, code: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_interrupted_system_calls_are_retried(
+    body: bytes, code: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     use_faulty(monkeypatch, sends=failing(code, 2), reads=failing(code, 2))
     attempt(Outcome.SUCCEEDED, 1, body)
 
@@ -79,7 +84,7 @@
 
 @pytest.mark.parametrize("code", [errno.ENOBUFS, errno.ENOMEM], ids=named)
 @pytest.mark.parametrize(("body", "sends"), [(b"", 0), (_LONG, 0), (_LONG, 1)])
-def test_a_write_that_fails_for_a_local_cause_says_nothing_of_the_server(
+def test_write_that_fails_for_a_local_cause_is_not_a_failure_of_the_server(
     body: bytes, sends: int, code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     use_faulty(monkeypatch, sends=working_then(code, sends))
@@ -87,7 +92,7 @@
 
 
 @pytest.mark.parametrize("code", [errno.ENOTCONN, errno.EIO], ids=named)
-def test_an_attempt_is_given_up_though_shutdown_and_close_fail(
+def test_attempt_is_cancelled_even_if_shutdown_and_close_fail(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     use_faulty(monkeypatch, shutdowns=working_then(code, 0), closes=working_then(code, 0))
@@ -95,15 +100,17 @@
     async def scene() -> None:
         server = FakeServer("s", hung)
         await server.start()
-        servers = Upstream(PATIENCE_S, 60.0, 10)
+        servers = ConnectionPool(PATIENCE_S, 60.0, 10)
         servers.update("s", server.address, None, ServerState.READY)
         outcomes: list[Outcome] = []
         data = message(b"GET / HTTP/1.1", [(b"Host", b"x")])
         until_at = asyncio.get_running_loop().time() + PATIENCE_S
-        exchange: Exchange = servers.send("s", lambda _: data, until_at, lambda end, _: outcomes.append(end))
+        exchange: Exchange = servers.send(
+            "s", EncodedRequest(data), until_at, lambda end, _: outcomes.append(end)
+        )
         await until(lambda: server.requests)
         servers.cancel(exchange)
-        await until(lambda: server.closed == 1 and servers._open == 0)
+        await until(lambda: server.closed == 1 and servers.open_connections == 0)
         assert outcomes == [Outcome.CANCELLED]
         server.stop()
 
