--- a/sidecar/balancer/balancer.py
+++ b/sidecar/balancer/balancer.py
@@ -68,7 +68,7 @@
         self._set_up_probing()
         self._limit.rescale(self._context.longest_target_us / former_target_us)
         for request in self._requests.values():
-            request.restrict(settings.limits, self._context.never_ran)
+            request.restrict(settings.limits, retries.never_ran_outcomes(settings))
         if former.discovery is not settings.discovery:
             self._refresh.watch()
 
@@ -130,14 +130,15 @@
 
     def _request_arrived(self, event: events.RequestArrived) -> None:
         now = self._context.now
-        service_class = self._context.class_named(event.service_class, event.remaining_us)
+        service_class = self._context.catalog.class_named(event.service_class, event.remaining_us)
         self._slow_start.arrivals.add(now)
         answer_by = now + event.remaining_us - ANSWER_EARLY_TICKS * self._context.settings.tick_us
         cost = self._latency.relative_cost(service_class, event.cost_us)
         flow = (service_class.name, event.tenant)
         all_zones, size = not self._selector.local_first, max(-3, min(math.frexp(cost)[1], 4))
         request = Request(event.request, service_class, answer_by, cost, flow, all_zones, size)
-        request.limits, request.never_ran = self._context.settings.limits, self._context.never_ran
+        request.limits = self._context.settings.limits
+        request.never_ran = retries.never_ran_outcomes(self._context.settings)
         self._requests[event.request] = request
         self._context.timers.add(answer_by, timers.RequestDeadline(event.request))
         if self._admission.refuses(request, event.remaining_us):
@@ -201,7 +202,7 @@
         if not self._slow_start.has_room(server, request.cost):
             return False  # rule 4
         server.cold_budget -= request.cost  # which counts only while it is cold
-        attempt = Attempt(index, server, now, self._context.stalled_us, self._outliers.answers)
+        attempt = Attempt(index, server, now, self._context.stalls.stalled_us, self._outliers.answers)
         request.attempts.append(attempt)
         self._context.load.change(server, 1)
         self._admission.sent(request.service_class.latency_target_us)
@@ -320,7 +321,7 @@
         """When that which a timer was set for wants it; None: no longer."""
         match timer:
             case timers.StallCheck():
-                return self._context.stall_check_due
+                return self._context.stalls.check_due
             case timers.AttemptOverdue():
                 request = self._unanswered(timer.request)
                 return due if request is not None and request.attempts[timer.attempt].pending else None
--- a/sidecar/balancer/policy/retries.py
+++ b/sidecar/balancer/policy/retries.py
@@ -2,13 +2,20 @@
 
 from sidecar.balancer.events import Outcome
 from sidecar.balancer.state import Request, Server
-from sidecar.settings import DedupScope, Idempotency
+from sidecar.settings import DedupScope, Idempotency, Settings
 
 RETRIES_PER_ANSWER = 0.2  # retries after failures, for each attempt that was answered: no retry storms
 RETRIES_LOST_PER_FAILURE = 0.3  # so none are left while more than two attempts in five fail
 MAX_BALANCE = 2.0  # retries that may be saved up; when a fault begins, they multiply from hop to hop
 FAILURES = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.ERROR)
 INITIAL_BALANCE = 4.0  # until the first answer: first connections fail by chance
+NEVER_RAN = frozenset((Outcome.CONNECT_FAILED, Outcome.NOT_SENT))  # prove that an attempt did not run
+NEVER_RAN_OR_REJECTED = NEVER_RAN | {Outcome.REJECTED}
+
+
+def never_ran_outcomes(settings: Settings) -> frozenset[Outcome]:
+    """The outcomes that prove that an attempt did not run."""
+    return NEVER_RAN if settings.rules.late_shedding else NEVER_RAN_OR_REJECTED
 
 
 class RetryBudget:
--- a/sidecar/balancer/state/context.py
+++ b/sidecar/balancer/state/context.py
@@ -1,128 +1,163 @@
-"""The event being handled: its time, the actions that it leads to, and stalls of this process before it."""
+"""What all policies share: the settings, the state and the outcome of the event being handled."""
 
 import random
 from collections.abc import Callable
-from typing import Any, TypeVar
+from typing import TypeVar
 
 from sidecar.balancer.actions import Action
-from sidecar.balancer.events import Event, Outcome, TimerFired
+from sidecar.balancer.events import Event, TimerFired
+from sidecar.balancer.state.clock import Clock
 from sidecar.balancer.state.load import ActiveLoad
 from sidecar.balancer.state.records import Flow
 from sidecar.balancer.state.registry import ServerRegistry
+from sidecar.balancer.state.service_catalog import ServiceCatalog
+from sidecar.balancer.state.settings_bound import SettingsBoundState, evict
+from sidecar.balancer.state.stall_detector import StallDetector
 from sidecar.balancer.state.statistics import DecayingRate
 from sidecar.balancer.state.timers import StallCheck, Timer, TimerQueue
-from sidecar.settings import ServiceClass, Settings
-
-NEVER_RAN = frozenset((Outcome.CONNECT_FAILED, Outcome.NOT_SENT))  # prove that an attempt did not run
+from sidecar.settings import Settings
 
 Key = TypeVar("Key")
 Value = TypeVar("Value")
 
 
 class Context:
-    """What all parts of the policy share; times are in microseconds."""
+    """The shared state of a balancer, and the frame in which each event is handled.
+
+    Attributes:
+        settings: The settings in force.
+        catalog: The service classes and tenants that they name.
+        rng: The source of every random decision.
+        clock: The time of the event being handled.
+        stalls: The stalls of this process.
+        registry: The servers known.
+        load: This balancer's own attempts.
+        timers: The timers of all policies.
+        actions: The actions that the event has led to so far, in the order to carry them out.
+    """
 
     def __init__(self, settings: Settings, rng: random.Random, stall_check_targets: float) -> None:
+        """Create the state of a new balancer.
+
+        Args:
+            settings: The settings in force at first.
+            rng: The source of every random decision.
+            stall_check_targets: The interval of the stall checks, in shortest latency targets.
+        """
+        self.settings = settings
+        self.catalog = ServiceCatalog(settings)
         self.rng = rng
+        self.clock = Clock()
+        self._stall_check_targets = stall_check_targets
+        self.stalls = StallDetector(self.clock, self._stall_check_interval_us())
         self.registry = ServerRegistry(rng)
-        self.load = ActiveLoad(self)
+        self.registry.set_local_zone(settings.zone)
+        self.load = ActiveLoad(self.clock)
         self.timers = TimerQueue()
-        self.actions: list[Action] = []  # to carry out for this event
-        self.now = 0
-        self.stalled_us = 0  # in all stalls together
-        self.caught_up_at = -1  # by when what came during the last stall has been handled
-        self.stall_check_due = 0  # 0: no check is set
-        self._stall_check_targets = stall_check_targets
-        self._resumed_at = -1
-        self._tables: list[tuple[dict[Any, Any], Callable[[Any], bool]]] = []
-        self._rates: list[tuple[DecayingRate, Callable[[], float]]] = []
-        self.adopt(settings)
+        self.actions: list[Action] = []
+        self._settings_bound = SettingsBoundState()
 
-    def adopt(self, settings: Settings) -> None:
-        """Go by these settings from now on, with what follows from them alone.
+    def _stall_check_interval_us(self) -> int:
+        interval_us = int(self._stall_check_targets * self.catalog.shortest_target_us)
+        return max(interval_us, self.settings.tick_us)
 
-        What is kept of classes and tenants that are gone is forgotten; rates go on over new spans.
-        """
+    def adopt(self, settings: Settings) -> None:
+        """Put other settings into force, and adapt all state that depends on them."""
         self.settings = settings
-        self.classes = {each.name: each for each in settings.classes}
-        self._has_ordered_class = any(each.ordered_by_key for each in settings.classes)
-        self.tenant_shares = {each.name: each.share for each in settings.tenants}
-        self.all_shares = sum(self.tenant_shares.values()) or 1.0
-        self.never_ran = NEVER_RAN if settings.rules.late_shedding else NEVER_RAN | {Outcome.REJECTED}
-        targets_us = [each.latency_target_us for each in settings.classes]
-        self.longest_target_us = max(targets_us)
-        self._stall_check_us = max(int(self._stall_check_targets * min(targets_us)), settings.tick_us)
+        self.catalog = ServiceCatalog(settings)
+        self.stalls.set_check_interval(self._stall_check_interval_us())
         self.registry.set_local_zone(settings.zone)
-        servers = self.registry.servers.values()
-        backoffs = [(each.backoff, self.names_flow) for each in servers if each.backoff]
-        for table, is_kept in (*self._tables, *backoffs):
-            for key in [each for each in table if not is_kept(each)]:
-                del table[key]
-        for rate, span_us in self._rates:
-            rate.set_span(span_us())
-
-    def class_named(self, name: str, remaining_us: int) -> ServiceClass:
-        """The class of this name; of one that the settings do not name the least is assumed."""
-        known = self.classes.get(name)
-        allowed_us = max(remaining_us, 1)
-        return known or ServiceClass(name, allowed_us, allowed_us, ordered_by_key=self._has_ordered_class)
+        for server in self.registry.servers.values():
+            evict(server.backoff, self.catalog.has_flow)
+        self._settings_bound.settings_changed()
+
+    @property
+    def now(self) -> int:
+        """The time of the event being handled, in microseconds on the host's clock."""
+        return self.clock.now
+
+    @now.setter
+    def now(self, now: int) -> None:
+        self.clock.now = now
+
+    @property
+    def stalled_us(self) -> int:
+        """The total duration of all stalls so far, in microseconds."""
+        return self.stalls.stalled_us
+
+    @property
+    def caught_up_at(self) -> int:
+        """When the events that arrived during the last stall have been handled, in microseconds."""
+        return self.stalls.caught_up_at
+
+    @property
+    def longest_target_us(self) -> int:
+        """The longest latency target of any class, in microseconds."""
+        return self.catalog.longest_target_us
+
+    @property
+    def tenant_shares(self) -> dict[str, float]:
+        """Each tenant's share of the fleet, by the tenant's name."""
+        return self.catalog.tenant_shares
+
+    @property
+    def all_shares(self) -> float:
+        """The sum of all tenants' shares."""
+        return self.catalog.all_shares
 
     def names_class(self, name: str) -> bool:
         """Whether the settings name this class."""
-        return name in self.classes
+        return self.catalog.has_class(name)
 
     def names_sized_class(self, kind: tuple[str, int]) -> bool:
         """Whether the settings name the class of this class and size."""
-        return kind[0] in self.classes
+        return self.catalog.has_class(kind[0])
 
     def names_flow(self, flow: Flow) -> bool:
         """Whether the settings name this class and tenant."""
-        return flow[0] in self.classes and (flow[1] is None or flow[1] in self.tenant_shares)
+        return self.catalog.has_flow(flow)
 
     def new_table(self, is_kept: Callable[[Key], bool]) -> dict[Key, Value]:
-        """A table by class or tenant; entries that are not to be kept go as the settings change."""
-        table: dict[Key, Value] = {}
-        self._tables.append((table, is_kept))
-        return table
+        """Create a table by class or tenant; entries that are not to be kept go when the settings change."""
+        return self._settings_bound.new_table(is_kept)
 
     def new_rate(self, span_us: Callable[[], float]) -> DecayingRate:
-        """A rate whose span follows from the settings."""
-        rate = DecayingRate(span_us())
-        self._rates.append((rate, span_us))
-        return rate
+        """Create a rate whose span, in microseconds, follows from the settings."""
+        return self._settings_bound.new_rate(span_us)
+
+    def is_catching_up(self) -> bool:
+        """Whether the event may have waited while this process stalled."""
+        return self.stalls.is_catching_up()
+
+    def has_just_resumed(self) -> bool:
+        """Whether the event is the first one after a stall, or happened at the same time."""
+        return self.stalls.has_just_resumed()
 
     def begin(self, now: int, event: Event) -> None:
-        """Turn to the next event; a stall check that is late by more than its interval tells of a stall.
+        """Start to handle an event.
 
-        What is found after a stall came at times unknown, so nothing is learned from it: else the balancer
-        would take its own absence for slow servers, eject them and refuse what they could serve.  Catching
-        up takes about as long as the stall; a process with too little CPU stays in that state.
+        Args:
+            now: The host's clock, in microseconds.
+            event: The event.
         """
-        self.now = now
+        self.clock.now = now
         self.actions = []
-        late_us = now - self.stall_check_due
-        if self.stall_check_due and late_us > self._stall_check_us:
-            self.stalled_us += late_us
-            self._resumed_at = now
-            self.caught_up_at = now + late_us + self._stall_check_us
-            self.stall_check_due = 0
-        elif late_us >= 0 and isinstance(event, TimerFired):
-            self.stall_check_due = 0  # by no other event: where those are many, timers wait
+        self.stalls.observe(is_timer=isinstance(event, TimerFired))
 
-    def is_catching_up(self) -> bool:
-        """Whether events may have waited while this process stalled."""
-        return self.now <= self.caught_up_at
+    def end(self, wanted_at: Callable[[int, Timer], int | None]) -> list[Action]:
+        """Finish handling the event: set the next stall check and the host's timer where they are needed.
 
-    def has_just_resumed(self) -> bool:
-        """Whether this event is the first after a stall, or came at the same time."""
-        return self.now == self._resumed_at
+        Args:
+            wanted_at: When a timer that was set for a time is still wanted; None if it is not.
 
-    def end(self, wanted_at: Callable[[int, Timer], int | None]) -> list[Action]:
-        """Set the next stall check and the host's timer where they are needed; give the actions, in order."""
-        if self.load.attempts and not self.stall_check_due:
-            self.stall_check_due = self.now + self._stall_check_us
-            self.timers.add(self.stall_check_due, StallCheck())
-        timer = self.timers.arm(self.now, wanted_at)
-        if timer is not None:
-            self.actions.append(timer)
+        Returns:
+            The actions that the event led to, in the order to carry them out.
+        """
+        if self.load.attempts:
+            check_due = self.stalls.schedule_check()
+            if check_due is not None:
+                self.timers.add(check_due, StallCheck())
+        host_timer = self.timers.arm(self.now, wanted_at)
+        if host_timer is not None:
+            self.actions.append(host_timer)
         return self.actions
--- a/sidecar/balancer/state/load.py
+++ b/sidecar/balancer/state/load.py
@@ -1,16 +1,11 @@
 """This balancer's own attempts in flight: at each server, in all, and on average."""
 
-from __future__ import annotations
-
 import heapq
 import math
-from typing import TYPE_CHECKING
 
+from sidecar.balancer.state.clock import Clock
 from sidecar.balancer.state.records import Attempt, Server
 
-if TYPE_CHECKING:
-    from sidecar.balancer.state.context import Context
-
 
 class ActiveLoad:
     """Running counts of active attempts; abandoned ones count on for a while, as they may still run.
@@ -19,14 +14,14 @@
     up to their deadline, they would keep the concurrency limit full long after other servers are well.
     """
 
-    def __init__(self, context: Context) -> None:
+    def __init__(self, clock: Clock) -> None:
         self.attempts = 0  # not ended yet
         self.within_target = 0  # of these, the ones whose latency target has not passed
         self.at_ejected = 0  # of the ones within their target, those at ejected servers
         self.mean = 0.0  # of the total, over time
         self._mean_at = 0
         self._abandoned: list[int] = []  # when each abandoned attempt stops counting, soonest first
-        self._context = context
+        self._clock = clock
 
     def change(self, server: Server, by: int, within_target: bool = True) -> None:
         """Count an attempt that starts (1) or ends (-1), the latter within its latency target or after it."""
@@ -58,7 +53,7 @@
 
         Kept as counts, not summed: it is asked for at every event.
         """
-        while self._abandoned and self._abandoned[0] <= self._context.now:
+        while self._abandoned and self._abandoned[0] <= self._clock.now:
             heapq.heappop(self._abandoned)
         return self.within_target - self.at_ejected + len(self._abandoned)
 
@@ -68,14 +63,14 @@
         Guards against a slow or hung server that looks empty because its attempts were cancelled.
         """
         if server.abandoned:
-            server.abandoned = [until for until in server.abandoned if until > self._context.now]
+            server.abandoned = [until for until in server.abandoned if until > self._clock.now]
         return server.in_flight + len(server.abandoned)
 
     def update_mean(self, most: float, span_us: float) -> None:
         """Average the total up to now over this span, and no more than this (or the total) before."""
-        elapsed_us = self._context.now - self._mean_at
+        elapsed_us = self._clock.now - self._mean_at
         if elapsed_us > 0:
-            self._mean_at = self._context.now
+            self._mean_at = self._clock.now
             total = self.total()
             self.mean = min(self.mean, max(total, most, 1.0))
             self.mean += (total - self.mean) * (1.0 - math.exp(-elapsed_us / span_us))
--- /dev/null
+++ b/sidecar/balancer/state/service_catalog.py
@@ -0,0 +1,46 @@
+"""Lookups of the service classes and tenants that the settings name."""
+
+from sidecar.balancer.state.records import Flow
+from sidecar.settings import ServiceClass, Settings
+
+
+class ServiceCatalog:
+    """The service classes and tenants of one version of the settings.
+
+    Attributes:
+        longest_target_us: The longest latency target of any class, in microseconds.
+        shortest_target_us: The shortest latency target of any class, in microseconds.
+        tenant_shares: Each tenant's share of the fleet, by the tenant's name.
+        all_shares: The sum of all shares; 1.0 where there are none.
+    """
+
+    def __init__(self, settings: Settings) -> None:
+        targets_us = [each.latency_target_us for each in settings.classes]
+        self.longest_target_us = max(targets_us)
+        self.shortest_target_us = min(targets_us)
+        self.tenant_shares = {each.name: each.share for each in settings.tenants}
+        self.all_shares = sum(self.tenant_shares.values()) or 1.0
+        self._classes = {each.name: each for each in settings.classes}
+        self._has_ordered_class = any(each.ordered_by_key for each in settings.classes)
+
+    def class_named(self, name: str, remaining_us: int) -> ServiceClass:
+        """The service class of a request.
+
+        Args:
+            name: The name of the class.  Of a class that the settings don't name the least is assumed.
+            remaining_us: How long the client waits for the response, in microseconds.
+        """
+        known = self._classes.get(name)
+        if known is not None:
+            return known
+        allowed_us = max(remaining_us, 1)
+        return ServiceClass(name, allowed_us, allowed_us, ordered_by_key=self._has_ordered_class)
+
+    def has_class(self, name: str) -> bool:
+        """Whether the settings name this class."""
+        return name in self._classes
+
+    def has_flow(self, flow: Flow) -> bool:
+        """Whether the settings name both the class and the tenant of a flow."""
+        class_name, tenant = flow
+        return class_name in self._classes and (tenant is None or tenant in self.tenant_shares)
--- /dev/null
+++ b/sidecar/balancer/state/settings_bound.py
@@ -0,0 +1,51 @@
+"""Tables and rates that have to follow changes of the settings."""
+
+from collections.abc import Callable
+from typing import Any, TypeVar
+
+from sidecar.balancer.state.statistics import DecayingRate
+
+Key = TypeVar("Key")
+Value = TypeVar("Value")
+
+
+def evict(table: dict[Key, Any], is_kept: Callable[[Key], bool]) -> None:
+    """Delete the entries of a table whose keys are not to be kept."""
+    evicted = [key for key in table if not is_kept(key)]
+    for key in evicted:
+        del table[key]
+
+
+class SettingsBoundState:
+    """Registers tables and rates, and adapts all of them when the settings change."""
+
+    def __init__(self) -> None:
+        self._tables: list[tuple[dict[Any, Any], Callable[[Any], bool]]] = []
+        self._rates: list[tuple[DecayingRate, Callable[[], float]]] = []
+
+    def new_table(self, is_kept: Callable[[Key], bool]) -> dict[Key, Value]:
+        """Create a table by class or tenant.
+
+        Args:
+            is_kept: Whether the entry of a key is kept under the settings then in force.
+        """
+        table: dict[Key, Value] = {}
+        self._tables.append((table, is_kept))
+        return table
+
+    def new_rate(self, span_us: Callable[[], float]) -> DecayingRate:
+        """Create a rate.
+
+        Args:
+            span_us: The span to average over under the settings then in force, in microseconds.
+        """
+        rate = DecayingRate(span_us())
+        self._rates.append((rate, span_us))
+        return rate
+
+    def settings_changed(self) -> None:
+        """Evict the entries that the settings no longer name, and average the rates over their new spans."""
+        for table, is_kept in self._tables:
+            evict(table, is_kept)
+        for rate, span_us in self._rates:
+            rate.set_span(span_us())
