--- a/sidecar/balancer/actions.py
+++ b/sidecar/balancer/actions.py
@@ -1,6 +1,7 @@
-"""What the balancer asks of its host: actions, as plain slotted dataclasses to be treated as values.
+"""Actions: what the balancer asks of its host, as slotted dataclasses to be treated as values.
 
-Times are whole microseconds.
+All times and durations are whole microseconds.  A duration is named with the suffix `_us`; a time is one of
+the host's clock.
 """
 
 from __future__ import annotations
@@ -10,17 +11,30 @@
 
 @dataclass(slots=True)
 class SendAttempt:
-    """Start an attempt; a request's attempts are numbered from 0 in the order they are sent."""
+    """Start an attempt; the attempts of a request are numbered from 0 in the order they are sent.
+
+    Attributes:
+        request: The number of the request.
+        server: The name of the server to send it to.
+        until: The time at which the attempt times out.
+        write_by: The time by which the request has to be written completely if another attempt was begun
+            before; None: it may be written at any time.
+    """
 
     request: int
     server: str
-    until: int  # clock time at which the attempt is abandoned
-    write_by: int | None = None  # and before which it is written whole if another one was begun; None: always
+    until: int
+    write_by: int | None = None
 
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: refused; trying again is harmless."""
+    """Give the client its final response: the request is rejected, and a retry does no harm.
+
+    Attributes:
+        request: The number of the request.
+        retry_after_us: How long the client should wait before it retries, in microseconds; 0: not said.
+    """
 
     request: int
     retry_after_us: int = 0
@@ -28,14 +42,23 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: failed; nothing is promised."""
+    """Give the client its final response: the request failed, and a retry may do harm.
+
+    Attributes:
+        request: The number of the request.
+    """
 
     request: int
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt."""
+    """Stop waiting for an attempt.
+
+    Attributes:
+        request: The number of the request.
+        attempt: The number of the attempt within its request.
+    """
 
     request: int
     attempt: int
@@ -43,7 +66,12 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a TimerFired."""
+    """Send a `TimerFired` event later.
+
+    Attributes:
+        in_us: How long to wait, in microseconds.
+        token: The token to send with the event.
+    """
 
     in_us: int
     token: str
@@ -51,21 +79,34 @@
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Test a server."""
+    """Send a health check to a server.
+
+    Attributes:
+        server: The name of the server.
+    """
 
     server: str
 
 
 @dataclass(slots=True)
 class CloseIdleConnections:
-    """Close the idle connections to a server."""
+    """Close the idle connections to a server.
+
+    Attributes:
+        server: The name of the server.
+    """
 
     server: str
 
 
 @dataclass(slots=True)
 class SendMessage:
-    """Send a message to one balancer of the tier, or to all (None)."""
+    """Send a message to other balancers of the tier; the simulator's wire has this action.
+
+    Attributes:
+        receiver: The number of the balancer to send it to; None: to all of them.
+        payload: The content of the message.
+    """
 
     receiver: int | None
     payload: bytes
@@ -73,19 +114,27 @@
 
 @dataclass(slots=True)
 class WatchRegistry:
-    """Subscribe to changes of the server list, or end that."""
+    """Subscribe to changes of the endpoint list, or end the subscription.
+
+    Attributes:
+        wanted: Whether to subscribe.
+    """
 
     wanted: bool = True
 
 
 @dataclass(slots=True)
 class FetchRegistry:
-    """Ask once for the complete server list."""
+    """Fetch the complete endpoint list once; the simulator's wire has this action."""
 
 
 @dataclass(slots=True)
 class Log:
-    """A line for the operators."""
+    """Write a line to the log.
+
+    Attributes:
+        text: The line.
+    """
 
     text: str
 
--- a/sidecar/balancer/events.py
+++ b/sidecar/balancer/events.py
@@ -1,6 +1,7 @@
-"""What the balancer is told: events, as plain slotted dataclasses to be treated as values.
+"""Events: what the host tells the balancer, as slotted dataclasses to be treated as values.
 
-Times are whole microseconds.
+All times and durations are whole microseconds.  A duration is named with the suffix `_us`; a time is one of
+the host's clock.
 """
 
 from __future__ import annotations
@@ -14,40 +15,65 @@
 
 @unique
 class ServerState(Enum):
-    """What the server list says of a server."""
+    """The state of a server according to the registry."""
 
     READY = "ready"
+    """It accepts requests."""
     DRAINING = "draining"
+    """It finishes the requests it has and gets no new ones."""
     REMOVED = "gone"
+    """It is not in the registry any more."""
 
 
 @unique
 class RegistryUpdateKind(Enum):
-    """How a server list is to be read."""
+    """How to read the endpoint list of a registry update."""
 
-    DELTA = "delta"  # changed entries only
-    SNAPSHOT = "snapshot"  # who is missing is gone
-    CACHED = "cached"  # complete, but as last held before a restart
-    FAILED = "failed"  # a call failed or the subscription broke; nothing changes
+    DELTA = "delta"
+    """It holds the changed endpoints only."""
+    SNAPSHOT = "snapshot"
+    """It is complete: a server that is missing is removed."""
+    CACHED = "cached"
+    """It is complete, but as of a time before the sidecar's restart."""
+    FAILED = "failed"
+    """A call failed or the subscription broke; nothing changes."""
 
 
 @unique
 class Outcome(Enum):
-    """How an attempt ended."""
+    """How an attempt or a health check ended."""
 
     SUCCEEDED = "succeeded"
+    """The server responded."""
     ERROR = "error"
+    """The server responded with an error, or with something that is no valid response."""
     REJECTED = "rejected"
+    """The server shed the request."""
     TIMED_OUT = "timed_out"
+    """The server did not respond before the attempt's deadline."""
     CONNECT_FAILED = "connect_failed"
+    """No connection could be opened."""
     RESET = "reset"
+    """The connection broke before the response was complete."""
     CANCELLED = "cancelled"
+    """The attempt was cancelled before it ended."""
     NOT_SENT = "not_sent"
+    """The request was not sent completely, so the server can't have run it."""
 
 
 @dataclass(slots=True)
 class Endpoint:
-    """A line of the server list."""
+    """An entry of the endpoint list.
+
+    Attributes:
+        server: The server's name.
+        zone: The availability zone that it runs in.
+        kind: The kind of machine that it runs on; decisions don't depend on it.
+        cell: The group of servers that it shares its record of idempotency keys with.
+        state: Whether it accepts requests.
+        nominal: Its capacity relative to that of the others.
+        started_at: When its process started, on the registry's clock; None: long ago.
+    """
 
     server: str
     zone: str = ""
@@ -55,27 +81,36 @@
     cell: int = 0
     state: ServerState = ServerState.READY
     nominal: float = 1.0
-    started_at: int | None = None  # None: long ago
+    started_at: int | None = None
 
 
 @dataclass(slots=True)
 class RegistryUpdated:
-    """The server list was heard, or a call for it failed."""
+    """The registry sent an update, or a call to it failed.
+
+    Attributes:
+        kind: How to read the endpoint list.
+        servers: The endpoint list.
+        version: The registry's version of the list; decisions don't depend on it.
+    """
 
     kind: RegistryUpdateKind
     servers: Sequence[Endpoint] = ()
     version: int = 0
 
     def is_empty(self) -> bool:
-        """Whether it says that nothing has changed."""
+        """Whether the update says that nothing has changed."""
         return self.kind is RegistryUpdateKind.DELTA and not self.servers
 
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """Other settings are in force from here on.
+    """Other settings are in force from now on.
+
+    Requests accepted before keep their class, deadline and idempotency; the new limits hold for them, too.
 
-    Requests taken before keep their class, deadline and idempotency; limits hold for them, too.
+    Attributes:
+        settings: The settings in force from now on.
     """
 
     settings: Settings
@@ -83,21 +118,39 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request; one final answer is owed from here on."""
+    """A client sent a request; from now on it is owed one final response.
+
+    Attributes:
+        request: The host's number of the request.
+        service_class: The name of its service class.
+        tenant: The name of its tenant, if it has one.
+        key: The key by which its class may order requests.
+        remaining_us: How long the client still waits, in microseconds.
+        cost_us: The client's estimate of the processing time, in microseconds, if it gave one.
+        client_retry: Whether the client says that this is a retry; decisions don't depend on it.
+        write: Whether the client says that this is a write; decisions don't depend on it.
+    """
 
     request: int
     service_class: str
     tenant: str | None
     key: int | None
     remaining_us: int
-    cost_us: int | None = None  # a hint of the work, where the client gave one
+    cost_us: int | None = None
     client_retry: bool = False
     write: bool = False
 
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """The streamed answer of an attempt has begun; the attempt now belongs to the client."""
+    """The host has begun to stream the response of an attempt to the client.
+
+    Attributes:
+        request: The number of the request.
+        attempt: The number of the attempt within its request.
+        server: The name of the attempt's server.
+        elapsed_us: How long the attempt has taken so far, in microseconds.
+    """
 
     request: int
     attempt: int
@@ -107,7 +160,17 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt ended.  `answered`: the client has its final answer, by this outcome or an earlier one."""
+    """An attempt ended.
+
+    Attributes:
+        request: The number of the request.
+        attempt: The number of the attempt within its request.
+        server: The name of the attempt's server.
+        outcome: How the attempt ended.
+        elapsed_us: How long the attempt took, in microseconds.
+        answered: Whether the client has its final response, by this attempt or from before.
+        report: The server's load report, if it sent one: figures by their names.
+    """
 
     request: int
     attempt: int
@@ -120,21 +183,36 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client went away; nothing is owed any more."""
+    """The client went away; it is owed no response any more.
+
+    Attributes:
+        request: The number of the request.
+    """
 
     request: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer set earlier is due."""
+    """A timer is due.
+
+    Attributes:
+        token: The token that the timer was set with.
+    """
 
     token: str
 
 
 @dataclass(slots=True)
 class HealthCheckEnded:
-    """A probe came back."""
+    """A health check ended.
+
+    Attributes:
+        server: The name of the server.
+        outcome: How the health check ended.
+        elapsed_us: How long it took, in microseconds.
+        report: The server's load report, if it sent one: figures by their names.
+    """
 
     server: str
     outcome: Outcome
@@ -144,7 +222,12 @@
 
 @dataclass(slots=True)
 class MessageReceived:
-    """A message from another balancer of the tier."""
+    """Another balancer of the tier sent a message; the simulator's wire has this event.
+
+    Attributes:
+        sender: The number of the balancer that sent it.
+        payload: The content of the message.
+    """
 
     sender: int
     payload: bytes
--- a/sidecar/balancer/state/__init__.py
+++ b/sidecar/balancer/state/__init__.py
@@ -1,6 +1,6 @@
-"""What the balancer keeps between events: plain records, the registry's copy, timers, running statistics.
+"""The state that the balancer keeps between events: records, the registry's copy, timers, running statistics.
 
-Nothing here decides: `sidecar.balancer.policy` has what follows from this state and every constant of that.
+Nothing here decides: `sidecar.balancer.policy` holds the decisions and every constant they depend on.
 """
 
 from sidecar.balancer.state.context import Context
--- a/sidecar/balancer/state/load.py
+++ b/sidecar/balancer/state/load.py
@@ -1,4 +1,4 @@
-"""This balancer's own attempts in flight: at each server, in all, and on average."""
+"""The load that this balancer's own attempts cause: at each server, in total and on average."""
 
 import heapq
 import math
@@ -12,19 +12,31 @@
 
     The total leaves out attempts whose latency target has passed: they have told what they can tell.  Counted
     up to their deadline, they would keep the concurrency limit full long after other servers are well.
+
+    Attributes:
+        attempts: The number of attempts that have not ended.
+        within_target: Of these, the number of those whose latency target has not passed.
+        at_ejected: Of the attempts within their target, the number of those at ejected servers.
+        mean: The moving average of the total.
     """
 
     def __init__(self, clock: Clock) -> None:
-        self.attempts = 0  # not ended yet
-        self.within_target = 0  # of these, the ones whose latency target has not passed
-        self.at_ejected = 0  # of the ones within their target, those at ejected servers
-        self.mean = 0.0  # of the total, over time
+        self.attempts = 0
+        self.within_target = 0
+        self.at_ejected = 0
+        self.mean = 0.0
         self._mean_at = 0
-        self._abandoned: list[int] = []  # when each abandoned attempt stops counting, soonest first
+        self._abandoned: list[int] = []  # when each abandoned attempt stops counting; a heap
         self._clock = clock
 
     def change(self, server: Server, by: int, within_target: bool = True) -> None:
-        """Count an attempt that starts (1) or ends (-1), the latter within its latency target or after it."""
+        """Count an attempt that starts or ends.
+
+        Args:
+            server: The server of the attempt.
+            by: 1 where it starts, -1 where it ends.
+            within_target: Whether its latency target has not passed.
+        """
         server.in_flight += by
         self.attempts += by
         if within_target:
@@ -43,34 +55,45 @@
             self.at_ejected += by
 
     def abandon(self, server: Server, until: int, within_target: bool = True) -> None:
-        """Count an attempt that ended unanswered until then; in the total if it was within its target."""
+        """Go on counting an attempt that ended without a response.
+
+        Args:
+            server: The server of the attempt.
+            until: The time up to which it counts, in microseconds.
+            within_target: Whether its latency target had not passed; otherwise the total leaves it out.
+        """
         server.abandoned.append(until)
         if within_target and server.ejected_until is None:
             heapq.heappush(self._abandoned, until)
 
     def total(self) -> int:
-        """Attempts within their target, and abandoned ones, at servers that are not ejected.
-
-        Kept as counts, not summed: it is asked for at every event.
-        """
+        """The number of attempts within their target, and abandoned ones, at servers that are not ejected."""
+        # From running counts, as it is read at every event.
         while self._abandoned and self._abandoned[0] <= self._clock.now:
             heapq.heappop(self._abandoned)
         return self.within_target - self.at_ejected + len(self._abandoned)
 
     def at(self, server: Server) -> int:
-        """Active and abandoned attempts at one server.
+        """The number of active and abandoned attempts at a server.
 
-        Guards against a slow or hung server that looks empty because its attempts were cancelled.
+        Without the abandoned ones, a slow or hung server would look idle once its attempts are cancelled.
         """
         if server.abandoned:
             server.abandoned = [until for until in server.abandoned if until > self._clock.now]
         return server.in_flight + len(server.abandoned)
 
     def update_mean(self, most: float, span_us: float) -> None:
-        """Average the total up to now over this span, and no more than this (or the total) before."""
+        """Average the total up to now.
+
+        Args:
+            most: The largest mean to start from, unless the total is larger.
+            span_us: The time span of the moving average, in microseconds.
+        """
         elapsed_us = self._clock.now - self._mean_at
-        if elapsed_us > 0:
-            self._mean_at = self._clock.now
-            total = self.total()
-            self.mean = min(self.mean, max(total, most, 1.0))
-            self.mean += (total - self.mean) * (1.0 - math.exp(-elapsed_us / span_us))
+        if elapsed_us <= 0:
+            return
+        self._mean_at = self._clock.now
+        total = self.total()
+        start = min(self.mean, max(total, most, 1.0))
+        step = 1.0 - math.exp(-elapsed_us / span_us)
+        self.mean = start + (total - start) * step
--- a/sidecar/balancer/state/registry.py
+++ b/sidecar/balancer/state/registry.py
@@ -7,37 +7,50 @@
 
 
 class ServerRegistry:
-    """The servers listed, and those gone that still have attempts."""
+    """The servers in the registry, and removed ones that are not forgotten yet.
+
+    Attributes:
+        servers: All of these, by name.
+        ready: Those that accept requests, in this balancer's own order of the servers.
+        ready_local: Of the ready ones, those in the local zone.
+    """
 
     def __init__(self, rng: random.Random) -> None:
-        self.servers: dict[str, Server] = {}  # by name
-        self._by_rank: list[Server] = []  # the same; kept so, as sorting all is costly
-        self.ready: list[Server] = []  # by rank
-        self.ready_local: list[Server] = []  # of these, the ones in the local zone
+        self.servers: dict[str, Server] = {}
+        self.ready: list[Server] = []
+        self.ready_local: list[Server] = []
+        self._by_rank: list[Server] = []  # all servers; kept in order, as it is costly to sort all
         self._local_zone = ""
         self._rng = rng
 
     def set_local_zone(self, zone: str) -> None:
-        """This balancer is in this zone from now on."""
+        """Take this zone for the local one."""
         self._local_zone = zone
         self.ready_local = [each for each in self.ready if each.zone == zone]
 
     def apply(self, update: RegistryUpdated) -> list[Server]:
-        """Take over a list or changes of it; give the servers whose process is a new one."""
+        """Apply an update of the endpoint list.
+
+        Returns:
+            The servers whose process is a new one.
+        """
         if update.kind is not RegistryUpdateKind.DELTA:
-            listed = {endpoint.server for endpoint in update.servers}
-            for server in self.servers.values():
-                if server.name not in listed:
-                    server.state = ServerState.REMOVED
-        restarted = [each for each in map(self._apply, update.servers) if each is not None]
+            self._remove_unlisted(update)
+        restarted = [endpoint.server for endpoint in update.servers if self._apply(endpoint)]
         if len(self._by_rank) < len(self.servers):
             self._by_rank = sorted(self.servers.values(), key=lambda each: each.rank)
         self.ready = [each for each in self._by_rank if each.state is ServerState.READY]
         self.ready_local = [each for each in self.ready if each.is_local]
-        return restarted
+        return [self.servers[name] for name in restarted]
+
+    def _remove_unlisted(self, update: RegistryUpdated) -> None:
+        listed = {endpoint.server for endpoint in update.servers}
+        for server in self.servers.values():
+            if server.name not in listed:
+                server.state = ServerState.REMOVED
 
-    def _apply(self, endpoint: Endpoint) -> Server | None:
-        """Take over one entry; give the server if its process is a new one."""
+    def _apply(self, endpoint: Endpoint) -> bool:
+        """Apply one entry; return whether its server has a new process."""
         server = self.servers.get(endpoint.server)
         if server is None:
             server = Server(endpoint.server, self._rng.random())
@@ -50,19 +63,19 @@
         server.nominal = max(endpoint.nominal, 0.0)
         server.state = endpoint.state
         if endpoint.started_at is None or endpoint.started_at == server.started_at:
-            return None
+            return False
         server.started_at = endpoint.started_at
-        return server
+        return True
 
     def gone(self) -> list[Server]:
-        """The servers that are gone and not forgotten yet."""
+        """The servers that are removed and not forgotten yet."""
         return [each for each in self.servers.values() if each.state is ServerState.REMOVED]
 
     def forget(self, server: Server) -> None:
-        """Drop the record of a server that is gone."""
+        """Delete the record of a removed server."""
         del self.servers[server.name]
         self._by_rank.remove(server)
 
     def knows(self, server: Server) -> bool:
-        """Whether this very record is still in use; a server listed again later has a new one."""
+        """Whether this very record is in use; a server that is listed again later has a new one."""
         return self.servers.get(server.name) is server
--- a/sidecar/balancer/state/statistics.py
+++ b/sidecar/balancer/state/statistics.py
@@ -1,40 +1,44 @@
-"""Running statistics over events: a decaying rate and a decaying linear fit."""
+"""Running statistics of events: a decaying linear fit and a decaying rate."""
 
 import math
 
 
 class LinearFit:
-    """A least-squares line through exponentially decaying observations.
-
-    `decay` is the part of the weight that each observation takes from those before it; nothing is told before
-    the weights sum up to `min_samples`.
-    """
+    """A least-squares line through exponentially decaying observations."""
 
     __slots__ = ("_keep", "_min_samples", "_sums")
 
     def __init__(self, decay: float, min_samples: float) -> None:
+        """Create a fit without observations.
+
+        Args:
+            decay: The part of the weight of earlier observations that each new one takes.
+            min_samples: The sum of weights below which the fit predicts nothing.
+        """
         self._keep = 1.0 - decay
         self._min_samples = min_samples
-        self._sums = (0.0, 0.0, 0.0, 0.0, 0.0)  # of 1, x, y, x * x and x * y
+        self._sums = (0.0, 0.0, 0.0, 0.0, 0.0)  # of 1, x, y, x * x and x * y, by weight
 
     def add(self, x: float, y: float) -> None:
-        """Take in an observation."""
+        """Add an observation."""
         n, sum_x, sum_y, sum_xx, sum_xy = [self._keep * each for each in self._sums]
         self._sums = (n + 1.0, sum_x + x, sum_y + y, sum_xx + x * x, sum_xy + x * y)
 
     def x_per_y(self) -> float | None:
-        """The sum of x over that of y; None before there are enough observations."""
+        """The sum of x over that of y; None with too few observations."""
         n, sum_x, sum_y, _, _ = self._sums
         return sum_x / sum_y if n >= self._min_samples and sum_y > 0.0 else None
 
     def predict(self, x: float) -> float | None:
-        """The value expected at x, which never falls as x grows; None before there are enough."""
+        """The value expected at x, which never falls as x grows; None with too few observations."""
         n, sum_x, sum_y, sum_xx, sum_xy = self._sums
         if n < self._min_samples:
             return None
-        mean_x, mean_y = sum_x / n, sum_y / n
+        mean_x = sum_x / n
+        mean_y = sum_y / n
         variance = sum_xx / n - mean_x * mean_x
-        slope = max(sum_xy / n - mean_x * mean_y, 0.0) / (variance + 1.0)
+        covariance = sum_xy / n - mean_x * mean_y
+        slope = max(covariance, 0.0) / (variance + 1.0)
         return mean_y + slope * (x - mean_x)
 
 
@@ -44,23 +48,31 @@
     __slots__ = ("_at", "_count", "_span_us")
 
     def __init__(self, span_us: float) -> None:
+        """Create a rate of 0.
+
+        Args:
+            span_us: The time span to average over, in microseconds.
+        """
         self._span_us = span_us
         self._count = 0.0
         self._at = 0
 
     def set_span(self, span_us: float) -> None:
-        """Average over another span from now on."""
+        """Average over another time span, in microseconds, from now on."""
         self._count *= span_us / self._span_us
         self._span_us = span_us
 
     def add(self, now: int, amount: float = 1.0) -> None:
-        """Count an amount at clock time `now`."""
-        self.per_us(now)
+        """Count an amount at a time in microseconds."""
+        self._decay(now)
         self._count += amount
 
     def per_us(self, now: int) -> float:
-        """The rate at clock time `now`; the count decays up to then."""
+        """The rate at a time in microseconds."""
+        self._decay(now)
+        return self._count / self._span_us
+
+    def _decay(self, now: int) -> None:
         if now > self._at:
             self._count *= math.exp((self._at - now) / self._span_us)
             self._at = now
-        return self._count / self._span_us
--- a/sidecar/balancer/state/timers.py
+++ b/sidecar/balancer/state/timers.py
@@ -1,4 +1,4 @@
-"""Timers: what may fall due, and one queue of them behind a single timer of the host."""
+"""Timers: what may become due, and a queue of them behind a single timer of the host."""
 
 import heapq
 from collections.abc import Callable, Iterator
@@ -7,51 +7,74 @@
 from sidecar.balancer.actions import SetTimer
 from sidecar.balancer.state.records import Server
 
+HOST_TIMER_TOKEN = "agenda"  # one timer of the host serves all, so its token tells nothing
+
 
 class RequestDeadline(NamedTuple):
-    """A request has to be answered."""
+    """A request has to get its final response.
+
+    Attributes:
+        request: The number of the request.
+    """
 
     request: int
 
 
 class AttemptOverdue(NamedTuple):
-    """An attempt takes longer than usual."""
+    """An attempt takes longer than usual.
+
+    Attributes:
+        request: The number of the request.
+        attempt: The number of the attempt within its request.
+    """
 
     request: int
     attempt: int
 
 
 class ProbesDue(NamedTuple):
-    """A request has waited long enough for its probes."""
+    """A request has waited long enough for the health checks of its candidates.
+
+    Attributes:
+        request: The number of the request.
+    """
 
     request: int
 
 
 class KeyRested(NamedTuple):
-    """The next request of a key may be sent."""
+    """The cooldown of a key is over, so its next request may be sent.
+
+    Attributes:
+        key: The key by which requests are ordered.
+    """
 
     key: int
 
 
 class IdleCloseDue(NamedTuple):
-    """The idle connections to a server may be closed."""
+    """The idle connections to a server may be closed.
+
+    Attributes:
+        server: The server.
+    """
 
     server: Server
 
 
 class RegistryPoll(NamedTuple):
-    """The registry is to be asked again."""
+    """The subscription to the registry has to be renewed."""
 
 
 class StallCheck(NamedTuple):
-    """A timer whose lateness tells of a stall."""
+    """A check for stalls: if it is handled late, this process stalled."""
 
 
 Timer = RequestDeadline | AttemptOverdue | ProbesDue | KeyRested | IdleCloseDue | RegistryPoll | StallCheck
 
 
 class TimerQueue:
-    """Timers by the time they are due, and among equals in the order they were added."""
+    """Timers in the order they are due; of those due at the same time, the one added first comes first."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[int, int, Timer]] = []
@@ -59,11 +82,24 @@
         self._armed_for: int | None = None  # when the host's timer fires; None: it is not set
 
     def add(self, due: int, timer: Timer) -> None:
+        """Add a timer.
+
+        Args:
+            due: When it is due, in microseconds on the host's clock.
+            timer: What is due then.
+        """
         self._added += 1
         heapq.heappush(self._heap, (due, self._added, timer))
 
     def take_due(self, now: int) -> Iterator[tuple[int, Timer]]:
-        """Take the timers that are due, each with the time it was set for, as the host's timer fires."""
+        """Remove the timers that are due; the host's timer is taken to have fired if its time has come.
+
+        Args:
+            now: The host's clock, in microseconds.
+
+        Yields:
+            Each timer with the time for which it was added, in microseconds.
+        """
         if self._armed_for is not None and now >= self._armed_for:
             self._armed_for = None
         while self._heap and self._heap[0][0] <= now:
@@ -71,11 +107,29 @@
             yield due, timer
 
     def arm(self, now: int, wanted_at: Callable[[int, Timer], int | None]) -> SetTimer | None:
-        """Drop leading timers that nothing waits for any more; set the host's timer if it fires too late."""
+        """Set the host's timer for the first timer that is still wanted.
+
+        Args:
+            now: The host's clock, in microseconds.
+            wanted_at: When a timer that was added for a time is still wanted; None if it is not.  A leading
+                timer that is wanted at another time, or not at all, is dropped.
+
+        Returns:
+            The action that sets the host's timer; None where it fires early enough or nothing is left.
+        """
+        self._drop_unwanted(wanted_at)
+        if not self._heap:
+            return None
+        first_due = self._heap[0][0]
+        if self._armed_for is not None and first_due >= self._armed_for:
+            return None
+        self._armed_for = first_due
+        return SetTimer(max(first_due - now, 0), HOST_TIMER_TOKEN)
+
+    def _drop_unwanted(self, wanted_at: Callable[[int, Timer], int | None]) -> None:
         heap = self._heap
-        while heap and wanted_at(heap[0][0], heap[0][2]) != heap[0][0]:
+        while heap:
+            due, _, timer = heap[0]
+            if wanted_at(due, timer) == due:
+                return
             heapq.heappop(heap)
-        if not heap or (self._armed_for is not None and heap[0][0] >= self._armed_for):
-            return None
-        self._armed_for = heap[0][0]
-        return SetTimer(max(self._armed_for - now, 0), "agenda")
