--- a/sidecar/balancer/policy/admission.py
+++ b/sidecar/balancer/policy/admission.py
@@ -2,9 +2,13 @@
 
 import math
 
-from sidecar.balancer.policy.concurrency_limit import ALLOWED_RATIO, FREE_FILL, ConcurrencyLimit
-from sidecar.balancer.policy.sparsity import FEW_ACTIVE
-from sidecar.balancer.state import Context, DecayingRate, Flow, Request, Traffic
+from sidecar.balancer.policy.concurrency_limit import (
+    ALLOWED_LATENCY_RATIO,
+    UNRESTRICTED_UTILIZATION,
+    ConcurrencyLimit,
+)
+from sidecar.balancer.policy.low_traffic import CONFIDENT_LOAD
+from sidecar.balancer.state import Context, DecayingRate, Request, Traffic, TrafficKey
 from sidecar.settings import ServiceClass
 
 TRAFFIC_TARGETS = 4.0  # traffic is averaged over this many of the longest latency target
@@ -12,7 +16,7 @@
 PRIORITY_WEIGHT = 2.0  # the lowest priority feels this many times the pressure, the highest almost none
 SPARSE_ROOM = 1.2  # where few requests come this many times what was answered in time is admitted
 SPARSE_PRIOR = 2.0  # requests taken as answered in time beforehand: fewer are chance
-CORES_IDLE = 0.6  # cores this idle tell that late answers come from a few slow servers
+IDLE_CPU_UTILIZATION = 0.6  # cores this idle tell that late answers come from a few slow servers
 
 
 class AdmissionControl:
@@ -23,11 +27,11 @@
     """
 
     def __init__(self, context: Context, limit: ConcurrencyLimit, arrivals: DecayingRate) -> None:
-        self.probing = False  # whether probes tell of overload
+        self.checks_load_before_sending = False  # whether probes tell of overload
         self._limit = limit
         self._arrivals = arrivals
         self._context = context
-        self._traffic: dict[Flow, Traffic] = context.new_table(context.names_flow)
+        self._traffic: dict[TrafficKey, Traffic] = context.new_table(context.names_flow)
         self._in_time, self._late, self._shed = (context.new_rate(self._span_us) for _ in range(3))
         self._sample_due = 0  # when a request is admitted for its latency alone, however full the limit is
         self._found_room = False  # whether an answer was quick and nothing was sent since
@@ -36,54 +40,54 @@
     def _span_us(self) -> float:
         return TRAFFIC_TARGETS * self._context.longest_target_us
 
-    def observe(self, latency_ratio: float) -> None:
+    def observe_latency(self, latency_ratio: float) -> None:
         """Take in one answer, or an attempt that is late without one."""
-        self._found_room = self._found_room or latency_ratio <= ALLOWED_RATIO
+        self._found_room = self._found_room or latency_ratio <= ALLOWED_LATENCY_RATIO
         (self._in_time if latency_ratio <= 1.0 else self._late).add(self._context.now)
         self._limit.observe(latency_ratio)
 
-    def sent(self, latency_target_us: int) -> None:
+    def attempt_sent(self, latency_target_us: int) -> None:
         """Take in that an attempt was sent: it is the latest sample until it is answered or late."""
         self._sample_due = self._context.now + latency_target_us
         self._found_room = False
 
-    def count_late(self) -> None:
+    def count_late_attempt(self) -> None:
         """Count an attempt that ended late without an answer."""
         self._late.add(self._context.now)
 
-    def refuses(self, request: Request, remaining_us: int) -> bool:
+    def should_reject(self, request: Request, remaining_us: int) -> bool:
         """Whether to refuse a new request."""
         return self._sheds(request) or self._is_stale(request.service_class, remaining_us)
 
     def _sheds(self, request: Request) -> bool:
-        traffic = self._traffic.get(request.flow)
+        traffic = self._traffic.get(request.traffic_key)
         if traffic is None:
-            traffic = Traffic(request.service_class, request.flow[1], DecayingRate(self._span_us()))
-            self._traffic[request.flow] = traffic
+            traffic = Traffic(request.service_class, request.traffic_key[1], DecayingRate(self._span_us()))
+            self._traffic[request.traffic_key] = traffic
         traffic.service_class = request.service_class  # settings may have changed
         traffic.rate.add(self._context.now)
-        if self.probing:
+        if self.checks_load_before_sending:
             request.priority = self._priority(traffic)
             return False  # probes will tell
         if self._found_room and not self._context.load.total():
             return False
         rate = self._arrivals.per_us(self._context.now)
-        if max(rate * self._context.longest_target_us, self._context.load.total()) < FEW_ACTIVE / 2:
+        if max(rate * self._context.longest_target_us, self._context.load.total()) < CONFIDENT_LOAD / 2:
             return self._sheds_by_count(traffic)
-        fill = self._limit.fill()
-        if fill <= FREE_FILL or self._context.now >= self._sample_due:
+        fill = self._limit.utilization()
+        if fill <= UNRESTRICTED_UTILIZATION or self._context.now >= self._sample_due:
             return False
-        pressure = STEEPNESS * (fill - FREE_FILL) / (1.0 - FREE_FILL)
+        pressure = STEEPNESS * (fill - UNRESTRICTED_UTILIZATION) / (1.0 - UNRESTRICTED_UTILIZATION)
         admitted = math.exp(-PRIORITY_WEIGHT * pressure * (1.0 - self._priority(traffic)))
         if fill < 1.0 and self._context.rng.random() < admitted:
             return False
-        self._limit.refused = True
+        self._limit.has_rejected = True
         return True
 
     def _sheds_by_count(self, traffic: Traffic) -> bool:
         """Whether to refuse where few requests come: by counts over a fixed time, so that relief is seen."""
         now = self._context.now
-        if self._limit.cores is not None and self._limit.cores < CORES_IDLE:
+        if self._limit.cpu_utilization is not None and self._limit.cpu_utilization < IDLE_CPU_UTILIZATION:
             return False  # late answers from servers with idle cores tell of a few slow ones
         in_time = self._in_time.per_us(now) * self._span_us() + SPARSE_PRIOR
         missed = (self._late.per_us(now) + self._shed.per_us(now)) * self._span_us()
--- a/sidecar/balancer/policy/overdue.py
+++ b/sidecar/balancer/policy/hedging.py
@@ -3,9 +3,9 @@
 from dataclasses import dataclass
 
 from sidecar.balancer.policy.admission import AdmissionControl
-from sidecar.balancer.policy.concurrency_limit import LATE_RATIO, ConcurrencyLimit
+from sidecar.balancer.policy.concurrency_limit import UNANSWERED_LATENCY_RATIO, ConcurrencyLimit
 from sidecar.balancer.policy.latency import LatencyTracker
-from sidecar.balancer.policy.outliers import MAX_EJECTED_SILENT, OutlierDetector
+from sidecar.balancer.policy.outliers import MAX_EJECTED_SHARE_UNRESPONSIVE, OutlierDetector
 from sidecar.balancer.state import Attempt, Context, Request, Server
 from sidecar.balancer.state.timers import AttemptOverdue
 
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class OverdueDetector:
+class HedgingPolicy:
     """Examines attempts that take far longer than usual."""
 
     context: Context
@@ -36,9 +36,9 @@
         return int(max(usual_us, least_us, self.context.settings.tick_us))
 
     def _examine_in(self, wait_us: int, request: Request, attempt: Attempt) -> None:
-        self.context.timers.add(self.context.now + wait_us, AttemptOverdue(request.ident, attempt.index))
+        self.context.timers.add(self.context.now + wait_us, AttemptOverdue(request.id, attempt.index))
 
-    def is_lost(self, request: Request, attempt: Attempt) -> bool:
+    def is_hedge_due(self, request: Request, attempt: Attempt) -> bool:
         """Whether the attempt's server is silent and ejected, so that no answer is to be expected.
 
         A server that answered anything since is slow, not silent; if others are silent, all are overloaded.
@@ -49,7 +49,7 @@
             again_at = self.context.caught_up_at + self.context.settings.tick_us
             self._examine_in(again_at - now, request, attempt)
             return False
-        silent = server.last_answer_at <= attempt.sent_at
+        silent = server.last_success_at <= attempt.sent_at
         waited_us = now - attempt.sent_at - (self.context.stalled_us - attempt.stalled_before_us)
         if waited_us < target_us:
             self._examine_in(target_us - waited_us, request, attempt)
@@ -59,14 +59,14 @@
         if silent and waited_us < enough_us:
             self._examine_in(int(enough_us) - waited_us, request, attempt)
             return False
-        peer_answers = self.outliers.answers - attempt.answers_before
+        peer_answers = self.outliers.successes - attempt.successes_before
         if silent and server.ejected_until is None and peer_answers >= PEER_ANSWERS:
-            self.outliers.eject(server, "silent", MAX_EJECTED_SILENT)
-        overtaken = server.last_answered_sent_at > attempt.sent_at
+            self.outliers.eject(server, "silent", MAX_EJECTED_SHARE_UNRESPONSIVE)
+        overtaken = server.last_success_sent_at > attempt.sent_at
         lost = server.ejected_until is not None or overtaken
-        if waited_us >= target_us and not (lost or attempt.counted_late):
-            attempt.counted_late = True  # waiting for its answer would see a surge too late
+        if waited_us >= target_us and not (lost or attempt.counted_as_late):
+            attempt.counted_as_late = True  # waiting for its answer would see a surge too late
             if silent:
-                self.limit.report_missed()
-            self.admission.observe(LATE_RATIO)
+                self.limit.observe_missing_load_report()
+            self.admission.observe_latency(UNANSWERED_LATENCY_RATIO)
         return silent and server.ejected_until is not None
--- a/sidecar/balancer/policy/latency.py
+++ b/sidecar/balancer/policy/latency.py
@@ -1,6 +1,6 @@
 """Usual latency and cost of each class and size of requests, and how servers compare with it."""
 
-from sidecar.balancer.policy.sparsity import sparsity
+from sidecar.balancer.policy.low_traffic import low_traffic_factor
 from sidecar.balancer.state import Context, Request, Server
 from sidecar.settings import ServiceClass
 
@@ -29,28 +29,34 @@
     @staticmethod
     def set_unknown_weights(servers: list[Server]) -> None:
         """Until answers tell, a server is as quick as its nominal capacity."""
-        mean_nominal = sum(each.nominal for each in servers) / max(len(servers), 1)
+        mean_declared_capacity = sum(each.declared_capacity for each in servers) / max(len(servers), 1)
         for server in servers:
             if server.latency_weight <= 0.0:
-                server.latency_weight = mean_nominal / server.nominal if server.nominal > 0.0 else 1.0
+                server.latency_weight = (
+                    mean_declared_capacity / server.declared_capacity
+                    if server.declared_capacity > 0.0
+                    else 1.0
+                )
 
     def usual_us(self, request: Request) -> float:
         """The usual latency of such a request."""
         unseen_us = UNSEEN_TARGETS * request.service_class.latency_target_us
-        return self._usual_us.get((request.service_class.name, request.size), unseen_us)
+        return self._usual_us.get((request.service_class.name, request.cost_class), unseen_us)
 
-    def weigh(self, request: Request, server: Server, elapsed_us: float) -> None:
+    def observe_latency(self, request: Request, server: Server, elapsed_us: float) -> None:
         """Move a server's latency weight by one attempt."""
         ratio = min(elapsed_us / max(self.usual_us(request), 1.0), WEIGHT_CLIP)
-        server.latency_weight += WEIGHT_STEP * sparsity(self._context.load) * (ratio - server.latency_weight)
+        server.latency_weight += (
+            WEIGHT_STEP * low_traffic_factor(self._context.load) * (ratio - server.latency_weight)
+        )
 
-    def weigh_error(self, request: Request, server: Server) -> None:
+    def observe_error(self, request: Request, server: Server) -> None:
         """A quick error must not look like a quick server: it counts as the slowest answer there is."""
-        self.weigh(request, server, int(WEIGHT_CLIP * self.usual_us(request)))
+        self.observe_latency(request, server, int(WEIGHT_CLIP * self.usual_us(request)))
 
-    def answered(self, request: Request, server: Server, elapsed_us: int) -> None:
+    def observe_success(self, request: Request, server: Server, elapsed_us: int) -> None:
         """Learn from an answer; the first of its kind is usual."""
-        kind = (request.service_class.name, request.size)
+        kind = (request.service_class.name, request.cost_class)
         usual = self._usual_us.setdefault(kind, float(elapsed_us))
-        self.weigh(request, server, elapsed_us)
+        self.observe_latency(request, server, elapsed_us)
         self._usual_us[kind] = usual + USUAL_STEP * (elapsed_us - usual)
--- a/sidecar/balancer/policy/refresh.py
+++ b/sidecar/balancer/policy/registry_polling.py
@@ -10,7 +10,7 @@
 LONGEST_WAIT = 0.25  # three failed calls in a row still fit into the time allowed
 
 
-class RegistryRefresh:
+class RegistryPoller:
     """Keeps a watch of the registry going, where changes don't come unasked."""
 
     def __init__(self, context: Context) -> None:
@@ -18,7 +18,7 @@
         self.failed_calls = 0  # in a row
         self._context = context
 
-    def watch(self) -> None:
+    def poll(self) -> None:
         if self._context.settings.discovery is Discovery.ON_REQUEST:
             self._context.actions.append(WatchRegistry(True))
             self._ask_after(LONGEST_WAIT)
--- a/sidecar/balancer/policy/selection.py
+++ b/sidecar/balancer/policy/selection.py
@@ -3,11 +3,15 @@
 import math
 from dataclasses import dataclass
 
-from sidecar.balancer.policy.concurrency_limit import FREE_FILL, LATE_ALLOWED, ConcurrencyLimit
+from sidecar.balancer.policy.concurrency_limit import (
+    ALLOWED_LATE_SHARE,
+    UNRESTRICTED_UTILIZATION,
+    ConcurrencyLimit,
+)
 from sidecar.balancer.policy.latency import WEIGHT_CLIP
+from sidecar.balancer.policy.low_traffic import subset_size
 from sidecar.balancer.policy.retries import is_deduplicated_at
 from sidecar.balancer.policy.slow_start import SlowStart
-from sidecar.balancer.policy.sparsity import subset_size
 from sidecar.balancer.state import Context, Request, Server
 
 CANDIDATES = 4  # k: counts are mostly small here, where two looks find too little
@@ -45,11 +49,11 @@
         if self._remote_weight_at != self.context.now:
             self._remote_weight_at = self.context.now
             self._remote_weight = 1.0 if self.local_first else self._weigh_remote()
-        power = min(max(1.0, float(request.size)), MAX_WEIGHT_POWER)
+        power = min(max(1.0, float(request.cost_class)), MAX_WEIGHT_POWER)
         weights = [self._weight(each, power) for each in subset]
-        return self.draw(subset, weights, CANDIDATES << request.full_answers)
+        return self.draw(subset, weights, CANDIDATES << request.rejections)
 
-    def best(self, candidates: list[Server]) -> Server:
+    def least_loaded(self, candidates: list[Server]) -> Server:
         return min(candidates, key=lambda each: (self.context.load.at(each), each.latency_weight))
 
     def _subset(self, servers: list[Server], request: Request) -> list[Server]:
@@ -63,7 +67,7 @@
         backed_off: list[Server] = []
         for each in servers:
             if self.is_eligible(each, request):
-                backoff = each.backoff.get(request.flow)
+                backoff = each.rejection_backoffs.get(request.traffic_key)
                 (subset if backoff is None or backoff.until <= self.context.now else backed_off).append(each)
                 if len(subset) >= size:
                     break
@@ -90,7 +94,7 @@
     def _weight(self, server: Server, power: float) -> float:
         """Slower servers are drawn less, and still less for heavy requests, as the draw decides most ties."""
         latency = math.pow(max(server.latency_weight, 1.0 / WEIGHT_CLIP), power)
-        warmth = 1.0 if server.cold_since is None else self.slow_start.warmth(server)
+        warmth = 1.0 if server.slow_start_since is None else self.slow_start.capacity_share(server)
         return warmth / latency * (1.0 if server.is_local else self._remote_weight)
 
     def _weigh_remote(self) -> float:
@@ -98,8 +102,12 @@
 
         As the local zone falls behind, or answers come late anywhere, the weights even out.
         """
-        late = self.limit.late_share >= LATE_ALLOWED
-        if self.context.settings.prices.cross_zone <= 0.0 or late or self.limit.fill() > FREE_FILL:
+        late = self.limit.late_share >= ALLOWED_LATE_SHARE
+        if (
+            self.context.settings.prices.cross_zone <= 0.0
+            or late
+            or self.limit.utilization() > UNRESTRICTED_UTILIZATION
+        ):
             return 1.0  # room anywhere is worth more than a crossing
         ready = self.context.registry.ready
         if self._zone_weight_of is not ready or self._zone_weight_kept <= 0:
@@ -129,4 +137,4 @@
                 return False
             if any(each.pending and each.server is server for each in request.attempts):
                 return False
-        return server.cold_since is None or self.slow_start.has_room(server, request.cost)
+        return server.slow_start_since is None or self.slow_start.has_capacity(server, request.relative_cost)
--- a/sidecar/balancer/policy/slow_start.py
+++ b/sidecar/balancer/policy/slow_start.py
@@ -3,7 +3,7 @@
 import math
 from dataclasses import dataclass
 
-from sidecar.balancer.policy.sparsity import subset_size
+from sidecar.balancer.policy.low_traffic import subset_size
 from sidecar.balancer.state import Context, Server
 
 BUDGET_FILL = 0.15  # part of the overloading rate at which a cold budget fills: its true size is not known
@@ -20,7 +20,7 @@
     slow_start_us: int
     warm: bool
     count: int
-    mean_nominal: float
+    mean_declared_capacity: float
     valid_until: float  # when the next cold server is warm
 
 
@@ -32,53 +32,55 @@
         self.arrivals, self._served_warm = (context.new_rate(self._span_us) for _ in range(2))
         self._capacity = 0.0  # what a warm server of mean size serves for this balancer, as of _capacity_at
         self._capacity_at = -1
-        self._last_warm_capacity = math.inf  # the same, when any were warm last; all may be cold by now
+        self._last_warm_server_capacity = (
+            math.inf
+        )  # the same, when any were warm last; all may be cold by now
         self._last_warm_peers = 1  # how many warm servers shared the traffic then
-        self._mean_nominal = 1.0  # as of _capacity_at
+        self._mean_declared_capacity = 1.0  # as of _capacity_at
         self._peers: Peers | None = None  # None: to be gone through anew
 
     def _span_us(self) -> float:
         return RATE_SPANS * self._context.settings.rules.overload_window_us
 
-    def begin(self, server: Server, since: int) -> None:
+    def start(self, server: Server, since: int) -> None:
         """The server is cold since then, and its budget empty."""
         self._peers = None
-        server.cold_since = since
-        server.cold_budget = 0.0
-        server.cold_budget_at = self._context.now
+        server.slow_start_since = since
+        server.slow_start_budget = 0.0
+        server.slow_start_budget_updated_at = self._context.now
 
-    def is_cold(self, server: Server) -> bool:
-        since = server.cold_since
+    def is_warming_up(self, server: Server) -> bool:
+        since = server.slow_start_since
         return since is not None and self._context.now < since + self._context.settings.rules.slow_start_us
 
-    def warmth(self, server: Server) -> float:
+    def capacity_share(self, server: Server) -> float:
         """The least share of its capacity that the server has by now."""
-        if server.cold_since is None or not self.is_cold(server):
+        if server.slow_start_since is None or not self.is_warming_up(server):
             return 1.0
-        age_us = max(self._context.now - server.cold_since, 0)
+        age_us = max(self._context.now - server.slow_start_since, 0)
         least = self._context.settings.rules.slow_start_from
         return least + (1.0 - least) * age_us / self._context.settings.rules.slow_start_us
 
-    def answered(self, server: Server, cost: float) -> None:
+    def count_success(self, server: Server, cost: float) -> None:
         """Count what a warm server served: by cost, as overload lets only light requests through."""
-        if not self.is_cold(server):
+        if not self.is_warming_up(server):
             self._served_warm.add(self._context.now, cost)
 
-    def has_room(self, server: Server, cost: float) -> bool:
+    def has_capacity(self, server: Server, cost: float) -> bool:
         """Whether a cold server's budget has room; it fills with a part of what overloads the server."""
-        if not self.is_cold(server):
+        if not self.is_warming_up(server):
             return True
-        capacity = self.warm_capacity()
-        if self._mean_nominal > 0.0:
-            capacity *= min(server.nominal / self._mean_nominal, 1.0)
-        limit = self._context.settings.rules.overload_multiple * self.warmth(server) * capacity
+        capacity = self.warm_server_capacity()
+        if self._mean_declared_capacity > 0.0:
+            capacity *= min(server.declared_capacity / self._mean_declared_capacity, 1.0)
+        limit = self._context.settings.rules.overload_multiple * self.capacity_share(server) * capacity
         most = max(1.0, BUDGET_BURST * limit * self._context.settings.rules.overload_window_us)
-        filled = BUDGET_FILL * limit * max(self._context.now - server.cold_budget_at, 0)
-        server.cold_budget = min(server.cold_budget + filled, most)
-        server.cold_budget_at = self._context.now
-        return server.cold_budget >= min(cost, most)
+        filled = BUDGET_FILL * limit * max(self._context.now - server.slow_start_budget_updated_at, 0)
+        server.slow_start_budget = min(server.slow_start_budget + filled, most)
+        server.slow_start_budget_updated_at = self._context.now
+        return server.slow_start_budget >= min(cost, most)
 
-    def warm_capacity(self) -> float:
+    def warm_server_capacity(self) -> float:
         """What a warm server of mean size serves for this balancer; worked out once for each instant."""
         now = self._context.now
         if self._capacity_at != now:
@@ -86,11 +88,11 @@
             self._peers = peers = self._current_peers()
             used = max(min(peers.count, subset_size(self._context.load)), 1)
             if peers.warm:
-                self._capacity = self._last_warm_capacity = self._served_warm.per_us(now) / used
+                self._capacity = self._last_warm_server_capacity = self._served_warm.per_us(now) / used
                 self._last_warm_peers = used
             else:
                 self._capacity = self._cold_capacity(used)
-            self._mean_nominal = peers.mean_nominal
+            self._mean_declared_capacity = peers.mean_declared_capacity
         return self._capacity
 
     def _cold_capacity(self, used: int) -> float:
@@ -100,7 +102,7 @@
         """
         arriving = self.arrivals.per_us(self._context.now)
         at_rest = REST_SHARE * arriving / max(used, self._last_warm_peers)
-        return min(arriving / used, max(self._last_warm_capacity, at_rest))
+        return min(arriving / used, max(self._last_warm_server_capacity, at_rest))
 
     def _current_peers(self) -> Peers:
         """The peers as of now; gone through anew where the list changed, or a server became cold or warm."""
@@ -109,11 +111,15 @@
         if known is not None and known.ready is ready and known.slow_start_us == slow_start_us:
             if self._context.now < known.valid_until:
                 return known
-        cold = [each for each in ready if each.cold_since is not None and self.is_cold(each)]
+        cold = [each for each in ready if each.slow_start_since is not None and self.is_warming_up(each)]
         warm = (
-            [each for each in ready if each.cold_since is None or not self.is_cold(each)] if cold else ready
+            [each for each in ready if each.slow_start_since is None or not self.is_warming_up(each)]
+            if cold
+            else ready
         )
         peers = warm or ready  # ejected too: they served part of what is counted
-        mean_nominal = sum(each.nominal for each in peers) / max(len(peers), 1)
-        ends = [each.cold_since + slow_start_us for each in cold if each.cold_since is not None]
-        return Peers(ready, slow_start_us, bool(warm), len(peers), mean_nominal, min(ends, default=math.inf))
+        mean_declared_capacity = sum(each.declared_capacity for each in peers) / max(len(peers), 1)
+        ends = [each.slow_start_since + slow_start_us for each in cold if each.slow_start_since is not None]
+        return Peers(
+            ready, slow_start_us, bool(warm), len(peers), mean_declared_capacity, min(ends, default=math.inf)
+        )
--- a/sidecar/balancer/policy/start_times.py
+++ b/sidecar/balancer/policy/start_times.py
@@ -12,7 +12,9 @@
 from sidecar.balancer.state import Context
 from sidecar.settings import Discovery
 
-REMEMBERED = 500  # servers that are gone whose start times are still known, should they be listed again
+REMEMBERED_REMOVED_SERVERS = (
+    500  # servers that are gone whose start times are still known, should they be listed again
+)
 
 
 class StartTime(NamedTuple):
@@ -33,9 +35,9 @@
     def __init__(self, context: Context) -> None:
         self._context = context
         self._known: dict[str, StartTime] = {}  # by server
-        self._heard_at: int | None = None  # when the registry answered last; None: not yet
+        self._last_response_at: int | None = None  # when the registry answered last; None: not yet
 
-    def heard(self, update: RegistryUpdated) -> None:
+    def registry_responded(self, update: RegistryUpdated) -> None:
         """The registry has answered, with all that it knows by now.
 
         A cached list is no answer, nor are empty changes where changes are pushed: whoever pushes them may
@@ -44,15 +46,15 @@
         is_pushed = self._context.settings.discovery is Discovery.PUSHED
         is_answer = update.kind is not RegistryUpdateKind.CACHED
         if is_answer and not (is_pushed and update.is_empty()):
-            self._heard_at = self._context.now
+            self._last_response_at = self._context.now
 
-    def on_own_clock(self, update: RegistryUpdated) -> RegistryUpdated:
+    def to_local_clock(self, update: RegistryUpdated) -> RegistryUpdated:
         """The same update with start times by this balancer's own clock."""
-        servers = [self._on_own_clock(each) for each in update.servers]
+        servers = [self._to_local_clock(each) for each in update.servers]
         self._forget_oldest()
         return replace(update, servers=servers)
 
-    def _on_own_clock(self, endpoint: Endpoint) -> Endpoint:
+    def _to_local_clock(self, endpoint: Endpoint) -> Endpoint:
         listed = endpoint.started_at
         if listed is None:
             return endpoint
@@ -71,12 +73,12 @@
         if listed > self._context.now:
             return True
         slow_start_us = self._context.settings.rules.slow_start_us
-        return self._heard_at is not None and listed + slow_start_us < self._heard_at
+        return self._last_response_at is not None and listed + slow_start_us < self._last_response_at
 
     def _forget_oldest(self) -> None:
         """Forget servers that are gone, except for the latest; not each time, as it goes through all."""
         servers = self._context.registry.servers
-        if len(self._known) > len(servers) + 2 * REMEMBERED:
+        if len(self._known) > len(servers) + 2 * REMEMBERED_REMOVED_SERVERS:
             gone = [name for name in self._known if name not in servers]
-            for name in gone[:-REMEMBERED]:
+            for name in gone[:-REMEMBERED_REMOVED_SERVERS]:
                 del self._known[name]
--- a/sidecar/balancer/state/__init__.py
+++ b/sidecar/balancer/state/__init__.py
@@ -5,7 +5,7 @@
 
 from sidecar.balancer.state.context import Context
 from sidecar.balancer.state.load import ActiveLoad
-from sidecar.balancer.state.records import Attempt, Backoff, Flow, KeyQueue, Request, Server, Traffic
+from sidecar.balancer.state.records import Attempt, Backoff, KeyQueue, Request, Server, Traffic, TrafficKey
 from sidecar.balancer.state.statistics import DecayingRate, LinearFit
 
 __all__ = [
@@ -14,10 +14,10 @@
     "Backoff",
     "Context",
     "DecayingRate",
-    "Flow",
     "KeyQueue",
     "LinearFit",
     "Request",
     "Server",
     "Traffic",
+    "TrafficKey",
 ]
--- a/sidecar/balancer/state/context.py
+++ b/sidecar/balancer/state/context.py
@@ -7,7 +7,7 @@
 from sidecar.balancer.actions import Action
 from sidecar.balancer.events import Event, Outcome, TimerFired
 from sidecar.balancer.state.load import ActiveLoad
-from sidecar.balancer.state.records import Flow
+from sidecar.balancer.state.records import TrafficKey
 from sidecar.balancer.state.registry import ServerRegistry
 from sidecar.balancer.state.statistics import DecayingRate
 from sidecar.balancer.state.timers import StallCheck, Timer, TimerQueue
@@ -54,7 +54,7 @@
         self._stall_check_us = max(int(self._stall_check_targets * min(targets_us)), settings.tick_us)
         self.registry.set_local_zone(settings.zone)
         servers = self.registry.servers.values()
-        backoffs = [(each.backoff, self.names_flow) for each in servers if each.backoff]
+        backoffs = [(each.rejection_backoffs, self.names_flow) for each in servers if each.rejection_backoffs]
         for table, is_kept in (*self._tables, *backoffs):
             for key in [each for each in table if not is_kept(each)]:
                 del table[key]
@@ -75,7 +75,7 @@
         """Whether the settings name the class of this class and size."""
         return kind[0] in self.classes
 
-    def names_flow(self, flow: Flow) -> bool:
+    def names_flow(self, flow: TrafficKey) -> bool:
         """Whether the settings name this class and tenant."""
         return flow[0] in self.classes and (flow[1] is None or flow[1] in self.tenant_shares)
 
--- a/sidecar/balancer/state/load.py
+++ b/sidecar/balancer/state/load.py
@@ -42,14 +42,14 @@
             self._change_within_target(attempt.server, -1)
 
     def _change_within_target(self, server: Server, by: int) -> None:
-        server.within_target += by
+        server.in_flight_within_target += by
         self.within_target += by
         if server.ejected_until is not None:
             self.at_ejected += by
 
     def abandon(self, server: Server, until: int, within_target: bool = True) -> None:
         """Count an attempt that ended unanswered until then; in the total if it was within its target."""
-        server.abandoned.append(until)
+        server.abandoned_until.append(until)
         if within_target and server.ejected_until is None:
             heapq.heappush(self._abandoned, until)
 
@@ -67,9 +67,9 @@
 
         Guards against a slow or hung server that looks empty because its attempts were cancelled.
         """
-        if server.abandoned:
-            server.abandoned = [until for until in server.abandoned if until > self._context.now]
-        return server.in_flight + len(server.abandoned)
+        if server.abandoned_until:
+            server.abandoned_until = [until for until in server.abandoned_until if until > self._context.now]
+        return server.in_flight + len(server.abandoned_until)
 
     def update_mean(self, most: float, span_us: float) -> None:
         """Average the total up to now over this span, and no more than this (or the total) before."""
--- a/sidecar/balancer/state/registry.py
+++ b/sidecar/balancer/state/registry.py
@@ -45,9 +45,9 @@
         server.zone = endpoint.zone
         server.is_local = endpoint.zone == self._local_zone
         server.cell = endpoint.cell
-        if server.state is ServerState.REMOVED or endpoint.nominal != server.nominal:
+        if server.state is ServerState.REMOVED or endpoint.nominal != server.declared_capacity:
             server.latency_weight = 0.0  # unknown
-        server.nominal = max(endpoint.nominal, 0.0)
+        server.declared_capacity = max(endpoint.nominal, 0.0)
         server.state = endpoint.state
         if endpoint.started_at is None or endpoint.started_at == server.started_at:
             return None
--- a/tests/balancer/policy_context.py
+++ b/tests/balancer/policy_context.py
@@ -27,7 +27,9 @@
 def make_request(context: Context, class_name: str = "look") -> Request:
     """A request of the class, with no attempt so far."""
     service_class = next(each for each in context.settings.classes if each.name == class_name)
-    return Request(1, service_class, START + 2 * SECOND_US, 1.0, (class_name, None), all_zones=True, size=1)
+    return Request(
+        1, service_class, START + 2 * SECOND_US, 1.0, (class_name, None), all_zones=True, cost_class=1
+    )
 
 
 def start_attempt(context: Context, request: Request, server: Server) -> Attempt:
--- a/tests/balancer/test_admission.py
+++ b/tests/balancer/test_admission.py
@@ -26,7 +26,7 @@
         stage.wait(50 * MILLISECOND_US)
         for each in others:
             stage.end(each)
-    assert stage.balancer._requests[overdue].attempts[0].counted_late is counted
+    assert stage.balancer._requests[overdue].attempts[0].counted_as_late is counted
 
 
 def overload_servers(stage: Stage, spans: int) -> None:
@@ -64,7 +64,7 @@
     for request in list(stage.balancer._requests.values()):
         for attempt in request.attempts:
             if attempt.pending:
-                stage.end(request.ident, Outcome.CANCELLED, attempt.index, answered=True)
+                stage.end(request.id, Outcome.CANCELLED, attempt.index, answered=True)
     stage.wait(11 * SECOND_US)  # cancelled attempts count as load for as long again
     stage.serve(600)  # a small limit takes some latency targets to grow; a rejection meanwhile is no fault
     rejected = len(stage.said(RejectRequest))
--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -8,7 +8,7 @@
 from helpers import Stage
 from policy_context import add_load, make_context
 
-from sidecar.balancer.policy.concurrency_limit import LEAST_LIMIT, ConcurrencyLimit
+from sidecar.balancer.policy.concurrency_limit import MIN_LIMIT, ConcurrencyLimit
 from sidecar.balancer.state import Context
 
 
@@ -16,13 +16,15 @@
     # Guards against rejections after each restart: all connections are new, and rates still build up.
     balancer = Stage().balancer
     for latency_ratio in [0.5] * 8:
-        balancer._admission.observe(latency_ratio)
+        balancer._admission.observe_latency(latency_ratio)
     assert balancer._limit.limit == float("inf")
     for _ in range(4):
-        balancer._admission.observe(2.0)  # a few late responses may be chance
+        balancer._admission.observe_latency(2.0)  # a few late responses may be chance
     assert balancer._limit.limit == float("inf")
     for _ in range(40):
-        balancer._admission.observe(2.0)  # nearly all late: that is overload, however new the balancer
+        balancer._admission.observe_latency(
+            2.0
+        )  # nearly all late: that is overload, however new the balancer
     assert balancer._limit.limit < float("inf")
 
 
@@ -38,7 +40,7 @@
     limit = ConcurrencyLimit(context)
     add_load(context, 16)
     observe_repeatedly(context, limit, 2_000, latency_ratio=2.0)
-    assert LEAST_LIMIT <= limit.limit < 1.0
+    assert MIN_LIMIT <= limit.limit < 1.0
 
 
 def test_slower_but_timely_responses_leave_the_limit_unchanged() -> None:
@@ -54,7 +56,7 @@
     limit = ConcurrencyLimit(context)
     limit.limit = 4.0
     for rejected in (False, True):
-        limit.refused = rejected
+        limit.has_rejected = rejected
         before = limit.limit
         observe_repeatedly(context, limit, 50, latency_ratio=0.05)
         assert (limit.limit > before) is rejected
--- a/tests/balancer/test_idempotency.py
+++ b/tests/balancer/test_idempotency.py
@@ -13,7 +13,7 @@
 from sidecar.balancer.events import Endpoint, Outcome
 from sidecar.balancer.policy.retries import (
     is_deduplicated_at,
-    may_run_again,
+    may_retry,
 )
 
 
@@ -119,11 +119,11 @@
 ) -> None:
     context = make_context()
     request = make_request(context, class_name)
-    assert may_run_again(request, context.now, 5 * MILLISECOND_US)
+    assert may_retry(request, context.now, 5 * MILLISECOND_US)
     attempt = start_attempt(context, request, context.registry.ready[0])
-    assert may_run_again(request, context.now, 5 * MILLISECOND_US) is repeatable
+    assert may_retry(request, context.now, 5 * MILLISECOND_US) is repeatable
     attempt.may_have_run = False
-    assert may_run_again(request, context.now, 5 * MILLISECOND_US)
+    assert may_retry(request, context.now, 5 * MILLISECOND_US)
 
 
 def test_deduplication_is_bounded_by_the_cell_and_the_window() -> None:
@@ -134,5 +134,5 @@
     start_attempt(context, request, first)
     assert is_deduplicated_at(request, first) and not is_deduplicated_at(request, other)
     forgotten_at = context.now + request.service_class.dedup_window_us
-    assert may_run_again(request, forgotten_at - 6 * MILLISECOND_US, 5 * MILLISECOND_US)
-    assert not may_run_again(request, forgotten_at - 5 * MILLISECOND_US, 5 * MILLISECOND_US)
+    assert may_retry(request, forgotten_at - 6 * MILLISECOND_US, 5 * MILLISECOND_US)
+    assert not may_retry(request, forgotten_at - 5 * MILLISECOND_US, 5 * MILLISECOND_US)
--- a/tests/balancer/test_outliers.py
+++ b/tests/balancer/test_outliers.py
@@ -108,7 +108,7 @@
     hung, _ = traffic_with_one_hung_server(stage, 20)
     stage.servers([Endpoint(hung, "east", started_at=stage.now)], RegistryUpdateKind.DELTA)
     server = stage.balancer._context.registry.servers[hung]
-    assert server.ejected_until is None and stage.balancer._slow_start.is_cold(server)
+    assert server.ejected_until is None and stage.balancer._slow_start.is_warming_up(server)
 
 
 def record_failures(context: Context, outliers: OutlierDetector, server: Server, times: int) -> None:
--- a/tests/balancer/test_retries.py
+++ b/tests/balancer/test_retries.py
@@ -12,8 +12,8 @@
 from sidecar.balancer.actions import RejectRequest
 from sidecar.balancer.events import Outcome
 from sidecar.balancer.policy.retries import (
-    MAX_BALANCE,
-    RETRIES_PER_ANSWER,
+    MAX_RETRY_BALANCE,
+    RETRIES_PER_SUCCESS,
     RetryBudget,
 )
 
@@ -37,19 +37,19 @@
 
 def test_the_retry_budget_grows_with_each_response_up_to_its_maximum() -> None:
     budget = RetryBudget()
-    while budget.spend():
+    while budget.try_acquire():
         pass
-    for _ in range(math.ceil(1 / RETRIES_PER_ANSWER) - 1):
+    for _ in range(math.ceil(1 / RETRIES_PER_SUCCESS) - 1):
         budget.attempt_ended(Outcome.SUCCEEDED)
-        assert not budget.has_room()
+        assert not budget.has_tokens()
     budget.attempt_ended(Outcome.SUCCEEDED)
-    assert budget.spend() and not budget.spend()
+    assert budget.try_acquire() and not budget.try_acquire()
     for _ in range(1_000):
         budget.attempt_ended(Outcome.SUCCEEDED)
     spent = 0
-    while budget.spend():
+    while budget.try_acquire():
         spent += 1
-    assert spent == MAX_BALANCE
+    assert spent == MAX_RETRY_BALANCE
 
 
 @pytest.mark.parametrize("failure", [Outcome.ERROR, Outcome.TIMED_OUT, Outcome.RESET, Outcome.CONNECT_FAILED])
@@ -58,12 +58,12 @@
     for _ in range(100):  # half fail
         budget.attempt_ended(Outcome.SUCCEEDED)
         budget.attempt_ended(failure)
-    assert not budget.has_room()
+    assert not budget.has_tokens()
     for _ in range(100):  # a quarter fails
         budget.attempt_ended(failure)
         for _ in range(3):
             budget.attempt_ended(Outcome.SUCCEEDED)
-    assert budget.has_room()
+    assert budget.has_tokens()
 
 
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CANCELLED, Outcome.NOT_SENT])
@@ -71,6 +71,6 @@
     budget, untouched = RetryBudget(), RetryBudget()
     for _ in range(100):
         budget.attempt_ended(outcome)
-    while untouched.spend():
-        assert budget.spend()
-    assert not budget.has_room()
+    while untouched.try_acquire():
+        assert budget.try_acquire()
+    assert not budget.has_tokens()
--- a/tests/balancer/test_settings_changed.py
+++ b/tests/balancer/test_settings_changed.py
@@ -133,7 +133,7 @@
     balancer = stage.balancer
     assert not balancer._latency._usual_us and not balancer._latency._mean_cost_us
     assert not balancer._admission._traffic and not balancer._admission._longest_remaining_us
-    assert not any(server.backoff for server in balancer._context.registry.servers.values())
+    assert not any(server.rejection_backoffs for server in balancer._context.registry.servers.values())
 
 
 def test_only_a_change_of_the_discovery_mode_starts_a_watch() -> None:
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -31,9 +31,9 @@
                 stage.end(each)
     times = [at for at, each in stage.sends() if each.server == "10.0.0.6:80" and at >= began]
     for end in times:
-        warmth = 0.2 + 0.8 * max(end - 2 * SECOND_US - began, 0) / (10 * SECOND_US)
+        capacity_share = 0.2 + 0.8 * max(end - 2 * SECOND_US - began, 0) / (10 * SECOND_US)
         inside = sum(1 for at in times if end - 2 * SECOND_US < at <= end)
-        assert inside <= max(1.0, 3 * warmth * warm_per_s * 2)
+        assert inside <= max(1.0, 3 * capacity_share * warm_per_s * 2)
     assert times or burst == 1  # one at a time, the fastest server of the subset takes all
 
 
@@ -45,7 +45,7 @@
             stage.wait(20 * MILLISECOND_US)
             stage.end(stage.request(cost_us=served_us))
             stage.request(remaining_us=0, cost_us=200_000 - served_us)  # rejected
-        rates.append(stage.balancer._slow_start.warm_capacity())
+        rates.append(stage.balancer._slow_start.warm_server_capacity())
     assert 0.0 < rates[1] < 0.5 * rates[0]
 
 
@@ -64,36 +64,36 @@
         for _ in range(3):
             request = stage.request("pay")
             stage.play(AttemptEnded(request, 0, server.name, outcome, 1, False))
-        assert server.consecutive_failures == 3 and stage.balancer._slow_start.is_cold(server) is cold
+        assert server.consecutive_failures == 3 and stage.balancer._slow_start.is_warming_up(server) is cold
 
 
 def test_capacity_in_slow_start_follows_its_budget_and_is_unlimited_afterwards() -> None:
     context = make_context()
     slow_start = SlowStart(context)
     for server in context.registry.ready:
-        slow_start.answered(server, 40.0)
+        slow_start.count_success(server, 40.0)
     cold = context.registry.ready[0]
-    slow_start.begin(cold, context.now)
-    assert slow_start.is_cold(cold) and not slow_start.has_room(cold, 1.0)
+    slow_start.start(cold, context.now)
+    assert slow_start.is_warming_up(cold) and not slow_start.has_capacity(cold, 1.0)
     context.now += 2 * SECOND_US
     sent = 0
-    while slow_start.has_room(cold, 1.0) and sent < 100:
-        cold.cold_budget -= 1.0
+    while slow_start.has_capacity(cold, 1.0) and sent < 100:
+        cold.slow_start_budget -= 1.0
         sent += 1
-    # Multiple x warmth by now x capacity x window.
-    overload = 3 * 0.36 * slow_start.warm_capacity() * 2 * SECOND_US
+    # Multiple x capacity_share by now x capacity x window.
+    overload = 3 * 0.36 * slow_start.warm_server_capacity() * 2 * SECOND_US
     assert 1 <= sent <= 0.2 * overload
     context.now += context.settings.rules.slow_start_us
-    assert not slow_start.is_cold(cold) and slow_start.has_room(cold, 1_000.0)
+    assert not slow_start.is_warming_up(cold) and slow_start.has_capacity(cold, 1_000.0)
 
 
-def test_warmth_rises_linearly_from_its_minimum_to_one() -> None:
+def test_the_capacity_share_rises_linearly_from_its_minimum_to_one() -> None:
     context = make_context()
     slow_start = SlowStart(context)
     cold = context.registry.ready[0]
-    slow_start.begin(cold, context.now)
+    slow_start.start(cold, context.now)
     seen = []
     for _ in range(3):
-        seen.append(slow_start.warmth(cold))
+        seen.append(slow_start.capacity_share(cold))
         context.now += context.settings.rules.slow_start_us // 2
     assert seen == pytest.approx([0.2, 0.6, 1.0])
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -9,7 +9,7 @@
 from helpers import MS, START, S, Stage, names, settings
 
 from sidecar.balancer.events import Endpoint, RegistryUpdated, RegistryUpdateKind, ServerState
-from sidecar.balancer.policy.start_times import REMEMBERED
+from sidecar.balancer.policy.start_times import REMEMBERED_REMOVED_SERVERS
 from sidecar.balancer.state import Server
 
 HOUR = 3_600 * S
@@ -35,10 +35,10 @@
     return stage.balancer._context.registry.servers[COLD]
 
 
-def warmth(stage: Stage) -> float:
+def capacity_share(stage: Stage) -> float:
     stage.wait(0)
     nothing_new(stage)  # moves the balancer's clock on
-    return stage.balancer._slow_start.warmth(record(stage))
+    return stage.balancer._slow_start.capacity_share(record(stage))
 
 
 def in_service(listed_servers: list[str] | None = None) -> Stage:
@@ -76,13 +76,13 @@
     started_at = stage.now + step_us
     change(stage, listed(started_at))
     for passed_us in range(0, SLOW_START, 2 * S):
-        assert warmth(stage) == pytest.approx(0.2 + 0.8 * passed_us / SLOW_START)
+        assert capacity_share(stage) == pytest.approx(0.2 + 0.8 * passed_us / SLOW_START)
         change(stage, listed(started_at))  # the same process, told again
         stage.servers([*names(4), listed(started_at)])
         stage.wait(2 * S)
-    assert warmth(stage) == 1.0
+    assert capacity_share(stage) == 1.0
     change(stage, listed(started_at))
-    assert warmth(stage) == 1.0
+    assert capacity_share(stage) == 1.0
 
 
 @pytest.mark.parametrize("step_us", [HOUR, -HOUR])
@@ -97,7 +97,7 @@
     assert COLD not in stage.balancer._context.registry.servers
     stage.wait(3 * S)
     change(stage, listed(started_at))
-    assert warmth(stage) == pytest.approx(0.2 + 0.8 * 0.5)
+    assert capacity_share(stage) == pytest.approx(0.2 + 0.8 * 0.5)
 
 
 @pytest.mark.parametrize("step_us", [HOUR, -HOUR])
@@ -109,7 +109,7 @@
         stage.wait(1 * S)
         stage.play(RegistryUpdated(RegistryUpdateKind.FAILED))
     stage.servers([*names(4), listed(stage.now - 1 * S + step_us)])
-    assert warmth(stage) == pytest.approx(0.2)
+    assert capacity_share(stage) == pytest.approx(0.2)
 
 
 @pytest.mark.parametrize("step_us", [HOUR, -HOUR])
@@ -117,9 +117,9 @@
     stage = in_service()
     for _ in range(3):
         change(stage, listed(stage.now + step_us))
-        assert warmth(stage) == pytest.approx(0.2)
+        assert capacity_share(stage) == pytest.approx(0.2)
         stage.wait(6 * S)
-        assert warmth(stage) == pytest.approx(0.2 + 0.8 * 0.6)
+        assert capacity_share(stage) == pytest.approx(0.2 + 0.8 * 0.6)
 
 
 def test_a_readmitted_server_whose_clock_was_stepped_does_not_start_slowly_once_more() -> None:
@@ -129,21 +129,21 @@
     outliers, server = stage.balancer._outliers, record(stage)
     outliers.eject(server, "test")
     outliers.readmit(server)
-    assert warmth(stage) == 1.0
+    assert capacity_share(stage) == 1.0
 
 
 def test_start_times_of_the_first_lists_are_taken_as_they_are() -> None:
     """A balancer that has heard nothing before can't tell an old process from a stepped clock."""
     stage = Stage()
     stage.servers([*names(4), listed(START - HOUR)], RegistryUpdateKind.CACHED)
-    assert warmth_without_contact(stage) == 1.0
+    assert capacity_share_without_contact(stage) == 1.0
     stage.wait(1 * S)
     stage.servers([*names(4), listed(START - 60 * S)])  # it restarted while this process was down
-    assert warmth_without_contact(stage) == 1.0
+    assert capacity_share_without_contact(stage) == 1.0
 
 
-def warmth_without_contact(stage: Stage) -> float:
-    return stage.balancer._slow_start.warmth(record(stage))
+def capacity_share_without_contact(stage: Stage) -> float:
+    return stage.balancer._slow_start.capacity_share(record(stage))
 
 
 @pytest.mark.parametrize("kind", [RegistryUpdateKind.CACHED, RegistryUpdateKind.SNAPSHOT])
@@ -151,12 +151,12 @@
     """This machine's own clock was an hour behind as this process began."""
     stage = Stage()
     stage.servers([*names(4), listed(START + HOUR)], kind)
-    assert warmth_without_contact(stage) == pytest.approx(0.2)
+    assert capacity_share_without_contact(stage) == pytest.approx(0.2)
     stage.wait(5 * S)
     stage.servers([*names(4), listed(START + HOUR)])
-    assert warmth_without_contact(stage) == pytest.approx(0.6)
+    assert capacity_share_without_contact(stage) == pytest.approx(0.6)
     stage.wait(5 * S)
-    assert warmth(stage) == 1.0
+    assert capacity_share(stage) == 1.0
 
 
 def test_with_a_sound_clock_a_list_that_is_late_changes_no_start_time() -> None:
@@ -164,7 +164,7 @@
     for late_us in (0, 3 * S, SLOW_START - 1 * S, SLOW_START):
         started_at = stage.now - late_us
         change(stage, listed(started_at))
-        assert record(stage).cold_since == started_at
+        assert record(stage).slow_start_since == started_at
         stage.wait(WATCH)
 
 
@@ -174,7 +174,7 @@
     stage.wait(600 * S)
     stage.play(RegistryUpdated(RegistryUpdateKind.FAILED))
     stage.servers([*names(4), listed(began + 5 * S)])
-    assert warmth(stage) == 1.0
+    assert capacity_share(stage) == 1.0
 
 
 def test_a_server_that_has_run_for_long_and_is_listed_again_is_warm() -> None:
@@ -187,13 +187,13 @@
     assert COLD not in stage.balancer._context.registry.servers
     stage.wait(30 * S)
     change(stage, listed(started_at))
-    assert warmth(stage) == 1.0
+    assert capacity_share(stage) == 1.0
 
 
 def test_a_server_that_started_long_ago_by_the_list_is_warm_whenever_it_joins() -> None:
     stage = in_service()
     change(stage, listed(None))
-    assert warmth(stage) == 1.0
+    assert capacity_share(stage) == 1.0
 
 
 def test_with_a_sound_clock_an_outage_behind_an_agent_that_pushes_lists_changes_no_start_time() -> None:
@@ -205,16 +205,16 @@
         stage.wait(WATCH)
         nothing_new(stage)
     stage.servers([*names(4), listed(began + 5 * S)])
-    assert warmth(stage) == 1.0
+    assert capacity_share(stage) == 1.0
 
 
 def test_an_old_process_first_heard_of_much_too_late_costs_one_slow_start_and_no_more() -> None:
     """It can't be told from a new one whose clock was stepped."""
     stage = in_service()
     change(stage, listed(stage.now - 3 * SLOW_START))
-    assert warmth(stage) == pytest.approx(0.2)
+    assert capacity_share(stage) == pytest.approx(0.2)
     stage.wait(SLOW_START)
-    assert warmth(stage) == 1.0
+    assert capacity_share(stage) == 1.0
 
 
 def test_start_times_of_servers_that_are_gone_take_bounded_memory() -> None:
@@ -224,4 +224,4 @@
         change(stage, replaced)
         change(stage, Endpoint(replaced.server, state=ServerState.REMOVED))
     change(stage, listed(stage.now))
-    assert len(stage.balancer._start_times._known) <= 2 * REMEMBERED + 5
+    assert len(stage.balancer._start_times._known) <= 2 * REMEMBERED_REMOVED_SERVERS + 5
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -60,7 +60,7 @@
             since_ms = w.sidecar._clock.now() // 1000
             w.discovery.say(42, [w.servers[0].entry(since_ms=since_ms)])
             await until(lambda: server.started_at == since_ms * 1000)
-            assert w.sidecar._balancer._slow_start.is_cold(server)
+            assert w.sidecar._balancer._slow_start.is_warming_up(server)
 
     play(scene())
 
@@ -80,7 +80,7 @@
         async with world(served, rules={"max_poll_interval_us": 1 * S}) as w:
             w.discovery.answers.put_nowait(bad)
             await until(lambda: len(w.discovery.targets) == 2)
-            assert w.sidecar._balancer._refresh.failed_calls == 1
+            assert w.sidecar._balancer._registry_poller.failed_calls == 1
             assert (await w.ask())[0] == 200
 
     play(scene())
--- a/tests/test_hedge_crossings.py
+++ b/tests/test_hedge_crossings.py
@@ -7,7 +7,7 @@
 from loopback import request as request_bytes
 from test_crossings import Client, rested_everywhere
 
-from sidecar.balancer.policy.overdue import OverdueDetector
+from sidecar.balancer.policy.hedging import HedgingPolicy
 from sidecar.balancer.state import Attempt, Request
 
 HEDGING = LIMITS | {"allow_hedging": True}
@@ -29,13 +29,13 @@
             before = len(w.sent())
             hedged: list[int] = []
 
-            def is_lost(detector: OverdueDetector, request: Request, attempt: Attempt) -> bool:
+            def is_hedge_due(detector: HedgingPolicy, request: Request, attempt: Attempt) -> bool:
                 if leaves and not hedged:
                     client.leave()  # its end is in the kernel, and unread, as the hedge is sent
                 hedged.append(attempt.index)
                 return len(hedged) == 1
 
-            monkeypatch.setattr(OverdueDetector, "is_lost", is_lost)
+            monkeypatch.setattr(HedgingPolicy, "is_hedge_due", is_hedge_due)
             client = Client(w.sidecar.frontend.address, request_bytes())
             await until(lambda: hedged)
             if leaves:
--- a/tests/test_remaining_time.py
+++ b/tests/test_remaining_time.py
@@ -9,7 +9,7 @@
 from helpers import S
 from loopback import CLASSES, LIMITS, Head, World, answer, full, hung, play, reset, served, until, world
 
-from sidecar.balancer.policy.overdue import OverdueDetector
+from sidecar.balancer.policy.hedging import HedgingPolicy
 from sidecar.proxy import upstream
 from sidecar.proxy.upstream import Connection
 
@@ -77,7 +77,7 @@
 
     def world(self, monkeypatch: pytest.MonkeyPatch) -> Any:
         """Servers of which one that is overdue is taken for lost, which else takes more of them to tell."""
-        monkeypatch.setattr(OverdueDetector, "is_lost", lambda *_: True)
+        monkeypatch.setattr(HedgingPolicy, "is_hedge_due", lambda *_: True)
         classes = [each | {"latency_target_us": S // 5} for each in CLASSES]
         limits = LIMITS | {"allow_hedging": True}
         return world(self.answer, self.answer, self.answer, classes=classes, limits=limits)
--- a/tests/test_selection_cost.py
+++ b/tests/test_selection_cost.py
@@ -55,7 +55,7 @@
     assert servers_weighed(3_200, changes=REQUESTS) == REQUESTS * 3_200
 
 
-def test_cold_servers_have_the_list_gone_through_once_for_each_change_not_for_each_request() -> None:
+def test_servers_warming_up_have_the_list_gone_through_once_for_each_change_not_for_each_request() -> None:
     stage = Stage(settings())
     stage.servers(two_zones(1_000))
     stage.serve(20)
@@ -63,22 +63,22 @@
     started = [replace(each, started_at=stage.now) for each in two_zones(1_000)[:500]]
     stage.servers(started, RegistryUpdateKind.DELTA)
     looked_at = 0
-    is_cold = SlowStart.is_cold
+    is_warming_up = SlowStart.is_warming_up
 
     def counted(self: SlowStart, server: Server) -> bool:
         nonlocal looked_at
         looked_at += 1
-        return is_cold(self, server)
+        return is_warming_up(self, server)
 
-    with patch.object(SlowStart, "is_cold", counted):
+    with patch.object(SlowStart, "is_warming_up", counted):
         for _ in range(50):
             stage.wait(20 * MS)
             stage.request()
-            slow_start.warm_capacity()
+            slow_start.warm_server_capacity()
     assert looked_at < 4 * 1_000
 
 
-def test_peers_follow_each_server_that_becomes_cold_or_warm() -> None:
+def test_peers_follow_each_server_that_starts_or_ends_warming_up() -> None:
     stage = Stage(settings())
     stage.servers(two_zones(6))
     slow_start, servers = stage.balancer._slow_start, stage.balancer._context.registry.ready
@@ -86,11 +86,11 @@
     for number in range(4):
         stage.wait(4 * S)
         stage.play(RegistryUpdated(RegistryUpdateKind.DELTA))
-        slow_start.begin(servers[number], stage.now)
-        slow_start.warm_capacity()
+        slow_start.start(servers[number], stage.now)
+        slow_start.warm_server_capacity()
         warm_counts.append(slow_start._current_peers().count)
     assert warm_counts == [5, 4, 3, 3]  # slow start takes 10 s: the first is warm again by the fourth
     stage.wait(2 * S)
     stage.play(RegistryUpdated(RegistryUpdateKind.DELTA))
-    slow_start.warm_capacity()
+    slow_start.warm_server_capacity()
     assert slow_start._current_peers().count == 4
