--- a/sidecar/balancer/state/context.py
+++ b/sidecar/balancer/state/context.py
@@ -8,7 +8,7 @@
 from sidecar.balancer.events import Event, TimerFired
 from sidecar.balancer.state.clock import Clock
 from sidecar.balancer.state.load import ActiveLoad
-from sidecar.balancer.state.records import Flow
+from sidecar.balancer.state.records import TrafficKey
 from sidecar.balancer.state.registry import ServerRegistry
 from sidecar.balancer.state.service_catalog import ServiceCatalog
 from sidecar.balancer.state.settings_bound import SettingsBoundState, evict
@@ -68,7 +68,7 @@
         self.stalls.set_check_interval(self._stall_check_interval_us())
         self.registry.set_local_zone(settings.zone)
         for server in self.registry.servers.values():
-            evict(server.backoff, self.catalog.has_flow)
+            evict(server.rejection_backoffs, self.catalog.has_flow)
         self._settings_bound.settings_changed()
 
     @property
@@ -113,7 +113,7 @@
         """Whether the settings name the class of this class and size."""
         return self.catalog.has_class(kind[0])
 
-    def names_flow(self, flow: Flow) -> bool:
+    def names_flow(self, flow: TrafficKey) -> bool:
         """Whether the settings name this class and tenant."""
         return self.catalog.has_flow(flow)
 
--- a/sidecar/balancer/state/load.py
+++ b/sidecar/balancer/state/load.py
@@ -49,7 +49,7 @@
             self._change_within_target(attempt.server, -1)
 
     def _change_within_target(self, server: Server, by: int) -> None:
-        server.within_target += by
+        server.in_flight_within_target += by
         self.within_target += by
         if server.ejected_until is not None:
             self.at_ejected += by
@@ -62,7 +62,7 @@
             until: The time up to which it counts, in microseconds.
             within_target: Whether its latency target had not passed; otherwise the total leaves it out.
         """
-        server.abandoned.append(until)
+        server.abandoned_until.append(until)
         if within_target and server.ejected_until is None:
             heapq.heappush(self._abandoned, until)
 
@@ -78,9 +78,9 @@
 
         Without the abandoned ones, a slow or hung server would look idle once its attempts are cancelled.
         """
-        if server.abandoned:
-            server.abandoned = [until for until in server.abandoned if until > self._clock.now]
-        return server.in_flight + len(server.abandoned)
+        if server.abandoned_until:
+            server.abandoned_until = [until for until in server.abandoned_until if until > self._clock.now]
+        return server.in_flight + len(server.abandoned_until)
 
     def update_mean(self, most: float, span_us: float) -> None:
         """Average the total up to now.
--- a/sidecar/balancer/state/service_catalog.py
+++ b/sidecar/balancer/state/service_catalog.py
@@ -1,6 +1,6 @@
 """Lookups of the service classes and tenants that the settings name."""
 
-from sidecar.balancer.state.records import Flow
+from sidecar.balancer.state.records import TrafficKey
 from sidecar.settings import ServiceClass, Settings
 
 
@@ -40,7 +40,7 @@
         """Whether the settings name this class."""
         return name in self._classes
 
-    def has_flow(self, flow: Flow) -> bool:
+    def has_flow(self, flow: TrafficKey) -> bool:
         """Whether the settings name both the class and the tenant of a flow."""
         class_name, tenant = flow
         return class_name in self._classes and (tenant is None or tenant in self.tenant_shares)
