--- a/sidecar/balancer/balancer.py
+++ b/sidecar/balancer/balancer.py
@@ -1,22 +1,24 @@
-"""Event router of the balancer: the life of each request, from its arrival to its final answer.
+"""The balancer: routes events to the policies, and guards what leaves it.
 
-Every attempt leaves through `_send` and every final answer that is not a server's through `_finish`; those
-two enforce the rules, whatever the policies decide.
+Every attempt leaves through `Balancer._send`, and every final response of the balancer's own through
+`Balancer._finish`.  These two gates enforce the rules, whatever the policies decide.
 """
 
-import math
 import random
 
-from sidecar.balancer import actions, events
-from sidecar.balancer.actions import Action
-from sidecar.balancer.events import Event, Outcome, RegistryUpdateKind, ServerState
+from sidecar.balancer import events
+from sidecar.balancer.actions import Action, FailRequest, RejectRequest, SendAttempt
+from sidecar.balancer.events import Event
+from sidecar.balancer.lifecycle.attempt_feedback import AttemptFeedback
+from sidecar.balancer.lifecycle.attempt_rules import AttemptRules
+from sidecar.balancer.lifecycle.placement import RequestPlacer
+from sidecar.balancer.lifecycle.request_factory import RequestFactory
+from sidecar.balancer.lifecycle.request_table import RequestTable
+from sidecar.balancer.lifecycle.retrying import RequestRetrier
+from sidecar.balancer.lifecycle.timer_dispatch import TimerDispatcher
 from sidecar.balancer.policy import health_checks, retries
 from sidecar.balancer.policy.admission import AdmissionControl
-from sidecar.balancer.policy.concurrency_limit import (
-    BUSY_CPU_UTILIZATION,
-    UNANSWERED_LATENCY_RATIO,
-    ConcurrencyLimit,
-)
+from sidecar.balancer.policy.concurrency_limit import ConcurrencyLimit
 from sidecar.balancer.policy.connections import IdleConnections
 from sidecar.balancer.policy.hedging import HedgingPolicy
 from sidecar.balancer.policy.key_order import KeyOrder
@@ -27,348 +29,261 @@
 from sidecar.balancer.policy.selection import Selector
 from sidecar.balancer.policy.slow_start import SlowStart
 from sidecar.balancer.policy.start_times import StartTimes
-from sidecar.balancer.state import Attempt, Context, LinearFit, Request, Server, timers
+from sidecar.balancer.registry_updates import RegistryUpdater
+from sidecar.balancer.state import Attempt, Context, LinearFit, Request, Server
+from sidecar.balancer.state.timers import RequestDeadline
 from sidecar.settings import Idempotency, Settings
 
-STALL_CHECK_TARGETS = 0.1  # while an attempt is active a timer checks so often, in shortest latency targets
-ANSWER_EARLY_TICKS = 2  # a final answer leaves this many ticks before the client's time is up
-RETRY_AFTER_TARGETS = 0.1  # a refused client should come back after about this part of its latency target
-CONNECTED = (Outcome.SUCCEEDED, Outcome.ERROR, Outcome.REJECTED)  # the connection is still there after these
+STALL_CHECK_TARGETS = 0.1  # the interval of stall checks while attempts are active, in shortest targets
+RETRY_AFTER_TARGETS = 0.1  # after about this part of its latency target a rejected client should retry
 
 
 class Balancer:
-    """The decisions of one instance.  Feed it events in order; carry out the actions it returns in order."""
+    """The decisions of one sidecar, as a state machine that is deterministic given its seed."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self._begun = False
-        self._requests: dict[int, Request] = {}
-        self._context = context = Context(settings, random.Random(seed), STALL_CHECK_TARGETS)
+        """Create a balancer that knows no servers yet.
+
+        Args:
+            settings: The settings in force at first.
+            seed: The seed of all random decisions.
+        """
+        self._has_started = False
+        self._context = Context(settings, random.Random(seed), STALL_CHECK_TARGETS)
+        self._create_policies()
+        self._create_lifecycle()
+        self._create_event_handlers()
+        self._configure_health_checks()
+
+    def _create_policies(self) -> None:
+        context = self._context
         self._registry_poller = RegistryPoller(context)
         self._key_order = KeyOrder(context)
         self._retry_budget = retries.RetryBudget()
-        self._latency = latency = LatencyTracker(context)
+        self._latency = LatencyTracker(context)
         self._start_times = StartTimes(context)
-        self._slow_start = slow_start = SlowStart(context)
-        self._limit = limit = ConcurrencyLimit(context)
-        arrivals, fit = slow_start.arrivals, LinearFit(health_checks.FIT_DECAY, health_checks.FIT_MIN_SAMPLES)
-        self._admission = admission = AdmissionControl(context, limit, arrivals)
-        self._outliers = outliers = OutlierDetector(context, slow_start)
-        self._hedging = HedgingPolicy(context, latency, outliers, admission, limit)
-        self._selector = selector = Selector(context, slow_start, limit)
-        self._connections = connections = IdleConnections(context, arrivals, fit)
-        self._health_checks = health_checks.HealthChecks(context, slow_start, selector, connections, fit)
-        self._set_up_probing()
+        self._slow_start = SlowStart(context)
+        self._limit = ConcurrencyLimit(context)
+        arrivals = self._slow_start.arrivals
+        latency_by_load = LinearFit(health_checks.FIT_DECAY, health_checks.FIT_MIN_SAMPLES)
+        self._admission = AdmissionControl(context, self._limit, arrivals)
+        self._outliers = OutlierDetector(context, self._slow_start)
+        self._hedging = HedgingPolicy(context, self._latency, self._outliers, self._admission, self._limit)
+        self._selector = Selector(context, self._slow_start, self._limit)
+        self._connections = IdleConnections(context, arrivals, latency_by_load)
+        self._health_checks = health_checks.HealthChecks(
+            context, self._slow_start, self._selector, self._connections, latency_by_load
+        )
 
-    def _set_up_probing(self) -> None:
-        self._health_check_count = health_checks.health_checks_per_request(self._context.settings)
-        self._admission.checks_load_before_sending = self._health_check_count > 1
-        crossings_cost = (
-            health_checks.cross_zone_cost(self._context.settings) >= health_checks.MIN_CROSS_ZONE_COST
+    def _create_lifecycle(self) -> None:
+        context = self._context
+        self._requests = RequestTable(context, self._key_order)
+        self._request_factory = RequestFactory(context, self._latency, self._selector)
+        self._attempt_rules = AttemptRules(context, self._key_order, self._slow_start)
+        self._placer = RequestPlacer(
+            context, self._outliers, self._selector, self._health_checks, self._send, self._finish
         )
-        self._selector.local_first = self._health_check_count > 1 and crossings_cost
+        self._retrier = RequestRetrier(context, self._retry_budget, self._hedging, self._placer, self._finish)
 
-    def _settings_changed(self, settings: Settings) -> None:
-        """Go by other settings; requests in progress keep their class, and limits that were stricter."""
-        former, former_target_us = self._context.settings, self._context.longest_target_us
-        self._context.adopt(settings)
-        self._set_up_probing()
-        self._limit.rescale(self._context.longest_target_us / former_target_us)
-        for request in self._requests.values():
-            request.restrict(settings.limits, retries.never_ran_outcomes(settings))
-        if former.discovery is not settings.discovery:
-            self._registry_poller.poll()
+    def _create_event_handlers(self) -> None:
+        context = self._context
+        self._feedback = AttemptFeedback(
+            context=context,
+            key_order=self._key_order,
+            connections=self._connections,
+            outliers=self._outliers,
+            limit=self._limit,
+            admission=self._admission,
+            latency=self._latency,
+            health_checks=self._health_checks,
+        )
+        self._timer_dispatcher = TimerDispatcher(
+            context=context,
+            requests=self._requests,
+            key_order=self._key_order,
+            connections=self._connections,
+            registry_poller=self._registry_poller,
+            placer=self._placer,
+            retrier=self._retrier,
+            finish=self._finish,
+        )
+        self._registry_updater = RegistryUpdater(
+            context=context,
+            poller=self._registry_poller,
+            start_times=self._start_times,
+            slow_start=self._slow_start,
+            outliers=self._outliers,
+            latency=self._latency,
+        )
+
+    def _configure_health_checks(self) -> None:
+        settings = self._context.settings
+        checks_per_request = health_checks.health_checks_per_request(settings)
+        checks_load = checks_per_request > 1
+        cross_zone_cost = health_checks.cross_zone_cost(settings)
+        self._placer.checks_per_request = checks_per_request
+        self._admission.checks_load_before_sending = checks_load
+        self._selector.local_first = checks_load and cross_zone_cost >= health_checks.MIN_CROSS_ZONE_COST
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take one event at clock time `now`; return what to do, in order."""
-        context, time_passed = self._context, now > self._context.now
+        """Handle one event; events have to come in the order in which they happened.
+
+        Args:
+            now: The host's clock, in microseconds.
+            event: The event.
+
+        Returns:
+            The actions for the host, in the order to carry them out.
+        """
+        context = self._context
+        time_passed = now > context.now
         context.begin(now, event)
         if time_passed:
-            context.load.update_mean(
-                self._limit.limit, low_traffic_factor(context.load) * context.longest_target_us
-            )
-        if not self._begun:
-            self._begun = True
+            span_us = low_traffic_factor(context.load) * context.longest_target_us
+            context.load.update_mean(self._limit.limit, span_us)
+        if not self._has_started:
+            self._has_started = True
             self._registry_poller.poll()
-        match event:  # messages: none are sent, so none are awaited
+        self._route(event)
+        self._place_next_of_keys()
+        return context.end(self._timer_dispatcher.wanted_at)
+
+    def _route(self, event: Event) -> None:
+        match event:
             case events.AttemptEnded():
                 self._attempt_ended(event)
             case events.RequestArrived():
                 self._request_arrived(event)
             case events.TimerFired():
-                self._timer_fired()
+                self._timer_dispatcher.fire_due()
             case events.RegistryUpdated():
-                self._registry_updated(event)
-            case events.SettingsChanged(settings):
-                self._settings_changed(settings)
+                self._registry_updater.update(event)
+            case events.SettingsChanged():
+                self._settings_changed(event.settings)
             case events.ClientDisconnected():
-                if (request := self._unanswered(event.request)) is not None:
-                    self._close(request)
+                self._client_disconnected(event)
             case events.ResponseStarted():
-                if (request := self._requests.get(event.request)) is not None:
-                    request.response_started(event.attempt)
+                self._response_started(event)
             case events.HealthCheckEnded():
-                for request in self._health_checks.check_ended(event):
-                    self._send_probed(request)
-        while (request := self._key_order.next_request()) is not None:
-            self._place(request)
-        return context.end(self._wanted_at)
+                self._health_check_ended(event)
+            case events.MessageReceived():
+                pass  # balancers send no messages
 
-    def _registry_updated(self, update: events.RegistryUpdated) -> None:
-        if update.kind is RegistryUpdateKind.FAILED:
-            self._registry_poller.failed()
-            return
-        if update.kind is not RegistryUpdateKind.CACHED:
-            self._registry_poller.succeeded()
-        if not update.is_empty():  # most watches end so: all servers each time would grow with their number
-            self._take_over(self._start_times.to_local_clock(update))
-        self._start_times.registry_responded(update)
-
-    def _take_over(self, update: events.RegistryUpdated) -> None:
-        """Go by a list or changes of it from now on."""
-        self._slow_start.warm_server_capacity()  # all that are warm may be leaving
-        for server in self._context.registry.apply(update):
-            self._slow_start.start(server, server.started_at or 0)
-            if server.ejected_until is not None and server.state is ServerState.READY:
-                self._outliers.readmit(server)  # a new process: what the old one did is history
-        for server in self._context.registry.gone():
-            self._outliers.end_ejection(server)
-            if not self._context.load.at(server) and server.health_check_sent_at is None:
-                self._context.registry.forget(server)
-        self._latency.set_unknown_weights(self._context.registry.ready)
+    def _place_next_of_keys(self) -> None:
+        """Place the requests that have come to the head of the queue of their key."""
+        while True:
+            request = self._key_order.next_request()
+            if request is None:
+                return
+            self._placer.place(request)
 
     def _request_arrived(self, event: events.RequestArrived) -> None:
-        now = self._context.now
-        service_class = self._context.catalog.class_named(event.service_class, event.remaining_us)
-        self._slow_start.arrivals.add(now)
-        answer_by = now + event.remaining_us - ANSWER_EARLY_TICKS * self._context.settings.tick_us
-        cost = self._latency.relative_cost(service_class, event.cost_us)
-        flow = (service_class.name, event.tenant)
-        all_zones, size = not self._selector.local_first, max(-3, min(math.frexp(cost)[1], 4))
-        request = Request(event.request, service_class, answer_by, cost, flow, all_zones, size)
-        request.limits = self._context.settings.limits
-        request.non_execution_outcomes = retries.never_ran_outcomes(self._context.settings)
-        self._requests[event.request] = request
-        self._context.timers.add(answer_by, timers.RequestDeadline(event.request))
+        self._slow_start.arrivals.add(self._context.now)
+        request = self._request_factory.create(event)
+        self._requests.add(request)
+        self._context.timers.add(request.deadline, RequestDeadline(request.id))
         if self._admission.should_reject(request, event.remaining_us):
             self._finish(request)
-        elif service_class.ordered_by_key and event.key is not None:
+        elif request.service_class.ordered_by_key and event.key is not None:
             self._key_order.enqueue(request, event.key)
         else:
-            self._place(request)
+            self._placer.place(request)
 
-    def _place(self, request: Request) -> None:
-        """Send the request to the best of k, or answer it where nothing is left to try."""
-        server = self._outliers.half_open_candidate(request)
-        if server is None and (candidates := self._selector.candidates(request)):
-            if (
-                self._health_check_count > 1 and not self._context.has_just_resumed()
-            ):  # others that stalled hear the same
-                self._health_checks.start(
-                    request, sorted(candidates, key=self._context.load.at)[: self._health_check_count]
-                )
-                return
-            server = self._selector.least_loaded(candidates)
-        self._send_or_finish(request, server)
-
-    def _send_probed(self, request: Request) -> None:
-        """Send a request whose probes are back, or were waited for long enough, to the least loaded."""
-        tied = self._health_checks.release(request)
-        if request.answered:
+    def _attempt_ended(self, event: events.AttemptEnded) -> None:
+        request = self._requests.get(event.request)
+        if request is None:
             return
-        best = self._health_checks.least_loaded(request, tied)
-        if not request.all_zones and self._health_checks.should_cross_zones(best):
-            request.all_zones = True
-            self._place(request)
+        attempt = request.pending_attempt(event.attempt)
+        if attempt is None:
             return
-        if best is None:
-            best = next((each for each in tied if self._selector.is_eligible(each, request)), None)
-        if best is not None and self._health_checks.predicts_overload(request, best):
-            best = None
-        if self._send_or_finish(request, best) and best is not None and best.health_check_sent_at is None:
-            request.attempts[-1].reported_load = best.reported_load
+        self._feedback.attempt_ended(request, attempt, event)
+        if event.answered and not request.answered:
+            self._requests.close(request)
+        elif not request.answered:
+            self._retrier.retry(request, attempt.server, event.outcome)
+        self._retry_budget.attempt_ended(event.outcome)
+        self._requests.forget_if_complete(request)
 
-    def _send_or_finish(self, request: Request, server: Server | None) -> bool:
-        sent = server is not None and self._send(request, server)
-        if not sent and not request.is_active():
-            self._finish(request)
-        return sent
+    def _response_started(self, event: events.ResponseStarted) -> None:
+        request = self._requests.get(event.request)
+        if request is not None:
+            request.response_started(event.attempt)
 
-    def _unanswered(self, ident: int) -> Request | None:
-        """The request, if a final answer is still owed."""
-        request = self._requests.get(ident)
-        return None if request is None or request.answered else request
+    def _client_disconnected(self, event: events.ClientDisconnected) -> None:
+        request = self._requests.unanswered(event.request)
+        if request is not None:
+            self._requests.close(request)
+
+    def _health_check_ended(self, event: events.HealthCheckEnded) -> None:
+        for request in self._health_checks.check_ended(event):
+            self._placer.place_checked(request)
+
+    def _settings_changed(self, settings: Settings) -> None:
+        """Put other settings into force; requests in progress keep their class and stricter limits."""
+        former_discovery = self._context.settings.discovery
+        former_target_us = self._context.longest_target_us
+        self._context.adopt(settings)
+        self._configure_health_checks()
+        self._limit.rescale(self._context.longest_target_us / former_target_us)
+        self._requests.restrict()
+        if settings.discovery is not former_discovery:
+            self._registry_poller.poll()
 
     def _send(self, request: Request, server: Server) -> bool:
-        """The one way out for an attempt.  Says whether the attempt was allowed and sent."""
-        index, now, limits = len(request.attempts), self._context.now, request.limits
-        if request.answered or now >= request.deadline:
-            return False  # rule 1: nothing after the final answer, nothing that cannot be answered in time
-        if index >= limits.max_attempts or not self._key_order.allows(request):
+        """Send an attempt if the rules allow it; the only way out for attempts.
+
+        Returns:
+            Whether the attempt was sent.
+        """
+        if not self._attempt_rules.allow(request, server):
             return False
-        if not limits.allow_hedging and request.is_active():
-            return False  # rule 2
-        if not self._may_run_again(request) or not retries.is_deduplicated_at(request, server):
-            return False  # rule 2
-        if server.state is not ServerState.READY:
-            return False  # rule 3: at once on hearing, without use of the grace
-        if not self._slow_start.has_capacity(server, request.relative_cost):
-            return False  # rule 4
-        server.slow_start_budget -= request.relative_cost  # which counts only while it is cold
-        attempt = Attempt(index, server, now, self._context.stalls.stalled_us, self._outliers.successes)
-        request.attempts.append(attempt)
-        self._context.load.change(server, 1)
+        attempt = self._record_attempt(request, server)
         self._admission.attempt_sent(request.service_class.latency_target_us)
+        self._hedging.watch(request, attempt)
+        write_by = self._write_deadline(request)
+        self._context.actions.append(SendAttempt(request.id, server.name, request.deadline, write_by))
+        return True
+
+    def _record_attempt(self, request: Request, server: Server) -> Attempt:
+        """Add a new attempt to the records of its request and of its server."""
+        attempt = Attempt(
+            index=len(request.attempts),
+            server=server,
+            sent_at=self._context.now,
+            stalled_before_us=self._context.stalls.stalled_us,
+            successes_before=self._outliers.successes,
+        )
+        request.attempts.append(attempt)
+        server.slow_start_budget -= request.relative_cost  # it matters only while the server warms up
         server.idle_connections = max(server.idle_connections - 1, 0)
         if server.ejected_until is not None:
             server.half_open_attempt = attempt
-        self._hedging.watch(request, attempt)
-        keyed = request.service_class.idempotency is Idempotency.KEYED
-        write_by = retries.retry_deadline(request, now, self._context.settings.tick_us) if keyed else None
-        self._context.actions.append(actions.SendAttempt(request.id, server.name, request.deadline, write_by))
-        return True
+        self._context.load.change(server, 1)
+        return attempt
 
-    def _may_run_again(self, request: Request) -> bool:
-        return retries.may_retry(request, self._context.now, self._context.settings.tick_us)
+    def _write_deadline(self, request: Request) -> int | None:
+        """By when an attempt has to be written if another one was begun; None: at any time."""
+        if request.service_class.idempotency is not Idempotency.KEYED:
+            return None
+        return retries.retry_deadline(request, self._context.now, self._context.settings.tick_us)
 
     def _finish(self, request: Request) -> None:
-        """The one way out for an answer that is not a server's: a refusal where legal, else a failure."""
+        """Reject a request where a retry does no harm, else fail it; the only way out for own responses."""
         if request.answered:
             return
-        limits = self._context.settings.limits  # jitter, or those refused at once would be back at once
-        back_us = RETRY_AFTER_TARGETS * request.service_class.latency_target_us
-        back_us = min(back_us * (0.5 + self._context.rng.random()), limits.max_retry_after_us)
-        refusal = actions.RejectRequest(request.id, int(back_us) if limits.retry_after else 0)
-        is_refused = retries.is_client_retry_safe(request)
-        self._context.actions.append(refusal if is_refused else actions.FailRequest(request.id))
-        self._close(request)
-
-    def _close(self, request: Request) -> None:
-        """Nothing is owed any more; active attempts are cancelled where that is permitted."""
-        request.answered = True
-        for attempt in request.attempts:
-            if attempt.pending and not attempt.response_started and request.limits.allow_cancel:
-                self._context.actions.append(actions.CancelAttempt(request.id, attempt.index))
-        self._forget_if_over(request)
-
-    def _forget_if_over(self, request: Request) -> None:
-        if request.is_complete():
-            self._requests.pop(request.id, None)
-            self._key_order.mark_changed(request.ordering_key)
-
-    def _attempt_ended(self, event: events.AttemptEnded) -> None:
-        request = self._requests.get(event.request)
-        attempt = None if request is None else request.pending_attempt(event.attempt)
-        if request is None or attempt is None:
-            return
-        attempt.pending = False
-        attempt.may_have_run = event.outcome not in request.non_execution_outcomes
-        self._key_order.attempt_ended(request, event.outcome)
-        self._context.load.change(attempt.server, -1, attempt.within_target)
-        if event.outcome in CONNECTED:
-            self._connections.add(attempt.server)
-        self._outliers.attempt_ended(request, attempt, event.outcome)
-        self._limit.observe_load_report(event.report)
-        self._learn(request, attempt, event)
-        if not request.answered:
-            if event.answered:
-                self._close(request)
-            else:
-                self._try_again(request, attempt.server, event.outcome)
-        self._retry_budget.attempt_ended(event.outcome)
-        self._forget_if_over(request)
-
-    def _learn(self, request: Request, attempt: Attempt, event: events.AttemptEnded) -> None:
-        """Learn of latency and overload from the end of an attempt."""
-        server, elapsed_us, catching_up = attempt.server, event.elapsed_us, self._context.is_catching_up()
-        match event.outcome:
-            case Outcome.TIMED_OUT | Outcome.CANCELLED:
-                if not (attempt.counted_as_late or request.answered or event.answered):
-                    self._admission.count_late_attempt()
-                until = self._context.now + elapsed_us  # for as long as it was waited for
-                self._context.load.abandon(server, until, attempt.within_target)
-                usual_us = self._latency.usual_us(request) * server.latency_weight
-                if elapsed_us > usual_us and not catching_up:
-                    self._latency.observe_latency(request, server, elapsed_us)
-            case Outcome.ERROR:
-                self._latency.observe_error(request, server)
-            case Outcome.SUCCEEDED:
-                target_us = request.service_class.latency_target_us
-                self._limit.count_success(target_us)
-                if not catching_up:
-                    self._health_checks.observe_success(request, attempt, elapsed_us)
-                    self._latency.observe_success(request, server, elapsed_us)
-                    if not attempt.counted_as_late:
-                        self._admission.observe_latency(elapsed_us / target_us)
-                    server.rejection_backoffs.pop(request.traffic_key, None)
-            case Outcome.REJECTED:
-                self._outliers.back_off(request, server)
-                if event.report is None or event.report.get("util", 1.0) >= BUSY_CPU_UTILIZATION:
-                    self._admission.observe_latency(UNANSWERED_LATENCY_RATIO)
-
-    def _try_again(self, request: Request, server: Server, outcome: Outcome) -> None:
-        """After an attempt that brought no answer: draw again where that is allowed."""
-        request.failed_servers.append(server)
-        request.rejections += outcome is Outcome.REJECTED
-        if outcome is Outcome.REJECTED or (self._may_run_again(request) and self._retry_budget.try_acquire()):
-            self._place(request)
-        elif not request.is_active():
-            self._finish(request)
-
-    def _attempt_overdue(self, request: Request, attempt: Attempt) -> None:
-        """Save a repeatable request from a silent server."""
-        limits = request.limits
-        exhausted = len(request.attempts) >= limits.max_attempts
-        if not self._hedging.is_hedge_due(request, attempt) or exhausted or not self._may_run_again(request):
-            return  # waiting is all that is left
-        if limits.allow_hedging:
-            if self._retry_budget.try_acquire():
-                self._place(request)
-        elif limits.allow_cancel and self._retry_budget.has_tokens():
-            # Its end draws again.
-            self._context.actions.append(actions.CancelAttempt(request.id, attempt.index))
-
-    def _wanted_at(self, due: int, timer: timers.Timer) -> int | None:
-        """When that which a timer was set for wants it; None: no longer."""
-        match timer:
-            case timers.StallCheck():
-                return self._context.stalls.check_due
-            case timers.AttemptOverdue():
-                request = self._unanswered(timer.request)
-                return due if request is not None and request.attempts[timer.attempt].pending else None
-            case timers.RequestDeadline():
-                return due if self._unanswered(timer.request) is not None else None
-            case timers.ProbesDue():
-                request = self._unanswered(timer.request)
-                return request.health_checks_due if request is not None and request.health_checked else None
-            case timers.KeyRested():
-                return self._key_order.cooldown_until(timer.key)
-            case timers.IdleCloseDue():
-                return self._connections.close_due(timer.server)
-            case timers.RegistryPoll():
-                return self._registry_poller.due
-
-    def _timer_fired(self) -> None:
-        for due, timer in self._context.timers.take_due(self._context.now):
-            wanted_at = self._wanted_at(due, timer)
-            if wanted_at is None or wanted_at > self._context.now:
-                continue
-            match timer:
-                case timers.KeyRested(key):
-                    self._key_order.mark_changed(key)
-                case timers.IdleCloseDue(server):
-                    self._connections.close(server)
-                case timers.RegistryPoll():
-                    self._registry_poller.poll()
-                case timers.RequestDeadline() | timers.ProbesDue() | timers.AttemptOverdue():
-                    self._request_due(self._requests[timer.request], timer)
+        retry_after_us = self._retry_after_us(request)
+        if retries.is_client_retry_safe(request):
+            self._context.actions.append(RejectRequest(request.id, retry_after_us))
+        else:
+            self._context.actions.append(FailRequest(request.id))
+        self._requests.close(request)
 
-    def _request_due(self, request: Request, timer: timers.Timer) -> None:
-        if any(each.response_started for each in request.attempts):
-            return  # nothing is waited for any more
-        match timer:
-            case timers.AttemptOverdue(_, index):
-                self._attempt_overdue(request, request.attempts[index])
-            case timers.ProbesDue():
-                self._send_probed(request)
-            case timers.RequestDeadline():
-                self._finish(request)
+    def _retry_after_us(self, request: Request) -> int:
+        """How long a rejected client should wait, in microseconds; 0 where it is not told."""
+        limits = self._context.settings.limits
+        # Without jitter, clients rejected together would retry together.
+        jitter = 0.5 + self._context.rng.random()
+        wait_us = RETRY_AFTER_TARGETS * request.service_class.latency_target_us * jitter
+        if not limits.retry_after:
+            return 0
+        return int(min(wait_us, limits.max_retry_after_us))
--- /dev/null
+++ b/sidecar/balancer/lifecycle/attempt_feedback.py
@@ -0,0 +1,91 @@
+"""What the balancer learns from the end of an attempt."""
+
+from dataclasses import dataclass
+
+from sidecar.balancer.events import AttemptEnded, Outcome
+from sidecar.balancer.policy.admission import AdmissionControl
+from sidecar.balancer.policy.concurrency_limit import (
+    BUSY_CPU_UTILIZATION,
+    UNANSWERED_LATENCY_RATIO,
+    ConcurrencyLimit,
+)
+from sidecar.balancer.policy.connections import IdleConnections
+from sidecar.balancer.policy.health_checks import HealthChecks
+from sidecar.balancer.policy.key_order import KeyOrder
+from sidecar.balancer.policy.latency import LatencyTracker
+from sidecar.balancer.policy.outliers import OutlierDetector
+from sidecar.balancer.state import Attempt, Context, Request
+
+CONNECTION_KEPT = (Outcome.SUCCEEDED, Outcome.ERROR, Outcome.REJECTED)  # it is idle after these
+
+
+@dataclass(slots=True, eq=False)
+class AttemptFeedback:
+    """Passes the end of an attempt on to all policies that learn from it.
+
+    Attributes:
+        context: The shared state.
+        key_order: Starts the cooldown of a key.
+        connections: Counts idle connections.
+        outliers: Ejects servers that fail, and readmits them.
+        limit: Follows load reports and successes.
+        admission: Follows the latency of responses.
+        latency: Follows the latency of each server and class.
+        health_checks: Learns how latency depends on a server's load.
+    """
+
+    context: Context
+    key_order: KeyOrder
+    connections: IdleConnections
+    outliers: OutlierDetector
+    limit: ConcurrencyLimit
+    admission: AdmissionControl
+    latency: LatencyTracker
+    health_checks: HealthChecks
+
+    def attempt_ended(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
+        """Take in the end of an attempt that was pending."""
+        attempt.pending = False
+        attempt.may_have_run = event.outcome not in request.non_execution_outcomes
+        self.key_order.attempt_ended(request, event.outcome)
+        self.context.load.change(attempt.server, -1, attempt.within_target)
+        if event.outcome in CONNECTION_KEPT:
+            self.connections.add(attempt.server)
+        self.outliers.attempt_ended(request, attempt, event.outcome)
+        self.limit.observe_load_report(event.report)
+        match event.outcome:
+            case Outcome.TIMED_OUT | Outcome.CANCELLED:
+                self._abandoned(request, attempt, event)
+            case Outcome.ERROR:
+                self.latency.observe_error(request, attempt.server)
+            case Outcome.SUCCEEDED:
+                self._succeeded(request, attempt, event.elapsed_us)
+            case Outcome.REJECTED:
+                self._rejected(request, attempt, event)
+
+    def _abandoned(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
+        """Learn from an attempt without a response, which the server may still be processing."""
+        if not (attempt.counted_as_late or request.answered or event.answered):
+            self.admission.count_late_attempt()
+        counted_until = self.context.now + event.elapsed_us  # for as long as it was waited for
+        self.context.load.abandon(attempt.server, counted_until, attempt.within_target)
+        usual_us = self.latency.usual_us(request) * attempt.server.latency_weight
+        if event.elapsed_us > usual_us and not self.context.is_catching_up():
+            self.latency.observe_latency(request, attempt.server, event.elapsed_us)
+
+    def _succeeded(self, request: Request, attempt: Attempt, elapsed_us: int) -> None:
+        target_us = request.service_class.latency_target_us
+        self.limit.count_success(target_us)
+        if self.context.is_catching_up():
+            return  # the response may have waited for this process
+        self.health_checks.observe_success(request, attempt, elapsed_us)
+        self.latency.observe_success(request, attempt.server, elapsed_us)
+        if not attempt.counted_as_late:
+            self.admission.observe_latency(elapsed_us / target_us)
+        attempt.server.rejection_backoffs.pop(request.traffic_key, None)
+
+    def _rejected(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
+        self.outliers.back_off(request, attempt.server)
+        # Servers that reject requests with idle cores tell of no overload: there is room for more.
+        if event.report is None or event.report.get("util", 1.0) >= BUSY_CPU_UTILIZATION:
+            self.admission.observe_latency(UNANSWERED_LATENCY_RATIO)
--- /dev/null
+++ b/sidecar/balancer/lifecycle/placement.py
@@ -0,0 +1,83 @@
+"""Placement: which server gets the next attempt of a request."""
+
+from dataclasses import dataclass
+
+from sidecar.balancer.lifecycle.gates import FinishGate, SendGate
+from sidecar.balancer.policy.health_checks import HealthChecks
+from sidecar.balancer.policy.outliers import OutlierDetector
+from sidecar.balancer.policy.selection import Selector
+from sidecar.balancer.state import Context, Request, Server
+
+
+@dataclass(slots=True, eq=False)
+class RequestPlacer:
+    """Sends requests to the least loaded of a few candidates, or finishes them where no server is left.
+
+    Attributes:
+        context: The shared state.
+        outliers: Knows the ejected servers that may be tried again.
+        selector: Draws the candidates.
+        health_checks: Finds out how loaded the candidates are, where that is cheap.
+        send: The gate for attempts.
+        finish: The gate for the balancer's own final responses.
+        checks_per_request: How many candidates get a health check; with fewer than two none does.
+    """
+
+    context: Context
+    outliers: OutlierDetector
+    selector: Selector
+    health_checks: HealthChecks
+    send: SendGate
+    finish: FinishGate
+    checks_per_request: int = 0
+
+    def place(self, request: Request) -> None:
+        """Send the next attempt of a request, or start the health checks of its candidates."""
+        half_open = self.outliers.half_open_candidate(request)
+        if half_open is not None:
+            self._send_or_finish(request, half_open)
+            return
+        candidates = self.selector.candidates(request)
+        if not candidates:
+            self._finish_unless_active(request)
+        elif self._should_check():
+            by_load = sorted(candidates, key=self.context.load.at)
+            self.health_checks.start(request, by_load[: self.checks_per_request])
+        else:
+            self._send_or_finish(request, self.selector.least_loaded(candidates))
+
+    def _should_check(self) -> bool:
+        # After a stall that others shared, their requests would all go where the same reports point.
+        return self.checks_per_request > 1 and not self.context.has_just_resumed()
+
+    def place_checked(self, request: Request) -> None:
+        """Send a request whose health checks have ended, or were waited for long enough."""
+        checked = self.health_checks.release(request)
+        if request.answered:
+            return
+        server = self.health_checks.least_loaded(request, checked)
+        if not request.all_zones and self.health_checks.should_cross_zones(server):
+            request.all_zones = True
+            self.place(request)
+            return
+        if server is None:
+            server = self._first_eligible(request, checked)
+        if server is None or self.health_checks.predicts_overload(request, server):
+            self._finish_unless_active(request)
+            return
+        sent = self._send_or_finish(request, server)
+        if sent and server.health_check_sent_at is None:
+            request.attempts[-1].reported_load = server.reported_load
+
+    def _first_eligible(self, request: Request, servers: list[Server]) -> Server | None:
+        return next((each for each in servers if self.selector.is_eligible(each, request)), None)
+
+    def _send_or_finish(self, request: Request, server: Server) -> bool:
+        sent = self.send(request, server)
+        if not sent:
+            self._finish_unless_active(request)
+        return sent
+
+    def _finish_unless_active(self, request: Request) -> None:
+        if not request.is_active():
+            self.finish(request)
--- /dev/null
+++ b/sidecar/balancer/lifecycle/request_table.py
@@ -0,0 +1,55 @@
+"""The requests in progress."""
+
+from collections.abc import Iterator, Mapping
+
+from sidecar.balancer.actions import CancelAttempt
+from sidecar.balancer.policy import retries
+from sidecar.balancer.policy.key_order import KeyOrder
+from sidecar.balancer.state import Context, Request
+
+
+class RequestTable(Mapping[int, Request]):
+    """The requests that have no final response or an attempt that has not ended, by number."""
+
+    def __init__(self, context: Context, key_order: KeyOrder) -> None:
+        self._context = context
+        self._key_order = key_order
+        self._requests: dict[int, Request] = {}
+
+    def __getitem__(self, number: int) -> Request:
+        return self._requests[number]
+
+    def __iter__(self) -> Iterator[int]:
+        return iter(self._requests)
+
+    def __len__(self) -> int:
+        return len(self._requests)
+
+    def add(self, request: Request) -> None:
+        """Add a new request."""
+        self._requests[request.id] = request
+
+    def unanswered(self, number: int) -> Request | None:
+        """The request of this number, if it has no final response yet."""
+        request = self._requests.get(number)
+        return None if request is None or request.answered else request
+
+    def restrict(self) -> None:
+        """Hold all requests to the limits of the settings in force, where they are stricter than before."""
+        settings = self._context.settings
+        for request in self._requests.values():
+            request.restrict(settings.limits, retries.never_ran_outcomes(settings))
+
+    def close(self, request: Request) -> None:
+        """Note that no final response is owed any more, and cancel active attempts where that is allowed."""
+        request.answered = True
+        for attempt in request.attempts:
+            if attempt.pending and not attempt.response_started and request.limits.allow_cancel:
+                self._context.actions.append(CancelAttempt(request.id, attempt.index))
+        self.forget_if_complete(request)
+
+    def forget_if_complete(self, request: Request) -> None:
+        """Drop a request that is answered and has no active attempt."""
+        if request.is_complete():
+            self._requests.pop(request.id, None)
+            self._key_order.mark_changed(request.ordering_key)
--- /dev/null
+++ b/sidecar/balancer/lifecycle/timer_dispatch.py
@@ -0,0 +1,118 @@
+"""Dispatch of the timers that are due."""
+
+from dataclasses import dataclass
+
+from sidecar.balancer.lifecycle.gates import FinishGate
+from sidecar.balancer.lifecycle.placement import RequestPlacer
+from sidecar.balancer.lifecycle.request_table import RequestTable
+from sidecar.balancer.lifecycle.retrying import RequestRetrier
+from sidecar.balancer.policy.connections import IdleConnections
+from sidecar.balancer.policy.key_order import KeyOrder
+from sidecar.balancer.policy.registry_polling import RegistryPoller
+from sidecar.balancer.state import Context
+from sidecar.balancer.state.timers import (
+    AttemptOverdue,
+    IdleCloseDue,
+    KeyRested,
+    ProbesDue,
+    RegistryPoll,
+    RequestDeadline,
+    StallCheck,
+    Timer,
+)
+
+RequestTimer = RequestDeadline | AttemptOverdue | ProbesDue
+
+
+@dataclass(slots=True, eq=False)
+class TimerDispatcher:
+    """Hands each timer that is due to what waits for it, if that still does.
+
+    Timers are never removed when they are no longer wanted; whoever they were set for is asked instead.
+
+    Attributes:
+        context: The shared state.
+        requests: The requests in progress.
+        key_order: Waits for the cooldown of keys.
+        connections: Waits to close idle connections.
+        registry_poller: Waits to poll the registry.
+        placer: Waits for health checks.
+        retrier: Waits for overdue attempts.
+        finish: The gate for the balancer's own final responses.
+    """
+
+    context: Context
+    requests: RequestTable
+    key_order: KeyOrder
+    connections: IdleConnections
+    registry_poller: RegistryPoller
+    placer: RequestPlacer
+    retrier: RequestRetrier
+    finish: FinishGate
+
+    def wanted_at(self, due: int, timer: Timer) -> int | None:
+        """When a timer is still wanted.
+
+        Args:
+            due: The time that it was set for, in microseconds.
+            timer: The timer.
+
+        Returns:
+            The time at which it is wanted now, in microseconds; None if it is not wanted any more.
+        """
+        match timer:
+            case RequestDeadline() | AttemptOverdue() | ProbesDue():
+                return self._request_wants_at(due, timer)
+            case StallCheck():
+                return self.context.stalls.check_due
+            case KeyRested():
+                return self.key_order.cooldown_until(timer.key)
+            case IdleCloseDue():
+                return self.connections.close_due(timer.server)
+            case RegistryPoll():
+                return self.registry_poller.due
+
+    def _request_wants_at(self, due: int, timer: RequestTimer) -> int | None:
+        request = self.requests.unanswered(timer.request)
+        if request is None:
+            return None
+        match timer:
+            case RequestDeadline():
+                return due
+            case AttemptOverdue():
+                return due if request.attempts[timer.attempt].pending else None
+            case ProbesDue():
+                return request.health_checks_due if request.health_checked else None
+
+    def fire_due(self) -> None:
+        """Fire all timers that are due and still wanted."""
+        now = self.context.now
+        for due, timer in self.context.timers.take_due(now):
+            wanted_at = self.wanted_at(due, timer)
+            if wanted_at is not None and wanted_at <= now:
+                self._fire(timer)
+
+    def _fire(self, timer: Timer) -> None:
+        match timer:
+            case RequestDeadline() | AttemptOverdue() | ProbesDue():
+                self._fire_for_request(timer)
+            case KeyRested():
+                self.key_order.mark_changed(timer.key)
+            case IdleCloseDue():
+                self.connections.close(timer.server)
+            case RegistryPoll():
+                self.registry_poller.poll()
+            case StallCheck():
+                pass  # the stall detector has seen that the event is a timer
+
+    def _fire_for_request(self, timer: RequestTimer) -> None:
+        request = self.requests[timer.request]
+        if any(each.response_started for each in request.attempts):
+            return  # the client gets its response already
+        match timer:
+            case RequestDeadline():
+                self.finish(request)
+            case AttemptOverdue():
+                self.retrier.hedge(request, request.attempts[timer.attempt])
+            case ProbesDue():
+                self.placer.place_checked(request)
--- /dev/null
+++ b/sidecar/balancer/registry_updates.py
@@ -0,0 +1,63 @@
+"""Updates of the registry: what follows from servers that are added, restarted or removed."""
+
+from dataclasses import dataclass
+
+from sidecar.balancer.events import RegistryUpdated, RegistryUpdateKind, ServerState
+from sidecar.balancer.policy.latency import LatencyTracker
+from sidecar.balancer.policy.outliers import OutlierDetector
+from sidecar.balancer.policy.registry_polling import RegistryPoller
+from sidecar.balancer.policy.slow_start import SlowStart
+from sidecar.balancer.policy.start_times import StartTimes
+from sidecar.balancer.state import Context, Server
+
+
+@dataclass(slots=True, eq=False)
+class RegistryUpdater:
+    """Applies updates to this balancer's copy of the registry and to the policies that depend on it.
+
+    Attributes:
+        context: The shared state.
+        poller: Polls the registry.
+        start_times: Converts start times to this balancer's clock.
+        slow_start: Warms up new processes.
+        outliers: Readmits restarted servers, and forgets the ejections of removed ones.
+        latency: Rates servers whose latency is unknown.
+    """
+
+    context: Context
+    poller: RegistryPoller
+    start_times: StartTimes
+    slow_start: SlowStart
+    outliers: OutlierDetector
+    latency: LatencyTracker
+
+    def update(self, update: RegistryUpdated) -> None:
+        """Take in an update, or the failure to get one."""
+        if update.kind is RegistryUpdateKind.FAILED:
+            self.poller.failed()
+            return
+        if update.kind is not RegistryUpdateKind.CACHED:
+            self.poller.succeeded()
+        # Most polls end without changes; the cost of an update grows with the number of servers.
+        if not update.is_empty():
+            self._apply(self.start_times.to_local_clock(update))
+        self.start_times.registry_responded(update)
+
+    def _apply(self, update: RegistryUpdated) -> None:
+        # Determined before the change, as all servers that are warm may be removed by it.
+        self.slow_start.warm_server_capacity()
+        for server in self.context.registry.apply(update):
+            self._restarted(server)
+        for server in self.context.registry.gone():
+            self._removed(server)
+        self.latency.set_unknown_weights(self.context.registry.ready)
+
+    def _restarted(self, server: Server) -> None:
+        self.slow_start.start(server, server.started_at or 0)
+        if server.ejected_until is not None and server.state is ServerState.READY:
+            self.outliers.readmit(server)  # the failures were those of its former process
+
+    def _removed(self, server: Server) -> None:
+        self.outliers.end_ejection(server)
+        if not self.context.load.at(server) and server.health_check_sent_at is None:
+            self.context.registry.forget(server)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -232,7 +232,7 @@
     config = Config(("127.0.0.1", 0), discovery.address, 7, sockets, given, known)
     made = World(config, servers, discovery)
     running = asyncio.create_task(made.sidecar.run(made.stop))
-    await until(lambda: made.sidecar._balancer._begun)
+    await until(lambda: made.sidecar._balancer._has_started)
     if settled:
         made.sidecar._settle()
     try:
