--- a/sidecar/balancer/balancer.py
+++ b/sidecar/balancer/balancer.py
@@ -10,7 +10,7 @@
 from sidecar.balancer import actions, events
 from sidecar.balancer.actions import Action
 from sidecar.balancer.events import Event, Outcome, RegistryUpdateKind, ServerState
-from sidecar.balancer.policy import health_checks, retries
+from sidecar.balancer.policy import backoff, health_checks, retries
 from sidecar.balancer.policy.admission import AdmissionControl
 from sidecar.balancer.policy.concurrency_limit import (
     BUSY_CPU_UTILIZATION,
@@ -27,7 +27,8 @@
 from sidecar.balancer.policy.selection import Selector
 from sidecar.balancer.policy.slow_start import SlowStart
 from sidecar.balancer.policy.start_times import StartTimes
-from sidecar.balancer.state import Attempt, Context, LinearFit, Request, Server, timers
+from sidecar.balancer.policy.zone_preference import ZonePreference
+from sidecar.balancer.state import Attempt, Context, LinearFit, Request, Server, TrafficKey, timers
 from sidecar.settings import Idempotency, Settings
 
 STALL_CHECK_TARGETS = 0.1  # while an attempt is active a timer checks so often, in shortest latency targets
@@ -54,7 +55,8 @@
         self._admission = admission = AdmissionControl(context, limit, arrivals)
         self._outliers = outliers = OutlierDetector(context, slow_start)
         self._hedging = HedgingPolicy(context, latency, outliers, admission, limit)
-        self._selector = selector = Selector(context, slow_start, limit)
+        self._zone_preference = zone_preference = ZonePreference(context, limit)
+        self._selector = selector = Selector(context, slow_start, zone_preference)
         self._connections = connections = IdleConnections(context, arrivals, fit)
         self._health_checks = health_checks.HealthChecks(context, slow_start, selector, connections, fit)
         self._set_up_probing()
@@ -65,7 +67,7 @@
         crossings_cost = (
             health_checks.cross_zone_cost(self._context.settings) >= health_checks.MIN_CROSS_ZONE_COST
         )
-        self._selector.local_first = self._health_check_count > 1 and crossings_cost
+        self._zone_preference.local_first = self._health_check_count > 1 and crossings_cost
 
     def _settings_changed(self, settings: Settings) -> None:
         """Go by other settings; requests in progress keep their class, and limits that were stricter."""
@@ -105,7 +107,7 @@
                     self._close(request)
             case events.ResponseStarted():
                 if (request := self._requests.get(event.request)) is not None:
-                    request.response_started(event.attempt)
+                    request.mark_response_started(event.attempt)
             case events.HealthCheckEnded():
                 for request in self._health_checks.check_ended(event):
                     self._send_probed(request)
@@ -125,7 +127,7 @@
 
     def _take_over(self, update: events.RegistryUpdated) -> None:
         """Go by a list or changes of it from now on."""
-        self._slow_start.warm_server_capacity()  # all that are warm may be leaving
+        self._slow_start.capacity_estimate.of_warm_server()  # all that are warm may be leaving
         for server in self._context.registry.apply(update):
             self._slow_start.start(server, server.started_at or 0)
             if server.ejected_until is not None and server.state is ServerState.READY:
@@ -142,9 +144,9 @@
         self._slow_start.arrivals.add(now)
         answer_by = now + event.remaining_us - ANSWER_EARLY_TICKS * self._context.settings.tick_us
         cost = self._latency.relative_cost(service_class, event.cost_us)
-        flow = (service_class.name, event.tenant)
-        all_zones, size = not self._selector.local_first, max(-3, min(math.frexp(cost)[1], 4))
-        request = Request(event.request, service_class, answer_by, cost, flow, all_zones, size)
+        traffic_key = TrafficKey(service_class.name, event.tenant)
+        all_zones, size = not self._zone_preference.local_first, max(-3, min(math.frexp(cost)[1], 4))
+        request = Request(event.request, service_class, answer_by, cost, traffic_key, all_zones, size)
         request.limits, request.non_execution_outcomes = (
             self._context.settings.limits,
             self._context.never_ran,
@@ -248,7 +250,7 @@
         """Nothing is owed any more; active attempts are cancelled where that is permitted."""
         request.answered = True
         for attempt in request.attempts:
-            if attempt.pending and not attempt.response_started and request.limits.allow_cancel:
+            if attempt.pending and not attempt.has_response_started and request.limits.allow_cancel:
                 self._context.actions.append(actions.CancelAttempt(request.id, attempt.index))
         self._forget_if_over(request)
 
@@ -303,7 +305,7 @@
                         self._admission.observe_latency(elapsed_us / target_us)
                     server.rejection_backoffs.pop(request.traffic_key, None)
             case Outcome.REJECTED:
-                self._outliers.back_off(request, server)
+                backoff.back_off_after_rejection(self._context, request, server)
                 if event.report is None or event.report.get("util", 1.0) >= BUSY_CPU_UTILIZATION:
                     self._admission.observe_latency(UNANSWERED_LATENCY_RATIO)
 
@@ -365,7 +367,7 @@
                     self._request_due(self._requests[timer.request], timer)
 
     def _request_due(self, request: Request, timer: timers.Timer) -> None:
-        if any(each.response_started for each in request.attempts):
+        if any(each.has_response_started for each in request.attempts):
             return  # nothing is waited for any more
         match timer:
             case timers.AttemptOverdue(_, index):
--- a/sidecar/balancer/policy/latency.py
+++ b/sidecar/balancer/policy/latency.py
@@ -5,7 +5,7 @@
 from sidecar.settings import ServiceClass
 
 WEIGHT_STEP = 0.1  # a latency weight follows the last ten answers or so, or fewer where few are active
-WEIGHT_CLIP = 4.0  # one answer counts for at most this many usual ones: heavy requests say little of a server
+MAX_LATENCY_RATIO = 4.0  # one response counts for at most this many usual ones; it may be of a costly request
 USUAL_STEP = 0.02  # the usual latency and cost of a class follow its last fifty requests or so
 UNSEEN_TARGETS = 0.3  # the usual latency before any answer, in latency targets
 
@@ -45,14 +45,14 @@
 
     def observe_latency(self, request: Request, server: Server, elapsed_us: float) -> None:
         """Move a server's latency weight by one attempt."""
-        ratio = min(elapsed_us / max(self.usual_us(request), 1.0), WEIGHT_CLIP)
+        ratio = min(elapsed_us / max(self.usual_us(request), 1.0), MAX_LATENCY_RATIO)
         server.latency_weight += (
             WEIGHT_STEP * low_traffic_factor(self._context.load) * (ratio - server.latency_weight)
         )
 
     def observe_error(self, request: Request, server: Server) -> None:
         """A quick error must not look like a quick server: it counts as the slowest answer there is."""
-        self.observe_latency(request, server, int(WEIGHT_CLIP * self.usual_us(request)))
+        self.observe_latency(request, server, int(MAX_LATENCY_RATIO * self.usual_us(request)))
 
     def observe_success(self, request: Request, server: Server, elapsed_us: int) -> None:
         """Learn from an answer; the first of its kind is usual."""
--- a/sidecar/balancer/policy/low_traffic.py
+++ b/sidecar/balancer/policy/low_traffic.py
@@ -1,19 +1,23 @@
-"""How much this balancer's own traffic can tell: by its mean load, step sizes and a subset of the servers."""
+"""Correction of statistics for low traffic: with few samples, most of what is observed is chance."""
 
 from sidecar.balancer.state import ActiveLoad
 
-CONFIDENT_LOAD = 8.0  # where fewer are active than this, their number is chance for a good part
-MAX_LOW_TRAFFIC_FACTOR = (
-    4.0  # so the fewer, the longer loads are averaged and the larger the steps, up to this
-)
-MIN_SUBSET_SIZE = 4.0  # a balancer at rest uses this many servers: a choice, yet few enough to know them
+CONFIDENT_LOAD = 8.0  # mean attempts in flight; with fewer, their number is to a good part chance
+MAX_LOW_TRAFFIC_FACTOR = 4.0  # bounds the factor, so that an idle balancer still follows changes
+MIN_MEAN_LOAD = 1e-9  # attempts in flight; avoids a division by zero while idle
 
 
 def low_traffic_factor(load: ActiveLoad) -> float:
-    """How much longer than in a busy balancer it takes here to tell a change from chance."""
-    return max(1.0, min(CONFIDENT_LOAD / max(load.mean, 1e-9), MAX_LOW_TRAFFIC_FACTOR))
+    """How much slower than a busy balancer this one tells a change from chance.
 
+    Averaging spans are stretched and the steps of moving averages enlarged by this factor, as each sample
+    stands for more of the time.
 
-def subset_size(load: ActiveLoad) -> int:
-    """How many servers to use; one more for each active attempt, as many again may be empty."""
-    return int(MIN_SUBSET_SIZE + load.mean)
+    Args:
+        load: The attempts in flight of this balancer.
+
+    Returns:
+        1.0 from `CONFIDENT_LOAD` mean attempts in flight on, up to `MAX_LOW_TRAFFIC_FACTOR` below that.
+    """
+    factor = CONFIDENT_LOAD / max(load.mean, MIN_MEAN_LOAD)
+    return max(1.0, min(factor, MAX_LOW_TRAFFIC_FACTOR))
--- a/sidecar/balancer/policy/outliers.py
+++ b/sidecar/balancer/policy/outliers.py
@@ -1,116 +1,159 @@
-"""Outlier ejection: servers that fail or fall silent are left, and come back by half-open attempts."""
+"""Outlier ejection: servers that fail or hang get no requests until a half-open attempt succeeds.
+
+This is a circuit breaker for each server: ejection opens it, and after a backoff a single attempt at a time
+is let through (half-open), which closes it again if it succeeds.
+"""
 
 from sidecar.balancer.actions import Log
 from sidecar.balancer.events import Outcome, ServerState
-from sidecar.balancer.policy.low_traffic import subset_size
-from sidecar.balancer.policy.retries import FAILURES, may_retry
+from sidecar.balancer.policy.backoff import next_backoff
+from sidecar.balancer.policy.retries import FAILURES
 from sidecar.balancer.policy.slow_start import SlowStart
-from sidecar.balancer.state import Attempt, Backoff, Context, Request, Server
+from sidecar.balancer.policy.subsetting import subset_size
+from sidecar.balancer.state import Attempt, Context, Request, Server
 from sidecar.settings import Idempotency
 
-FAILURES_TO_EJECT = 3  # in a row, none answered between: networks break a few by chance
-BACKOFF_TARGETS = 2.0  # a first ejection lasts this many of the longest latency target; it doubles each time
-MAX_BACKOFF_TARGETS = 16.0  # and never lasts longer: a server that came back is found again
-MAX_EJECTED_SHARE = 0.6  # never more than this share of the servers is ejected: the rest would be overloaded
-MAX_EJECTED_SHARE_UNRESPONSIVE = 0.34  # nor more than this for silence alone: more is overload, not failure
+FAILURES_TO_EJECT = 3  # consecutive failures that eject a server: networks fail a few attempts by chance
+MAX_EJECTED_SHARE = 0.6  # of the servers in use; were more ejected, the rest would be overloaded
+MAX_EJECTED_SHARE_UNRESPONSIVE = 0.34  # the same for missing responses alone: more indicate overload
+TIMEOUTS = (Outcome.TIMED_OUT, Outcome.CONNECT_FAILED)
 
 
 class OutlierDetector:
-    """Ejects servers and readmits them; backs off from those that are full for one class or tenant."""
+    """Ejects servers and readmits them.
+
+    Attributes:
+        ejected: The ejected servers, in order of their ejection.
+        successes: The number of successful attempts so far, at all servers.
+    """
 
     def __init__(self, context: Context, slow_start: SlowStart) -> None:
+        """Create a detector that has ejected no server.
+
+        Args:
+            context: The shared state of the balancer.
+            slow_start: Is started for servers that were unreachable, as they may have restarted.
+        """
         self.ejected: list[Server] = []
-        self.successes = 0  # so far, from all servers
+        self.successes = 0
         self._slow_start = slow_start
         self._context = context
 
     def attempt_ended(self, request: Request, attempt: Attempt, outcome: Outcome) -> None:
-        """Learn of a server's health from the end of an attempt."""
+        """Learn of a server's health from the end of an attempt.
+
+        Args:
+            request: The request of the attempt.
+            attempt: The attempt that ended.
+            outcome: How it ended.
+        """
         server = attempt.server
-        half_open = server.half_open_attempt is attempt
-        if half_open:
+        is_half_open = server.half_open_attempt is attempt
+        if is_half_open:
             server.half_open_attempt = None
         if outcome is Outcome.SUCCEEDED:
-            server.consecutive_failures = server.consecutive_connect_failures = 0
-            server.last_success_at = self._context.now
-            server.last_success_sent_at = max(server.last_success_sent_at, attempt.sent_at)
-            self.successes += 1
-            self._slow_start.count_success(server, request.relative_cost)
-            if server.ejected_until is not None:
-                self.readmit(server)
+            self._succeeded(request, attempt)
         elif outcome in FAILURES:
-            self._failed(attempt, outcome, half_open)
-        elif half_open and outcome is not Outcome.NOT_SENT:
-            self.eject(server, outcome.value)  # full, or cancelled when overdue: it is no better yet
-
-    def _failed(self, attempt: Attempt, outcome: Outcome, half_open: bool) -> None:
-        server = attempt.server
-        if outcome is Outcome.TIMED_OUT and server.last_success_at > attempt.sent_at:
-            return  # it is slow, not failing: it answered others meanwhile
-        timed_out = outcome in (Outcome.TIMED_OUT, Outcome.CONNECT_FAILED)
-        if timed_out and self._context.is_catching_up() and not half_open:
-            return  # this balancer was slow
-        server.consecutive_failures += 1
-        dials = server.consecutive_connect_failures + 1 if outcome is Outcome.CONNECT_FAILED else 0
-        server.consecutive_connect_failures = dials
-        if half_open or (server.consecutive_failures >= FAILURES_TO_EJECT and server.ejected_until is None):
-            self.eject(server, outcome.value)
-            if dials >= (1 if half_open else FAILURES_TO_EJECT):  # broken connections alone prove nothing
-                self._slow_start.start(server, self._context.now)  # the registry may tell of it later
+            self._failed(attempt, outcome, is_half_open)
+        elif is_half_open and outcome is not Outcome.NOT_SENT:
+            self.eject(server, outcome.value)  # at capacity, or cancelled as overdue: it has not recovered
 
     def eject(self, server: Server, reason: str, max_share: float = MAX_EJECTED_SHARE) -> None:
-        """Send nothing to a server for a while, unless too large a share is ejected already."""
+        """Eject a server, or extend its ejection; no effect if too many are ejected already.
+
+        Args:
+            server: The server.
+            reason: The reason to log.
+            max_share: The share of the servers in use that may be ejected.
+        """
         if server.state is ServerState.REMOVED:
             return
         if server.ejected_until is None:
-            known = min(len(self._context.registry.ready), subset_size(self._context.load))
-            if len(self.ejected) + 1 > max_share * known:
+            if not self._may_eject_another(max_share):
                 return
             self.ejected.append(server)
             self._context.load.at_ejected += server.in_flight_within_target
             self._context.actions.append(Log(f"ejected {server.name}: {reason}"))
-        server.ejected_until, server.ejections = self._next_backoff(server.ejections)
-
-    def _next_backoff(self, repeats: int, least_targets: float = 0.0) -> Backoff:
-        """A wait that doubles each time, with jitter."""
-        targets = max(min(BACKOFF_TARGETS * 2**repeats, MAX_BACKOFF_TARGETS), least_targets)
-        wait_us = targets * self._context.longest_target_us * (0.75 + 0.5 * self._context.rng.random())
-        return Backoff(self._context.now + int(wait_us), min(repeats + 1, 8))
-
-    def back_off(self, request: Request, server: Server) -> None:
-        """Keep requests of this class and tenant away from a server that was full for one."""
-        repeats = (
-            server.rejection_backoffs[request.traffic_key].repeats
-            if request.traffic_key in server.rejection_backoffs
-            else 0
-        )
-        repeatable = may_retry(request, self._context.now, self._context.settings.tick_us)
-        least_targets = 0.0 if repeatable else MAX_BACKOFF_TARGETS  # each further trial fails a request
-        server.rejection_backoffs[request.traffic_key] = self._next_backoff(repeats, least_targets)
+        backoff = next_backoff(self._context, server.consecutive_ejections)
+        server.ejected_until = backoff.until
+        server.consecutive_ejections = backoff.repeats
 
     def readmit(self, server: Server) -> None:
-        """Take a server back; one that was cold for its failed dials is cold anew."""
+        """Send requests to an ejected server again; one ejected as unreachable starts slowly."""
         self.end_ejection(server)
-        server.ejections = 0
+        server.consecutive_ejections = 0
         server.consecutive_failures = 0
         if server.slow_start_since is not None and server.slow_start_since != server.started_at:
             self._slow_start.start(server, self._context.now)
         self._context.actions.append(Log(f"readmitted {server.name}"))
 
     def end_ejection(self, server: Server) -> None:
-        """A server that is back or gone must not keep others from being ejected."""
-        if server.ejected_until is not None:
-            server.ejected_until = None
-            self.ejected.remove(server)
-            self._context.load.at_ejected -= server.in_flight_within_target
+        """Stop counting a server as ejected, as it would otherwise keep others from being ejected."""
+        if server.ejected_until is None:
+            return
+        server.ejected_until = None
+        self.ejected.remove(server)
+        self._context.load.at_ejected -= server.in_flight_within_target
 
     def half_open_candidate(self, request: Request) -> Server | None:
-        """An ejected server comes back by one attempt at a time, with a request that may be repeated."""
+        """An ejected server that may get this request as its half-open attempt.
+
+        Only first attempts of safe requests are used: they can be retried elsewhere if this one fails.
+
+        Args:
+            request: The request to be sent.
+
+        Returns:
+            The server, or None if no server is due or the request is not suitable.
+        """
         if request.service_class.idempotency is not Idempotency.SAFE or request.attempts:
             return None
         for server in self.ejected:
-            waited = server.ejected_until is not None and self._context.now >= server.ejected_until
-            if waited and server.state is ServerState.READY and server.half_open_attempt is None:
-                if self._slow_start.has_capacity(server, request.relative_cost):
-                    return server
+            if self._is_half_open(server) and self._slow_start.has_capacity(server, request.relative_cost):
+                return server
         return None
+
+    def _is_half_open(self, server: Server) -> bool:
+        """Whether an ejected server has waited out its backoff and has no attempt under way."""
+        has_waited = server.ejected_until is not None and self._context.now >= server.ejected_until
+        return has_waited and server.state is ServerState.READY and server.half_open_attempt is None
+
+    def _may_eject_another(self, max_share: float) -> bool:
+        servers_in_use = min(len(self._context.registry.ready), subset_size(self._context.load))
+        return len(self.ejected) + 1 <= max_share * servers_in_use
+
+    def _succeeded(self, request: Request, attempt: Attempt) -> None:
+        server = attempt.server
+        server.consecutive_failures = 0
+        server.consecutive_connect_failures = 0
+        server.last_success_at = self._context.now
+        server.last_success_sent_at = max(server.last_success_sent_at, attempt.sent_at)
+        self.successes += 1
+        self._slow_start.count_success(server, request.relative_cost)
+        if server.ejected_until is not None:
+            self.readmit(server)
+
+    def _failed(self, attempt: Attempt, outcome: Outcome, is_half_open: bool) -> None:
+        if self._is_excusable(attempt, outcome, is_half_open):
+            return
+        server = attempt.server
+        server.consecutive_failures += 1
+        if outcome is Outcome.CONNECT_FAILED:
+            server.consecutive_connect_failures += 1
+        else:
+            server.consecutive_connect_failures = 0
+        has_failed_enough = server.consecutive_failures >= FAILURES_TO_EJECT and server.ejected_until is None
+        if not is_half_open and not has_failed_enough:
+            return
+        self.eject(server, outcome.value)
+        required_connect_failures = 1 if is_half_open else FAILURES_TO_EJECT
+        if server.consecutive_connect_failures >= required_connect_failures:
+            # It may have restarted, and the registry may say so later; dropped connections don't indicate it.
+            self._slow_start.start(server, self._context.now)
+
+    def _is_excusable(self, attempt: Attempt, outcome: Outcome, is_half_open: bool) -> bool:
+        """Whether a failure says nothing of the server's health."""
+        if outcome is Outcome.TIMED_OUT and attempt.server.last_success_at > attempt.sent_at:
+            return True  # the server is slow, but responded to others meanwhile
+        # After a stall of this process, the time that passed was its own delay.
+        return outcome in TIMEOUTS and self._context.is_catching_up() and not is_half_open
--- /dev/null
+++ b/sidecar/balancer/policy/server_capacity.py
@@ -0,0 +1,138 @@
+"""Estimate of what one warm server serves for this balancer, the reference for servers in slow start."""
+
+import math
+from dataclasses import dataclass
+
+from sidecar.balancer.policy.subsetting import subset_size
+from sidecar.balancer.state import Context, DecayingRate, Server
+
+MIN_ARRIVALS_SHARE = 0.25  # of the arrivals, counted while all are warming up even if warm ones served less
+RATE_SPAN_WINDOWS = 2.0  # rates are averaged over this many overload windows
+
+
+def rate_span_us(context: Context) -> float:
+    """The time over which rates of arrivals and of served cost are averaged, in us."""
+    return RATE_SPAN_WINDOWS * context.settings.rules.overload_window_us
+
+
+@dataclass(slots=True)
+class Peers:
+    """The ready servers that serve as a reference: the warm ones, or all if none is warm.
+
+    Attributes:
+        ready: The list of ready servers that this was computed for.
+        slow_start_us: The duration of slow start that this was computed for.
+        are_warm: Whether the peers are warm servers.
+        count: The number of peers.
+        mean_declared_capacity: The mean of their declared capacities.
+        valid_until: The time in us at which the next server ends slow start.
+    """
+
+    ready: list[Server]
+    slow_start_us: int
+    are_warm: bool
+    count: int
+    mean_declared_capacity: float
+    valid_until: float
+
+
+class ServerCapacityEstimate:
+    """Estimates capacity by the cost that warm servers served, shared among the servers in use."""
+
+    def __init__(self, context: Context, arrivals: DecayingRate) -> None:
+        """Create an estimate without observations.
+
+        Args:
+            context: The shared state of the balancer.
+            arrivals: The rate of requests that arrive at this balancer.
+        """
+        self._context = context
+        self._arrivals = arrivals
+        self._served_by_warm = context.new_rate(lambda: rate_span_us(context))
+        self._capacity = 0.0  # requests of mean cost per us, as of _capacity_at
+        self._capacity_at = -1
+        self._last_warm_capacity = math.inf  # the estimate when any server was last warm
+        self._last_warm_servers_used = 1  # how many servers shared the traffic then
+        self._mean_declared_capacity = 1.0  # as of _capacity_at
+        self._peers: Peers | None = None  # None: to be computed anew
+
+    def count_served(self, cost: float) -> None:
+        """Count what a warm server served, in requests of mean cost.
+
+        It is counted by cost, as overload control admits mostly cheap requests.
+        """
+        self._served_by_warm.add(self._context.now, cost)
+
+    def invalidate_peers(self) -> None:
+        """Compute the peers anew, as a server began slow start."""
+        self._peers = None
+
+    def of_server(self, server: Server) -> float:
+        """The capacity of a server once it is warm, in requests of mean cost per us.
+
+        Args:
+            server: The server; one declared larger than the mean is taken for a server of mean size.
+        """
+        capacity = self.of_warm_server()
+        if self._mean_declared_capacity > 0.0:
+            capacity *= min(server.declared_capacity / self._mean_declared_capacity, 1.0)
+        return capacity
+
+    def of_warm_server(self) -> float:
+        """The capacity of a warm server of mean size, in requests of mean cost per us.
+
+        It is computed once for each instant.
+        """
+        if self._capacity_at != self._context.now:
+            self._capacity_at = self._context.now
+            self._peers = self.current_peers()
+            self._capacity = self._estimate(self._peers)
+            self._mean_declared_capacity = self._peers.mean_declared_capacity
+        return self._capacity
+
+    def _estimate(self, peers: Peers) -> float:
+        servers_used = max(min(peers.count, subset_size(self._context.load)), 1)
+        if not peers.are_warm:
+            return self._estimate_without_warm_servers(servers_used)
+        self._last_warm_capacity = self._served_by_warm.per_us(self._context.now) / servers_used
+        self._last_warm_servers_used = servers_used
+        return self._last_warm_capacity
+
+    def _estimate_without_warm_servers(self, servers_used: int) -> float:
+        """The share of the arrivals for each server, at most what a warm one served last.
+
+        Warm servers that were idle say little of their capacity: by that rate alone, all requests would be
+        rejected.
+        """
+        arrivals_per_us = self._arrivals.per_us(self._context.now)
+        servers_sharing = max(servers_used, self._last_warm_servers_used)
+        min_limit = MIN_ARRIVALS_SHARE * arrivals_per_us / servers_sharing
+        return min(arrivals_per_us / servers_used, max(self._last_warm_capacity, min_limit))
+
+    def current_peers(self) -> Peers:
+        """The peers by now, computed anew where the list changed or a server began or ended slow start."""
+        peers = self._peers
+        if peers is not None and self._is_valid(peers):
+            return peers
+        return self._compute_peers()
+
+    def _is_valid(self, peers: Peers) -> bool:
+        is_same_list = peers.ready is self._context.registry.ready
+        is_same_duration = peers.slow_start_us == self._context.settings.rules.slow_start_us
+        return is_same_list and is_same_duration and self._context.now < peers.valid_until
+
+    def _compute_peers(self) -> Peers:
+        now = self._context.now
+        ready = self._context.registry.ready
+        slow_start_us = self._context.settings.rules.slow_start_us
+        warm: list[Server] = []
+        valid_until = math.inf
+        for server in ready:
+            since = server.slow_start_since
+            if since is not None and server.is_warming_up(now, slow_start_us):
+                valid_until = min(valid_until, since + slow_start_us)
+            else:
+                warm.append(server)
+        peers = warm or ready  # ejected ones included, as they served part of what was counted
+        mean_declared_capacity = sum(server.declared_capacity for server in peers) / max(len(peers), 1)
+        return Peers(ready, slow_start_us, bool(warm), len(peers), mean_declared_capacity, valid_until)
--- /dev/null
+++ b/sidecar/balancer/policy/zone_preference.py
@@ -0,0 +1,82 @@
+"""Zone-aware routing: how much less than local servers those of other zones are drawn."""
+
+from sidecar.balancer.policy.concurrency_limit import (
+    ALLOWED_LATE_SHARE,
+    UNRESTRICTED_UTILIZATION,
+    ConcurrencyLimit,
+)
+from sidecar.balancer.state import Context, Server
+
+MIN_REMOTE_WEIGHT = 0.25  # weight factor of a remote server while the local zone is as fast as the others
+LATENCY_EXCESS_FOR_EQUAL_WEIGHT = 0.3  # share by which local latency exceeds remote once all are drawn alike
+SERVERS_WEIGHED_PER_INSTANT = 200  # on average; bounds the cost of each decision in long endpoint lists
+
+
+class ZonePreference:
+    """The weight of servers in other zones, where traffic between zones has a price.
+
+    As the local zone falls behind in latency, or responses are late in any zone, the weights even out.
+    """
+
+    def __init__(self, context: Context, limit: ConcurrencyLimit) -> None:
+        """Create the preference.
+
+        Args:
+            context: The shared state of the balancer.
+            limit: Tells whether there is overload; then capacity counts more than the zone.
+        """
+        self.local_first = False  # remote servers are candidates only while the local ones are crowded
+        self._context = context
+        self._limit = limit
+        self._remote_weight = 1.0  # as of _remote_weight_at
+        self._remote_weight_at = -1  # us
+        self._weight_by_latency = 1.0  # cached, for the list in _weighed_servers
+        self._weighed_servers: list[Server] | None = None
+        self._cached_uses = 0  # how many further instants may use the cached weight
+
+    def remote_weight(self) -> float:
+        """The weight factor of servers in other zones, computed once for each instant."""
+        if self._remote_weight_at != self._context.now:
+            self._remote_weight_at = self._context.now
+            self._remote_weight = self._current_remote_weight()
+        return self._remote_weight
+
+    def _current_remote_weight(self) -> float:
+        if self.local_first or self._context.settings.prices.cross_zone <= 0.0:
+            return 1.0
+        if self._is_overloaded():
+            return 1.0  # capacity in any zone is worth more than the price of crossing
+        return self._cached_weight_by_latency()
+
+    def _is_overloaded(self) -> bool:
+        if self._limit.late_share >= ALLOWED_LATE_SHARE:
+            return True
+        return self._limit.utilization() > UNRESTRICTED_UTILIZATION
+
+    def _cached_weight_by_latency(self) -> float:
+        """The weight by latency; the longer the list, the more instants it is reused for."""
+        ready = self._context.registry.ready
+        if self._weighed_servers is not ready or self._cached_uses <= 0:
+            self._weight_by_latency = self.weight_by_latency(ready)
+            self._weighed_servers = ready
+            self._cached_uses = len(ready) // SERVERS_WEIGHED_PER_INSTANT
+        self._cached_uses -= 1
+        return self._weight_by_latency
+
+    @staticmethod
+    def weight_by_latency(ready: list[Server]) -> float:
+        """The weight factor of remote servers by how far the local ones are behind in latency.
+
+        Args:
+            ready: The ready servers of all zones.
+
+        Returns:
+            A factor from `MIN_REMOTE_WEIGHT` to 1.0.
+        """
+        available = [server for server in ready if server.ejected_until is None]
+        local = [server.latency_weight for server in available if server.is_local]
+        remote = [server.latency_weight for server in available if not server.is_local]
+        if not local or sum(remote) <= 0.0:
+            return 1.0
+        latency_excess = (sum(local) / len(local)) / (sum(remote) / len(remote)) - 1.0
+        return max(MIN_REMOTE_WEIGHT, min(latency_excess / LATENCY_EXCESS_FOR_EQUAL_WEIGHT, 1.0))
--- a/tests/balancer/policy_context.py
+++ b/tests/balancer/policy_context.py
@@ -9,7 +9,7 @@
 from helpers import S as SECOND_US
 
 from sidecar.balancer.events import Endpoint, RegistryUpdated, RegistryUpdateKind, TimerFired
-from sidecar.balancer.state import Attempt, Context, Request, Server
+from sidecar.balancer.state import Attempt, Context, Request, Server, TrafficKey
 
 TARGET_US = 500 * MILLISECOND_US
 
@@ -27,9 +27,8 @@
 def make_request(context: Context, class_name: str = "look") -> Request:
     """A request of the class, with no attempt so far."""
     service_class = next(each for each in context.settings.classes if each.name == class_name)
-    return Request(
-        1, service_class, START + 2 * SECOND_US, 1.0, (class_name, None), all_zones=True, cost_class=1
-    )
+    traffic_key = TrafficKey(class_name, None)
+    return Request(1, service_class, START + 2 * SECOND_US, 1.0, traffic_key, all_zones=True, cost_class=1)
 
 
 def start_attempt(context: Context, request: Request, server: Server) -> Attempt:
--- a/tests/balancer/test_selection.py
+++ b/tests/balancer/test_selection.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import random
 from collections import Counter
 
 import pytest
@@ -12,7 +13,7 @@
 
 from sidecar.balancer.actions import RejectRequest
 from sidecar.balancer.events import Endpoint, Outcome
-from sidecar.balancer.policy.selection import Selector
+from sidecar.balancer.policy.weighted_sampling import sample_by_weight
 from sidecar.balancer.state import Server
 
 
@@ -92,13 +93,12 @@
     stage = Stage()
     stage.servers([Endpoint(name, "east", nominal=0.5 if name == names(5)[0] else 1.0) for name in names(5)])
     relative_weights: list[float] = []
-    select = Selector.draw
 
-    def record(selector: Selector, subset: list[Server], weights: list[float], count: int) -> list[Server]:
+    def record(rng: random.Random, subset: list[Server], weights: list[float], count: int) -> list[Server]:
         relative_weights.append(weights[0] / weights[1])
-        return select(selector, subset, weights, count)
+        return sample_by_weight(rng, subset, weights, count)
 
-    monkeypatch.setattr(Selector, "draw", record)
+    monkeypatch.setattr("sidecar.balancer.policy.selection.sample_by_weight", record)
     for cost in (20 * MILLISECOND_US, 20 * MILLISECOND_US, 100 * MILLISECOND_US):
         stage.end(stage.request(cost_us=cost))
     assert relative_weights[2] < 0.5 * relative_weights[0]
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -45,7 +45,7 @@
             stage.wait(20 * MILLISECOND_US)
             stage.end(stage.request(cost_us=served_us))
             stage.request(remaining_us=0, cost_us=200_000 - served_us)  # rejected
-        rates.append(stage.balancer._slow_start.warm_server_capacity())
+        rates.append(stage.balancer._slow_start.capacity_estimate.of_warm_server())
     assert 0.0 < rates[1] < 0.5 * rates[0]
 
 
@@ -81,7 +81,7 @@
         cold.slow_start_budget -= 1.0
         sent += 1
     # Multiple x capacity_share by now x capacity x window.
-    overload = 3 * 0.36 * slow_start.warm_server_capacity() * 2 * SECOND_US
+    overload = 3 * 0.36 * slow_start.capacity_estimate.of_warm_server() * 2 * SECOND_US
     assert 1 <= sent <= 0.2 * overload
     context.now += context.settings.rules.slow_start_us
     assert not slow_start.is_warming_up(cold) and slow_start.has_capacity(cold, 1_000.0)
--- a/tests/test_selection_cost.py
+++ b/tests/test_selection_cost.py
@@ -9,8 +9,7 @@
 from helpers import MS, S, Stage, settings
 
 from sidecar.balancer.events import Endpoint, RegistryUpdated, RegistryUpdateKind
-from sidecar.balancer.policy.selection import Selector
-from sidecar.balancer.policy.slow_start import SlowStart
+from sidecar.balancer.policy.zone_preference import ZonePreference
 from sidecar.balancer.state import Server
 
 REQUESTS = 320
@@ -24,7 +23,7 @@
 def servers_weighed(count: int, changes: int = 0) -> int:
     """How many servers are gone through for the weight of other zones over some requests."""
     weighed = []
-    weigh = Selector._weigh_by_latency
+    weigh = ZonePreference.weight_by_latency
 
     def counted(ready: list[Server]) -> float:
         weighed.append(len(ready))
@@ -33,7 +32,7 @@
     stage = Stage(settings(prices={"cross_zone": 0.05}))
     listed = two_zones(count)
     stage.servers(listed)
-    with patch.object(Selector, "_weigh_by_latency", staticmethod(counted)):
+    with patch.object(ZonePreference, "weight_by_latency", staticmethod(counted)):
         for _ in range(max(changes, 1)):
             if changes:
                 stage.servers(listed[:1], RegistryUpdateKind.DELTA)
@@ -63,18 +62,18 @@
     started = [replace(each, started_at=stage.now) for each in two_zones(1_000)[:500]]
     stage.servers(started, RegistryUpdateKind.DELTA)
     looked_at = 0
-    is_warming_up = SlowStart.is_warming_up
+    is_warming_up = Server.is_warming_up
 
-    def counted(self: SlowStart, server: Server) -> bool:
+    def counted(self: Server, now: int, slow_start_us: int) -> bool:
         nonlocal looked_at
         looked_at += 1
-        return is_warming_up(self, server)
+        return is_warming_up(self, now, slow_start_us)
 
-    with patch.object(SlowStart, "is_warming_up", counted):
+    with patch.object(Server, "is_warming_up", counted):
         for _ in range(50):
             stage.wait(20 * MS)
             stage.request()
-            slow_start.warm_server_capacity()
+            slow_start.capacity_estimate.of_warm_server()
     assert looked_at < 4 * 1_000
 
 
@@ -87,10 +86,10 @@
         stage.wait(4 * S)
         stage.play(RegistryUpdated(RegistryUpdateKind.DELTA))
         slow_start.start(servers[number], stage.now)
-        slow_start.warm_server_capacity()
-        warm_counts.append(slow_start._current_peers().count)
+        slow_start.capacity_estimate.of_warm_server()
+        warm_counts.append(slow_start.capacity_estimate.current_peers().count)
     assert warm_counts == [5, 4, 3, 3]  # slow start takes 10 s: the first is warm again by the fourth
     stage.wait(2 * S)
     stage.play(RegistryUpdated(RegistryUpdateKind.DELTA))
-    slow_start.warm_server_capacity()
-    assert slow_start._current_peers().count == 4
+    slow_start.capacity_estimate.of_warm_server()
+    assert slow_start.capacity_estimate.current_peers().count == 4
