--- a/sidecar/balancer/balancer.py
+++ b/sidecar/balancer/balancer.py
@@ -29,6 +29,7 @@
 from sidecar.balancer.policy.selection import Selector
 from sidecar.balancer.policy.slow_start import SlowStart
 from sidecar.balancer.policy.start_times import StartTimes
+from sidecar.balancer.policy.zone_preference import ZonePreference
 from sidecar.balancer.registry_updates import RegistryUpdater
 from sidecar.balancer.state import Attempt, Context, LinearFit, Request, Server
 from sidecar.balancer.state.timers import RequestDeadline
@@ -69,7 +70,8 @@
         self._admission = AdmissionControl(context, self._limit, arrivals)
         self._outliers = OutlierDetector(context, self._slow_start)
         self._hedging = HedgingPolicy(context, self._latency, self._outliers, self._admission, self._limit)
-        self._selector = Selector(context, self._slow_start, self._limit)
+        self._zone_preference = ZonePreference(context, self._limit)
+        self._selector = Selector(context, self._slow_start, self._zone_preference)
         self._connections = IdleConnections(context, arrivals, latency_by_load)
         self._health_checks = health_checks.HealthChecks(
             context, self._slow_start, self._selector, self._connections, latency_by_load
@@ -78,7 +80,7 @@
     def _create_lifecycle(self) -> None:
         context = self._context
         self._requests = RequestTable(context, self._key_order)
-        self._request_factory = RequestFactory(context, self._latency, self._selector)
+        self._request_factory = RequestFactory(context, self._latency, self._zone_preference)
         self._attempt_rules = AttemptRules(context, self._key_order, self._slow_start)
         self._placer = RequestPlacer(
             context, self._outliers, self._selector, self._health_checks, self._send, self._finish
@@ -123,7 +125,8 @@
         cross_zone_cost = health_checks.cross_zone_cost(settings)
         self._placer.checks_per_request = checks_per_request
         self._admission.checks_load_before_sending = checks_load
-        self._selector.local_first = checks_load and cross_zone_cost >= health_checks.MIN_CROSS_ZONE_COST
+        is_crossing_costly = cross_zone_cost >= health_checks.MIN_CROSS_ZONE_COST
+        self._zone_preference.local_first = checks_load and is_crossing_costly
 
     def handle(self, now: int, event: Event) -> list[Action]:
         """Handle one event; events have to come in the order in which they happened.
@@ -207,7 +210,7 @@
     def _response_started(self, event: events.ResponseStarted) -> None:
         request = self._requests.get(event.request)
         if request is not None:
-            request.response_started(event.attempt)
+            request.mark_response_started(event.attempt)
 
     def _client_disconnected(self, event: events.ClientDisconnected) -> None:
         request = self._requests.unanswered(event.request)
--- a/sidecar/balancer/lifecycle/attempt_feedback.py
+++ b/sidecar/balancer/lifecycle/attempt_feedback.py
@@ -4,6 +4,7 @@
 
 from sidecar.balancer.events import AttemptEnded, Outcome
 from sidecar.balancer.policy.admission import AdmissionControl
+from sidecar.balancer.policy.backoff import back_off_after_rejection
 from sidecar.balancer.policy.concurrency_limit import (
     BUSY_CPU_UTILIZATION,
     UNANSWERED_LATENCY_RATIO,
@@ -85,7 +86,7 @@
         attempt.server.rejection_backoffs.pop(request.traffic_key, None)
 
     def _rejected(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
-        self.outliers.back_off(request, attempt.server)
+        back_off_after_rejection(self.context, request, attempt.server)
         # Servers that reject requests with idle cores tell of no overload: there is room for more.
         if event.report is None or event.report.get("util", 1.0) >= BUSY_CPU_UTILIZATION:
             self.admission.observe_latency(UNANSWERED_LATENCY_RATIO)
--- a/sidecar/balancer/lifecycle/request_factory.py
+++ b/sidecar/balancer/lifecycle/request_factory.py
@@ -6,8 +6,8 @@
 from sidecar.balancer.events import RequestArrived
 from sidecar.balancer.policy import retries
 from sidecar.balancer.policy.latency import LatencyTracker
-from sidecar.balancer.policy.selection import Selector
-from sidecar.balancer.state import Context, Request
+from sidecar.balancer.policy.zone_preference import ZonePreference
+from sidecar.balancer.state import Context, Request, TrafficKey
 
 EARLY_RESPONSE_TICKS = 2  # a final response leaves this many ticks before the client's time is up
 MIN_COST_CLASS = -3  # costs below an eighth of the mean are one class
@@ -27,12 +27,12 @@
     Attributes:
         context: The shared state.
         latency: Knows the mean cost of each class.
-        selector: Knows whether only servers of the local zone are candidates at first.
+        zone_preference: Knows whether only servers of the local zone are candidates at first.
     """
 
     context: Context
     latency: LatencyTracker
-    selector: Selector
+    zone_preference: ZonePreference
 
     def create(self, event: RequestArrived) -> Request:
         """Create the record of a request that has just arrived."""
@@ -45,8 +45,8 @@
             service_class=service_class,
             deadline=self.context.now + event.remaining_us - early_us,
             relative_cost=relative_cost,
-            traffic_key=(service_class.name, event.tenant),
-            all_zones=not self.selector.local_first,
+            traffic_key=TrafficKey(service_class.name, event.tenant),
+            all_zones=not self.zone_preference.local_first,
             cost_class=cost_class(relative_cost),
             limits=settings.limits,
             non_execution_outcomes=retries.never_ran_outcomes(settings),
--- a/sidecar/balancer/lifecycle/request_table.py
+++ b/sidecar/balancer/lifecycle/request_table.py
@@ -44,7 +44,7 @@
         """Note that no final response is owed any more, and cancel active attempts where that is allowed."""
         request.answered = True
         for attempt in request.attempts:
-            if attempt.pending and not attempt.response_started and request.limits.allow_cancel:
+            if attempt.pending and not attempt.has_response_started and request.limits.allow_cancel:
                 self._context.actions.append(CancelAttempt(request.id, attempt.index))
         self.forget_if_complete(request)
 
--- a/sidecar/balancer/lifecycle/timer_dispatch.py
+++ b/sidecar/balancer/lifecycle/timer_dispatch.py
@@ -107,7 +107,7 @@
 
     def _fire_for_request(self, timer: RequestTimer) -> None:
         request = self.requests[timer.request]
-        if any(each.response_started for each in request.attempts):
+        if any(each.has_response_started for each in request.attempts):
             return  # the client gets its response already
         match timer:
             case RequestDeadline():
--- a/sidecar/balancer/registry_updates.py
+++ b/sidecar/balancer/registry_updates.py
@@ -45,7 +45,7 @@
 
     def _apply(self, update: RegistryUpdated) -> None:
         # Determined before the change, as all servers that are warm may be removed by it.
-        self.slow_start.warm_server_capacity()
+        self.slow_start.capacity_estimate.of_warm_server()
         for server in self.context.registry.apply(update):
             self._restarted(server)
         for server in self.context.registry.gone():
--- a/sidecar/balancer/state/service_catalog.py
+++ b/sidecar/balancer/state/service_catalog.py
@@ -42,5 +42,5 @@
 
     def has_flow(self, flow: TrafficKey) -> bool:
         """Whether the settings name both the class and the tenant of a flow."""
-        class_name, tenant = flow
-        return class_name in self._classes and (tenant is None or tenant in self.tenant_shares)
+        has_tenant = flow.tenant is None or flow.tenant in self.tenant_shares
+        return self.has_class(flow.service_class) and has_tenant
