--- a/sidecar/balancer/lifecycle/request_factory.py
+++ b/sidecar/balancer/lifecycle/request_factory.py
@@ -49,5 +49,5 @@
             all_zones=not self.zone_preference.local_first,
             cost_class=cost_class(relative_cost),
             limits=settings.limits,
-            non_execution_outcomes=retries.never_ran_outcomes(settings),
+            non_execution_outcomes=retries.non_execution_outcomes(settings),
         )
--- a/sidecar/balancer/lifecycle/request_table.py
+++ b/sidecar/balancer/lifecycle/request_table.py
@@ -38,7 +38,7 @@
         """Hold all requests to the limits of the settings in force, where they are stricter than before."""
         settings = self._context.settings
         for request in self._requests.values():
-            request.restrict(settings.limits, retries.never_ran_outcomes(settings))
+            request.restrict(settings.limits, retries.non_execution_outcomes(settings))
 
     def close(self, request: Request) -> None:
         """Note that no final response is owed any more, and cancel active attempts where that is allowed."""
--- a/sidecar/balancer/lifecycle/timer_dispatch.py
+++ b/sidecar/balancer/lifecycle/timer_dispatch.py
@@ -12,16 +12,16 @@
 from sidecar.balancer.state import Context
 from sidecar.balancer.state.timers import (
     AttemptOverdue,
+    HealthChecksDue,
     IdleCloseDue,
-    KeyRested,
-    ProbesDue,
+    KeyCooldownOver,
     RegistryPoll,
     RequestDeadline,
     StallCheck,
     Timer,
 )
 
-RequestTimer = RequestDeadline | AttemptOverdue | ProbesDue
+RequestTimer = RequestDeadline | AttemptOverdue | HealthChecksDue
 
 
 @dataclass(slots=True, eq=False)
@@ -61,11 +61,11 @@
             The time at which it is wanted now, in microseconds; None if it is not wanted any more.
         """
         match timer:
-            case RequestDeadline() | AttemptOverdue() | ProbesDue():
+            case RequestDeadline() | AttemptOverdue() | HealthChecksDue():
                 return self._request_wants_at(due, timer)
             case StallCheck():
                 return self.context.stalls.check_due
-            case KeyRested():
+            case KeyCooldownOver():
                 return self.key_order.cooldown_until(timer.key)
             case IdleCloseDue():
                 return self.connections.close_due(timer.server)
@@ -81,7 +81,7 @@
                 return due
             case AttemptOverdue():
                 return due if request.attempts[timer.attempt].pending else None
-            case ProbesDue():
+            case HealthChecksDue():
                 return request.health_checks_due if request.health_checked else None
 
     def fire_due(self) -> None:
@@ -94,9 +94,9 @@
 
     def _fire(self, timer: Timer) -> None:
         match timer:
-            case RequestDeadline() | AttemptOverdue() | ProbesDue():
+            case RequestDeadline() | AttemptOverdue() | HealthChecksDue():
                 self._fire_for_request(timer)
-            case KeyRested():
+            case KeyCooldownOver():
                 self.key_order.mark_changed(timer.key)
             case IdleCloseDue():
                 self.connections.close(timer.server)
@@ -114,5 +114,5 @@
                 self.finish(request)
             case AttemptOverdue():
                 self.retrier.hedge(request, request.attempts[timer.attempt])
-            case ProbesDue():
+            case HealthChecksDue():
                 self.placer.place_checked(request)
--- a/sidecar/balancer/policy/admission.py
+++ b/sidecar/balancer/policy/admission.py
@@ -31,7 +31,7 @@
         self._limit = limit
         self._arrivals = arrivals
         self._context = context
-        self._traffic: dict[TrafficKey, Traffic] = context.new_table(context.names_flow)
+        self._traffic: dict[TrafficKey, Traffic] = context.new_table(context.names_traffic_key)
         self._in_time, self._late, self._shed = (context.new_rate(self._span_us) for _ in range(3))
         self._sample_due = 0  # when a request is admitted for its latency alone, however full the limit is
         self._found_room = False  # whether an answer was quick and nothing was sent since
--- a/sidecar/balancer/policy/health_checks.py
+++ b/sidecar/balancer/policy/health_checks.py
@@ -10,7 +10,7 @@
 from sidecar.balancer.policy.selection import CANDIDATES, Selector
 from sidecar.balancer.policy.slow_start import SlowStart
 from sidecar.balancer.state import Attempt, Context, LinearFit, Request, Server
-from sidecar.balancer.state.timers import ProbesDue
+from sidecar.balancer.state.timers import HealthChecksDue
 from sidecar.settings import ReportSource, Settings
 
 MAX_COST_SHARE = 0.01  # probes for a request may cost this part of its worth
@@ -65,7 +65,7 @@
             if server.health_check_sent_at is None:
                 server.health_check_sent_at = self.context.now
                 self.context.actions.append(CheckHealth(server.name))
-        self.context.timers.add(request.health_checks_due, ProbesDue(request.id))
+        self.context.timers.add(request.health_checks_due, HealthChecksDue(request.id))
 
     def check_ended(self, event: HealthCheckEnded) -> Iterator[Request]:
         """Take in a probe; give the requests that then wait for no further one."""
--- a/sidecar/balancer/policy/key_order.py
+++ b/sidecar/balancer/policy/key_order.py
@@ -4,7 +4,7 @@
 
 from sidecar.balancer.events import Outcome
 from sidecar.balancer.state import Context, KeyQueue, Request
-from sidecar.balancer.state.timers import KeyRested
+from sidecar.balancer.state.timers import KeyCooldownOver
 
 MAY_STILL_RUN = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)  # the key rests after these
 
@@ -42,7 +42,7 @@
             queue = self._changed.popleft()
             head = queue.head()
             if self._context.now < queue.cooldown_until:
-                self._context.timers.add(queue.cooldown_until, KeyRested(queue.key))
+                self._context.timers.add(queue.cooldown_until, KeyCooldownOver(queue.key))
             elif head is None:
                 self.queues.pop(queue.key, None)
             elif not head.attempts and not head.answered and not head.health_checked:
--- a/sidecar/balancer/policy/retries.py
+++ b/sidecar/balancer/policy/retries.py
@@ -9,13 +9,16 @@
 MAX_RETRY_BALANCE = 2.0  # retries that may be saved up; when a fault begins, they multiply from hop to hop
 FAILURES = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.ERROR)
 INITIAL_RETRY_BALANCE = 4.0  # until the first answer: first connections fail by chance
-NEVER_RAN = frozenset((Outcome.CONNECT_FAILED, Outcome.NOT_SENT))  # prove that an attempt did not run
-NEVER_RAN_OR_REJECTED = NEVER_RAN | {Outcome.REJECTED}
+# These prove that an attempt did not run; a rejection does so only where servers reject before they begin.
+NON_EXECUTION_OUTCOMES = frozenset((Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
+NON_EXECUTION_OUTCOMES_WITH_REJECTED = NON_EXECUTION_OUTCOMES | {Outcome.REJECTED}
 
 
-def never_ran_outcomes(settings: Settings) -> frozenset[Outcome]:
+def non_execution_outcomes(settings: Settings) -> frozenset[Outcome]:
     """The outcomes that prove that an attempt did not run."""
-    return NEVER_RAN if settings.rules.late_shedding else NEVER_RAN_OR_REJECTED
+    if settings.rules.late_shedding:
+        return NON_EXECUTION_OUTCOMES
+    return NON_EXECUTION_OUTCOMES_WITH_REJECTED
 
 
 class RetryBudget:
--- a/sidecar/balancer/registry_updates.py
+++ b/sidecar/balancer/registry_updates.py
@@ -48,7 +48,7 @@
         self.slow_start.capacity_estimate.of_warm_server()
         for server in self.context.registry.apply(update):
             self._restarted(server)
-        for server in self.context.registry.gone():
+        for server in self.context.registry.removed():
             self._removed(server)
         self.latency.set_unknown_weights(self.context.registry.ready)
 
--- a/sidecar/balancer/state/context.py
+++ b/sidecar/balancer/state/context.py
@@ -68,7 +68,7 @@
         self.stalls.set_check_interval(self._stall_check_interval_us())
         self.registry.set_local_zone(settings.zone)
         for server in self.registry.servers.values():
-            evict(server.rejection_backoffs, self.catalog.has_flow)
+            evict(server.rejection_backoffs, self.catalog.has_traffic_key)
         self._settings_bound.settings_changed()
 
     @property
@@ -113,9 +113,9 @@
         """Whether the settings name the class of this class and size."""
         return self.catalog.has_class(kind[0])
 
-    def names_flow(self, flow: TrafficKey) -> bool:
+    def names_traffic_key(self, traffic_key: TrafficKey) -> bool:
         """Whether the settings name this class and tenant."""
-        return self.catalog.has_flow(flow)
+        return self.catalog.has_traffic_key(traffic_key)
 
     def new_table(self, is_kept: Callable[[Key], bool]) -> dict[Key, Value]:
         """Create a table by class or tenant; entries that are not to be kept go when the settings change."""
--- a/sidecar/balancer/state/registry.py
+++ b/sidecar/balancer/state/registry.py
@@ -67,7 +67,7 @@
         server.started_at = endpoint.started_at
         return True
 
-    def gone(self) -> list[Server]:
+    def removed(self) -> list[Server]:
         """The servers that are removed and not forgotten yet."""
         return [each for each in self.servers.values() if each.state is ServerState.REMOVED]
 
--- a/sidecar/balancer/state/service_catalog.py
+++ b/sidecar/balancer/state/service_catalog.py
@@ -40,7 +40,7 @@
         """Whether the settings name this class."""
         return name in self._classes
 
-    def has_flow(self, flow: TrafficKey) -> bool:
-        """Whether the settings name both the class and the tenant of a flow."""
-        has_tenant = flow.tenant is None or flow.tenant in self.tenant_shares
-        return self.has_class(flow.service_class) and has_tenant
+    def has_traffic_key(self, traffic_key: TrafficKey) -> bool:
+        """Whether the settings name both the class and the tenant of a traffic key."""
+        has_tenant = traffic_key.tenant is None or traffic_key.tenant in self.tenant_shares
+        return self.has_class(traffic_key.service_class) and has_tenant
--- a/sidecar/balancer/state/timers.py
+++ b/sidecar/balancer/state/timers.py
@@ -32,7 +32,7 @@
     attempt: int
 
 
-class ProbesDue(NamedTuple):
+class HealthChecksDue(NamedTuple):
     """A request has waited long enough for the health checks of its candidates.
 
     Attributes:
@@ -42,7 +42,7 @@
     request: int
 
 
-class KeyRested(NamedTuple):
+class KeyCooldownOver(NamedTuple):
     """The cooldown of a key is over, so its next request may be sent.
 
     Attributes:
@@ -70,7 +70,15 @@
     """A check for stalls: if it is handled late, this process stalled."""
 
 
-Timer = RequestDeadline | AttemptOverdue | ProbesDue | KeyRested | IdleCloseDue | RegistryPoll | StallCheck
+Timer = (
+    RequestDeadline
+    | AttemptOverdue
+    | HealthChecksDue
+    | KeyCooldownOver
+    | IdleCloseDue
+    | RegistryPoll
+    | StallCheck
+)
 
 
 class TimerQueue:
--- a/tests/balancer/test_timers.py
+++ b/tests/balancer/test_timers.py
@@ -2,14 +2,18 @@
 
 from __future__ import annotations
 
-from sidecar.balancer.state.timers import KeyRested, Timer, TimerQueue
+from sidecar.balancer.state.timers import KeyCooldownOver, Timer, TimerQueue
 
 
 def test_timers_fire_by_due_time_and_then_in_insertion_order() -> None:
     queue = TimerQueue()
     for due, key in ((30, 1), (10, 2), (10, 3), (99, 4)):
-        queue.add(due, KeyRested(key))
-    assert list(queue.take_due(30)) == [(10, KeyRested(2)), (10, KeyRested(3)), (30, KeyRested(1))]
+        queue.add(due, KeyCooldownOver(key))
+    assert list(queue.take_due(30)) == [
+        (10, KeyCooldownOver(2)),
+        (10, KeyCooldownOver(3)),
+        (30, KeyCooldownOver(1)),
+    ]
 
 
 def test_a_host_timer_is_set_only_where_the_pending_one_fires_too_late() -> None:
@@ -18,18 +22,18 @@
     def always(due: int, _: Timer) -> int:
         return due
 
-    queue.add(50, KeyRested(1))
+    queue.add(50, KeyCooldownOver(1))
     timer = queue.arm(20, always)
     assert timer is not None and timer.in_us == 30
-    queue.add(70, KeyRested(2))
+    queue.add(70, KeyCooldownOver(2))
     assert queue.arm(20, always) is None
-    queue.add(40, KeyRested(3))
+    queue.add(40, KeyCooldownOver(3))
     timer = queue.arm(20, always)
     assert timer is not None and timer.in_us == 20
 
 
 def test_an_obsolete_timer_is_dropped() -> None:
     queue = TimerQueue()
-    queue.add(50, KeyRested(1))
+    queue.add(50, KeyCooldownOver(1))
     assert queue.arm(20, lambda due, timer: None) is None
     assert list(queue.take_due(99)) == []
--- a/tests/test_server_registry.py
+++ b/tests/test_server_registry.py
@@ -26,7 +26,7 @@
         registry.apply(RegistryUpdated(kind, endpoints))
         expected = [each for each in registry.servers.values() if each.state is ServerState.READY]
         assert registry.ready == sorted(expected, key=lambda each: each.rank)
-        for server in registry.gone():
+        for server in registry.removed():
             if chance.random() < 0.5:
                 registry.forget(server)
 
