--- /dev/null
+++ b/tests/balancer/test_service_catalog.py
@@ -0,0 +1,43 @@
+"""The classes and tenants that the settings name, and what is assumed of others."""
+
+from __future__ import annotations
+
+import pytest
+
+from sidecar.balancer.state import TrafficKey
+from sidecar.balancer.state.service_catalog import ServiceCatalog
+from sidecar.settings import ServiceClass, Settings, Tenant
+
+SECOND_US = 1_000_000
+
+CLASSES = (
+    ServiceClass("read", deadline_us=2 * SECOND_US, latency_target_us=SECOND_US),
+    ServiceClass("batch", deadline_us=9 * SECOND_US, latency_target_us=4 * SECOND_US, ordered_by_key=True),
+)
+CATALOG = ServiceCatalog(Settings(classes=CLASSES, tenants=(Tenant("t1", share=3.0), Tenant("t2"))))
+
+
+def test_targets_and_shares_are_those_of_all_classes_and_tenants() -> None:
+    assert CATALOG.longest_target_us == 4 * SECOND_US
+    assert CATALOG.shortest_target_us == SECOND_US
+    assert CATALOG.tenant_shares == {"t1": 3.0, "t2": 1.0}
+    assert CATALOG.all_shares == 4.0
+
+
+def test_of_an_unknown_class_the_least_is_assumed() -> None:
+    assert CATALOG.class_named("read", 5) is CLASSES[0]
+    unknown = CATALOG.class_named("other", 0)
+    assert unknown == ServiceClass("other", deadline_us=1, latency_target_us=1, ordered_by_key=True)
+
+
+@pytest.mark.parametrize(
+    ("traffic_key", "named"),
+    [
+        (TrafficKey("read", None), True),
+        (TrafficKey("read", "t1"), True),
+        (TrafficKey("read", "other"), False),
+        (TrafficKey("other", "t1"), False),
+    ],
+)
+def test_a_traffic_key_is_named_where_both_its_parts_are(traffic_key: TrafficKey, named: bool) -> None:
+    assert CATALOG.has_traffic_key(traffic_key) is named
