--- a/sidecar/balancer/state/context.py
+++ b/sidecar/balancer/state/context.py
@@ -64,7 +64,7 @@
     def adopt(self, settings: Settings) -> None:
         """Put other settings into force, and adapt all state that depends on them."""
         self.settings = settings
-        self.catalog = ServiceCatalog(settings)
+        self.catalog.adopt(settings)
         self.stalls.set_check_interval(self._stall_check_interval_us())
         self.registry.set_local_zone(settings.zone)
         for server in self.registry.servers.values():
--- a/sidecar/balancer/state/service_catalog.py
+++ b/sidecar/balancer/state/service_catalog.py
@@ -5,7 +5,7 @@
 
 
 class ServiceCatalog:
-    """The service classes and tenants of one version of the settings.
+    """The service classes and tenants of the settings in force.
 
     Attributes:
         longest_target_us: The longest latency target of any class, in microseconds.
@@ -15,6 +15,10 @@
     """
 
     def __init__(self, settings: Settings) -> None:
+        self.adopt(settings)
+
+    def adopt(self, settings: Settings) -> None:
+        """Hold the classes and tenants of other settings from now on."""
         targets_us = [each.latency_target_us for each in settings.classes]
         self.longest_target_us = max(targets_us)
         self.shortest_target_us = min(targets_us)
