--- a/sidecar/balancer/balancer.py
+++ b/sidecar/balancer/balancer.py
@@ -12,15 +12,13 @@
 from sidecar.balancer.events import Event, Outcome, RegistryUpdateKind, ServerState
 from sidecar.balancer.policy import backoff, health_checks, retries
 from sidecar.balancer.policy.admission import AdmissionControl
-from sidecar.balancer.policy.concurrency_limit import (
-    BUSY_CPU_UTILIZATION,
-    UNANSWERED_LATENCY_RATIO,
-    ConcurrencyLimit,
-)
+from sidecar.balancer.policy.concurrency_limit import ConcurrencyLimit
 from sidecar.balancer.policy.connections import IdleConnections
+from sidecar.balancer.policy.cpu_utilization import BUSY_CPU_UTILIZATION
 from sidecar.balancer.policy.hedging import HedgingPolicy
 from sidecar.balancer.policy.key_order import KeyOrder
 from sidecar.balancer.policy.latency import LatencyTracker
+from sidecar.balancer.policy.latency_ratio import UNANSWERED_LATENCY_RATIO
 from sidecar.balancer.policy.low_traffic import low_traffic_factor
 from sidecar.balancer.policy.outliers import OutlierDetector
 from sidecar.balancer.policy.registry_polling import RegistryPoller
@@ -136,7 +134,7 @@
             self._outliers.end_ejection(server)
             if not self._context.load.at(server) and server.health_check_sent_at is None:
                 self._context.registry.forget(server)
-        self._latency.set_unknown_weights(self._context.registry.ready)
+        self._latency.initialize_weights(self._context.registry.ready)
 
     def _request_arrived(self, event: events.RequestArrived) -> None:
         now = self._context.now
@@ -271,7 +269,7 @@
         if event.outcome in CONNECTED:
             self._connections.add(attempt.server)
         self._outliers.attempt_ended(request, attempt, event.outcome)
-        self._limit.observe_load_report(event.report)
+        self._limit.cpu.observe(event.report)
         self._learn(request, attempt, event)
         if not request.answered:
             if event.answered:
--- a/sidecar/balancer/policy/connections.py
+++ b/sidecar/balancer/policy/connections.py
@@ -1,51 +1,76 @@
-"""Idle connections: where they are priced, those are closed that cost more than opening new ones."""
+"""Idle connections: where they have a price, those are closed that cost more than opening new ones."""
 
 from sidecar.balancer.actions import CloseIdleConnections
 from sidecar.balancer.state import Context, DecayingRate, LinearFit, Server
 from sidecar.balancer.state.timers import IdleCloseDue
 
+CONNECTIONS_PER_PRICE = 100.0  # the price of connections is for so many of them at a server
+MIN_REQUEST_RATE_PER_US = 1e-9  # avoids a division by zero
+
 
 class IdleConnections:
-    """This balancer's own reckoning of the idle connections to each server."""
+    """This balancer's own estimate of its idle connections to each server."""
 
     def __init__(self, context: Context, arrivals: DecayingRate, latency_by_load: LinearFit) -> None:
+        """Create an estimate without connections.
+
+        Args:
+            context: The shared state of the balancer.
+            arrivals: The rate of requests that arrive at this balancer.
+            latency_by_load: The latency ratio of responses by the load that servers reported.
+        """
         self._context = context
         self._arrivals = arrivals
         self._latency_by_load = latency_by_load
 
     def is_open(self, server: Server) -> bool:
-        """Whether an idle connection is likely to be open still."""
+        """Whether an idle connection to the server is likely to be open."""
         idle_us = self._context.now - server.idle_since
         return server.idle_connections > 0 and idle_us < self._context.settings.limits.idle_close_us
 
     def add(self, server: Server) -> None:
-        """A connection is idle; close it once holding it has cost as much as opening one.
+        """Count a connection that became idle; have it closed once it cost as much as opening one.
+
+        Many small balancers would otherwise each hold a few connections that are hardly used, which reduce
+        the server's capacity.
 
-        Else many small balancers each hold a few connections hardly used, which take of a server's capacity.
+        Args:
+            server: The server of the connection.
         """
-        prices, limits = self._context.settings.prices, self._context.settings.limits
         server.idle_connections = server.idle_connections + 1 if self.is_open(server) else 1
         server.idle_since = self._context.now
-        if prices.connection <= 0.0 or limits.streams_per_connection > 1:
+        limits = self._context.settings.limits
+        if self._context.settings.prices.connection <= 0.0 or limits.streams_per_connection > 1:
             return
-        # A connection costs its price a hundredth part a request that a server gets meanwhile.
-        worth_holding_us = 100.0 * prices.handshake / prices.connection / max(self._server_rate(), 1e-9)
-        if worth_holding_us < limits.idle_close_us:
-            server.idle_close_due = self._context.now + int(worth_holding_us) + 1
+        break_even_us = self._break_even_us()
+        if break_even_us < limits.idle_close_us:
+            server.idle_close_due = self._context.now + int(break_even_us) + 1
             self._context.timers.add(server.idle_close_due, IdleCloseDue(server))
 
-    def _server_rate(self) -> float:
-        """Requests a microsecond that a server gets, from all balancers."""
-        held_by_latency = self._latency_by_load.x_per_y()  # Little's law: what is held over the time it takes
-        if held_by_latency is not None:
-            return held_by_latency / self._context.longest_target_us
-        all_arrivals = self._arrivals.per_us(self._context.now) * self._context.settings.sidecar_count
-        return all_arrivals / max(len(self._context.registry.ready), 1)
-
     def close_due(self, server: Server) -> int | None:
-        wanted = server.idle_connections > 0 and self._context.registry.knows(server)
-        return server.idle_close_due if wanted else None
+        """When the idle connections to a server should be closed, in us; None if there are none."""
+        if server.idle_connections <= 0 or not self._context.registry.knows(server):
+            return None
+        return server.idle_close_due
 
     def close(self, server: Server) -> None:
+        """Close the idle connections to a server."""
         server.idle_connections = 0
         self._context.actions.append(CloseIdleConnections(server.name))
+
+    def _break_even_us(self) -> float:
+        """How long holding a connection costs as much as the handshake of a new one.
+
+        The price of a connection is charged for each request that its server gets meanwhile.
+        """
+        prices = self._context.settings.prices
+        requests = CONNECTIONS_PER_PRICE * prices.handshake / prices.connection
+        return requests / max(self._server_request_rate(), MIN_REQUEST_RATE_PER_US)
+
+    def _server_request_rate(self) -> float:
+        """The requests per us that a server gets from all balancers."""
+        load_per_latency = self._latency_by_load.x_per_y()
+        if load_per_latency is not None:  # by Little's law, the rate is the load over the latency
+            return load_per_latency / self._context.longest_target_us
+        all_arrivals = self._arrivals.per_us(self._context.now) * self._context.settings.sidecar_count
+        return all_arrivals / max(len(self._context.registry.ready), 1)
--- a/sidecar/balancer/policy/health_checks.py
+++ b/sidecar/balancer/policy/health_checks.py
@@ -5,8 +5,8 @@
 
 from sidecar.balancer.actions import CheckHealth
 from sidecar.balancer.events import HealthCheckEnded, Outcome
-from sidecar.balancer.policy.concurrency_limit import UNANSWERED_LATENCY_RATIO
 from sidecar.balancer.policy.connections import IdleConnections
+from sidecar.balancer.policy.latency_ratio import UNANSWERED_LATENCY_RATIO
 from sidecar.balancer.policy.selection import CANDIDATES, Selector
 from sidecar.balancer.policy.slow_start import SlowStart
 from sidecar.balancer.state import Attempt, Context, LinearFit, Request, Server
--- a/sidecar/balancer/policy/hedging.py
+++ b/sidecar/balancer/policy/hedging.py
@@ -3,8 +3,9 @@
 from dataclasses import dataclass
 
 from sidecar.balancer.policy.admission import AdmissionControl
-from sidecar.balancer.policy.concurrency_limit import UNANSWERED_LATENCY_RATIO, ConcurrencyLimit
+from sidecar.balancer.policy.concurrency_limit import ConcurrencyLimit
 from sidecar.balancer.policy.latency import LatencyTracker
+from sidecar.balancer.policy.latency_ratio import UNANSWERED_LATENCY_RATIO
 from sidecar.balancer.policy.outliers import MAX_EJECTED_SHARE_UNRESPONSIVE, OutlierDetector
 from sidecar.balancer.state import Attempt, Context, Request, Server
 from sidecar.balancer.state.timers import AttemptOverdue
@@ -67,6 +68,6 @@
         if waited_us >= target_us and not (lost or attempt.counted_as_late):
             attempt.counted_as_late = True  # waiting for its answer would see a surge too late
             if silent:
-                self.limit.observe_missing_load_report()
+                self.limit.cpu.observe_missing()
             self.admission.observe_latency(UNANSWERED_LATENCY_RATIO)
         return silent and server.ejected_until is not None
--- a/sidecar/balancer/policy/latency.py
+++ b/sidecar/balancer/policy/latency.py
@@ -1,62 +1,95 @@
-"""Usual latency and cost of each class and size of requests, and how servers compare with it."""
+"""Usual latency and cost of requests by class, and the latency of each server relative to them."""
 
 from sidecar.balancer.policy.low_traffic import low_traffic_factor
 from sidecar.balancer.state import Context, Request, Server
 from sidecar.settings import ServiceClass
 
-WEIGHT_STEP = 0.1  # a latency weight follows the last ten answers or so, or fewer where few are active
-MAX_LATENCY_RATIO = 4.0  # one response counts for at most this many usual ones; it may be of a costly request
-USUAL_STEP = 0.02  # the usual latency and cost of a class follow its last fifty requests or so
-UNSEEN_TARGETS = 0.3  # the usual latency before any answer, in latency targets
+LATENCY_WEIGHT_STEP = 0.1  # weight of each response in a server's average: the last ten or so count
+MAX_LATENCY_RATIO = 4.0  # one response counts at most as so many usual ones; it may be of a costly request
+USUAL_STEP = 0.02  # weight of each response in the averages of a class: the last fifty or so count
+INITIAL_USUAL_TARGETS = 0.3  # the usual latency before any response, in latency targets
+MIN_USUAL_LATENCY_US = 1.0  # avoids a division by zero
 
 
 class LatencyTracker:
-    """Moving averages over all servers, and the latency weight of each server relative to them."""
+    """Exponentially weighted moving averages (EWMA) over all servers, and of each server against them."""
 
     def __init__(self, context: Context) -> None:
+        """Create a tracker that has observed no response.
+
+        Args:
+            context: The shared state of the balancer.
+        """
         self._context = context
         self._usual_us: dict[tuple[str, int], float] = context.new_table(context.names_sized_class)
-        self._mean_cost_us: dict[str, float] = context.new_table(context.names_class)  # by class
+        self._mean_cost_us: dict[str, float] = context.new_table(context.names_class)
 
     def relative_cost(self, service_class: ServiceClass, cost_us: int | None) -> float:
-        """The cost of a new request relative to the mean of its class."""
+        """The cost of a new request relative to the mean of its class, which follows it.
+
+        Args:
+            service_class: The class of the request.
+            cost_us: The cost that its client stated, in us of work, if it did.
+
+        Returns:
+            The relative cost; 1.0 where it is unknown.
+        """
         if not cost_us or cost_us < 0:
             return 1.0
-        mean = self._mean_cost_us.get(service_class.name, float(cost_us))
-        self._mean_cost_us[service_class.name] = mean + USUAL_STEP * (cost_us - mean)
-        return cost_us / mean if mean > 0 else 1.0
+        mean_us = self._mean_cost_us.get(service_class.name, float(cost_us))
+        self._mean_cost_us[service_class.name] = mean_us + USUAL_STEP * (cost_us - mean_us)
+        return cost_us / mean_us if mean_us > 0 else 1.0
 
     @staticmethod
-    def set_unknown_weights(servers: list[Server]) -> None:
-        """Until answers tell, a server is as quick as its nominal capacity."""
-        mean_declared_capacity = sum(each.declared_capacity for each in servers) / max(len(servers), 1)
-        for server in servers:
-            if server.latency_weight <= 0.0:
-                server.latency_weight = (
-                    mean_declared_capacity / server.declared_capacity
-                    if server.declared_capacity > 0.0
-                    else 1.0
-                )
+    def initialize_weights(servers: list[Server]) -> None:
+        """Take servers without observations for as fast as their declared capacity.
+
+        Args:
+            servers: The ready servers; a latency weight of zero marks those without observations.
+        """
+        mean_capacity = sum(server.declared_capacity for server in servers) / max(len(servers), 1)
+        without_observations = [server for server in servers if server.latency_weight <= 0.0]
+        for server in without_observations:
+            if server.declared_capacity > 0.0:
+                server.latency_weight = mean_capacity / server.declared_capacity
+            else:
+                server.latency_weight = 1.0
 
     def usual_us(self, request: Request) -> float:
-        """The usual latency of such a request."""
-        unseen_us = UNSEEN_TARGETS * request.service_class.latency_target_us
-        return self._usual_us.get((request.service_class.name, request.cost_class), unseen_us)
+        """The usual latency of requests of the same class and cost, in us."""
+        initial_us = INITIAL_USUAL_TARGETS * request.service_class.latency_target_us
+        return self._usual_us.get(_latency_key(request), initial_us)
 
     def observe_latency(self, request: Request, server: Server, elapsed_us: float) -> None:
-        """Move a server's latency weight by one attempt."""
-        ratio = min(elapsed_us / max(self.usual_us(request), 1.0), MAX_LATENCY_RATIO)
-        server.latency_weight += (
-            WEIGHT_STEP * low_traffic_factor(self._context.load) * (ratio - server.latency_weight)
-        )
+        """Move a server's latency weight towards the latency of one attempt.
+
+        Args:
+            request: The request of the attempt.
+            server: The server of the attempt.
+            elapsed_us: How long the attempt took.
+        """
+        usual_us = max(self.usual_us(request), MIN_USUAL_LATENCY_US)
+        ratio = min(elapsed_us / usual_us, MAX_LATENCY_RATIO)
+        step = LATENCY_WEIGHT_STEP * low_traffic_factor(self._context.load)
+        server.latency_weight += step * (ratio - server.latency_weight)
 
     def observe_error(self, request: Request, server: Server) -> None:
-        """A quick error must not look like a quick server: it counts as the slowest answer there is."""
+        """Count an error as the slowest response there is, so that fast errors don't attract requests."""
         self.observe_latency(request, server, int(MAX_LATENCY_RATIO * self.usual_us(request)))
 
     def observe_success(self, request: Request, server: Server, elapsed_us: int) -> None:
-        """Learn from an answer; the first of its kind is usual."""
-        kind = (request.service_class.name, request.cost_class)
-        usual = self._usual_us.setdefault(kind, float(elapsed_us))
+        """Learn from a successful attempt; the first of its class and cost is the usual one.
+
+        Args:
+            request: The request of the attempt.
+            server: The server of the attempt.
+            elapsed_us: How long the attempt took.
+        """
+        key = _latency_key(request)
+        usual_us = self._usual_us.setdefault(key, float(elapsed_us))
         self.observe_latency(request, server, elapsed_us)
-        self._usual_us[kind] = usual + USUAL_STEP * (elapsed_us - usual)
+        self._usual_us[key] = usual_us + USUAL_STEP * (elapsed_us - usual_us)
+
+
+def _latency_key(request: Request) -> tuple[str, int]:
+    return request.service_class.name, request.cost_class
--- /dev/null
+++ b/sidecar/balancer/policy/low_traffic_shedding.py
@@ -0,0 +1,64 @@
+"""Load shedding at low traffic, by the counts of timely and late responses over a fixed time.
+
+With few requests in flight a concurrency limit can't tell overload from two requests that meet by chance.
+"""
+
+from sidecar.balancer.policy.priority import rate_span_us
+from sidecar.balancer.state import Context
+
+ADMITTED_PER_TIMELY = 1.2  # requests admitted for each one that was answered in time
+PRIOR_TIMELY_COUNT = 2.0  # timely responses assumed beforehand: a few late ones may be chance
+IDLE_CPU_UTILIZATION = 0.6  # below this, late responses come from a few slow servers, not from overload
+
+
+class LowTrafficShedder:
+    """Estimates which share of the requests exceeds what is answered in time."""
+
+    def __init__(self, context: Context) -> None:
+        """Create a shedder without observations.
+
+        Args:
+            context: The shared state of the balancer.
+        """
+        self._context = context
+        self._timely = context.new_rate(self._span_us)
+        self._late = context.new_rate(self._span_us)
+        self._shed = context.new_rate(self._span_us)
+
+    def _span_us(self) -> float:
+        return rate_span_us(self._context)
+
+    def count_timely(self) -> None:
+        """Count a response within its latency target."""
+        self._timely.add(self._context.now)
+
+    def count_late(self) -> None:
+        """Count a response after its latency target, or an attempt that ended late without one."""
+        self._late.add(self._context.now)
+
+    def count_shed(self) -> None:
+        """Count a request that was shed."""
+        self._shed.add(self._context.now)
+
+    def excess_share(self, cpu_utilization: float | None) -> float:
+        """The share of new requests to shed, at median priority.
+
+        Args:
+            cpu_utilization: The mean utilization that servers report, if they do.
+
+        Returns:
+            The share; zero or negative where all can be admitted.
+        """
+        if cpu_utilization is not None and cpu_utilization < IDLE_CPU_UTILIZATION:
+            return 0.0
+        return 1.0 - self._admitted_share()
+
+    def _admitted_share(self) -> float:
+        """The share of requests to admit; relief is seen once the counts have decayed."""
+        now = self._context.now
+        span_us = self._span_us()
+        timely = self._timely.per_us(now) * span_us + PRIOR_TIMELY_COUNT
+        missed = (self._late.per_us(now) + self._shed.per_us(now)) * span_us
+        # Attempts in flight indicate a surge before any of them is late; by themselves they may be a burst.
+        in_flight = min(missed, 1.0) * self._context.load.total()
+        return ADMITTED_PER_TIMELY * timely / (timely + missed + in_flight)
--- a/sidecar/balancer/policy/registry_polling.py
+++ b/sidecar/balancer/policy/registry_polling.py
@@ -1,40 +1,56 @@
-"""When the registry is asked: at the start, after failed calls, and again where a call is never answered."""
+"""Registry polling: when to poll, with exponential backoff and jitter after failures."""
 
 from sidecar.balancer.actions import WatchRegistry
 from sidecar.balancer.state import Context
 from sidecar.balancer.state.timers import RegistryPoll
 from sidecar.settings import Discovery
 
-KNOWN_WITHIN_US = 6_000_000  # after a failed call changes count as known so soon, whatever the settings allow
-FIRST_WAIT = 0.05  # before asking again, of the time allowed without asking; it doubles with each failure
-LONGEST_WAIT = 0.25  # three failed calls in a row still fit into the time allowed
+MAX_STALENESS_US = 6_000_000  # after a failed poll a change is known so soon, whatever the settings allow
+INITIAL_BACKOFF_SHARE = 0.05  # of the permitted staleness; the backoff doubles with each failure
+MAX_BACKOFF_SHARE = 0.25  # three failed polls in a row still fit into the permitted staleness
+MAX_COUNTED_FAILURES = 8  # more have no effect; bounds the power of two
+MIN_JITTER = 0.5  # a backoff is multiplied by a random factor from this ...
+JITTER_RANGE = 0.5  # ... to this much more
 
 
 class RegistryPoller:
-    """Keeps a watch of the registry going, where changes don't come unasked."""
+    """Keeps a watch of the registry established, where changes are not pushed.
+
+    Attributes:
+        due: When the registry is polled next, in us; None while the watch is established.
+        failed_polls: The number of failures in a row.
+    """
 
     def __init__(self, context: Context) -> None:
-        self.due: int | None = None  # when the registry is asked next; None while the watch is answered
-        self.failed_calls = 0  # in a row
+        """Create a poller; the first poll has to be started.
+
+        Args:
+            context: The shared state of the balancer.
+        """
+        self.due: int | None = None
+        self.failed_polls = 0
         self._context = context
 
     def poll(self) -> None:
+        """Poll the registry, and again later if there is no response; no effect if changes are pushed."""
         if self._context.settings.discovery is Discovery.ON_REQUEST:
             self._context.actions.append(WatchRegistry(True))
-            self._ask_after(LONGEST_WAIT)
+            self._schedule(MAX_BACKOFF_SHARE)
 
     def succeeded(self) -> None:
-        self.failed_calls = 0
+        """Note a response: no further poll is needed, as the watch is established."""
+        self.failed_polls = 0
         self.due = None
 
     def failed(self) -> None:
-        """Ask again later, with jitter, so that instances spread out."""
-        share = min(FIRST_WAIT * 2**self.failed_calls, LONGEST_WAIT)
-        self.failed_calls = min(self.failed_calls + 1, 8)
-        self._ask_after(share * (0.5 + 0.5 * self._context.rng.random()))
-
-    def _ask_after(self, share: float) -> None:
-        """Ask after this share of the time allowed, in place of any earlier plan."""
-        allowed_us = min(self._context.settings.rules.max_poll_interval_us, KNOWN_WITHIN_US)
-        self.due = self._context.now + int(share * allowed_us)
+        """Back off after a failed poll, with jitter so that balancers don't poll at the same time."""
+        backoff_share = min(INITIAL_BACKOFF_SHARE * 2**self.failed_polls, MAX_BACKOFF_SHARE)
+        self.failed_polls = min(self.failed_polls + 1, MAX_COUNTED_FAILURES)
+        jitter_factor = MIN_JITTER + JITTER_RANGE * self._context.rng.random()
+        self._schedule(backoff_share * jitter_factor)
+
+    def _schedule(self, share: float) -> None:
+        """Poll after this share of the permitted staleness, in place of any poll scheduled before."""
+        max_staleness_us = min(self._context.settings.rules.max_poll_interval_us, MAX_STALENESS_US)
+        self.due = self._context.now + int(share * max_staleness_us)
         self._context.timers.add(self.due, RegistryPoll())
--- a/sidecar/balancer/policy/retries.py
+++ b/sidecar/balancer/policy/retries.py
@@ -1,68 +1,107 @@
-"""Retries: which requests may be attempted again, at which servers, and the budget for that."""
+"""Retries: which requests may be attempted again, at which servers, and the retry budget."""
 
 from sidecar.balancer.events import Outcome
-from sidecar.balancer.state import Request, Server
+from sidecar.balancer.state import Attempt, Request, Server
 from sidecar.settings import DedupScope, Idempotency
 
-RETRIES_PER_SUCCESS = 0.2  # retries after failures, for each attempt that was answered: no retry storms
-RETRIES_LOST_PER_FAILURE = 0.3  # so none are left while more than two attempts in five fail
-MAX_RETRY_BALANCE = 2.0  # retries that may be saved up; when a fault begins, they multiply from hop to hop
+RETRIES_PER_SUCCESS = 0.2  # tokens earned by each successful attempt; bounds retries to a share of the load
+RETRIES_LOST_PER_FAILURE = 0.3  # so that none are left while more than two attempts in five fail
+MAX_RETRY_BALANCE = 2.0  # tokens; saved retries multiply from hop to hop when a fault begins
+INITIAL_RETRY_BALANCE = 4.0  # tokens until the first success, as first connections fail by chance
 FAILURES = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.ERROR)
-INITIAL_RETRY_BALANCE = 4.0  # until the first answer: first connections fail by chance
 
 
 class RetryBudget:
-    """Bounds retries by the answers that came: were failures to earn any, calls would multiply with depth."""
+    """A token bucket for retries after failures, filled by successful attempts only.
+
+    Were failures to earn tokens, retries would multiply with the depth of the call graph (a retry storm).
+    """
 
     def __init__(self) -> None:
+        """Create a budget with `INITIAL_RETRY_BALANCE`."""
         self._balance = INITIAL_RETRY_BALANCE
 
     def attempt_ended(self, outcome: Outcome) -> None:
+        """Earn tokens by a success, or lose some by a failure; other outcomes have no effect."""
         if outcome is Outcome.SUCCEEDED:
             self._balance = min(self._balance + RETRIES_PER_SUCCESS, MAX_RETRY_BALANCE)
         elif outcome in FAILURES:
             self._balance = max(self._balance - RETRIES_LOST_PER_FAILURE, 0.0)
 
     def has_tokens(self) -> bool:
+        """Whether a retry is allowed."""
         return self._balance >= 1.0
 
     def try_acquire(self) -> bool:
-        """Take one retry from the balance; say whether there was one."""
-        allowed = self.has_tokens()
-        self._balance -= allowed
-        return allowed
+        """Take the token for one retry; say whether there was one."""
+        if not self.has_tokens():
+            return False
+        self._balance -= 1.0
+        return True
 
 
 def is_retry_safe(request: Request) -> bool:
-    """Whether a repeat has no effect of its own, at any time and server."""
+    """Whether a retry has no further effect, at any time and server."""
     return request.service_class.idempotency is Idempotency.SAFE or not request.may_have_run()
 
 
 def may_retry(request: Request, now: int, tick_us: int) -> bool:
-    """Whether the request's class lets another attempt out now."""
+    """Whether the request's class permits another attempt.
+
+    Args:
+        request: The request.
+        now: The clock time in us.
+        tick_us: The resolution of the clock in us.
+    """
     if is_retry_safe(request):
         return True
-    return request.service_class.idempotency is Idempotency.KEYED and now < retry_deadline(
-        request, now, tick_us
-    )
+    return has_idempotency_key(request) and now < retry_deadline(request, now, tick_us)
+
+
+def has_idempotency_key(request: Request) -> bool:
+    """Whether servers deduplicate the request by its idempotency key."""
+    return request.service_class.idempotency is Idempotency.KEYED
 
 
 def retry_deadline(request: Request, now: int, tick_us: int) -> int:
-    """When servers may begin to forget a keyed request; one tick less, as the clock is read once a tick."""
-    since = next((each.sent_at for each in request.attempts if each.may_have_run), now)
+    """When servers may begin to forget the idempotency key of a request.
+
+    Args:
+        request: A request with an idempotency key.
+        now: The clock time in us.
+        tick_us: The resolution of the clock in us; it is subtracted, as clock time may be late by that much.
+
+    Returns:
+        The clock time in us.
+    """
+    first_attempt = _first_attempt_that_may_have_run(request)
+    since = first_attempt.sent_at if first_attempt is not None else now
     return since + request.service_class.dedup_window_us - tick_us
 
 
 def is_deduplicated_at(request: Request, server: Server) -> bool:
-    """Whether a server would drop the repeat of a request, if that is keyed and may have run."""
+    """Whether a server would drop a retry of a request that ran already.
+
+    Args:
+        request: The request; only one with an idempotency key that may have run is restricted.
+        server: The server that would get the retry.
+    """
     scope = request.service_class.dedup_scope
-    if request.service_class.idempotency is not Idempotency.KEYED or scope is DedupScope.ALL:
+    if not has_idempotency_key(request) or scope is DedupScope.ALL:
+        return True
+    first_attempt = _first_attempt_that_may_have_run(request)
+    if first_attempt is None:
         return True
-    first = next((each.server for each in request.attempts if each.may_have_run), server)
-    return first.zone == server.zone if scope is DedupScope.ZONE else first.cell == server.cell
+    if scope is DedupScope.ZONE:
+        return first_attempt.server.zone == server.zone
+    return first_attempt.server.cell == server.cell
 
 
 def is_client_retry_safe(request: Request) -> bool:
-    """Whether a client that sends the request again does no harm, whatever became of its attempts."""
-    keyed = request.service_class.idempotency is Idempotency.KEYED
-    return is_retry_safe(request) or (keyed and request.service_class.dedup_scope is DedupScope.ALL)
+    """Whether a client may safely send the request again, whatever became of its attempts."""
+    is_deduplicated = has_idempotency_key(request) and request.service_class.dedup_scope is DedupScope.ALL
+    return is_retry_safe(request) or is_deduplicated
+
+
+def _first_attempt_that_may_have_run(request: Request) -> Attempt | None:
+    return next((attempt for attempt in request.attempts if attempt.may_have_run), None)
--- a/sidecar/balancer/policy/start_times.py
+++ b/sidecar/balancer/policy/start_times.py
@@ -1,8 +1,8 @@
-"""When servers started, by this balancer's own clock.
+"""Start times of servers by this balancer's own clock.
 
-A start time is listed as some machine's wall clock told it.  That clock, or the one by which this process
-was anchored at its own start, may have been stepped: a process that has just started then seems to have
-started in the future, or long ago.  Slow start must neither last longer for that nor be skipped.
+The registry states a start time by some machine's wall clock.  That clock, or the one that this process was
+anchored to at its own start, may have been stepped: a server that has just started then seems to have started
+in the future, or long ago.  Slow start must neither last longer for that nor be skipped.
 """
 
 from dataclasses import replace
@@ -12,63 +12,90 @@
 from sidecar.balancer.state import Context
 from sidecar.settings import Discovery
 
-REMEMBERED_REMOVED_SERVERS = (
-    500  # servers that are gone whose start times are still known, should they be listed again
-)
+REMEMBERED_REMOVED_SERVERS = 500  # whose start times are kept, as they may be listed again
+MAX_FORGOTTEN_AT_ONCE = 2 * REMEMBERED_REMOVED_SERVERS  # so many extra entries start a clean-up
 
 
 class StartTime(NamedTuple):
-    """The start of a process: as it is listed, and by this balancer's own clock."""
+    """The start time of a server's process, in us.
+
+    Attributes:
+        listed: As the registry states it.
+        local: By this balancer's own clock.
+    """
 
     listed: int
-    own: int
+    local: int
 
 
 class StartTimes:
-    """Takes a start time that can't be right for the moment in which it was heard of.
+    """Replaces a start time that can't be right by the time at which it was first received.
 
-    That is the latest it can be, and the safe side: when in doubt a server is cold for one slow start.  To
-    count from the update before instead would take a server for warm that started at the end of an outage of
-    the registry, or of a watch, that was longer than slow start.
+    That is the latest it can be, and the safe side: when in doubt a server has one slow start.  Counting from
+    the previous update instead would skip slow start for a server that started at the end of an outage of the
+    registry, or of its watch, that lasted longer than slow start.
     """
 
     def __init__(self, context: Context) -> None:
+        """Create an empty record of start times.
+
+        Args:
+            context: The shared state of the balancer.
+        """
         self._context = context
-        self._known: dict[str, StartTime] = {}  # by server
-        self._last_response_at: int | None = None  # when the registry answered last; None: not yet
+        self._start_times: dict[str, StartTime] = {}  # by server name
+        self._last_response_at: int | None = None  # when the registry last responded, in us
 
     def registry_responded(self, update: RegistryUpdated) -> None:
-        """The registry has answered, with all that it knows by now.
+        """Note that the registry responded with all that it knows by now.
+
+        A cached list is no response.  Nor is an empty watch event where discovery is pushed: the pushing side
+        may send one while the registry itself is down.
 
-        A cached list is no answer, nor are empty changes where changes are pushed: whoever pushes them may
-        say so while the registry itself is down.
+        Args:
+            update: The update that was received.
         """
+        if update.kind is RegistryUpdateKind.CACHED:
+            return
         is_pushed = self._context.settings.discovery is Discovery.PUSHED
-        is_answer = update.kind is not RegistryUpdateKind.CACHED
-        if is_answer and not (is_pushed and update.is_empty()):
-            self._last_response_at = self._context.now
+        if is_pushed and update.is_empty():
+            return
+        self._last_response_at = self._context.now
 
     def to_local_clock(self, update: RegistryUpdated) -> RegistryUpdated:
-        """The same update with start times by this balancer's own clock."""
-        servers = [self._to_local_clock(each) for each in update.servers]
+        """Convert the start times of an update.
+
+        Args:
+            update: An update with start times as listed.
+
+        Returns:
+            The same update with start times by this balancer's own clock.
+        """
+        endpoints = [self._to_local_clock(endpoint) for endpoint in update.servers]
         self._forget_oldest()
-        return replace(update, servers=servers)
+        return replace(update, servers=endpoints)
 
     def _to_local_clock(self, endpoint: Endpoint) -> Endpoint:
-        listed = endpoint.started_at
-        if listed is None:
+        if endpoint.started_at is None:
             return endpoint
-        known = self._known.get(endpoint.server)
-        if known is None or known.listed != listed:
-            own = self._context.now if self._is_wrong(listed) else listed
-            known = self._known[endpoint.server] = StartTime(listed, own)
-        return endpoint if known.own == listed else replace(endpoint, started_at=known.own)
+        start_time = self._start_time(endpoint.server, endpoint.started_at)
+        if start_time.local == endpoint.started_at:
+            return endpoint
+        return replace(endpoint, started_at=start_time.local)
+
+    def _start_time(self, server_name: str, listed: int) -> StartTime:
+        start_time = self._start_times.get(server_name)
+        if start_time is None or start_time.listed != listed:
+            local = self._context.now if self._is_implausible(listed) else listed
+            start_time = StartTime(listed, local)
+            self._start_times[server_name] = start_time
+        return start_time
 
-    def _is_wrong(self, listed: int) -> bool:
-        """Whether a process that is heard of for the first time can't have started then.
+    def _is_implausible(self, listed: int) -> bool:
+        """Whether a process that is listed for the first time can't have started then.
 
-        Lists may be late, so what is listed as started before the registry's last answer may be so: only
-        where it would have been warm by that answer, it should have been in it.
+        Lists may be late, so a start before the registry's last response is plausible: but if the server had
+        been warm by that response, it would have been listed in it.
         """
         if listed > self._context.now:
             return True
@@ -76,9 +103,10 @@
         return self._last_response_at is not None and listed + slow_start_us < self._last_response_at
 
     def _forget_oldest(self) -> None:
-        """Forget servers that are gone, except for the latest; not each time, as it goes through all."""
+        """Forget removed servers except for the latest; not at each update, as it visits all."""
         servers = self._context.registry.servers
-        if len(self._known) > len(servers) + 2 * REMEMBERED_REMOVED_SERVERS:
-            gone = [name for name in self._known if name not in servers]
-            for name in gone[:-REMEMBERED_REMOVED_SERVERS]:
-                del self._known[name]
+        if len(self._start_times) <= len(servers) + MAX_FORGOTTEN_AT_ONCE:
+            return
+        removed = [name for name in self._start_times if name not in servers]
+        for name in removed[:-REMEMBERED_REMOVED_SERVERS]:
+            del self._start_times[name]
--- a/sidecar/balancer/policy/zone_preference.py
+++ b/sidecar/balancer/policy/zone_preference.py
@@ -1,10 +1,7 @@
 """Zone-aware routing: how much less than local servers those of other zones are drawn."""
 
-from sidecar.balancer.policy.concurrency_limit import (
-    ALLOWED_LATE_SHARE,
-    UNRESTRICTED_UTILIZATION,
-    ConcurrencyLimit,
-)
+from sidecar.balancer.policy.concurrency_limit import UNRESTRICTED_UTILIZATION, ConcurrencyLimit
+from sidecar.balancer.policy.latency_ratio import ALLOWED_LATE_SHARE
 from sidecar.balancer.state import Context, Server
 
 MIN_REMOTE_WEIGHT = 0.25  # weight factor of a remote server while the local zone is as fast as the others
@@ -49,7 +46,7 @@
         return self._cached_weight_by_latency()
 
     def _is_overloaded(self) -> bool:
-        if self._limit.late_share >= ALLOWED_LATE_SHARE:
+        if self._limit.latency.late_share >= ALLOWED_LATE_SHARE:
             return True
         return self._limit.utilization() > UNRESTRICTED_UTILIZATION
 
--- a/tests/balancer/test_admission.py
+++ b/tests/balancer/test_admission.py
@@ -79,7 +79,7 @@
     pending: deque[tuple[int, int]] = deque()
     for _ in range(300):
         stage.wait(10 * MILLISECOND_US)
-        stage.balancer._limit.latency_ratio = stage.balancer._limit.late_share = 1.0
+        stage.balancer._limit.latency.median = stage.balancer._limit.latency.late_share = 1.0
         pending.append((stage.now + 100 * MILLISECOND_US, stage.request()))
         if pending[0][0] <= stage.now and stage.sends(done := pending.popleft()[1]):
             stage.end(done)
--- a/tests/balancer/test_registry_polling.py
+++ b/tests/balancer/test_registry_polling.py
@@ -59,6 +59,6 @@
     ready = context.registry.ready
     stage.play(RegistryUpdated(RegistryUpdateKind.DELTA, [], 1))
     assert context.registry.ready is ready  # not rebuilt
-    assert stage.balancer._registry_poller.due is None and not stage.balancer._registry_poller.failed_calls
+    assert stage.balancer._registry_poller.due is None and not stage.balancer._registry_poller.failed_polls
     stage.play(RegistryUpdated(RegistryUpdateKind.SNAPSHOT, [], 1))  # an empty snapshot removes all servers
     assert not context.registry.ready
--- a/tests/balancer/test_settings_changed.py
+++ b/tests/balancer/test_settings_changed.py
@@ -96,14 +96,14 @@
     context, balancer = stage.balancer._context, stage.balancer
     weights = {name: server.latency_weight for name, server in context.registry.servers.items()}
     budget, usual = balancer._retry_budget._balance, dict(balancer._latency._usual_us)
-    ratio, arrivals = balancer._limit.latency_ratio, balancer._slow_start.arrivals.per_us(stage.now)
+    ratio, arrivals = balancer._limit.latency.median, balancer._slow_start.arrivals.per_us(stage.now)
     change_settings(stage, classes=[SAFE | {"priority_weight": 5}, UNSAFE, KEYED])
     assert {name: server.latency_weight for name, server in context.registry.servers.items()} == weights
     assert (balancer._retry_budget._balance, balancer._latency._usual_us) == (budget, usual)
-    assert balancer._limit.latency_ratio == ratio
+    assert balancer._limit.latency.median == ratio
     assert balancer._slow_start.arrivals.per_us(stage.now) == arrivals
     stage.request()
-    [traffic] = balancer._admission._traffic.values()
+    [traffic] = balancer._admission._priorities._traffic.values()
     assert traffic.service_class.priority_weight == 5
 
 
@@ -112,12 +112,12 @@
     stage.serve(20)
     balancer = stage.balancer
     limit, arrivals = balancer._limit, balancer._slow_start.arrivals
-    limit.limit, limit.latency_ratio = 10.0, 0.2
+    limit.limit, limit.latency.median = 10.0, 0.2
     rate = arrivals.per_us(stage.now)
     shorter = [each | {"latency_target_us": 250 * MILLISECOND_US} for each in (SAFE, UNSAFE, KEYED)]
     change_settings(stage, classes=shorter, rules={"overload_window_us": 1 * SECOND_US})
-    assert (limit.limit, limit.latency_ratio) == (5.0, 0.4)
-    assert balancer._admission._in_time._span_us == 4 * 250 * MILLISECOND_US
+    assert (limit.limit, limit.latency.median) == (5.0, 0.4)
+    assert balancer._admission._low_traffic_shedder._timely._span_us == 4 * 250 * MILLISECOND_US
     assert arrivals._span_us == 2 * SECOND_US and arrivals.per_us(stage.now) == pytest.approx(rate)
 
 
@@ -132,7 +132,10 @@
     change_settings(stage)
     balancer = stage.balancer
     assert not balancer._latency._usual_us and not balancer._latency._mean_cost_us
-    assert not balancer._admission._traffic and not balancer._admission._longest_remaining_us
+    assert (
+        not balancer._admission._priorities._traffic
+        and not balancer._admission._stale_requests._longest_remaining_us
+    )
     assert not any(server.rejection_backoffs for server in balancer._context.registry.servers.values())
 
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -224,4 +224,4 @@
         change(stage, replaced)
         change(stage, Endpoint(replaced.server, state=ServerState.REMOVED))
     change(stage, listed(stage.now))
-    assert len(stage.balancer._start_times._known) <= 2 * REMEMBERED_REMOVED_SERVERS + 5
+    assert len(stage.balancer._start_times._start_times) <= 2 * REMEMBERED_REMOVED_SERVERS + 5
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -80,7 +80,7 @@
         async with world(served, rules={"max_poll_interval_us": 1 * S}) as w:
             w.discovery.answers.put_nowait(bad)
             await until(lambda: len(w.discovery.targets) == 2)
-            assert w.sidecar._balancer._registry_poller.failed_calls == 1
+            assert w.sidecar._balancer._registry_poller.failed_polls == 1
             assert (await w.ask())[0] == 200
 
     play(scene())
