--- a/sidecar/balancer/lifecycle/attempt_feedback.py
+++ b/sidecar/balancer/lifecycle/attempt_feedback.py
@@ -5,15 +5,13 @@
 from sidecar.balancer.events import AttemptEnded, Outcome
 from sidecar.balancer.policy.admission import AdmissionControl
 from sidecar.balancer.policy.backoff import back_off_after_rejection
-from sidecar.balancer.policy.concurrency_limit import (
-    BUSY_CPU_UTILIZATION,
-    UNANSWERED_LATENCY_RATIO,
-    ConcurrencyLimit,
-)
+from sidecar.balancer.policy.concurrency_limit import ConcurrencyLimit
 from sidecar.balancer.policy.connections import IdleConnections
+from sidecar.balancer.policy.cpu_utilization import BUSY_CPU_UTILIZATION
 from sidecar.balancer.policy.health_checks import HealthChecks
 from sidecar.balancer.policy.key_order import KeyOrder
 from sidecar.balancer.policy.latency import LatencyTracker
+from sidecar.balancer.policy.latency_ratio import UNANSWERED_LATENCY_RATIO
 from sidecar.balancer.policy.outliers import OutlierDetector
 from sidecar.balancer.state import Attempt, Context, Request
 
@@ -53,7 +51,7 @@
         if event.outcome in CONNECTION_KEPT:
             self.connections.add(attempt.server)
         self.outliers.attempt_ended(request, attempt, event.outcome)
-        self.limit.observe_load_report(event.report)
+        self.limit.cpu.observe(event.report)
         match event.outcome:
             case Outcome.TIMED_OUT | Outcome.CANCELLED:
                 self._abandoned(request, attempt, event)
--- a/sidecar/balancer/registry_updates.py
+++ b/sidecar/balancer/registry_updates.py
@@ -50,7 +50,7 @@
             self._restarted(server)
         for server in self.context.registry.removed():
             self._removed(server)
-        self.latency.set_unknown_weights(self.context.registry.ready)
+        self.latency.initialize_weights(self.context.registry.ready)
 
     def _restarted(self, server: Server) -> None:
         self.slow_start.start(server, server.started_at or 0)
