--- a/sidecar/balancer/lifecycle/attempt_feedback.py
+++ b/sidecar/balancer/lifecycle/attempt_feedback.py
@@ -69,13 +69,13 @@
         counted_until = self.context.now + event.elapsed_us  # for as long as it was waited for
         self.context.load.abandon(attempt.server, counted_until, attempt.within_target)
         usual_us = self.latency.usual_us(request) * attempt.server.latency_weight
-        if event.elapsed_us > usual_us and not self.context.is_catching_up():
+        if event.elapsed_us > usual_us and not self.context.stalls.is_catching_up():
             self.latency.observe_latency(request, attempt.server, event.elapsed_us)
 
     def _succeeded(self, request: Request, attempt: Attempt, elapsed_us: int) -> None:
         target_us = request.service_class.latency_target_us
         self.limit.count_success(target_us)
-        if self.context.is_catching_up():
+        if self.context.stalls.is_catching_up():
             return  # the response may have waited for this process
         self.health_checks.observe_success(request, attempt, elapsed_us)
         self.latency.observe_success(request, attempt.server, elapsed_us)
--- a/sidecar/balancer/lifecycle/placement.py
+++ b/sidecar/balancer/lifecycle/placement.py
@@ -48,7 +48,7 @@
 
     def _should_check(self) -> bool:
         # After a stall that others shared, their requests would all go where the same reports point.
-        return self.checks_per_request > 1 and not self.context.has_just_resumed()
+        return self.checks_per_request > 1 and not self.context.stalls.has_just_resumed()
 
     def place_checked(self, request: Request) -> None:
         """Send a request whose health checks have ended, or were waited for long enough."""
--- a/sidecar/balancer/policy/hedging.py
+++ b/sidecar/balancer/policy/hedging.py
@@ -46,12 +46,12 @@
         An attempt that later ones to its server overtook was lost on the way, which tells of neither.
         """
         now, server, target_us = self.context.now, attempt.server, request.service_class.latency_target_us
-        if self.context.is_catching_up():  # its answer may be among what came meanwhile
-            again_at = self.context.caught_up_at + self.context.settings.tick_us
+        if self.context.stalls.is_catching_up():  # its answer may be among what came meanwhile
+            again_at = self.context.stalls.caught_up_at + self.context.settings.tick_us
             self._examine_in(again_at - now, request, attempt)
             return False
         silent = server.last_success_at <= attempt.sent_at
-        waited_us = now - attempt.sent_at - (self.context.stalled_us - attempt.stalled_before_us)
+        waited_us = now - attempt.sent_at - (self.context.stalls.stalled_us - attempt.stalled_before_us)
         if waited_us < target_us:
             self._examine_in(target_us - waited_us, request, attempt)
         else:
--- a/sidecar/balancer/policy/latency.py
+++ b/sidecar/balancer/policy/latency.py
@@ -21,8 +21,10 @@
             context: The shared state of the balancer.
         """
         self._context = context
-        self._usual_us: dict[tuple[str, int], float] = context.new_table(context.names_sized_class)
-        self._mean_cost_us: dict[str, float] = context.new_table(context.names_class)
+        self._usual_us: dict[tuple[str, int], float] = context.settings_bound.new_table(
+            lambda kind: context.catalog.has_class(kind[0])
+        )
+        self._mean_cost_us: dict[str, float] = context.settings_bound.new_table(context.catalog.has_class)
 
     def relative_cost(self, service_class: ServiceClass, cost_us: int | None) -> float:
         """The cost of a new request relative to the mean of its class, which follows it.
--- a/sidecar/balancer/policy/low_traffic_shedding.py
+++ b/sidecar/balancer/policy/low_traffic_shedding.py
@@ -21,9 +21,9 @@
             context: The shared state of the balancer.
         """
         self._context = context
-        self._timely = context.new_rate(self._span_us)
-        self._late = context.new_rate(self._span_us)
-        self._shed = context.new_rate(self._span_us)
+        self._timely = context.settings_bound.new_rate(self._span_us)
+        self._late = context.settings_bound.new_rate(self._span_us)
+        self._shed = context.settings_bound.new_rate(self._span_us)
 
     def _span_us(self) -> float:
         return rate_span_us(self._context)
--- a/sidecar/balancer/policy/outliers.py
+++ b/sidecar/balancer/policy/outliers.py
@@ -156,4 +156,4 @@
         if outcome is Outcome.TIMED_OUT and attempt.server.last_success_at > attempt.sent_at:
             return True  # the server is slow, but responded to others meanwhile
         # After a stall of this process, the time that passed was its own delay.
-        return outcome in TIMEOUTS and self._context.is_catching_up() and not is_half_open
+        return outcome in TIMEOUTS and self._context.stalls.is_catching_up() and not is_half_open
--- a/sidecar/balancer/policy/priority.py
+++ b/sidecar/balancer/policy/priority.py
@@ -21,7 +21,9 @@
             context: The shared state of the balancer.
         """
         self._context = context
-        self._traffic: dict[TrafficKey, Traffic] = context.new_table(context.names_traffic_key)
+        self._traffic: dict[TrafficKey, Traffic] = context.settings_bound.new_table(
+            context.catalog.has_traffic_key
+        )
 
     def count_arrival(self, request: Request) -> Traffic:
         """Count a request that arrived.
@@ -73,9 +75,9 @@
     def _weight(self, traffic: Traffic, tenant_rate: float, total_rate: float) -> float:
         """The weight of the class, reduced for the part of the tenant's traffic beyond its quota."""
         class_weight = traffic.service_class.priority_weight
-        quota = self._context.tenant_shares.get(traffic.tenant or "")
+        quota = self._context.catalog.tenant_shares.get(traffic.tenant or "")
         if quota is None or tenant_rate <= 0.0:
             return class_weight
-        share_within_quota = min(1.0, total_rate * quota / self._context.all_shares / tenant_rate)
+        share_within_quota = min(1.0, total_rate * quota / self._context.catalog.all_shares / tenant_rate)
         over_quota_weight = self._context.settings.over_share_weight
         return class_weight * (share_within_quota + (1.0 - share_within_quota) * over_quota_weight)
--- a/sidecar/balancer/policy/selection.py
+++ b/sidecar/balancer/policy/selection.py
@@ -82,7 +82,7 @@
 
     def _candidate_subset(self, request: Request) -> list[Server]:
         """The subset of the local zone, or that of all zones where the request may leave its zone."""
-        if self.context.has_just_resumed():
+        if self.context.stalls.has_just_resumed():
             request.all_zones = True
         if not request.all_zones:
             local_subset = self._subset(self.context.registry.ready_local, request)
--- a/sidecar/balancer/policy/server_capacity.py
+++ b/sidecar/balancer/policy/server_capacity.py
@@ -48,7 +48,7 @@
         """
         self._context = context
         self._arrivals = arrivals
-        self._served_by_warm = context.new_rate(lambda: rate_span_us(context))
+        self._served_by_warm = context.settings_bound.new_rate(lambda: rate_span_us(context))
         self._capacity = 0.0  # requests of mean cost per us, as of _capacity_at
         self._capacity_at = -1
         self._last_warm_capacity = math.inf  # the estimate when any server was last warm
--- a/sidecar/balancer/policy/slow_start.py
+++ b/sidecar/balancer/policy/slow_start.py
@@ -22,7 +22,7 @@
             context: The shared state of the balancer.
         """
         self._context = context
-        self.arrivals = context.new_rate(lambda: rate_span_us(context))
+        self.arrivals = context.settings_bound.new_rate(lambda: rate_span_us(context))
         self.capacity_estimate = ServerCapacityEstimate(context, self.arrivals)
 
     def start(self, server: Server, since: int) -> None:
--- a/sidecar/balancer/policy/stale_requests.py
+++ b/sidecar/balancer/policy/stale_requests.py
@@ -17,7 +17,7 @@
         """
         self._context = context
         # Forgotten with any change of the settings, as deadlines may change.
-        self._longest_remaining_us: dict[str, int] = context.new_table(lambda _: False)
+        self._longest_remaining_us: dict[str, int] = context.settings_bound.new_table(lambda _: False)
 
     def is_stale(self, request: Request, remaining_us: int) -> bool:
         """Whether a late response to the request would be worthless, and it can't be in time any more.
@@ -30,6 +30,6 @@
         longest_us = max(self._longest_remaining_us.get(service_class.name, 0), remaining_us)
         self._longest_remaining_us[service_class.name] = longest_us
         waited_us = longest_us - remaining_us
-        if not self._context.has_just_resumed() or service_class.late_weight > 0.0:
+        if not self._context.stalls.has_just_resumed() or service_class.late_weight > 0.0:
             return False
         return waited_us >= service_class.latency_target_us
--- a/sidecar/balancer/state/context.py
+++ b/sidecar/balancer/state/context.py
@@ -2,24 +2,18 @@
 
 import random
 from collections.abc import Callable
-from typing import TypeVar
 
 from sidecar.balancer.actions import Action
 from sidecar.balancer.events import Event, TimerFired
 from sidecar.balancer.state.clock import Clock
 from sidecar.balancer.state.load import ActiveLoad
-from sidecar.balancer.state.records import TrafficKey
 from sidecar.balancer.state.registry import ServerRegistry
 from sidecar.balancer.state.service_catalog import ServiceCatalog
 from sidecar.balancer.state.settings_bound import SettingsBoundState, evict
 from sidecar.balancer.state.stall_detector import StallDetector
-from sidecar.balancer.state.statistics import DecayingRate
 from sidecar.balancer.state.timers import StallCheck, Timer, TimerQueue
 from sidecar.settings import Settings
 
-Key = TypeVar("Key")
-Value = TypeVar("Value")
-
 
 class Context:
     """The shared state of a balancer, and the frame in which each event is handled.
@@ -30,6 +24,7 @@
         rng: The source of every random decision.
         clock: The time of the event being handled.
         stalls: The stalls of this process.
+        settings_bound: The tables and rates that follow the settings.
         registry: The servers known.
         load: This balancer's own attempts.
         timers: The timers of all policies.
@@ -55,7 +50,7 @@
         self.load = ActiveLoad(self.clock)
         self.timers = TimerQueue()
         self.actions: list[Action] = []
-        self._settings_bound = SettingsBoundState()
+        self.settings_bound = SettingsBoundState()
 
     def _stall_check_interval_us(self) -> int:
         interval_us = int(self._stall_check_targets * self.catalog.shortest_target_us)
@@ -69,70 +64,18 @@
         self.registry.set_local_zone(settings.zone)
         for server in self.registry.servers.values():
             evict(server.rejection_backoffs, self.catalog.has_traffic_key)
-        self._settings_bound.settings_changed()
+        self.settings_bound.settings_changed()
 
     @property
     def now(self) -> int:
         """The time of the event being handled, in microseconds on the host's clock."""
         return self.clock.now
 
-    @now.setter
-    def now(self, now: int) -> None:
-        self.clock.now = now
-
-    @property
-    def stalled_us(self) -> int:
-        """The total duration of all stalls so far, in microseconds."""
-        return self.stalls.stalled_us
-
-    @property
-    def caught_up_at(self) -> int:
-        """When the events that arrived during the last stall have been handled, in microseconds."""
-        return self.stalls.caught_up_at
-
     @property
     def longest_target_us(self) -> int:
         """The longest latency target of any class, in microseconds."""
         return self.catalog.longest_target_us
 
-    @property
-    def tenant_shares(self) -> dict[str, float]:
-        """Each tenant's share of the fleet, by the tenant's name."""
-        return self.catalog.tenant_shares
-
-    @property
-    def all_shares(self) -> float:
-        """The sum of all tenants' shares."""
-        return self.catalog.all_shares
-
-    def names_class(self, name: str) -> bool:
-        """Whether the settings name this class."""
-        return self.catalog.has_class(name)
-
-    def names_sized_class(self, kind: tuple[str, int]) -> bool:
-        """Whether the settings name the class of this class and size."""
-        return self.catalog.has_class(kind[0])
-
-    def names_traffic_key(self, traffic_key: TrafficKey) -> bool:
-        """Whether the settings name this class and tenant."""
-        return self.catalog.has_traffic_key(traffic_key)
-
-    def new_table(self, is_kept: Callable[[Key], bool]) -> dict[Key, Value]:
-        """Create a table by class or tenant; entries that are not to be kept go when the settings change."""
-        return self._settings_bound.new_table(is_kept)
-
-    def new_rate(self, span_us: Callable[[], float]) -> DecayingRate:
-        """Create a rate whose span, in microseconds, follows from the settings."""
-        return self._settings_bound.new_rate(span_us)
-
-    def is_catching_up(self) -> bool:
-        """Whether the event may have waited while this process stalled."""
-        return self.stalls.is_catching_up()
-
-    def has_just_resumed(self) -> bool:
-        """Whether the event is the first one after a stall, or happened at the same time."""
-        return self.stalls.has_just_resumed()
-
     def begin(self, now: int, event: Event) -> None:
         """Start to handle an event.
 
--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -31,7 +31,7 @@
 def observe_repeatedly(context: Context, limit: ConcurrencyLimit, times: int, latency_ratio: float) -> None:
     """Observe so many responses, one each 20 ms, of this latency as a part of the target."""
     for _ in range(times):
-        context.now += 20 * MILLISECOND_US
+        context.clock.now += 20 * MILLISECOND_US
         limit.observe(latency_ratio)
 
 
--- a/tests/balancer/test_key_order.py
+++ b/tests/balancer/test_key_order.py
@@ -101,5 +101,5 @@
     assert not stage.balancer._send(waiting, server)
     stage.end(first, Outcome.CANCELLED, answered=True)
     assert not stage.balancer._send(waiting, server)
-    stage.balancer._context.now += 100 * MILLISECOND_US
+    stage.balancer._context.clock.now += 100 * MILLISECOND_US
     assert stage.balancer._send(waiting, server)
--- a/tests/balancer/test_outliers.py
+++ b/tests/balancer/test_outliers.py
@@ -141,7 +141,7 @@
     for _ in range(6):
         assert server.ejected_until is not None
         waits.append((server.ejected_until - context.now) / TARGET_US)
-        context.now = server.ejected_until
+        context.clock.now = server.ejected_until
         request = make_request(context)
         assert outliers.half_open_candidate(request) is server
         server.half_open_attempt = start_attempt(context, request, server)
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -75,7 +75,7 @@
     cold = context.registry.ready[0]
     slow_start.start(cold, context.now)
     assert slow_start.is_warming_up(cold) and not slow_start.has_capacity(cold, 1.0)
-    context.now += 2 * SECOND_US
+    context.clock.now += 2 * SECOND_US
     sent = 0
     while slow_start.has_capacity(cold, 1.0) and sent < 100:
         cold.slow_start_budget -= 1.0
@@ -83,7 +83,7 @@
     # Multiple x capacity_share by now x capacity x window.
     overload = 3 * 0.36 * slow_start.capacity_estimate.of_warm_server() * 2 * SECOND_US
     assert 1 <= sent <= 0.2 * overload
-    context.now += context.settings.rules.slow_start_us
+    context.clock.now += context.settings.rules.slow_start_us
     assert not slow_start.is_warming_up(cold) and slow_start.has_capacity(cold, 1_000.0)
 
 
@@ -95,5 +95,5 @@
     seen = []
     for _ in range(3):
         seen.append(slow_start.capacity_share(cold))
-        context.now += context.settings.rules.slow_start_us // 2
+        context.clock.now += context.settings.rules.slow_start_us // 2
     assert seen == pytest.approx([0.2, 0.6, 1.0])
