--- a/sidecar/balancer/balancer.py
+++ b/sidecar/balancer/balancer.py
@@ -10,14 +10,16 @@
 from sidecar.balancer import actions, events
 from sidecar.balancer.actions import Action
 from sidecar.balancer.events import Event, Outcome, RegistryUpdateKind, ServerState
-from sidecar.balancer.policy import backoff, health_checks, retries
+from sidecar.balancer.policy import backoff, load_comparison, retries
 from sidecar.balancer.policy.admission import AdmissionControl
 from sidecar.balancer.policy.concurrency_limit import ConcurrencyLimit
 from sidecar.balancer.policy.connections import IdleConnections
 from sidecar.balancer.policy.cpu_utilization import BUSY_CPU_UTILIZATION
+from sidecar.balancer.policy.health_checks import HealthChecks, health_checks_per_request
 from sidecar.balancer.policy.hedging import HedgingPolicy
 from sidecar.balancer.policy.key_order import KeyOrder
 from sidecar.balancer.policy.latency import LatencyTracker
+from sidecar.balancer.policy.latency_by_load import LatencyByLoad
 from sidecar.balancer.policy.latency_ratio import UNANSWERED_LATENCY_RATIO
 from sidecar.balancer.policy.low_traffic import low_traffic_factor
 from sidecar.balancer.policy.outliers import OutlierDetector
@@ -26,7 +28,7 @@
 from sidecar.balancer.policy.slow_start import SlowStart
 from sidecar.balancer.policy.start_times import StartTimes
 from sidecar.balancer.policy.zone_preference import ZonePreference
-from sidecar.balancer.state import Attempt, Context, LinearFit, Request, Server, TrafficKey, timers
+from sidecar.balancer.state import Attempt, Context, Request, Server, TrafficKey, timers
 from sidecar.settings import Idempotency, Settings
 
 STALL_CHECK_TARGETS = 0.1  # while an attempt is active a timer checks so often, in shortest latency targets
@@ -49,21 +51,25 @@
         self._start_times = StartTimes(context)
         self._slow_start = slow_start = SlowStart(context)
         self._limit = limit = ConcurrencyLimit(context)
-        arrivals, fit = slow_start.arrivals, LinearFit(health_checks.FIT_DECAY, health_checks.FIT_MIN_SAMPLES)
+        arrivals = slow_start.arrivals
+        self._latency_by_load = latency_by_load = LatencyByLoad()
         self._admission = admission = AdmissionControl(context, limit, arrivals)
         self._outliers = outliers = OutlierDetector(context, slow_start)
         self._hedging = HedgingPolicy(context, latency, outliers, admission, limit)
         self._zone_preference = zone_preference = ZonePreference(context, limit)
         self._selector = selector = Selector(context, slow_start, zone_preference)
-        self._connections = connections = IdleConnections(context, arrivals, fit)
-        self._health_checks = health_checks.HealthChecks(context, slow_start, selector, connections, fit)
-        self._set_up_probing()
+        self._connections = connections = IdleConnections(context, arrivals, latency_by_load)
+        self._health_checks = HealthChecks(context)
+        self._load_comparison = load_comparison.LoadComparison(
+            context, slow_start, selector, connections, latency_by_load
+        )
+        self._set_up_health_checks()
 
-    def _set_up_probing(self) -> None:
-        self._health_check_count = health_checks.health_checks_per_request(self._context.settings)
+    def _set_up_health_checks(self) -> None:
+        self._health_check_count = health_checks_per_request(self._context.settings)
         self._admission.checks_load_before_sending = self._health_check_count > 1
         crossings_cost = (
-            health_checks.cross_zone_cost(self._context.settings) >= health_checks.MIN_CROSS_ZONE_COST
+            load_comparison.cross_zone_cost(self._context.settings) >= load_comparison.MIN_CROSS_ZONE_COST
         )
         self._zone_preference.local_first = self._health_check_count > 1 and crossings_cost
 
@@ -71,7 +77,7 @@
         """Go by other settings; requests in progress keep their class, and limits that were stricter."""
         former, former_target_us = self._context.settings, self._context.longest_target_us
         self._context.adopt(settings)
-        self._set_up_probing()
+        self._set_up_health_checks()
         self._limit.rescale(self._context.longest_target_us / former_target_us)
         for request in self._requests.values():
             request.restrict(settings.limits, self._context.never_ran)
@@ -177,14 +183,14 @@
         tied = self._health_checks.release(request)
         if request.answered:
             return
-        best = self._health_checks.least_loaded(request, tied)
-        if not request.all_zones and self._health_checks.should_cross_zones(best):
+        best = self._load_comparison.least_loaded(request, tied)
+        if not request.all_zones and self._load_comparison.should_cross_zones(best):
             request.all_zones = True
             self._place(request)
             return
         if best is None:
             best = next((each for each in tied if self._selector.is_eligible(each, request)), None)
-        if best is not None and self._health_checks.predicts_overload(request, best):
+        if best is not None and self._load_comparison.predicts_overload(request, best):
             best = None
         if self._send_or_finish(request, best) and best is not None and best.health_check_sent_at is None:
             request.attempts[-1].reported_load = best.reported_load
@@ -297,7 +303,7 @@
                 target_us = request.service_class.latency_target_us
                 self._limit.count_success(target_us)
                 if not catching_up:
-                    self._health_checks.observe_success(request, attempt, elapsed_us)
+                    self._latency_by_load.observe_success(request, attempt, elapsed_us)
                     self._latency.observe_success(request, server, elapsed_us)
                     if not attempt.counted_as_late:
                         self._admission.observe_latency(elapsed_us / target_us)
--- a/sidecar/balancer/policy/connections.py
+++ b/sidecar/balancer/policy/connections.py
@@ -1,7 +1,8 @@
 """Idle connections: where they have a price, those are closed that cost more than opening new ones."""
 
 from sidecar.balancer.actions import CloseIdleConnections
-from sidecar.balancer.state import Context, DecayingRate, LinearFit, Server
+from sidecar.balancer.policy.latency_by_load import LatencyByLoad
+from sidecar.balancer.state import Context, DecayingRate, Server
 from sidecar.balancer.state.timers import IdleCloseDue
 
 CONNECTIONS_PER_PRICE = 100.0  # the price of connections is for so many of them at a server
@@ -11,7 +12,7 @@
 class IdleConnections:
     """This balancer's own estimate of its idle connections to each server."""
 
-    def __init__(self, context: Context, arrivals: DecayingRate, latency_by_load: LinearFit) -> None:
+    def __init__(self, context: Context, arrivals: DecayingRate, latency_by_load: LatencyByLoad) -> None:
         """Create an estimate without connections.
 
         Args:
@@ -69,8 +70,8 @@
 
     def _server_request_rate(self) -> float:
         """The requests per us that a server gets from all balancers."""
-        load_per_latency = self._latency_by_load.x_per_y()
-        if load_per_latency is not None:  # by Little's law, the rate is the load over the latency
-            return load_per_latency / self._context.longest_target_us
+        load_per_latency_ratio = self._latency_by_load.load_per_latency_ratio()
+        if load_per_latency_ratio is not None:  # by Little's law, the rate is the load over the latency
+            return load_per_latency_ratio / self._context.longest_target_us
         all_arrivals = self._arrivals.per_us(self._context.now) * self._context.settings.sidecar_count
         return all_arrivals / max(len(self._context.registry.ready), 1)
--- a/sidecar/balancer/policy/hedging.py
+++ b/sidecar/balancer/policy/hedging.py
@@ -1,4 +1,7 @@
-"""Overdue attempts: tells servers that take work and answer nothing, long before time-outs would."""
+"""Hedging: detects attempts at servers that hang, long before they would time out.
+
+The request of such an attempt is sent to another server as well, or instead where hedging is not allowed.
+"""
 
 from dataclasses import dataclass
 
@@ -10,16 +13,24 @@
 from sidecar.balancer.state import Attempt, Context, Request, Server
 from sidecar.balancer.state.timers import AttemptOverdue
 
-USUAL_TIMES = 2.5  # usual latencies (at this server's weight) after which an attempt is overdue
-LEAST_TARGETS = 0.1  # but never less than this part of the latency target: short times are all jitter
-SILENT_TIMES = 2.0  # overdue again by this factor, an unanswering server is taken for silent
-SILENT_TARGETS = 0.5  # but never before this part of the target
-PEER_ANSWERS = 4  # answers from others, since the attempt left, that make its server's silence its own
+OVERDUE_LATENCY_FACTOR = 2.5  # an attempt is overdue after so many usual latencies of its server ...
+MIN_OVERDUE_TARGETS = 0.1  # ... but not before this share of the latency target: shorter times are jitter
+UNRESPONSIVE_OVERDUE_FACTOR = 2.0  # a server is unresponsive after so many times that, without a response ...
+MIN_UNRESPONSIVE_TARGETS = 0.5  # ... but not before this share of the latency target
+MIN_PEER_SUCCESSES = 4  # successes elsewhere meanwhile that show that only this server hangs
 
 
 @dataclass(slots=True, eq=False)
 class HedgingPolicy:
-    """Examines attempts that take far longer than usual."""
+    """Examines attempts that take far longer than usual.
+
+    Attributes:
+        context: The shared state of the balancer.
+        latency: The usual latencies.
+        outliers: Ejects unresponsive servers.
+        admission: Observes late attempts.
+        limit: Observes missing load reports.
+    """
 
     context: Context
     latency: LatencyTracker
@@ -28,46 +39,80 @@
     limit: ConcurrencyLimit
 
     def watch(self, request: Request, attempt: Attempt) -> None:
-        """Examine an attempt once it is overdue."""
-        self._examine_in(self._overdue_after_us(request, attempt.server), request, attempt)
+        """Schedule the examination of an attempt that was just sent."""
+        self._examine_after(self._overdue_after_us(request, attempt.server), request, attempt)
 
-    def _overdue_after_us(self, request: Request, server: Server) -> int:
-        usual_us = USUAL_TIMES * self.latency.usual_us(request) * max(server.latency_weight, 1.0)
-        least_us = LEAST_TARGETS * request.service_class.latency_target_us
-        return int(max(usual_us, least_us, self.context.settings.tick_us))
+    def is_hedge_due(self, request: Request, attempt: Attempt) -> bool:
+        """Examine an overdue attempt, and schedule the next examination if there is to be one.
 
-    def _examine_in(self, wait_us: int, request: Request, attempt: Attempt) -> None:
-        self.context.timers.add(self.context.now + wait_us, AttemptOverdue(request.id, attempt.index))
+        A server that responded to anything since is slow, not unresponsive; if others don't respond either,
+        there is overload.
 
-    def is_hedge_due(self, request: Request, attempt: Attempt) -> bool:
-        """Whether the attempt's server is silent and ejected, so that no answer is to be expected.
+        Args:
+            request: The request of the attempt.
+            attempt: The attempt, which is pending.
 
-        A server that answered anything since is slow, not silent; if others are silent, all are overloaded.
-        An attempt that later ones to its server overtook was lost on the way, which tells of neither.
+        Returns:
+            Whether its server is unresponsive and ejected, so that no response is expected.
         """
-        now, server, target_us = self.context.now, attempt.server, request.service_class.latency_target_us
-        if self.context.is_catching_up():  # its answer may be among what came meanwhile
-            again_at = self.context.caught_up_at + self.context.settings.tick_us
-            self._examine_in(again_at - now, request, attempt)
+        if self.context.is_catching_up():  # its response may be among the events that waited
+            next_at = self.context.caught_up_at + self.context.settings.tick_us
+            self._examine_after(next_at - self.context.now, request, attempt)
             return False
-        silent = server.last_success_at <= attempt.sent_at
-        waited_us = now - attempt.sent_at - (self.context.stalled_us - attempt.stalled_before_us)
+        waited_us = self._waited_us(attempt)
+        self._examine_at_latency_target(request, attempt, waited_us)
+        is_unresponsive = attempt.server.last_success_at <= attempt.sent_at
+        if is_unresponsive:
+            unresponsive_after_us = self._unresponsive_after_us(request, attempt.server)
+            if waited_us < unresponsive_after_us:
+                self._examine_after(int(unresponsive_after_us) - waited_us, request, attempt)
+                return False
+            self._eject_if_peers_respond(attempt)
+        if waited_us >= request.service_class.latency_target_us:
+            self._count_as_late(attempt, is_unresponsive)
+        return is_unresponsive and attempt.server.ejected_until is not None
+
+    def _overdue_after_us(self, request: Request, server: Server) -> int:
+        overdue_us = OVERDUE_LATENCY_FACTOR * self.latency.usual_us(request) * max(server.latency_weight, 1.0)
+        min_us = MIN_OVERDUE_TARGETS * request.service_class.latency_target_us
+        return int(max(overdue_us, min_us, self.context.settings.tick_us))
+
+    def _unresponsive_after_us(self, request: Request, server: Server) -> float:
+        min_us = MIN_UNRESPONSIVE_TARGETS * request.service_class.latency_target_us
+        return max(UNRESPONSIVE_OVERDUE_FACTOR * self._overdue_after_us(request, server), min_us)
+
+    def _waited_us(self, attempt: Attempt) -> int:
+        """How long the attempt has been pending, not counting stalls of this process."""
+        stalled_us = self.context.stalled_us - attempt.stalled_before_us
+        return self.context.now - attempt.sent_at - stalled_us
+
+    def _examine_after(self, wait_us: int, request: Request, attempt: Attempt) -> None:
+        self.context.timers.add(self.context.now + wait_us, AttemptOverdue(request.id, attempt.index))
+
+    def _examine_at_latency_target(self, request: Request, attempt: Attempt, waited_us: int) -> None:
+        """Leave the attempt out of the load if its target has passed, else examine it again by then."""
+        target_us = request.service_class.latency_target_us
         if waited_us < target_us:
-            self._examine_in(target_us - waited_us, request, attempt)
+            self._examine_after(target_us - waited_us, request, attempt)
         else:
             self.context.load.pass_target(attempt)
-        enough_us = max(SILENT_TIMES * self._overdue_after_us(request, server), SILENT_TARGETS * target_us)
-        if silent and waited_us < enough_us:
-            self._examine_in(int(enough_us) - waited_us, request, attempt)
-            return False
-        peer_answers = self.outliers.successes - attempt.successes_before
-        if silent and server.ejected_until is None and peer_answers >= PEER_ANSWERS:
-            self.outliers.eject(server, "silent", MAX_EJECTED_SHARE_UNRESPONSIVE)
-        overtaken = server.last_success_sent_at > attempt.sent_at
-        lost = server.ejected_until is not None or overtaken
-        if waited_us >= target_us and not (lost or attempt.counted_as_late):
-            attempt.counted_as_late = True  # waiting for its answer would see a surge too late
-            if silent:
-                self.limit.cpu.observe_missing()
-            self.admission.observe_latency(UNANSWERED_LATENCY_RATIO)
-        return silent and server.ejected_until is not None
+
+    def _eject_if_peers_respond(self, attempt: Attempt) -> None:
+        peer_successes = self.outliers.successes - attempt.successes_before
+        if attempt.server.ejected_until is None and peer_successes >= MIN_PEER_SUCCESSES:
+            self.outliers.eject(attempt.server, "silent", MAX_EJECTED_SHARE_UNRESPONSIVE)
+
+    def _count_as_late(self, attempt: Attempt, is_unresponsive: bool) -> None:
+        """Count an attempt as late before it ends: waiting for its response would miss the start of a surge.
+
+        An attempt at an ejected server says nothing of overload.  Nor does one that later attempts to its
+        server overtook, which was lost on the way.
+        """
+        server = attempt.server
+        was_overtaken = server.last_success_sent_at > attempt.sent_at
+        if attempt.counted_as_late or was_overtaken or server.ejected_until is not None:
+            return
+        attempt.counted_as_late = True
+        if is_unresponsive:
+            self.limit.cpu.observe_missing()
+        self.admission.observe_latency(UNANSWERED_LATENCY_RATIO)
--- /dev/null
+++ b/sidecar/balancer/policy/load_comparison.py
@@ -0,0 +1,100 @@
+"""Comparison of candidates by the load that they reported in health checks."""
+
+from dataclasses import dataclass
+
+from sidecar.balancer.policy.connections import IdleConnections
+from sidecar.balancer.policy.latency_by_load import LatencyByLoad
+from sidecar.balancer.policy.selection import Selector
+from sidecar.balancer.policy.slow_start import SlowStart
+from sidecar.balancer.state import Context, Request, Server
+from sidecar.settings import Settings
+
+MIN_SAVING_FACTOR = 2.0  # latency saved, in targets, for each point of price of a remote zone or a handshake
+MIN_CROSS_ZONE_COST = 0.1  # latency targets; if crossing costs less, zones are balanced by weights
+MAX_PREDICTED_RATIO = 0.7  # latency ratio up to which requests of the highest priority are admitted ...
+PREDICTED_RATIO_RANGE = 0.5  # ... and so much less for the lowest
+SAMPLE_SHARE = 0.01  # of the requests is admitted despite predicted overload, to verify the prediction
+
+
+def cross_zone_cost(settings: Settings) -> float:
+    """The latency that a request to another zone has to save, in latency targets."""
+    return MIN_SAVING_FACTOR * settings.prices.cross_zone
+
+
+@dataclass(slots=True, eq=False)
+class LoadComparison:
+    """Picks the least loaded candidate, and tells whether even that is overloaded.
+
+    Attributes:
+        context: The shared state of the balancer.
+        slow_start: Limits servers that are warming up.
+        selector: Tells which servers are eligible.
+        connections: Tells to which servers there is an idle connection.
+        latency_by_load: Predicts the latency at a load.
+    """
+
+    context: Context
+    slow_start: SlowStart
+    selector: Selector
+    connections: IdleConnections
+    latency_by_load: LatencyByLoad
+
+    def least_loaded(self, request: Request, candidates: list[Server]) -> Server | None:
+        """The best of the eligible candidates that answered their health checks, if there is one.
+
+        Args:
+            request: The request to be sent.
+            candidates: The servers whose health checks it waited for.
+        """
+        comparable = [
+            server
+            for server in candidates
+            if server.health_check_sent_at is None
+            and server.reported_load is not None
+            and self.selector.is_eligible(server, request)
+        ]
+        return min(comparable, key=self._rank, default=None)
+
+    def should_cross_zones(self, best: Server | None) -> bool:
+        """Whether a server in another zone is expected to save more than the price of getting there.
+
+        Args:
+            best: The best server of the local zone, if there is one.
+        """
+        if best is None or best.reported_load is None:
+            return True
+        local_ratio = self.latency_by_load.predict(best.reported_load)
+        idle_ratio = self.latency_by_load.predict(0.0)
+        if local_ratio is None or idle_ratio is None:
+            return False
+        return local_ratio - idle_ratio > cross_zone_cost(self.context.settings)
+
+    def predicts_overload(self, request: Request, best: Server) -> bool:
+        """Whether to reject a new request, as even the best server is expected to take too long.
+
+        Args:
+            request: The request; one that was attempted already is not rejected.
+            best: The best server for it.
+        """
+        if best.reported_load is None or request.attempts:
+            return False
+        predicted_ratio = self.latency_by_load.predict(best.reported_load)
+        max_ratio = MAX_PREDICTED_RATIO - PREDICTED_RATIO_RANGE * (1.0 - request.priority)
+        if predicted_ratio is not None and predicted_ratio > max_ratio:
+            return self.context.rng.random() >= SAMPLE_SHARE
+        return False
+
+    def _rank(self, server: Server) -> tuple[int, float, float]:
+        """Sort key: this balancer's own attempts, then the expected latency with its price, then the load."""
+        load_with_request = ((server.reported_load or 0.0) + 1.0) * server.latency_weight
+        # Servers that are warming up report little load as they get few requests.
+        load = load_with_request / self.slow_start.capacity_share(server)
+        expected_ratio = self.latency_by_load.predict(load) or 0.0
+        return self.context.load.at(server), expected_ratio + self._access_cost(server), load
+
+    def _access_cost(self, server: Server) -> float:
+        """The price of getting to a server, in latency targets."""
+        cost = 0.0 if server.is_local else cross_zone_cost(self.context.settings)
+        if not self.connections.is_open(server):
+            cost += MIN_SAVING_FACTOR * self.context.settings.prices.handshake
+        return cost
--- a/tests/balancer/test_connections.py
+++ b/tests/balancer/test_connections.py
@@ -11,7 +11,8 @@
 from sidecar.balancer.actions import CloseIdleConnections
 from sidecar.balancer.events import Endpoint, RegistryUpdated, RegistryUpdateKind
 from sidecar.balancer.policy.connections import IdleConnections
-from sidecar.balancer.state import DecayingRate, LinearFit
+from sidecar.balancer.policy.latency_by_load import LatencyByLoad
+from sidecar.balancer.state import DecayingRate
 
 
 def test_an_idle_connection_is_closed_once_it_has_cost_as_much_as_a_handshake() -> None:
@@ -46,7 +47,7 @@
 
 def test_idle_connections_are_not_closed_for_a_replaced_server_record() -> None:
     context = make_context(prices={"connection": 0.08, "handshake": 0.08})
-    connections = IdleConnections(context, DecayingRate(SECOND_US), LinearFit(0.03, 5.0))
+    connections = IdleConnections(context, DecayingRate(SECOND_US), LatencyByLoad())
     server = context.registry.ready[0]
     connections.add(server)
     assert connections.close_due(server) == server.idle_close_due
