--- a/sidecar/balancer/balancer.py
+++ b/sidecar/balancer/balancer.py
@@ -16,13 +16,15 @@
 from sidecar.balancer.lifecycle.request_table import RequestTable
 from sidecar.balancer.lifecycle.retrying import RequestRetrier
 from sidecar.balancer.lifecycle.timer_dispatch import TimerDispatcher
-from sidecar.balancer.policy import health_checks, retries
+from sidecar.balancer.policy import load_comparison, retries
 from sidecar.balancer.policy.admission import AdmissionControl
 from sidecar.balancer.policy.concurrency_limit import ConcurrencyLimit
 from sidecar.balancer.policy.connections import IdleConnections
+from sidecar.balancer.policy.health_checks import HealthChecks, health_checks_per_request
 from sidecar.balancer.policy.hedging import HedgingPolicy
 from sidecar.balancer.policy.key_order import KeyOrder
 from sidecar.balancer.policy.latency import LatencyTracker
+from sidecar.balancer.policy.latency_by_load import LatencyByLoad
 from sidecar.balancer.policy.low_traffic import low_traffic_factor
 from sidecar.balancer.policy.outliers import OutlierDetector
 from sidecar.balancer.policy.registry_polling import RegistryPoller
@@ -31,7 +33,7 @@
 from sidecar.balancer.policy.start_times import StartTimes
 from sidecar.balancer.policy.zone_preference import ZonePreference
 from sidecar.balancer.registry_updates import RegistryUpdater
-from sidecar.balancer.state import Attempt, Context, LinearFit, Request, Server
+from sidecar.balancer.state import Attempt, Context, Request, Server
 from sidecar.balancer.state.timers import RequestDeadline
 from sidecar.settings import Idempotency, Settings
 
@@ -66,15 +68,16 @@
         self._slow_start = SlowStart(context)
         self._limit = ConcurrencyLimit(context)
         arrivals = self._slow_start.arrivals
-        latency_by_load = LinearFit(health_checks.FIT_DECAY, health_checks.FIT_MIN_SAMPLES)
+        self._latency_by_load = LatencyByLoad()
         self._admission = AdmissionControl(context, self._limit, arrivals)
         self._outliers = OutlierDetector(context, self._slow_start)
         self._hedging = HedgingPolicy(context, self._latency, self._outliers, self._admission, self._limit)
         self._zone_preference = ZonePreference(context, self._limit)
         self._selector = Selector(context, self._slow_start, self._zone_preference)
-        self._connections = IdleConnections(context, arrivals, latency_by_load)
-        self._health_checks = health_checks.HealthChecks(
-            context, self._slow_start, self._selector, self._connections, latency_by_load
+        self._connections = IdleConnections(context, arrivals, self._latency_by_load)
+        self._health_checks = HealthChecks(context)
+        self._load_comparison = load_comparison.LoadComparison(
+            context, self._slow_start, self._selector, self._connections, self._latency_by_load
         )
 
     def _create_lifecycle(self) -> None:
@@ -83,7 +86,13 @@
         self._request_factory = RequestFactory(context, self._latency, self._zone_preference)
         self._attempt_rules = AttemptRules(context, self._key_order, self._slow_start)
         self._placer = RequestPlacer(
-            context, self._outliers, self._selector, self._health_checks, self._send, self._finish
+            context=context,
+            outliers=self._outliers,
+            selector=self._selector,
+            health_checks=self._health_checks,
+            load_comparison=self._load_comparison,
+            send=self._send,
+            finish=self._finish,
         )
         self._retrier = RequestRetrier(context, self._retry_budget, self._hedging, self._placer, self._finish)
 
@@ -97,7 +106,7 @@
             limit=self._limit,
             admission=self._admission,
             latency=self._latency,
-            health_checks=self._health_checks,
+            latency_by_load=self._latency_by_load,
         )
         self._timer_dispatcher = TimerDispatcher(
             context=context,
@@ -120,12 +129,12 @@
 
     def _configure_health_checks(self) -> None:
         settings = self._context.settings
-        checks_per_request = health_checks.health_checks_per_request(settings)
+        checks_per_request = health_checks_per_request(settings)
         checks_load = checks_per_request > 1
-        cross_zone_cost = health_checks.cross_zone_cost(settings)
+        cross_zone_cost = load_comparison.cross_zone_cost(settings)
         self._placer.checks_per_request = checks_per_request
         self._admission.checks_load_before_sending = checks_load
-        is_crossing_costly = cross_zone_cost >= health_checks.MIN_CROSS_ZONE_COST
+        is_crossing_costly = cross_zone_cost >= load_comparison.MIN_CROSS_ZONE_COST
         self._zone_preference.local_first = checks_load and is_crossing_costly
 
     def handle(self, now: int, event: Event) -> list[Action]:
--- a/sidecar/balancer/lifecycle/attempt_feedback.py
+++ b/sidecar/balancer/lifecycle/attempt_feedback.py
@@ -8,9 +8,9 @@
 from sidecar.balancer.policy.concurrency_limit import ConcurrencyLimit
 from sidecar.balancer.policy.connections import IdleConnections
 from sidecar.balancer.policy.cpu_utilization import BUSY_CPU_UTILIZATION
-from sidecar.balancer.policy.health_checks import HealthChecks
 from sidecar.balancer.policy.key_order import KeyOrder
 from sidecar.balancer.policy.latency import LatencyTracker
+from sidecar.balancer.policy.latency_by_load import LatencyByLoad
 from sidecar.balancer.policy.latency_ratio import UNANSWERED_LATENCY_RATIO
 from sidecar.balancer.policy.outliers import OutlierDetector
 from sidecar.balancer.state import Attempt, Context, Request
@@ -30,7 +30,7 @@
         limit: Follows load reports and successes.
         admission: Follows the latency of responses.
         latency: Follows the latency of each server and class.
-        health_checks: Learns how latency depends on a server's load.
+        latency_by_load: Learns how latency depends on a server's load.
     """
 
     context: Context
@@ -40,7 +40,7 @@
     limit: ConcurrencyLimit
     admission: AdmissionControl
     latency: LatencyTracker
-    health_checks: HealthChecks
+    latency_by_load: LatencyByLoad
 
     def attempt_ended(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
         """Take in the end of an attempt that was pending."""
@@ -77,7 +77,7 @@
         self.limit.count_success(target_us)
         if self.context.stalls.is_catching_up():
             return  # the response may have waited for this process
-        self.health_checks.observe_success(request, attempt, elapsed_us)
+        self.latency_by_load.observe_success(request, attempt, elapsed_us)
         self.latency.observe_success(request, attempt.server, elapsed_us)
         if not attempt.counted_as_late:
             self.admission.observe_latency(elapsed_us / target_us)
--- a/sidecar/balancer/lifecycle/placement.py
+++ b/sidecar/balancer/lifecycle/placement.py
@@ -4,6 +4,7 @@
 
 from sidecar.balancer.lifecycle.gates import FinishGate, SendGate
 from sidecar.balancer.policy.health_checks import HealthChecks
+from sidecar.balancer.policy.load_comparison import LoadComparison
 from sidecar.balancer.policy.outliers import OutlierDetector
 from sidecar.balancer.policy.selection import Selector
 from sidecar.balancer.state import Context, Request, Server
@@ -17,7 +18,8 @@
         context: The shared state.
         outliers: Knows the ejected servers that may be tried again.
         selector: Draws the candidates.
-        health_checks: Finds out how loaded the candidates are, where that is cheap.
+        health_checks: Asks the candidates how loaded they are, where that is cheap.
+        load_comparison: Picks one by what they reported.
         send: The gate for attempts.
         finish: The gate for the balancer's own final responses.
         checks_per_request: How many candidates get a health check; with fewer than two none does.
@@ -27,6 +29,7 @@
     outliers: OutlierDetector
     selector: Selector
     health_checks: HealthChecks
+    load_comparison: LoadComparison
     send: SendGate
     finish: FinishGate
     checks_per_request: int = 0
@@ -55,14 +58,14 @@
         checked = self.health_checks.release(request)
         if request.answered:
             return
-        server = self.health_checks.least_loaded(request, checked)
-        if not request.all_zones and self.health_checks.should_cross_zones(server):
+        server = self.load_comparison.least_loaded(request, checked)
+        if not request.all_zones and self.load_comparison.should_cross_zones(server):
             request.all_zones = True
             self.place(request)
             return
         if server is None:
             server = self._first_eligible(request, checked)
-        if server is None or self.health_checks.predicts_overload(request, server):
+        if server is None or self.load_comparison.predicts_overload(request, server):
             self._finish_unless_active(request)
             return
         sent = self._send_or_finish(request, server)
