--- a/sidecar/balancer/policy/__init__.py
+++ b/sidecar/balancer/policy/__init__.py
@@ -1,1 +1,20 @@
-"""The decisions of the balancer, one responsibility a module; pure, with no sockets and no wall clock."""
+"""The decisions of the balancer, one responsibility a module; deterministic, with no sockets and no clock.
+
+Where a request is sent:
+    selection: the best of k candidates, with `subsetting`, `weighted_sampling` and `zone_preference`.
+    health_checks, load_comparison, latency_by_load: candidates compared by the load they report.
+    key_order: requests with the same key, one at a time.
+
+How many requests are admitted:
+    admission: load shedding, with `priority`, `low_traffic_shedding` and `stale_requests`.
+    concurrency_limit: the adaptive limit, sized by `latency_ratio` and `cpu_utilization`.
+
+Faults:
+    outliers, backoff: ejection of servers, and backoff from those at capacity.
+    hedging, retries: further attempts, and the retry budget.
+
+Servers:
+    slow_start, server_capacity, start_times: the budget of servers that are warming up.
+    latency, low_traffic: the usual latency, and corrections where there are few samples.
+    connections, registry_polling: idle connections, and the registry's endpoint list.
+"""
--- a/sidecar/balancer/policy/concurrency_limit.py
+++ b/sidecar/balancer/policy/concurrency_limit.py
@@ -102,7 +102,7 @@
         self.limit = max(self.limit * change, min(needed, self.limit), MIN_LIMIT)
 
     def _needed_limit(self, allowed_median: float, span_us: float) -> float:
-        """The limit that the current throughput needs; it never shrinks below, as late news would shut it.
+        """The limit that the current throughput needs; below that, late information would shut it.
 
         By Little's law, the attempts in flight are the rate of successes times their latency.
         """
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -21,8 +21,8 @@
     stage.serve(300, every_us=10 * MILLISECOND_US)
     warm_per_s = 100 / 6
     began = stage.now
-    cold = Endpoint("10.0.0.6:80", zone="east", started_at=began)
-    stage.servers([cold], RegistryUpdateKind.DELTA)
+    warming_up = Endpoint("10.0.0.6:80", zone="east", started_at=began)
+    stage.servers([warming_up], RegistryUpdateKind.DELTA)
     while stage.now < began + 10 * SECOND_US:
         requests = [stage.request() for _ in range(burst)]
         stage.wait(every_us)
@@ -58,13 +58,16 @@
 
 def test_failed_connects_start_slow_start_and_dropped_connections_do_not() -> None:
     # Guards against a lossy network, where all servers would be in slow start after a while.
-    for outcome, cold in ((Outcome.RESET, False), (Outcome.CONNECT_FAILED, True)):
+    for outcome, is_warming_up in ((Outcome.RESET, False), (Outcome.CONNECT_FAILED, True)):
         stage = ready_stage(1)
         server = stage.balancer._context.registry.servers[names(1)[0]]
         for _ in range(3):
             request = stage.request("pay")
             stage.play(AttemptEnded(request, 0, server.name, outcome, 1, False))
-        assert server.consecutive_failures == 3 and stage.balancer._slow_start.is_warming_up(server) is cold
+        assert (
+            server.consecutive_failures == 3
+            and stage.balancer._slow_start.is_warming_up(server) is is_warming_up
+        )
 
 
 def test_capacity_in_slow_start_follows_its_budget_and_is_unlimited_afterwards() -> None:
@@ -72,28 +75,28 @@
     slow_start = SlowStart(context)
     for server in context.registry.ready:
         slow_start.count_success(server, 40.0)
-    cold = context.registry.ready[0]
-    slow_start.start(cold, context.now)
-    assert slow_start.is_warming_up(cold) and not slow_start.has_capacity(cold, 1.0)
+    warming_up = context.registry.ready[0]
+    slow_start.start(warming_up, context.now)
+    assert slow_start.is_warming_up(warming_up) and not slow_start.has_capacity(warming_up, 1.0)
     context.now += 2 * SECOND_US
     sent = 0
-    while slow_start.has_capacity(cold, 1.0) and sent < 100:
-        cold.slow_start_budget -= 1.0
+    while slow_start.has_capacity(warming_up, 1.0) and sent < 100:
+        warming_up.slow_start_budget -= 1.0
         sent += 1
     # Multiple x capacity_share by now x capacity x window.
     overload = 3 * 0.36 * slow_start.capacity_estimate.of_warm_server() * 2 * SECOND_US
     assert 1 <= sent <= 0.2 * overload
     context.now += context.settings.rules.slow_start_us
-    assert not slow_start.is_warming_up(cold) and slow_start.has_capacity(cold, 1_000.0)
+    assert not slow_start.is_warming_up(warming_up) and slow_start.has_capacity(warming_up, 1_000.0)
 
 
 def test_the_capacity_share_rises_linearly_from_its_minimum_to_one() -> None:
     context = make_context()
     slow_start = SlowStart(context)
-    cold = context.registry.ready[0]
-    slow_start.start(cold, context.now)
+    warming_up = context.registry.ready[0]
+    slow_start.start(warming_up, context.now)
     seen = []
     for _ in range(3):
-        seen.append(slow_start.capacity_share(cold))
+        seen.append(slow_start.capacity_share(warming_up))
         context.now += context.settings.rules.slow_start_us // 2
     assert seen == pytest.approx([0.2, 0.6, 1.0])
