--- /dev/null
+++ b/sidecar/balancer/policy/health_checks.py
@@ -0,0 +1,96 @@
+"""Health checks: where they cost next to nothing, candidates report their load before a request is sent."""
+
+from collections.abc import Iterator
+
+from sidecar.balancer.actions import CheckHealth
+from sidecar.balancer.events import HealthCheckEnded, Outcome
+from sidecar.balancer.policy.selection import CANDIDATES
+from sidecar.balancer.state import Context, Request, Server
+from sidecar.balancer.state.timers import HealthChecksDue
+from sidecar.settings import ReportSource, Settings
+
+LOAD_FIELD = "inflight"  # of load reports: the requests in flight at the server
+MAX_COST_SHARE = 0.01  # of the value of a request, which its health checks may cost
+MIN_PRICE = 1e-9  # avoids a division by zero where health checks are free
+WAIT_CHECK_TIMES = 3.0  # a request waits so many usual health check times for its candidates ...
+MAX_WAIT_TARGETS = 0.05  # ... and at most this share of its latency target
+CHECK_TIME_STEP = 0.1  # weight of each health check in the usual time: the last ten or so count
+
+
+def health_checks_per_request(settings: Settings) -> int:
+    """How many candidates are checked before a request is sent; with 1 or less, none are."""
+    if settings.report_source is not ReportSource.PROBES or not settings.limits.allow_probes:
+        return 0
+    if LOAD_FIELD not in settings.report_columns:
+        return 0
+    affordable = MAX_COST_SHARE / max(settings.prices.probe, MIN_PRICE)
+    return int(min(affordable, CANDIDATES))
+
+
+class HealthChecks:
+    """Checks candidates and holds requests until they have reported their load."""
+
+    def __init__(self, context: Context) -> None:
+        """Create the policy with no request waiting.
+
+        Args:
+            context: The shared state of the balancer.
+        """
+        self._context = context
+        self._waiting: dict[int, Request] = {}  # by their ids
+        self._usual_time_us: float | None = None  # of a health check
+
+    def start(self, request: Request, candidates: list[Server]) -> None:
+        """Check candidates and hold the request; those that are slower than usual are passed over.
+
+        Args:
+            request: The request to be sent.
+            candidates: The servers to check; one check serves all requests that wait for it.
+        """
+        request.health_checked = candidates
+        request.health_checks_due = self._context.now + self._max_wait_us(request)
+        self._waiting[request.id] = request
+        for server in candidates:
+            if server.health_check_sent_at is None:
+                server.health_check_sent_at = self._context.now
+                self._context.actions.append(CheckHealth(server.name))
+        self._context.timers.add(request.health_checks_due, HealthChecksDue(request.id))
+
+    def check_ended(self, event: HealthCheckEnded) -> Iterator[Request]:
+        """Take in the result of a health check.
+
+        Args:
+            event: The result.
+
+        Yields:
+            The requests that wait for no other health check.
+        """
+        server = self._context.registry.servers.get(event.server)
+        if server is None:
+            return
+        server.health_check_sent_at = None
+        server.reported_load = None
+        if event.outcome is Outcome.SUCCEEDED:
+            self._observe_time(event.elapsed_us)
+            if event.report is not None:
+                server.reported_load = event.report.get(LOAD_FIELD)
+        for request in list(self._waiting.values()):
+            if all(candidate.health_check_sent_at is None for candidate in request.health_checked):
+                yield request
+
+    def release(self, request: Request) -> list[Server]:
+        """End the wait of a request; give the candidates that were checked for it."""
+        self._waiting.pop(request.id, None)
+        candidates = request.health_checked
+        request.health_checked = []
+        return candidates
+
+    def _max_wait_us(self, request: Request) -> int:
+        max_wait_us = MAX_WAIT_TARGETS * request.service_class.latency_target_us
+        if self._usual_time_us is None:
+            return int(max_wait_us)
+        return int(min(max_wait_us, WAIT_CHECK_TIMES * self._usual_time_us))
+
+    def _observe_time(self, elapsed_us: int) -> None:
+        usual_us = self._usual_time_us if self._usual_time_us is not None else float(elapsed_us)
+        self._usual_time_us = usual_us + CHECK_TIME_STEP * (elapsed_us - usual_us)
--- a/tests/balancer/test_outliers.py
+++ b/tests/balancer/test_outliers.py
@@ -108,7 +108,7 @@
     hung, _ = traffic_with_one_hung_server(stage, 20)
     stage.servers([Endpoint(hung, "east", started_at=stage.now)], RegistryUpdateKind.DELTA)
     server = stage.balancer._context.registry.servers[hung]
-    assert server.ejected_until is None and stage.balancer._slow_start.is_cold(server)
+    assert server.ejected_until is None and stage.balancer._slow_start.is_warming_up(server)
 
 
 def record_failures(context: Context, outliers: OutlierDetector, server: Server, times: int) -> None:
@@ -141,7 +141,7 @@
     for _ in range(6):
         assert server.ejected_until is not None
         waits.append((server.ejected_until - context.now) / TARGET_US)
-        context.now = server.ejected_until
+        context.clock.now = server.ejected_until
         request = make_request(context)
         assert outliers.half_open_candidate(request) is server
         server.half_open_attempt = start_attempt(context, request, server)
--- a/tests/test_selection_cost.py
+++ b/tests/test_selection_cost.py
@@ -9,8 +9,7 @@
 from helpers import MS, S, Stage, settings
 
 from sidecar.balancer.events import Endpoint, RegistryUpdated, RegistryUpdateKind
-from sidecar.balancer.policy.selection import Selector
-from sidecar.balancer.policy.slow_start import SlowStart
+from sidecar.balancer.policy.zone_preference import ZonePreference
 from sidecar.balancer.state import Server
 
 REQUESTS = 320
@@ -24,7 +23,7 @@
 def servers_weighed(count: int, changes: int = 0) -> int:
     """How many servers are gone through for the weight of other zones over some requests."""
     weighed = []
-    weigh = Selector._weigh_by_latency
+    weigh = ZonePreference.weight_by_latency
 
     def counted(ready: list[Server]) -> float:
         weighed.append(len(ready))
@@ -33,7 +32,7 @@
     stage = Stage(settings(prices={"cross_zone": 0.05}))
     listed = two_zones(count)
     stage.servers(listed)
-    with patch.object(Selector, "_weigh_by_latency", staticmethod(counted)):
+    with patch.object(ZonePreference, "weight_by_latency", staticmethod(counted)):
         for _ in range(max(changes, 1)):
             if changes:
                 stage.servers(listed[:1], RegistryUpdateKind.DELTA)
@@ -55,7 +54,7 @@
     assert servers_weighed(3_200, changes=REQUESTS) == REQUESTS * 3_200
 
 
-def test_cold_servers_have_the_list_gone_through_once_for_each_change_not_for_each_request() -> None:
+def test_servers_warming_up_have_the_list_gone_through_once_for_each_change_not_for_each_request() -> None:
     stage = Stage(settings())
     stage.servers(two_zones(1_000))
     stage.serve(20)
@@ -63,22 +62,22 @@
     started = [replace(each, started_at=stage.now) for each in two_zones(1_000)[:500]]
     stage.servers(started, RegistryUpdateKind.DELTA)
     looked_at = 0
-    is_cold = SlowStart.is_cold
+    is_warming_up = Server.is_warming_up
 
-    def counted(self: SlowStart, server: Server) -> bool:
+    def counted(self: Server, now: int, slow_start_us: int) -> bool:
         nonlocal looked_at
         looked_at += 1
-        return is_cold(self, server)
+        return is_warming_up(self, now, slow_start_us)
 
-    with patch.object(SlowStart, "is_cold", counted):
+    with patch.object(Server, "is_warming_up", counted):
         for _ in range(50):
             stage.wait(20 * MS)
             stage.request()
-            slow_start.warm_capacity()
+            slow_start.capacity_estimate.of_warm_server()
     assert looked_at < 4 * 1_000
 
 
-def test_peers_follow_each_server_that_becomes_cold_or_warm() -> None:
+def test_peers_follow_each_server_that_starts_or_ends_warming_up() -> None:
     stage = Stage(settings())
     stage.servers(two_zones(6))
     slow_start, servers = stage.balancer._slow_start, stage.balancer._context.registry.ready
@@ -86,11 +85,11 @@
     for number in range(4):
         stage.wait(4 * S)
         stage.play(RegistryUpdated(RegistryUpdateKind.DELTA))
-        slow_start.begin(servers[number], stage.now)
-        slow_start.warm_capacity()
-        warm_counts.append(slow_start._current_peers().count)
+        slow_start.start(servers[number], stage.now)
+        slow_start.capacity_estimate.of_warm_server()
+        warm_counts.append(slow_start.capacity_estimate.current_peers().count)
     assert warm_counts == [5, 4, 3, 3]  # slow start takes 10 s: the first is warm again by the fourth
     stage.wait(2 * S)
     stage.play(RegistryUpdated(RegistryUpdateKind.DELTA))
-    slow_start.warm_capacity()
-    assert slow_start._current_peers().count == 4
+    slow_start.capacity_estimate.of_warm_server()
+    assert slow_start.capacity_estimate.current_peers().count == 4
