--- a/sidecar/balancer/policy/health_checks.py
+++ b/sidecar/balancer/policy/health_checks.py
@@ -6,7 +6,7 @@
 from sidecar.balancer.events import HealthCheckEnded, Outcome
 from sidecar.balancer.policy.selection import CANDIDATES
 from sidecar.balancer.state import Context, Request, Server
-from sidecar.balancer.state.timers import ProbesDue
+from sidecar.balancer.state.timers import HealthChecksDue
 from sidecar.settings import ReportSource, Settings
 
 LOAD_FIELD = "inflight"  # of load reports: the requests in flight at the server
@@ -54,7 +54,7 @@
             if server.health_check_sent_at is None:
                 server.health_check_sent_at = self._context.now
                 self._context.actions.append(CheckHealth(server.name))
-        self._context.timers.add(request.health_checks_due, ProbesDue(request.id))
+        self._context.timers.add(request.health_checks_due, HealthChecksDue(request.id))
 
     def check_ended(self, event: HealthCheckEnded) -> Iterator[Request]:
         """Take in the result of a health check.
--- a/sidecar/balancer/policy/hedging.py
+++ b/sidecar/balancer/policy/hedging.py
@@ -55,8 +55,8 @@
         Returns:
             Whether its server is unresponsive and ejected, so that no response is expected.
         """
-        if self.context.is_catching_up():  # its response may be among the events that waited
-            next_at = self.context.caught_up_at + self.context.settings.tick_us
+        if self.context.stalls.is_catching_up():  # its response may be among the events that waited
+            next_at = self.context.stalls.caught_up_at + self.context.settings.tick_us
             self._examine_after(next_at - self.context.now, request, attempt)
             return False
         waited_us = self._waited_us(attempt)
@@ -83,7 +83,7 @@
 
     def _waited_us(self, attempt: Attempt) -> int:
         """How long the attempt has been pending, not counting stalls of this process."""
-        stalled_us = self.context.stalled_us - attempt.stalled_before_us
+        stalled_us = self.context.stalls.stalled_us - attempt.stalled_before_us
         return self.context.now - attempt.sent_at - stalled_us
 
     def _examine_after(self, wait_us: int, request: Request, attempt: Attempt) -> None:
--- a/sidecar/balancer/policy/retries.py
+++ b/sidecar/balancer/policy/retries.py
@@ -2,13 +2,16 @@
 
 from sidecar.balancer.events import Outcome
 from sidecar.balancer.state import Attempt, Request, Server
-from sidecar.settings import DedupScope, Idempotency
+from sidecar.settings import DedupScope, Idempotency, Settings
 
 RETRIES_PER_SUCCESS = 0.2  # tokens earned by each successful attempt; bounds retries to a share of the load
 RETRIES_LOST_PER_FAILURE = 0.3  # so that none are left while more than two attempts in five fail
 MAX_RETRY_BALANCE = 2.0  # tokens; saved retries multiply from hop to hop when a fault begins
 INITIAL_RETRY_BALANCE = 4.0  # tokens until the first success, as first connections fail by chance
 FAILURES = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.ERROR)
+# These prove that an attempt did not run; a rejection does so only where servers reject before they begin.
+NON_EXECUTION_OUTCOMES = frozenset((Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
+NON_EXECUTION_OUTCOMES_WITH_REJECTED = NON_EXECUTION_OUTCOMES | {Outcome.REJECTED}
 
 
 class RetryBudget:
@@ -105,3 +108,10 @@
 
 def _first_attempt_that_may_have_run(request: Request) -> Attempt | None:
     return next((attempt for attempt in request.attempts if attempt.may_have_run), None)
+
+
+def non_execution_outcomes(settings: Settings) -> frozenset[Outcome]:
+    """The outcomes that prove that an attempt did not run."""
+    if settings.rules.late_shedding:
+        return NON_EXECUTION_OUTCOMES
+    return NON_EXECUTION_OUTCOMES_WITH_REJECTED
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -78,7 +78,7 @@
     warming_up = context.registry.ready[0]
     slow_start.start(warming_up, context.now)
     assert slow_start.is_warming_up(warming_up) and not slow_start.has_capacity(warming_up, 1.0)
-    context.now += 2 * SECOND_US
+    context.clock.now += 2 * SECOND_US
     sent = 0
     while slow_start.has_capacity(warming_up, 1.0) and sent < 100:
         warming_up.slow_start_budget -= 1.0
@@ -86,7 +86,7 @@
     # Multiple x capacity_share by now x capacity x window.
     overload = 3 * 0.36 * slow_start.capacity_estimate.of_warm_server() * 2 * SECOND_US
     assert 1 <= sent <= 0.2 * overload
-    context.now += context.settings.rules.slow_start_us
+    context.clock.now += context.settings.rules.slow_start_us
     assert not slow_start.is_warming_up(warming_up) and slow_start.has_capacity(warming_up, 1_000.0)
 
 
@@ -98,5 +98,5 @@
     seen = []
     for _ in range(3):
         seen.append(slow_start.capacity_share(warming_up))
-        context.now += context.settings.rules.slow_start_us // 2
+        context.clock.now += context.settings.rules.slow_start_us // 2
     assert seen == pytest.approx([0.2, 0.6, 1.0])
