--- a/tests/proxy/test_remaining_time.py
+++ b/tests/proxy/test_remaining_time.py
@@ -78,7 +78,7 @@
     def world(self, monkeypatch: pytest.MonkeyPatch) -> Any:
         """Servers of which one that is overdue is taken for lost, which else takes more of them to tell."""
         monkeypatch.setattr(HedgingPolicy, "is_hedge_due", lambda *_: True)
-        classes = [each | {"latency_target_us": S // 5} for each in CLASSES]
+        classes = [each | {"latency_target_us": S // 2} for each in CLASSES]
         limits = LIMITS | {"allow_hedging": True}
         return world(self.answer, self.answer, self.answer, classes=classes, limits=limits)
 
