--- a/tests/test_selection_cost.py
+++ b/tests/balancer/test_long_lists.py
@@ -1,4 +1,4 @@
-"""What the selection of a server costs does not grow with the list: counted, not timed."""
+"""The cost of selecting a server does not grow with the endpoint list: counted, not timed."""
 
 from __future__ import annotations
 
@@ -21,74 +21,79 @@
 
 
 def servers_weighed(count: int, changes: int = 0) -> int:
-    """How many servers are gone through for the weight of other zones over some requests."""
-    weighed = []
-    weigh = ZonePreference.weight_by_latency
+    """How many servers are iterated over to weigh the other zones, over all requests."""
+    weighed_counts = []
+    weight_by_latency = ZonePreference.weight_by_latency
 
-    def counted(ready: list[Server]) -> float:
-        weighed.append(len(ready))
-        return weigh(ready)
+    def counting(ready: list[Server]) -> float:
+        weighed_counts.append(len(ready))
+        return weight_by_latency(ready)
 
     stage = Stage(settings(prices={"cross_zone": 0.05}))
-    listed = two_zones(count)
-    stage.servers(listed)
-    with patch.object(ZonePreference, "weight_by_latency", staticmethod(counted)):
+    endpoints = two_zones(count)
+    stage.servers(endpoints)
+    with patch.object(ZonePreference, "weight_by_latency", staticmethod(counting)):
         for _ in range(max(changes, 1)):
             if changes:
-                stage.servers(listed[:1], RegistryUpdateKind.DELTA)
+                stage.servers(endpoints[:1], RegistryUpdateKind.DELTA)
             stage.serve(REQUESTS // max(changes, 1), every_us=20 * MS)
-    return sum(weighed)
+    return sum(weighed_counts)
 
 
 @pytest.mark.parametrize("count", [20, 200, 399])
-def test_in_a_list_of_usual_size_the_zones_are_weighed_at_each_instant(count: int) -> None:
+def test_with_a_short_endpoint_list_zones_are_weighed_for_each_request(count: int) -> None:
     assert servers_weighed(count) == REQUESTS * count
 
 
 @pytest.mark.parametrize("count", [400, 800, 3_200])
-def test_in_a_long_list_no_more_servers_are_weighed_for_each_request(count: int) -> None:
+def test_with_a_long_endpoint_list_zones_are_not_weighed_for_each_request(count: int) -> None:
     assert servers_weighed(count) <= REQUESTS * 200 + count
 
 
-def test_each_change_of_a_long_list_has_the_zones_weighed_anew() -> None:
+def test_each_change_of_a_long_endpoint_list_weighs_the_zones_again() -> None:
     assert servers_weighed(3_200, changes=REQUESTS) == REQUESTS * 3_200
 
 
-def test_servers_warming_up_have_the_list_gone_through_once_for_each_change_not_for_each_request() -> None:
+def test_servers_in_slow_start_cost_one_pass_over_the_list_per_change_not_per_request() -> None:
     stage = Stage(settings())
     stage.servers(two_zones(1_000))
     stage.serve(20)
     slow_start = stage.balancer._slow_start
-    started = [replace(each, started_at=stage.now) for each in two_zones(1_000)[:500]]
-    stage.servers(started, RegistryUpdateKind.DELTA)
-    looked_at = 0
+    restarted = [replace(each, started_at=stage.now) for each in two_zones(1_000)[:500]]
+    stage.servers(restarted, RegistryUpdateKind.DELTA)
+    servers_checked = 0
     is_warming_up = Server.is_warming_up
 
-    def counted(self: Server, now: int, slow_start_us: int) -> bool:
-        nonlocal looked_at
-        looked_at += 1
+    def counting(self: Server, now: int, slow_start_us: int) -> bool:
+        nonlocal servers_checked
+        servers_checked += 1
         return is_warming_up(self, now, slow_start_us)
 
-    with patch.object(Server, "is_warming_up", counted):
+    with patch.object(Server, "is_warming_up", counting):
         for _ in range(50):
             stage.wait(20 * MS)
             stage.request()
             slow_start.capacity_estimate.of_warm_server()
-    assert looked_at < 4 * 1_000
+    assert servers_checked < 4 * 1_000
 
 
-def test_peers_follow_each_server_that_starts_or_ends_warming_up() -> None:
+def test_peers_are_updated_when_a_server_begins_or_ends_slow_start() -> None:
     stage = Stage(settings())
     stage.servers(two_zones(6))
     slow_start, servers = stage.balancer._slow_start, stage.balancer._context.registry.ready
-    warm_counts = []
+    peer_counts = []
     for number in range(4):
         stage.wait(4 * S)
         stage.play(RegistryUpdated(RegistryUpdateKind.DELTA))
         slow_start.start(servers[number], stage.now)
         slow_start.capacity_estimate.of_warm_server()
-        warm_counts.append(slow_start.capacity_estimate.current_peers().count)
-    assert warm_counts == [5, 4, 3, 3]  # slow start takes 10 s: the first is warm again by the fourth
+        peer_counts.append(slow_start.capacity_estimate.current_peers().count)
+    assert peer_counts == [
+        5,
+        4,
+        3,
+        3,
+    ]  # slow start takes 10 s: that of the first ends before the fourth begins
     stage.wait(2 * S)
     stage.play(RegistryUpdated(RegistryUpdateKind.DELTA))
     slow_start.capacity_estimate.of_warm_server()
