--- a/tests/balancer/policy_context.py
+++ b/tests/balancer/policy_context.py
@@ -4,9 +4,7 @@
 
 import random
 
-from helpers import MS as MILLISECOND_US
-from helpers import START, settings
-from helpers import S as SECOND_US
+from balancer_harness import MILLISECOND_US, SECOND_US, START_US, settings
 
 from sidecar.balancer.events import Endpoint, RegistryUpdated, RegistryUpdateKind, TimerFired
 from sidecar.balancer.state import Attempt, Context, Request, Server, TrafficKey
@@ -15,9 +13,9 @@
 
 
 def make_context(servers: int = 10, **changes: object) -> Context:
-    """A context at START with so many ready servers."""
+    """A context at START_US with so many ready servers."""
     context = Context(settings(**changes), random.Random(7), stall_check_targets=0.1)
-    context.begin(START, TimerFired(""))
+    context.begin(START_US, TimerFired(""))
     endpoints = [Endpoint(f"s{number}", zone="east") for number in range(servers)]
     context.registry.apply(RegistryUpdated(RegistryUpdateKind.SNAPSHOT, endpoints))
     context.load.mean = 16.0  # enough traffic for the subset to be all of them
@@ -28,7 +26,7 @@
     """A request of the class, with no attempt so far."""
     service_class = next(each for each in context.settings.classes if each.name == class_name)
     traffic_key = TrafficKey(class_name, None)
-    return Request(1, service_class, START + 2 * SECOND_US, 1.0, traffic_key, all_zones=True, cost_class=1)
+    return Request(1, service_class, START_US + 2 * SECOND_US, 1.0, traffic_key, all_zones=True, cost_class=1)
 
 
 def start_attempt(context: Context, request: Request, server: Server) -> Attempt:
--- /dev/null
+++ b/tests/balancer/ready_balancer.py
@@ -0,0 +1,66 @@
+"""Harnesses with ready servers, their traffic and their endpoints, for several test files of the balancer."""
+
+from __future__ import annotations
+
+from balancer_harness import MILLISECOND_US, BalancerHarness, server_names
+
+from sidecar.balancer.actions import CheckHealth
+from sidecar.balancer.events import Endpoint, HealthCheckEnded, Outcome
+from sidecar.balancer.state import Request, Server
+from sidecar.settings import Settings
+
+
+def ready_harness(servers: int, given: Settings | None = None, seed: int = 7) -> BalancerHarness:
+    """A harness whose balancer knows so many ready servers."""
+    harness = BalancerHarness(given, seed=seed)
+    harness.update_servers(server_names(servers))
+    return harness
+
+
+def serve_one_at_a_time(
+    harness: BalancerHarness,
+    count: int,
+    service_time_us: int = 50 * MILLISECOND_US,
+    interval_us: int = 400 * MILLISECOND_US,
+) -> None:
+    """Traffic without concurrency: each request is answered before the next one arrives."""
+    for _ in range(count):
+        request = harness.send_request()
+        harness.advance(service_time_us)
+        if harness.attempts(request):
+            harness.end_attempt(request)
+        harness.advance(interval_us - service_time_us)
+
+
+LOAD_PROBING = {
+    "limits": {"allow_probes": True},
+    "report": {"source": "probes", "columns": ["inflight"]},
+}
+
+
+def server_without_attempt(harness: BalancerHarness, request: Request) -> Server:
+    """A server other than that of the request's first attempt."""
+    servers = harness.balancer._context.registry.servers.values()
+    return next(each for each in servers if each is not request.attempts[0].server)
+
+
+def answer_health_checks(harness: BalancerHarness, load: dict[str, float], unresponsive: str = "") -> None:
+    """Answer the health checks sent at this moment, each with the load of its server."""
+    harness.advance(2 * MILLISECOND_US)
+    checked = [
+        each.server
+        for at, each in harness.action_log
+        if isinstance(each, CheckHealth) and at == harness.now - 2 * MILLISECOND_US
+    ]
+    for server in checked:
+        if server != unresponsive:
+            report = {"inflight": load.get(server, 0.0)}
+            harness.handle(HealthCheckEnded(server, Outcome.SUCCEEDED, 2 * MILLISECOND_US, report))
+
+
+def two_zones(servers_each: int) -> list[Endpoint]:
+    """So many servers in the local zone, and as many in another one."""
+    servers = server_names(2 * servers_each)
+    return [
+        Endpoint(name, zone="east" if index < servers_each else "west") for index, name in enumerate(servers)
+    ]
--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -4,8 +4,7 @@
 
 import math
 
-from helpers import MS as MILLISECOND_US
-from helpers import Stage
+from balancer_harness import MILLISECOND_US, BalancerHarness
 from policy_context import add_load, make_context
 
 from sidecar.balancer.policy.concurrency_limit import MIN_LIMIT, ConcurrencyLimit
@@ -14,7 +13,7 @@
 
 def test_the_first_responses_after_a_restart_do_not_set_the_limit() -> None:
     # Guards against rejections after each restart: all connections are new, and rates still build up.
-    balancer = Stage().balancer
+    balancer = BalancerHarness().balancer
     for latency_ratio in [0.5] * 8:
         balancer._admission.observe_latency(latency_ratio)
     assert balancer._limit.limit == float("inf")
--- a/tests/balancer/test_connections.py
+++ b/tests/balancer/test_connections.py
@@ -2,11 +2,9 @@
 
 from __future__ import annotations
 
-from balancer_stage import LOAD_PROBING, answer_health_checks, ready_stage
-from helpers import MS as MILLISECOND_US
-from helpers import S as SECOND_US
-from helpers import names, settings
+from balancer_harness import MILLISECOND_US, SECOND_US, server_names, settings
 from policy_context import make_context
+from ready_balancer import LOAD_PROBING, answer_health_checks, ready_harness
 
 from sidecar.balancer.actions import CloseIdleConnections
 from sidecar.balancer.events import Endpoint, RegistryUpdated, RegistryUpdateKind
@@ -16,32 +14,32 @@
 
 
 def test_an_idle_connection_is_closed_once_it_has_cost_as_much_as_a_handshake() -> None:
-    stage = ready_stage(4, settings(sidecar_count=100, prices={"connection": 0.08, "handshake": 0.08}))
-    stage.serve(100)  # 50/s here; 1250/s a server from all 100, which share the price
-    stage.wait(1 * SECOND_US)
-    closed = {each.server for each in stage.said(CloseIdleConnections)}
-    assert closed == {each.server for _, each in stage.sends()}
+    harness = ready_harness(4, settings(sidecar_count=100, prices={"connection": 0.08, "handshake": 0.08}))
+    harness.serve_requests(100)  # 50/s here; 1250/s a server from all 100, which share the price
+    harness.advance(1 * SECOND_US)
+    closed = {each.server for each in harness.actions_of(CloseIdleConnections)}
+    assert closed == {each.server for _, each in harness.attempts()}
 
 
 def test_connections_are_not_closed_while_in_use_or_free_of_cost() -> None:
-    for prices, every_us in (
+    for prices, interval_us in (
         ({"connection": 0.08, "handshake": 0.08}, 2 * MILLISECOND_US),
         ({"handshake": 0.08}, 90 * MILLISECOND_US),
     ):
-        stage = ready_stage(2, settings(sidecar_count=2, prices=prices))
-        stage.serve(300, every_us=every_us)
-        assert stage.said(CloseIdleConnections) == []
+        harness = ready_harness(2, settings(sidecar_count=2, prices=prices))
+        harness.serve_requests(300, interval_us=interval_us)
+        assert harness.actions_of(CloseIdleConnections) == []
 
 
 def test_a_server_with_an_open_connection_is_preferred_among_equals() -> None:
-    stage = ready_stage(4, settings(**LOAD_PROBING, prices={"handshake": 0.08}))
+    harness = ready_harness(4, settings(**LOAD_PROBING, prices={"handshake": 0.08}))
     targets = set()
     for _ in range(12):
-        request = stage.request()
-        answer_health_checks(stage, dict.fromkeys(names(4), 1.0))
-        targets.add(stage.target(request))
-        stage.wait(30 * MILLISECOND_US)
-        stage.end(request)
+        request = harness.send_request()
+        answer_health_checks(harness, dict.fromkeys(server_names(4), 1.0))
+        targets.add(harness.server_of(request))
+        harness.advance(30 * MILLISECOND_US)
+        harness.end_attempt(request)
     assert len(targets) == 1
 
 
--- a/tests/balancer/test_draining.py
+++ b/tests/balancer/test_draining.py
@@ -2,53 +2,53 @@
 
 from __future__ import annotations
 
-from balancer_stage import ready_stage, server_without_attempt
-from helpers import Stage, names
+from balancer_harness import BalancerHarness, server_names
+from ready_balancer import ready_harness, server_without_attempt
 
 from sidecar.balancer.events import AttemptEnded, Outcome, RegistryUpdateKind, ServerState
 
 
 def test_draining_and_removed_servers_get_no_requests() -> None:
-    stage = ready_stage(4)
-    stage.drain("10.0.0.1:80")
-    stage.servers([*names(3)[1:], "10.0.0.9:80"])
+    harness = ready_harness(4)
+    harness.drain("10.0.0.1:80")
+    harness.update_servers([*server_names(3)[1:], "10.0.0.9:80"])
     for _ in range(100):
-        stage.request()
-    targets = {each.server for _, each in stage.sends()}
+        harness.send_request()
+    targets = {each.server for _, each in harness.attempts()}
     assert targets == {"10.0.0.2:80", "10.0.0.3:80", "10.0.0.9:80"}
 
 
 def test_a_server_is_ready_again_once_it_is_listed_again() -> None:
-    stage = Stage()
-    stage.servers(["10.0.0.1:80"])
-    stage.drain("10.0.0.1:80", ServerState.REMOVED)
-    assert stage.sends(stage.request()) == []
-    stage.servers(["10.0.0.1:80"], RegistryUpdateKind.DELTA)
-    assert len(stage.sends(stage.request())) == 1
+    harness = BalancerHarness()
+    harness.update_servers(["10.0.0.1:80"])
+    harness.drain("10.0.0.1:80", ServerState.REMOVED)
+    assert harness.attempts(harness.send_request()) == []
+    harness.update_servers(["10.0.0.1:80"], RegistryUpdateKind.DELTA)
+    assert len(harness.attempts(harness.send_request())) == 1
 
 
 def test_sending_to_a_draining_or_removed_server_is_blocked() -> None:
-    stage = ready_stage(3)
-    request = stage.balancer._requests[stage.request()]
-    server = server_without_attempt(stage, request)
+    harness = ready_harness(3)
+    request = harness.balancer._requests[harness.send_request()]
+    server = server_without_attempt(harness, request)
     for state in (ServerState.DRAINING, ServerState.REMOVED):
-        stage.drain(server.name, state)
-        assert not stage.balancer._send(request, server)
-    stage.servers([server.name], RegistryUpdateKind.DELTA)
-    assert stage.balancer._send(request, stage.balancer._context.registry.servers[server.name])
+        harness.drain(server.name, state)
+        assert not harness.balancer._send(request, server)
+    harness.update_servers([server.name], RegistryUpdateKind.DELTA)
+    assert harness.balancer._send(request, harness.balancer._context.registry.servers[server.name])
 
 
 def test_a_removed_server_is_forgotten_once_its_attempts_have_ended() -> None:
     # Bounds memory where servers are replaced often, and keeps the ejected fraction of the servers right.
-    stage = ready_stage(3)
-    request = stage.request("pay")
-    removed = stage.balancer._requests[request].attempts[0].server
-    stage.balancer._outliers.eject(removed, "test")
-    others = [each for each in names(3) if each != removed.name]
-    stage.servers(others)
-    assert set(stage.balancer._context.registry.servers) == set(names(3))
-    assert not stage.balancer._outliers.ejected
-    stage.play(AttemptEnded(request, 0, removed.name, Outcome.RESET, 1, False))
-    stage.servers(others)
-    assert set(stage.balancer._context.registry.servers) == set(others)
-    assert stage.balancer._context.load.total() == stage.balancer._context.load.at_ejected == 0
+    harness = ready_harness(3)
+    request = harness.send_request("pay")
+    removed = harness.balancer._requests[request].attempts[0].server
+    harness.balancer._outliers.eject(removed, "test")
+    others = [each for each in server_names(3) if each != removed.name]
+    harness.update_servers(others)
+    assert set(harness.balancer._context.registry.servers) == set(server_names(3))
+    assert not harness.balancer._outliers.ejected
+    harness.handle(AttemptEnded(request, 0, removed.name, Outcome.RESET, 1, False))
+    harness.update_servers(others)
+    assert set(harness.balancer._context.registry.servers) == set(others)
+    assert harness.balancer._context.load.total() == harness.balancer._context.load.at_ejected == 0
--- a/tests/balancer/test_idempotency.py
+++ b/tests/balancer/test_idempotency.py
@@ -3,11 +3,9 @@
 from __future__ import annotations
 
 import pytest
-from balancer_stage import ready_stage
-from helpers import MS as MILLISECOND_US
-from helpers import START, Stage, names, settings
-from helpers import S as SECOND_US
+from balancer_harness import MILLISECOND_US, SECOND_US, START_US, BalancerHarness, server_names, settings
 from policy_context import make_context, make_request, start_attempt
+from ready_balancer import ready_harness
 
 from sidecar.balancer.actions import FailRequest, RejectRequest
 from sidecar.balancer.events import Endpoint, Outcome
@@ -19,100 +17,100 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.RESET, Outcome.TIMED_OUT, Outcome.CANCELLED])
 def test_a_non_idempotent_request_that_may_have_run_is_not_retried(outcome: Outcome) -> None:
-    stage = ready_stage(5)
-    request = stage.request("pay")
-    stage.wait(10 * MILLISECOND_US)
-    stage.end(request, outcome)
-    assert len(stage.sends(request)) == 1
-    assert [each.request for each in stage.said(FailRequest)] == [request]
-    assert stage.said(RejectRequest) == []
+    harness = ready_harness(5)
+    request = harness.send_request("pay")
+    harness.advance(10 * MILLISECOND_US)
+    harness.end_attempt(request, outcome)
+    assert len(harness.attempts(request)) == 1
+    assert [each.request for each in harness.actions_of(FailRequest)] == [request]
+    assert harness.actions_of(RejectRequest) == []
 
 
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT])
 def test_a_non_idempotent_request_that_never_ran_is_retried_at_another_server(outcome: Outcome) -> None:
-    stage = ready_stage(5)
-    request = stage.request("pay")
-    stage.wait(10 * MILLISECOND_US)
-    stage.end(request, outcome)
-    targets = [each.server for _, each in stage.sends(request)]
+    harness = ready_harness(5)
+    request = harness.send_request("pay")
+    harness.advance(10 * MILLISECOND_US)
+    harness.end_attempt(request, outcome)
+    targets = [each.server for _, each in harness.attempts(request)]
     assert len(targets) == 2
     assert targets[0] != targets[1]
 
 
 def two_cells() -> list[Endpoint]:
-    return [Endpoint(name, zone="east", cell=index % 2) for index, name in enumerate(names(8))]
+    return [Endpoint(name, zone="east", cell=index % 2) for index, name in enumerate(server_names(8))]
 
 
 def test_retries_with_an_idempotency_key_stay_in_the_cell() -> None:
     for seed in range(20):
-        stage = Stage(seed=seed)
-        stage.servers(two_cells())
+        harness = BalancerHarness(seed=seed)
+        harness.update_servers(two_cells())
         cell_of = {each.server: each.cell for each in two_cells()}
-        request = stage.request("amend")
+        request = harness.send_request("amend")
         for _ in range(3):
-            stage.wait(10 * MILLISECOND_US)
-            stage.end(request, Outcome.RESET)
-        targets = [each.server for _, each in stage.sends(request)]
+            harness.advance(10 * MILLISECOND_US)
+            harness.end_attempt(request, Outcome.RESET)
+        targets = [each.server for _, each in harness.attempts(request)]
         assert len(targets) > 1
         assert len({cell_of[each] for each in targets}) == 1
 
 
 def test_a_request_is_not_retried_after_its_deduplication_window() -> None:
-    stage = Stage()
-    stage.servers(two_cells())
-    request = stage.request("amend", remaining_us=4 * SECOND_US)
-    stage.wait(2 * SECOND_US)
-    stage.end(request, Outcome.RESET)
-    assert len(stage.sends(request)) == 1
-    assert [each.request for each in stage.said(FailRequest)] == [request]
+    harness = BalancerHarness()
+    harness.update_servers(two_cells())
+    request = harness.send_request("amend", remaining_us=4 * SECOND_US)
+    harness.advance(2 * SECOND_US)
+    harness.end_attempt(request, Outcome.RESET)
+    assert len(harness.attempts(request)) == 1
+    assert [each.request for each in harness.actions_of(FailRequest)] == [request]
 
 
 def test_every_attempt_must_be_written_within_the_deduplication_window() -> None:
     # A connection may be established long after the decision: the proxy has to know the end of the window.
-    stage = Stage()
-    stage.servers(two_cells())
-    request = stage.request("amend", remaining_us=4 * SECOND_US)
-    stage.end(request, Outcome.REJECTED)  # it never ran
-    stage.wait(100 * MILLISECOND_US)
-    sent_at = stage.now
-    stage.end(request, Outcome.CONNECT_FAILED)  # nor then
-    stage.wait(500 * MILLISECOND_US)
-    stage.end(request, Outcome.RESET)
-    ends = [send.write_by for _, send in stage.sends(request)]
+    harness = BalancerHarness()
+    harness.update_servers(two_cells())
+    request = harness.send_request("amend", remaining_us=4 * SECOND_US)
+    harness.end_attempt(request, Outcome.REJECTED)  # it never ran
+    harness.advance(100 * MILLISECOND_US)
+    sent_at = harness.now
+    harness.end_attempt(request, Outcome.CONNECT_FAILED)  # nor then
+    harness.advance(500 * MILLISECOND_US)
+    harness.end_attempt(request, Outcome.RESET)
+    ends = [send.write_by for _, send in harness.attempts(request)]
     assert (
         ends
-        == [START + 2 * SECOND_US - 5 * MILLISECOND_US] * 2
+        == [START_US + 2 * SECOND_US - 5 * MILLISECOND_US] * 2
         + [sent_at + 2 * SECOND_US - 5 * MILLISECOND_US] * 2
     )
-    assert [send.write_by for _, send in stage.sends(stage.request("pay"))] == [None]
+    assert [send.write_by for _, send in harness.attempts(harness.send_request("pay"))] == [None]
 
 
 def test_a_non_idempotent_request_is_not_retried_after_late_shedding() -> None:
-    stage = ready_stage(5, settings(rules={"late_shedding": True}))
-    request = stage.request("pay")
-    stage.wait(10 * MILLISECOND_US)
-    stage.end(request, Outcome.REJECTED)
-    assert len(stage.sends(request)) == 1
-    assert [each.request for each in stage.said(FailRequest)] == [request]
-    assert stage.said(RejectRequest) == []
+    harness = ready_harness(5, settings(rules={"late_shedding": True}))
+    request = harness.send_request("pay")
+    harness.advance(10 * MILLISECOND_US)
+    harness.end_attempt(request, Outcome.REJECTED)
+    assert len(harness.attempts(request)) == 1
+    assert [each.request for each in harness.actions_of(FailRequest)] == [request]
+    assert harness.actions_of(RejectRequest) == []
 
 
 def test_retries_after_late_shedding_stay_in_the_cell_and_the_deduplication_window() -> None:
     for seed in range(20):
-        stage = Stage(settings(rules={"late_shedding": True}), seed=seed)
-        stage.servers(two_cells())
+        harness = BalancerHarness(settings(rules={"late_shedding": True}), seed=seed)
+        harness.update_servers(two_cells())
         cell_of = {each.server: each.cell for each in two_cells()}
-        request = stage.request("amend", remaining_us=4 * SECOND_US)
+        request = harness.send_request("amend", remaining_us=4 * SECOND_US)
         for _ in range(2):
-            stage.wait(10 * MILLISECOND_US)
-            stage.end(request, Outcome.REJECTED)
-        targets = [each.server for _, each in stage.sends(request)]
+            harness.advance(10 * MILLISECOND_US)
+            harness.end_attempt(request, Outcome.REJECTED)
+        targets = [each.server for _, each in harness.attempts(request)]
         assert len(targets) == 3
         assert len({cell_of[each] for each in targets}) == 1
-        stage.wait(2 * SECOND_US)
-        stage.end(request, Outcome.REJECTED)
-        assert len(stage.sends(request)) == 3
-        assert [each.request for each in stage.said(FailRequest)] == [request]
+        harness.advance(2 * SECOND_US)
+        harness.end_attempt(request, Outcome.REJECTED)
+        assert len(harness.attempts(request)) == 3
+        assert [each.request for each in harness.actions_of(FailRequest)] == [request]
 
 
 @pytest.mark.parametrize(("class_name", "repeatable"), [("look", True), ("pay", False), ("amend", True)])
--- a/tests/balancer/test_invariants.py
+++ b/tests/balancer/test_invariants.py
@@ -5,9 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from helpers import KEYED, SAFE, START, UNSAFE, names, settings
-from helpers import MS as MILLISECOND_US
-from helpers import S as SECOND_US
+from balancer_harness import KEYED, MILLISECOND_US, SAFE, SECOND_US, START_US, UNSAFE, server_names, settings
 from hypothesis import HealthCheck, given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
@@ -37,7 +35,7 @@
 )
 from sidecar.settings import Idempotency, ServiceClass
 
-SERVERS = names(7)
+SERVERS = server_names(7)
 ZONES = ("east", "west")
 TICK_US = 5 * MILLISECOND_US
 KEY_COOLDOWN_US = 100 * MILLISECOND_US
@@ -98,7 +96,7 @@
     def __init__(self, permissions: Permissions, rng_seed: int) -> None:
         self.apply_permissions(permissions)
         self.balancer = Balancer(self.settings, rng_seed)
-        self.now = START
+        self.now = START_US
         self.timers: list[tuple[int, str]] = []
         self.requests: dict[int, RequestRecord] = {}
         self.health_checks: list[tuple[str, int]] = []
@@ -290,7 +288,7 @@
     cell=st.integers(0, 2),
     state=st.sampled_from([ServerState.READY, ServerState.READY, ServerState.DRAINING, ServerState.REMOVED]),
     nominal=st.sampled_from([0.0, 1.0, 3.0]),
-    started_at=st.sampled_from([None, START - 5 * SECOND_US, START, START + 2 * SECOND_US]),
+    started_at=st.sampled_from([None, START_US - 5 * SECOND_US, START_US, START_US + 2 * SECOND_US]),
 )
 arrivals = st.tuples(
     st.just("arrive"),
--- a/tests/balancer/test_key_order.py
+++ b/tests/balancer/test_key_order.py
@@ -3,10 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from balancer_stage import ready_stage
-from helpers import MS as MILLISECOND_US
-from helpers import S as SECOND_US
-from helpers import Stage, settings
+from balancer_harness import MILLISECOND_US, SECOND_US, BalancerHarness, settings
+from ready_balancer import ready_harness
 
 from sidecar.balancer.actions import RejectRequest
 from sidecar.balancer.events import ClientDisconnected, Outcome
@@ -21,86 +19,94 @@
 }
 
 
-def stage_with_ordered_keys() -> Stage:
-    return ready_stage(6, settings(**ORDERED_CLASSES))
+def harness_with_ordered_keys() -> BalancerHarness:
+    return ready_harness(6, settings(**ORDERED_CLASSES))
 
 
 def test_requests_with_one_key_are_sent_in_order_one_at_a_time_across_classes() -> None:
-    stage = stage_with_ordered_keys()
-    requests = [stage.request(name, key=5) for name in ("save", "mark", "save")]
+    harness = harness_with_ordered_keys()
+    requests = [harness.send_request(name, key=5) for name in ("save", "mark", "save")]
     for at, request in enumerate(requests):
-        assert [len(stage.sends(each)) for each in requests] == [1] * (at + 1) + [0] * (2 - at)
-        stage.wait(10 * MILLISECOND_US)
-        stage.end(request)
+        assert [len(harness.attempts(each)) for each in requests] == [1] * (at + 1) + [0] * (2 - at)
+        harness.advance(10 * MILLISECOND_US)
+        harness.end_attempt(request)
 
 
 def test_requests_without_a_shared_ordered_key_are_concurrent() -> None:
-    stage = stage_with_ordered_keys()
-    stage.request("save", key=5)
-    concurrent = [stage.request("save"), stage.request("save", key=6), stage.request("look", key=5)]
-    assert all(len(stage.sends(each)) == 1 for each in concurrent)
+    harness = harness_with_ordered_keys()
+    harness.send_request("save", key=5)
+    concurrent = [
+        harness.send_request("save"),
+        harness.send_request("save", key=6),
+        harness.send_request("look", key=5),
+    ]
+    assert all(len(harness.attempts(each)) == 1 for each in concurrent)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED])
 def test_a_key_is_blocked_for_a_while_after_an_attempt_that_may_still_run(outcome: Outcome) -> None:
-    stage = stage_with_ordered_keys()
-    first, second = stage.request("save", key=5), stage.request("mark", key=5)
-    stage.play(ClientDisconnected(first))
-    stage.wait(10 * MILLISECOND_US)
-    assert stage.sends(second) == []  # the first is over for the client, yet its attempt is still in flight
-    stage.end(first, outcome, answered=True)
-    ended = stage.now
-    assert stage.sends(second) == []
-    third = stage.request("mark", key=5)
-    stage.wait(99 * MILLISECOND_US)
-    assert stage.sends(second) == []
-    assert stage.sends(third) == []
-    stage.wait(5 * MILLISECOND_US)
-    assert stage.sends(second)[0][0] >= ended + 100 * MILLISECOND_US
-    assert stage.sends(third) == []
+    harness = harness_with_ordered_keys()
+    first, second = harness.send_request("save", key=5), harness.send_request("mark", key=5)
+    harness.handle(ClientDisconnected(first))
+    harness.advance(10 * MILLISECOND_US)
+    assert (
+        harness.attempts(second) == []
+    )  # the first is over for the client, yet its attempt is still in flight
+    harness.end_attempt(first, outcome, answered=True)
+    ended = harness.now
+    assert harness.attempts(second) == []
+    third = harness.send_request("mark", key=5)
+    harness.advance(99 * MILLISECOND_US)
+    assert harness.attempts(second) == []
+    assert harness.attempts(third) == []
+    harness.advance(5 * MILLISECOND_US)
+    assert harness.attempts(second)[0][0] >= ended + 100 * MILLISECOND_US
+    assert harness.attempts(third) == []
 
 
 def test_a_request_with_an_ordered_key_is_retried_without_delay() -> None:
-    stage = stage_with_ordered_keys()
-    first = stage.request("save", key=5)
-    stage.wait(10 * MILLISECOND_US)
-    stage.end(first, Outcome.RESET)
-    assert len(stage.sends(first)) == 2
+    harness = harness_with_ordered_keys()
+    first = harness.send_request("save", key=5)
+    harness.advance(10 * MILLISECOND_US)
+    harness.end_attempt(first, Outcome.RESET)
+    assert len(harness.attempts(first)) == 2
 
 
 def test_a_queued_request_expires_in_time_and_an_abandoned_one_is_skipped() -> None:
-    stage = stage_with_ordered_keys()
-    first = stage.request("save", key=5)
-    queued, abandoned = (stage.request("mark", remaining_us=300 * MILLISECOND_US, key=5) for _ in range(2))
-    last = stage.request("save", key=5)
-    stage.play(ClientDisconnected(abandoned))
-    stage.wait(300 * MILLISECOND_US)
-    assert [each.request for each in stage.said(RejectRequest)] == [queued]
-    stage.end(first)
-    assert stage.sends(queued) == []
-    assert stage.sends(abandoned) == []
-    assert len(stage.sends(last)) == 1
+    harness = harness_with_ordered_keys()
+    first = harness.send_request("save", key=5)
+    queued, abandoned = (
+        harness.send_request("mark", remaining_us=300 * MILLISECOND_US, key=5) for _ in range(2)
+    )
+    last = harness.send_request("save", key=5)
+    harness.handle(ClientDisconnected(abandoned))
+    harness.advance(300 * MILLISECOND_US)
+    assert [each.request for each in harness.actions_of(RejectRequest)] == [queued]
+    harness.end_attempt(first)
+    assert harness.attempts(queued) == []
+    assert harness.attempts(abandoned) == []
+    assert len(harness.attempts(last)) == 1
 
 
 def test_unused_keys_are_released() -> None:
-    stage = stage_with_ordered_keys()
+    harness = harness_with_ordered_keys()
     for key in range(50):
-        request = stage.request("save", key=key)
-        stage.wait(10 * MILLISECOND_US)
-        stage.end(request, Outcome.SUCCEEDED if key % 2 else Outcome.CANCELLED, answered=True)
-    stage.wait(200 * MILLISECOND_US)
-    assert not stage.balancer._key_order.queues
+        request = harness.send_request("save", key=key)
+        harness.advance(10 * MILLISECOND_US)
+        harness.end_attempt(request, Outcome.SUCCEEDED if key % 2 else Outcome.CANCELLED, answered=True)
+    harness.advance(200 * MILLISECOND_US)
+    assert not harness.balancer._key_order.queues
 
 
 def test_sending_out_of_key_order_is_blocked() -> None:
-    stage = stage_with_ordered_keys()
-    first, second = stage.request("save", key=5), stage.request("mark", key=5)
-    waiting = stage.balancer._requests[second]
-    server = next(iter(stage.balancer._context.registry.servers.values()))
-    assert not stage.balancer._send(waiting, server)
-    stage.play(ClientDisconnected(first))
-    assert not stage.balancer._send(waiting, server)
-    stage.end(first, Outcome.CANCELLED, answered=True)
-    assert not stage.balancer._send(waiting, server)
-    stage.balancer._context.clock.now += 100 * MILLISECOND_US
-    assert stage.balancer._send(waiting, server)
+    harness = harness_with_ordered_keys()
+    first, second = harness.send_request("save", key=5), harness.send_request("mark", key=5)
+    waiting = harness.balancer._requests[second]
+    server = next(iter(harness.balancer._context.registry.servers.values()))
+    assert not harness.balancer._send(waiting, server)
+    harness.handle(ClientDisconnected(first))
+    assert not harness.balancer._send(waiting, server)
+    harness.end_attempt(first, Outcome.CANCELLED, answered=True)
+    assert not harness.balancer._send(waiting, server)
+    harness.balancer._context.clock.now += 100 * MILLISECOND_US
+    assert harness.balancer._send(waiting, server)
--- a/tests/balancer/test_long_lists.py
+++ b/tests/balancer/test_long_lists.py
@@ -6,7 +6,7 @@
 from unittest.mock import patch
 
 import pytest
-from helpers import MS, S, Stage, settings
+from balancer_harness import MILLISECOND_US, SECOND_US, BalancerHarness, settings
 
 from sidecar.balancer.events import Endpoint, RegistryUpdated, RegistryUpdateKind
 from sidecar.balancer.policy.zone_preference import ZonePreference
@@ -29,14 +29,14 @@
         weighed_counts.append(len(ready))
         return weight_by_latency(ready)
 
-    stage = Stage(settings(prices={"cross_zone": 0.05}))
+    harness = BalancerHarness(settings(prices={"cross_zone": 0.05}))
     endpoints = two_zones(count)
-    stage.servers(endpoints)
+    harness.update_servers(endpoints)
     with patch.object(ZonePreference, "weight_by_latency", staticmethod(counting)):
         for _ in range(max(changes, 1)):
             if changes:
-                stage.servers(endpoints[:1], RegistryUpdateKind.DELTA)
-            stage.serve(REQUESTS // max(changes, 1), every_us=20 * MS)
+                harness.update_servers(endpoints[:1], RegistryUpdateKind.DELTA)
+            harness.serve_requests(REQUESTS // max(changes, 1), interval_us=20 * MILLISECOND_US)
     return sum(weighed_counts)
 
 
@@ -55,12 +55,12 @@
 
 
 def test_servers_in_slow_start_cost_one_pass_over_the_list_per_change_not_per_request() -> None:
-    stage = Stage(settings())
-    stage.servers(two_zones(1_000))
-    stage.serve(20)
-    slow_start = stage.balancer._slow_start
-    restarted = [replace(each, started_at=stage.now) for each in two_zones(1_000)[:500]]
-    stage.servers(restarted, RegistryUpdateKind.DELTA)
+    harness = BalancerHarness(settings())
+    harness.update_servers(two_zones(1_000))
+    harness.serve_requests(20)
+    slow_start = harness.balancer._slow_start
+    restarted = [replace(each, started_at=harness.now) for each in two_zones(1_000)[:500]]
+    harness.update_servers(restarted, RegistryUpdateKind.DELTA)
     servers_checked = 0
     is_warming_up = Server.is_warming_up
 
@@ -71,21 +71,21 @@
 
     with patch.object(Server, "is_warming_up", counting):
         for _ in range(50):
-            stage.wait(20 * MS)
-            stage.request()
+            harness.advance(20 * MILLISECOND_US)
+            harness.send_request()
             slow_start.capacity_estimate.of_warm_server()
     assert servers_checked < 4 * 1_000
 
 
 def test_peers_are_updated_when_a_server_begins_or_ends_slow_start() -> None:
-    stage = Stage(settings())
-    stage.servers(two_zones(6))
-    slow_start, servers = stage.balancer._slow_start, stage.balancer._context.registry.ready
+    harness = BalancerHarness(settings())
+    harness.update_servers(two_zones(6))
+    slow_start, servers = harness.balancer._slow_start, harness.balancer._context.registry.ready
     peer_counts = []
     for number in range(4):
-        stage.wait(4 * S)
-        stage.play(RegistryUpdated(RegistryUpdateKind.DELTA))
-        slow_start.start(servers[number], stage.now)
+        harness.advance(4 * SECOND_US)
+        harness.handle(RegistryUpdated(RegistryUpdateKind.DELTA))
+        slow_start.start(servers[number], harness.now)
         slow_start.capacity_estimate.of_warm_server()
         peer_counts.append(slow_start.capacity_estimate.current_peers().count)
     assert peer_counts == [
@@ -94,7 +94,7 @@
         3,
         3,
     ]  # slow start takes 10 s: that of the first ends before the fourth begins
-    stage.wait(2 * S)
-    stage.play(RegistryUpdated(RegistryUpdateKind.DELTA))
+    harness.advance(2 * SECOND_US)
+    harness.handle(RegistryUpdated(RegistryUpdateKind.DELTA))
     slow_start.capacity_estimate.of_warm_server()
     assert slow_start.capacity_estimate.current_peers().count == 4
--- a/tests/balancer/test_outliers.py
+++ b/tests/balancer/test_outliers.py
@@ -3,11 +3,9 @@
 from __future__ import annotations
 
 import pytest
-from balancer_stage import ready_stage
-from helpers import MS as MILLISECOND_US
-from helpers import S as SECOND_US
-from helpers import Stage, names
+from balancer_harness import MILLISECOND_US, SECOND_US, BalancerHarness, server_names
 from policy_context import TARGET_US, add_load, make_context, make_request, start_attempt
+from ready_balancer import ready_harness
 
 from sidecar.balancer.actions import Log
 from sidecar.balancer.events import Endpoint, Outcome, RegistryUpdateKind
@@ -16,102 +14,102 @@
 from sidecar.balancer.state import Context, Server
 
 
-def traffic_with_one_hung_server(stage: Stage, rounds: int) -> tuple[str, list[int]]:
+def traffic_with_one_hung_server(harness: BalancerHarness, rounds: int) -> tuple[str, list[int]]:
     """Healthy traffic, except that one server hangs after a while; gives it and the requests at it."""
-    stage.servers(names(6))
-    stage.serve(120)
-    first = stage.request()
-    hung = stage.target(first)
+    harness.update_servers(server_names(6))
+    harness.serve_requests(120)
+    first = harness.send_request()
+    hung = harness.server_of(first)
     unanswered = [first]
     for _ in range(rounds):
-        stage.wait(10 * MILLISECOND_US)
-        request = stage.request()
-        if stage.target(request) == hung:
+        harness.advance(10 * MILLISECOND_US)
+        request = harness.send_request()
+        if harness.server_of(request) == hung:
             unanswered.append(request)
         else:
-            stage.wait(30 * MILLISECOND_US)
-            stage.end(request)
+            harness.advance(30 * MILLISECOND_US)
+            harness.end_attempt(request)
     return hung, unanswered
 
 
 def test_a_hung_server_is_ejected_and_its_idempotent_requests_are_retried_elsewhere() -> None:
-    stage = Stage()
-    hung, unanswered = traffic_with_one_hung_server(stage, 20)
-    assert any(each.text.startswith(f"ejected {hung}") for each in stage.said(Log))
-    targets = [each.server for _, each in stage.sends(unanswered[0])]
+    harness = BalancerHarness()
+    hung, unanswered = traffic_with_one_hung_server(harness, 20)
+    assert any(each.text.startswith(f"ejected {hung}") for each in harness.actions_of(Log))
+    targets = [each.server for _, each in harness.attempts(unanswered[0])]
     assert len(targets) > 1
     assert hung not in targets[1:]
 
 
 def test_an_ejected_server_gets_one_half_open_attempt_at_a_time() -> None:
-    stage = Stage()
-    hung, unanswered = traffic_with_one_hung_server(stage, 20)
-    before = len([1 for _, each in stage.sends() if each.server == hung])
+    harness = BalancerHarness()
+    hung, unanswered = traffic_with_one_hung_server(harness, 20)
+    before = len([1 for _, each in harness.attempts() if each.server == hung])
     for request in unanswered:
-        stage.end(request, Outcome.TIMED_OUT, attempt=0, answered=False)
+        harness.end_attempt(request, Outcome.TIMED_OUT, attempt=0, answered=False)
     for _ in range(60):
-        stage.wait(60 * MILLISECOND_US)
-        request = stage.request()
-        if stage.target(request) != hung:
-            stage.end(request)
-    half_open_attempts = len([1 for _, each in stage.sends() if each.server == hung]) - before
+        harness.advance(60 * MILLISECOND_US)
+        request = harness.send_request()
+        if harness.server_of(request) != hung:
+            harness.end_attempt(request)
+    half_open_attempts = len([1 for _, each in harness.attempts() if each.server == hung]) - before
     assert half_open_attempts == 1
-    half_open = next(each.request for _, each in reversed(stage.sends()) if each.server == hung)
-    stage.end(half_open, attempt=0)
-    assert stage.said(Log)[-1].text == f"readmitted {hung}"
+    half_open = next(each.request for _, each in reversed(harness.attempts()) if each.server == hung)
+    harness.end_attempt(half_open, attempt=0)
+    assert harness.actions_of(Log)[-1].text == f"readmitted {hung}"
 
 
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CANCELLED])
 def test_an_unanswered_half_open_attempt_keeps_the_server_ejected(outcome: Outcome) -> None:
-    stage = Stage()
-    hung, unanswered = traffic_with_one_hung_server(stage, 20)
+    harness = BalancerHarness()
+    hung, unanswered = traffic_with_one_hung_server(harness, 20)
     for request in unanswered:
-        stage.end(request, Outcome.TIMED_OUT, attempt=0, answered=False)
-    stage.wait(10 * SECOND_US)  # the ejection has expired
-    half_open = stage.request()
-    assert stage.target(half_open) == hung
-    stage.end(half_open, outcome)
-    stage.end(half_open)  # the retry succeeds at another server
-    sent_before = len(stage.sends())
-    stage.serve(20)
-    targets = [each.server for _, each in stage.sends()[sent_before:]]
+        harness.end_attempt(request, Outcome.TIMED_OUT, attempt=0, answered=False)
+    harness.advance(10 * SECOND_US)  # the ejection has expired
+    half_open = harness.send_request()
+    assert harness.server_of(half_open) == hung
+    harness.end_attempt(half_open, outcome)
+    harness.end_attempt(half_open)  # the retry succeeds at another server
+    sent_before = len(harness.attempts())
+    harness.serve_requests(20)
+    targets = [each.server for _, each in harness.attempts()[sent_before:]]
     assert targets
     assert hung not in targets
 
 
 def test_servers_that_all_hang_are_not_all_ejected() -> None:
-    stage = ready_stage(6)
-    stage.serve(120)
+    harness = ready_harness(6)
+    harness.serve_requests(120)
     for _ in range(200):
-        stage.request("pay")
-        stage.wait(15 * MILLISECOND_US)
+        harness.send_request("pay")
+        harness.advance(15 * MILLISECOND_US)
     ejected = [
-        each for each in stage.balancer._context.registry.servers.values() if each.ejected_until is not None
+        each for each in harness.balancer._context.registry.servers.values() if each.ejected_until is not None
     ]
     assert len(ejected) <= 2
 
 
 def test_a_timeout_at_a_responsive_server_does_not_count_as_a_failure() -> None:
-    stage = ready_stage(1)
+    harness = ready_harness(1)
     for _ in range(6):
-        stage.serve(60)
-        old = stage.request("pay", remaining_us=SECOND_US)
-        stage.wait(900 * MILLISECOND_US)
-        new = stage.request("pay")
-        stage.wait(50 * MILLISECOND_US)
-        stage.end(new)
-        stage.wait(30 * MILLISECOND_US)
-        stage.end(old, Outcome.TIMED_OUT, answered=False)
-    assert not any("ejected" in each.text for each in stage.said(Log))
+        harness.serve_requests(60)
+        old = harness.send_request("pay", remaining_us=SECOND_US)
+        harness.advance(900 * MILLISECOND_US)
+        new = harness.send_request("pay")
+        harness.advance(50 * MILLISECOND_US)
+        harness.end_attempt(new)
+        harness.advance(30 * MILLISECOND_US)
+        harness.end_attempt(old, Outcome.TIMED_OUT, answered=False)
+    assert not any("ejected" in each.text for each in harness.actions_of(Log))
 
 
 def test_a_restarted_server_is_readmitted_into_slow_start() -> None:
-    stage = Stage()
-    hung, _ = traffic_with_one_hung_server(stage, 20)
-    stage.servers([Endpoint(hung, "east", started_at=stage.now)], RegistryUpdateKind.DELTA)
-    server = stage.balancer._context.registry.servers[hung]
+    harness = BalancerHarness()
+    hung, _ = traffic_with_one_hung_server(harness, 20)
+    harness.update_servers([Endpoint(hung, "east", started_at=harness.now)], RegistryUpdateKind.DELTA)
+    server = harness.balancer._context.registry.servers[hung]
     assert server.ejected_until is None
-    assert stage.balancer._slow_start.is_warming_up(server)
+    assert harness.balancer._slow_start.is_warming_up(server)
 
 
 def record_failures(context: Context, outliers: OutlierDetector, server: Server, times: int) -> None:
--- a/tests/balancer/test_overload_recovery.py
+++ b/tests/balancer/test_overload_recovery.py
@@ -14,8 +14,7 @@
 from dataclasses import dataclass, field
 
 import pytest
-from helpers import MS as MILLISECOND_US
-from helpers import START, names
+from balancer_harness import MILLISECOND_US, START_US, server_names
 
 from sidecar import Balancer, Settings
 from sidecar.balancer.actions import Action, FailRequest, RejectRequest, SendAttempt, SetTimer
@@ -80,8 +79,8 @@
         self.balancers = [
             Balancer(settings(target_us, self.deadline_us, balancers), each) for each in range(balancers)
         ]
-        self.servers = {name: QueueServer() for name in names(SERVERS)}
-        self.fault_at = START + int(WARM_UP_TARGETS * target_us)
+        self.servers = {name: QueueServer() for name in server_names(SERVERS)}
+        self.fault_at = START_US + int(WARM_UP_TARGETS * target_us)
         self.fault_end_at = self.fault_at + int(fault_targets * target_us)
         self.end_at = self.fault_end_at + int((RECOVERY_TARGETS + MEASURED_TARGETS) * target_us)
         self.order = itertools.count()
@@ -97,9 +96,9 @@
     def play(self) -> None:
         listed = [Endpoint(name, zone="east") for name in self.servers]
         for index in range(len(self.balancers)):
-            self.add(START, index, RegistryUpdated(RegistryUpdateKind.SNAPSHOT, listed, 1))
+            self.add(START_US, index, RegistryUpdated(RegistryUpdateKind.SNAPSHOT, listed, 1))
         mean_gap_us = WORK_TARGETS * self.target_us / (LOAD * SERVERS * CORES)
-        moment, ident = float(START), 0
+        moment, ident = float(START_US), 0
         while (moment := moment + self.random.expovariate(1.0 / mean_gap_us)) < self.end_at:
             ident += 1
             self.arrived[ident] = int(moment)
--- a/tests/balancer/test_priority.py
+++ b/tests/balancer/test_priority.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from helpers import SAFE, UNSAFE
+from balancer_harness import SAFE, UNSAFE
 from policy_context import make_context, make_request
 
 from sidecar.balancer.policy.priority import TrafficPriorities
--- a/tests/balancer/test_retries.py
+++ b/tests/balancer/test_retries.py
@@ -5,9 +5,8 @@
 import math
 
 import pytest
-from balancer_stage import ready_stage, serve_one_at_a_time
-from helpers import MS as MILLISECOND_US
-from helpers import settings
+from balancer_harness import MILLISECOND_US, settings
+from ready_balancer import ready_harness, serve_one_at_a_time
 
 from sidecar.balancer.actions import FailRequest, RejectRequest
 from sidecar.balancer.events import Outcome
@@ -19,38 +18,38 @@
 
 
 def test_retries_after_failures_are_bounded() -> None:
-    stage = ready_stage(40)
+    harness = ready_harness(40)
     for _ in range(400):
-        stage.wait(MILLISECOND_US)
-        request = stage.request()
-        while stage.balancer._requests.get(request) is not None:
-            stage.end(request, Outcome.RESET)
-    assert len(stage.sends()) <= 400 * 1.25 + 10
+        harness.advance(MILLISECOND_US)
+        request = harness.send_request()
+        while harness.balancer._requests.get(request) is not None:
+            harness.end_attempt(request, Outcome.RESET)
+    assert len(harness.attempts()) <= 400 * 1.25 + 10
 
 
 @pytest.mark.parametrize("kind", ["look", "pay"])
 def test_a_server_that_refuses_connections_costs_no_request(kind: str) -> None:
-    stage = ready_stage(4)
-    serve_one_at_a_time(stage, 20)
-    requests = [stage.request(kind) for _ in range(12)]
-    stopped = stage.target(requests[0])
+    harness = ready_harness(4)
+    serve_one_at_a_time(harness, 20)
+    requests = [harness.send_request(kind) for _ in range(12)]
+    stopped = harness.server_of(requests[0])
     failed_connects = 0
     for request in requests:
-        if stage.target(request) == stopped:
-            stage.end(request, Outcome.CONNECT_FAILED)
+        if harness.server_of(request) == stopped:
+            harness.end_attempt(request, Outcome.CONNECT_FAILED)
             failed_connects += 1
     for request in requests:
-        stage.end(request)
+        harness.end_attempt(request)
     assert failed_connects >= 3  # more than the retry budget had saved
-    assert not stage.said(RejectRequest)
-    assert not stage.said(FailRequest)
+    assert not harness.actions_of(RejectRequest)
+    assert not harness.actions_of(FailRequest)
 
 
 def test_a_request_is_rejected_where_no_attempts_are_allowed() -> None:
-    stage = ready_stage(3, settings(limits={"max_attempts": 0}))
-    request = stage.request("look")
-    assert stage.sends(request) == []
-    assert [each.request for each in stage.said(RejectRequest)] == [request]
+    harness = ready_harness(3, settings(limits={"max_attempts": 0}))
+    request = harness.send_request("look")
+    assert harness.attempts(request) == []
+    assert [each.request for each in harness.actions_of(RejectRequest)] == [request]
 
 
 def test_the_retry_budget_grows_with_each_response_up_to_its_maximum() -> None:
--- a/tests/balancer/test_slow_start_fleet.py
+++ b/tests/balancer/test_slow_start_fleet.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 
 import pytest
-from helpers import MS, START, S, names
+from balancer_harness import MILLISECOND_US, SECOND_US, START_US, server_names
 
 from sidecar import Balancer, Settings
 from sidecar.balancer.actions import SendAttempt, SetTimer
@@ -27,29 +27,29 @@
 
 SLOW_START_RULES: dict[str, float] = {
     "slow_start_from": 0.3,
-    "slow_start_us": 8_900 * MS,
+    "slow_start_us": 8_900 * MILLISECOND_US,
     "overload_multiple": 4.0,
-    "overload_window_us": 1 * S,
+    "overload_window_us": 1 * SECOND_US,
 }
 SERVERS = 14
 FLEET_REQUESTS_PER_S = 168.0
 CAPACITY_PER_S = FLEET_REQUESTS_PER_S / SERVERS / 0.6  # of a server after slow start
-SERVER_START_US = 6 * S
-DURATION_US = 16 * S
-SERVICE_TIME_US = 5 * MS
+SERVER_START_US = 6 * SECOND_US
+DURATION_US = 16 * SECOND_US
+SERVICE_TIME_US = 5 * MILLISECOND_US
 EXTRA_TRAFFIC = {  # from the server's start on: share of the usual load, duration
-    "burst": (0.5, 2 * S),
-    "client retries": (3.0, 5 * S),  # of all rejected requests
+    "burst": (0.5, 2 * SECOND_US),
+    "client retries": (3.0, 5 * SECOND_US),  # of all rejected requests
 }
-IDLE_US = 1 * S  # from the server's start to the first request of an idle fleet
-RESTART_INTERVAL_US = 2_500 * MS
+IDLE_US = 1 * SECOND_US  # from the server's start to the first request of an idle fleet
+RESTART_INTERVAL_US = 2_500 * MILLISECOND_US
 
 
 def settings(fleet: int) -> Settings:
     request_class = {
         "name": "look",
-        "deadline_us": 2 * S,
-        "latency_target_us": 250 * MS,
+        "deadline_us": 2 * SECOND_US,
+        "latency_target_us": 250 * MILLISECOND_US,
         "priority_weight": 1,
         "idempotency": "safe",
     }
@@ -71,7 +71,7 @@
         yield from arrivals(fleet, "even", rng)
         share, span_us = EXTRA_TRAFFIC[traffic]
         extra = random.Random(f"{traffic} {fleet}")
-        for _ in range(int(share * FLEET_REQUESTS_PER_S * span_us / S)):
+        for _ in range(int(share * FLEET_REQUESTS_PER_S * span_us / SECOND_US)):
             yield SERVER_START_US + extra.randrange(span_us), extra.randrange(fleet)
         return
     if traffic in ("idle, then even", "idle, then synchronized"):  # no requests before the server's start
@@ -80,14 +80,14 @@
         return
     weights = [min(rng.paretovariate(1.3), 5.0) if traffic == "uneven" else 1.0 for _ in range(fleet)]
     if traffic == "synchronized":  # all balancers have accumulated their full budget
-        interval_us = int(fleet / FLEET_REQUESTS_PER_S * S)
+        interval_us = int(fleet / FLEET_REQUESTS_PER_S * SECOND_US)
         for at in range(0, DURATION_US, interval_us):
             yield from ((at + index, index) for index in range(fleet))
         return
     for index, weight in enumerate(weights):
         arrival = 0.0
         while (
-            arrival := arrival + rng.expovariate(FLEET_REQUESTS_PER_S * weight / sum(weights) / S)
+            arrival := arrival + rng.expovariate(FLEET_REQUESTS_PER_S * weight / sum(weights) / SECOND_US)
         ) < DURATION_US:
             yield int(arrival), index
 
@@ -97,8 +97,8 @@
 ) -> Iterator[tuple[int, int, Event]]:
     """Events of each balancer: the first endpoint list, one list per server start, and its requests."""
     for index in range(fleet):
-        endpoints = [Endpoint(each, zone="east") for each in names(SERVERS)]
-        yield START, index, RegistryUpdated(RegistryUpdateKind.SNAPSHOT, endpoints, 1)
+        endpoints = [Endpoint(each, zone="east") for each in server_names(SERVERS)]
+        yield START_US, index, RegistryUpdated(RegistryUpdateKind.SNAPSHOT, endpoints, 1)
     for version, started_at in enumerate(start_times, 2):
         endpoints = [
             Endpoint(each, zone="east", started_at=started_at if each in warming_up else None)
@@ -107,7 +107,7 @@
         for index in range(fleet):
             yield started_at, index, RegistryUpdated(RegistryUpdateKind.SNAPSHOT, endpoints, version)
     for request_id, (at, index) in enumerate(arrivals(fleet, traffic, random.Random(fleet))):
-        yield START + at, index, RequestArrived(request_id, "look", None, None, 2 * S)
+        yield START_US + at, index, RequestArrived(request_id, "look", None, None, 2 * SECOND_US)
 
 
 def send_times(
@@ -122,7 +122,7 @@
 ) -> list[dict[str, list[int]]]:
     """The same for each of several restarts in a row, up to the next one."""
     balancers = [Balancer(settings(fleet), seed) for seed in range(fleet)]
-    start_times = [START + each for each in start_offsets_us]
+    start_times = [START_US + each for each in start_offsets_us]
     sequence = itertools.count()
     events: list[tuple[int, int, int, Event]] = []
 
@@ -164,7 +164,7 @@
             * share
             * CAPACITY_PER_S
             * SLOW_START_RULES["overload_window_us"]
-            / S
+            / SECOND_US
         )
         count = sum(at < since + SLOW_START_RULES["overload_window_us"] for at in sent[first:])
         worst = max(worst, count / (budget + 2.0 * math.sqrt(budget) + 2.0))
@@ -182,7 +182,7 @@
 
 def select_servers(starting: str) -> tuple[list[str], list[str]]:
     """The servers that start, and those that are listed from then on."""
-    all_servers = names(SERVERS)
+    all_servers = server_names(SERVERS)
     return all_servers if starting == "all start" else all_servers[:1], all_servers[
         :1
     ] if "no other" in starting else all_servers
--- a/tests/balancer/test_stalls.py
+++ b/tests/balancer/test_stalls.py
@@ -2,78 +2,76 @@
 
 from __future__ import annotations
 
-from balancer_stage import LOAD_PROBING, answer_health_checks, ready_stage, two_zones
-from helpers import MS as MILLISECOND_US
-from helpers import S as SECOND_US
-from helpers import Stage, names, settings
+from balancer_harness import MILLISECOND_US, SECOND_US, BalancerHarness, server_names, settings
+from ready_balancer import LOAD_PROBING, answer_health_checks, ready_harness, two_zones
 
 from sidecar.balancer.actions import Log
 from sidecar.balancer.events import Outcome
 
 
-def stall(stage: Stage, span_us: int) -> None:
+def stall(harness: BalancerHarness, span_us: int) -> None:
     """Stall the balancer; then the timers that became due fire at once."""
-    stage.now += span_us
-    stage.wait(0)
+    harness.now += span_us
+    harness.advance(0)
 
 
-def latency_weights(stage: Stage) -> dict[str, float]:
-    return {each.name: each.latency_weight for each in stage.balancer._context.registry.ready}
+def latency_weights(harness: BalancerHarness) -> dict[str, float]:
+    return {each.name: each.latency_weight for each in harness.balancer._context.registry.ready}
 
 
 def test_a_stall_of_the_balancer_is_not_blamed_on_servers() -> None:
-    stage = ready_stage(4)
-    stage.serve(200)
-    weights = latency_weights(stage)
-    requests = [stage.request() for _ in range(8)]
-    stall(stage, 900 * MILLISECOND_US)
+    harness = ready_harness(4)
+    harness.serve_requests(200)
+    weights = latency_weights(harness)
+    requests = [harness.send_request() for _ in range(8)]
+    stall(harness, 900 * MILLISECOND_US)
     for each in requests:
-        stage.end(each)
-    stage.wait(100 * MILLISECOND_US)
-    assert latency_weights(stage) == weights
-    assert [each for each in stage.said(Log) if "ejected" in each.text] == []
+        harness.end_attempt(each)
+    harness.advance(100 * MILLISECOND_US)
+    assert latency_weights(harness) == weights
+    assert [each for each in harness.actions_of(Log) if "ejected" in each.text] == []
 
 
 def test_a_stall_is_detected_while_a_queue_of_events_is_processed() -> None:
-    stage = ready_stage(4)
-    stage.serve(200)
-    weights = latency_weights(stage)
-    in_flight = [stage.request() for _ in range(16)]
+    harness = ready_harness(4)
+    harness.serve_requests(200)
+    weights = latency_weights(harness)
+    in_flight = [harness.send_request() for _ in range(16)]
     for _ in in_flight:  # a long queue of events, each soon after the one before, and no timer between
-        stage.now += 40 * MILLISECOND_US
-        stage.request()
+        harness.now += 40 * MILLISECOND_US
+        harness.send_request()
     for each in in_flight:
-        stage.now += 5 * MILLISECOND_US
-        stage.end(each, Outcome.CONNECT_FAILED)
-    assert latency_weights(stage) == weights
-    assert [each for each in stage.said(Log) if "ejected" in each.text] == []
+        harness.now += 5 * MILLISECOND_US
+        harness.end_attempt(each, Outcome.CONNECT_FAILED)
+    assert latency_weights(harness) == weights
+    assert [each for each in harness.actions_of(Log) if "ejected" in each.text] == []
 
 
 def test_slow_servers_are_detected_while_the_balancer_is_not_stalled() -> None:
-    stage = ready_stage(4)
-    stage.serve(200)
-    weights = latency_weights(stage)
-    requests = [stage.request() for _ in range(8)]
-    stage.wait(900 * MILLISECOND_US)
+    harness = ready_harness(4)
+    harness.serve_requests(200)
+    weights = latency_weights(harness)
+    requests = [harness.send_request() for _ in range(8)]
+    harness.advance(900 * MILLISECOND_US)
     for each in requests:
-        stage.end(each)
-    assert all(each.latency_weight > weights[each.name] for each in stage.balancer._context.registry.ready)
+        harness.end_attempt(each)
+    assert all(each.latency_weight > weights[each.name] for each in harness.balancer._context.registry.ready)
 
 
 def test_selection_after_a_stall_uses_all_zones_without_health_checks() -> None:
-    stage = Stage(settings(**LOAD_PROBING, prices={"cross_zone": 0.1}))
-    stage.servers(two_zones(3))
-    first = stage.request()
-    answer_health_checks(stage, {})
-    stage.now += 1 * SECOND_US
-    burst = [stage.request() for _ in range(6)]  # all queued when the stall ends
-    assert all(len(stage.sends(each)) == 1 for each in (first, *burst))
-    assert {stage.target(each) for each in burst} & set(names(6)[3:])
+    harness = BalancerHarness(settings(**LOAD_PROBING, prices={"cross_zone": 0.1}))
+    harness.update_servers(two_zones(3))
+    first = harness.send_request()
+    answer_health_checks(harness, {})
+    harness.now += 1 * SECOND_US
+    burst = [harness.send_request() for _ in range(6)]  # all queued when the stall ends
+    assert all(len(harness.attempts(each)) == 1 for each in (first, *burst))
+    assert {harness.server_of(each) for each in burst} & set(server_names(6)[3:])
 
 
 def test_requests_late_after_a_stall_are_shed_where_late_responses_are_worthless() -> None:
     for late_weight, sent in ((0.0, 0), (0.5, 1)):
-        stage = ready_stage(
+        harness = ready_harness(
             4,
             settings(
                 classes=[
@@ -82,8 +80,11 @@
                 ]
             ),
         )
-        stage.request("look", 1 * SECOND_US)
-        stage.now += 900 * MILLISECOND_US
-        late, fresh = stage.request("look", 200 * MILLISECOND_US), stage.request("look", 900 * MILLISECOND_US)
-        assert len(stage.sends(late)) == sent
-        assert len(stage.sends(fresh)) == 1
+        harness.send_request("look", 1 * SECOND_US)
+        harness.now += 900 * MILLISECOND_US
+        late, fresh = (
+            harness.send_request("look", 200 * MILLISECOND_US),
+            harness.send_request("look", 900 * MILLISECOND_US),
+        )
+        assert len(harness.attempts(late)) == sent
+        assert len(harness.attempts(fresh)) == 1
--- a/tests/balancer/test_subsetting.py
+++ b/tests/balancer/test_subsetting.py
@@ -2,50 +2,50 @@
 
 from __future__ import annotations
 
-from balancer_stage import ready_stage, serve_one_at_a_time
-from helpers import MS as MILLISECOND_US
+from balancer_harness import MILLISECOND_US
+from ready_balancer import ready_harness, serve_one_at_a_time
 
 
 def test_low_traffic_uses_a_small_subset_that_is_replaced_when_it_drains() -> None:
-    stage = ready_stage(60)
-    serve_one_at_a_time(stage, 200)
-    subset = {each.server for _, each in stage.sends()}
+    harness = ready_harness(60)
+    serve_one_at_a_time(harness, 200)
+    subset = {each.server for _, each in harness.attempts()}
     assert 2 <= len(subset) <= 8
     for drained in subset:
-        stage.drain(drained)
-    serve_one_at_a_time(stage, 50)
-    later = {each.server for _, each in stage.sends()[200:]}
+        harness.drain(drained)
+    serve_one_at_a_time(harness, 50)
+    later = {each.server for _, each in harness.attempts()[200:]}
     assert later
     assert not later & subset
 
 
 def test_high_traffic_uses_all_servers() -> None:
-    stage = ready_stage(30)
-    stage.serve(2_000, every_us=5 * MILLISECOND_US, taking_us=250 * MILLISECOND_US)
-    assert len({each.server for _, each in stage.sends()}) == 30
+    harness = ready_harness(30)
+    harness.serve_requests(2_000, interval_us=5 * MILLISECOND_US, service_time_us=250 * MILLISECOND_US)
+    assert len({each.server for _, each in harness.attempts()}) == 30
 
 
 def test_low_traffic_balancers_use_different_subsets() -> None:
     first: set[str] = set()
     for seed in range(12):
-        stage = ready_stage(60, seed=seed)
-        serve_one_at_a_time(stage, 20)
-        first |= {each.server for _, each in stage.sends()}
+        harness = ready_harness(60, seed=seed)
+        serve_one_at_a_time(harness, 20)
+        first |= {each.server for _, each in harness.attempts()}
     assert len(first) > 25
 
 
 def test_latency_weights_adapt_faster_at_low_traffic() -> None:
-    def change(every_us: int, taking_us: int, one_at_a_time: bool) -> float:
-        stage = ready_stage(4)
+    def change(interval_us: int, service_time_us: int, one_at_a_time: bool) -> float:
+        harness = ready_harness(4)
         if one_at_a_time:
-            serve_one_at_a_time(stage, 400, taking_us, every_us)
+            serve_one_at_a_time(harness, 400, service_time_us, interval_us)
         else:
-            stage.serve(400, every_us, taking_us)
-        request = stage.request()
-        server = stage.balancer._context.registry.servers[stage.target(request)]
-        stage.wait(2 * taking_us)
+            harness.serve_requests(400, interval_us, service_time_us)
+        request = harness.send_request()
+        server = harness.balancer._context.registry.servers[harness.server_of(request)]
+        harness.advance(2 * service_time_us)
         before = server.latency_weight
-        stage.end(request)
+        harness.end_attempt(request)
         return server.latency_weight - before
 
     assert (
--- a/tests/balancer/test_zone_affinity.py
+++ b/tests/balancer/test_zone_affinity.py
@@ -2,27 +2,28 @@
 
 from __future__ import annotations
 
-from balancer_stage import two_zones
-from helpers import MS as MILLISECOND_US
-from helpers import Stage, names, settings
+from balancer_harness import MILLISECOND_US, BalancerHarness, server_names, settings
+from ready_balancer import two_zones
 
 
-def cross_zone_ratio(stage: Stage, local_us: int, remote_us: int) -> float:
+def cross_zone_ratio(harness: BalancerHarness, local_us: int, remote_us: int) -> float:
     """The part of the requests sent to the other zone, with these latencies in either."""
-    stage.servers(two_zones(4))
-    local = set(names(8)[:4])
+    harness.update_servers(two_zones(4))
+    local = set(server_names(8)[:4])
     for _ in range(600):
-        request = stage.request()
-        stage.wait(local_us if stage.target(request) in local else remote_us)
-        stage.end(request)
-    settled = stage.sends()[300:]
+        request = harness.send_request()
+        harness.advance(local_us if harness.server_of(request) in local else remote_us)
+        harness.end_attempt(request)
+    settled = harness.attempts()[300:]
     return sum(1 for _, each in settled if each.server not in local) / len(settled)
 
 
 def test_the_local_zone_is_preferred_at_similar_latency_where_crossing_zones_is_priced() -> None:
     ratio_sum = sum(
         cross_zone_ratio(
-            Stage(settings(prices={"cross_zone": 0.03}), seed=seed), 40 * MILLISECOND_US, 44 * MILLISECOND_US
+            BalancerHarness(settings(prices={"cross_zone": 0.03}), seed=seed),
+            40 * MILLISECOND_US,
+            44 * MILLISECOND_US,
         )
         for seed in range(5)
     )
@@ -32,7 +33,7 @@
 def test_a_slow_local_zone_loses_its_traffic() -> None:
     assert (
         cross_zone_ratio(
-            Stage(settings(prices={"cross_zone": 0.03})), 90 * MILLISECOND_US, 40 * MILLISECOND_US
+            BalancerHarness(settings(prices={"cross_zone": 0.03})), 90 * MILLISECOND_US, 40 * MILLISECOND_US
         )
         > 0.5
     )
--- a/tests/configuration/reload_stage.py
+++ b/tests/configuration/reload_stage.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from helpers import settings
+from balancer_harness import settings
 from loopback import CLASSES, LIMITS
 
 from sidecar.config import Config
--- a/tests/configuration/test_consecutive_reloads.py
+++ b/tests/configuration/test_consecutive_reloads.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import S
+from balancer_harness import SECOND_US
 from loopback import hung, served, until, world
 from reload_stage import read_from
 from virtual_time import Service, now_s, pass_s, play_in_virtual_time, told_within
@@ -20,7 +20,7 @@
 from sidecar.settings import ConfigurationError
 
 RELOADED_S = 4.0  # after SIGHUP, changes at the new address of discovery count as notified
-RULES = {"max_poll_interval_us": 60 * S}
+RULES = {"max_poll_interval_us": 60 * SECOND_US}
 MODES = ("on_request", "pushed")
 FAULTS = [errno.ENFILE, errno.EMFILE, errno.EIO, errno.EINTR, errno.ENOENT]
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import pytest
-from helpers import KEYED, SAFE, UNSAFE, S, settings
+from balancer_harness import KEYED, SAFE, SECOND_US, UNSAFE, settings
 
 from sidecar.config import Config
 from sidecar.proxy import sockets
@@ -210,7 +210,7 @@
 
 
 # As the stage has them, with time enough for a slow machine.
-CLASSES = [each | {"deadline_us": 600 * S} for each in (SAFE, UNSAFE, KEYED)]
+CLASSES = [each | {"deadline_us": 600 * SECOND_US} for each in (SAFE, UNSAFE, KEYED)]
 LIMITS = {"max_attempts": 3, "allow_hedging": False, "allow_cancel": True}
 
 
--- a/tests/proxy/test_client_disconnect_races.py
+++ b/tests/proxy/test_client_disconnect_races.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from helpers import S
+from balancer_harness import SECOND_US
 from loopback import (
     CLASSES,
     LIMITS,
@@ -180,8 +180,10 @@
 
     async def scene() -> None:
         # Held until the probes' answers settle it: nothing has told yet how long probes take.
-        classes = [each | {"deadline_us": 600 * S, "latency_target_us": 600 * S} for each in CLASSES]
-        limits = LIMITS | {"allow_probes": True, "dial_timeout_us": 600 * S}
+        classes = [
+            each | {"deadline_us": 600 * SECOND_US, "latency_target_us": 600 * SECOND_US} for each in CLASSES
+        ]
+        limits = LIMITS | {"allow_probes": True, "dial_timeout_us": 600 * SECOND_US}
         changes: dict[str, Any] = {"classes": classes, "limits": limits, "prices": {"probe": 0.001}}
         async with world(holds_probes, holds_probes, report=report, **changes) as w:
             w.sidecar._pool._idle_connections.reuse_delay_s = 0.0  # what was probed is written at once
--- a/tests/proxy/test_connection_reuse.py
+++ b/tests/proxy/test_connection_reuse.py
@@ -6,7 +6,7 @@
 import socket
 
 import pytest
-from helpers import S
+from balancer_harness import SECOND_US
 from loopback import LIMITS, FakeServer, play, served, until, world
 from pool_requests import outcome_of
 
@@ -30,7 +30,7 @@
     # Guards against an end or a second copy that is under way behind the answer: it would pass for the answer
     # to the next request.  What has no room takes the place of a connection instead.
     async def scene() -> None:
-        limits = LIMITS | {"dial_timeout_us": 600 * S}
+        limits = LIMITS | {"dial_timeout_us": 600 * SECOND_US}
         async with world(served, sockets=72, limits=limits) as w:
             for _ in range(9):
                 assert (await w.ask())[0] == 200
@@ -114,7 +114,7 @@
 
 def test_idle_connection_is_closed_before_the_idle_timeout_of_its_server() -> None:
     async def scene() -> None:
-        limits = {"max_attempts": 3, "allow_cancel": True, "idle_close_us": 1 * S}
+        limits = {"max_attempts": 3, "allow_cancel": True, "idle_close_us": 1 * SECOND_US}
         async with world(served, limits=limits) as w:
             assert (await w.ask())[0] == 200
             loop = asyncio.get_running_loop()
--- a/tests/proxy/test_dedup_window.py
+++ b/tests/proxy/test_dedup_window.py
@@ -6,7 +6,7 @@
 import socket
 
 import pytest
-from helpers import S
+from balancer_harness import SECOND_US
 from loopback import FakeServer, World, broken, play, served, shrink_send_buffers, unread, until, world
 
 from sidecar.balancer.events import ServerState
@@ -52,7 +52,7 @@
             for each in w.servers:
                 each.script = served
             if late:
-                w.sidecar._clock._offset_us += 2 * S  # the window of the class
+                w.sidecar._clock._offset_us += 2 * SECOND_US  # the window of the class
             go_on.set()
             status, _, body = await asked
             if late:
@@ -92,7 +92,7 @@
                 # asyncio's types leave out the callback of a timer.
                 bound = w.sidecar._attempts._end_unwritten
                 (timer,) = [each for each in exchange.timers if each._callback == bound]  # type: ignore[attr-defined]
-                due = w.sidecar._clock.to_loop_time(w.sidecar._clock.now() + 2 * S)
+                due = w.sidecar._clock.to_loop_time(w.sidecar._clock.now() + 2 * SECOND_US)
                 assert timer.when() < due  # counted from the attempt before
                 timer._run()
                 assert (await asked)[0] == 500
--- a/tests/proxy/test_descriptor_shortage.py
+++ b/tests/proxy/test_descriptor_shortage.py
@@ -5,7 +5,7 @@
 import errno
 import socket
 
-from helpers import settings
+from balancer_harness import settings
 from loopback import (
     CLASSES,
     ask,
--- a/tests/proxy/test_dialing.py
+++ b/tests/proxy/test_dialing.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 
 import pytest
+from balancer_harness import SECOND_US
 from faulty_sockets import Failures, failing, named, use_faulty
-from helpers import S
 from loopback import LIMITS, PATIENCE_S, FakeServer, deaf, play, served, until, world
 from pool_requests import outcome_of
 
@@ -149,7 +149,7 @@
 def test_local_failures_eject_no_server_and_each_request_gets_a_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    limits = LIMITS | {"dial_timeout_us": S // 10}
+    limits = LIMITS | {"dial_timeout_us": SECOND_US // 10}
 
     async def scene() -> None:
         async with world(served, served, limits=limits) as w:
--- a/tests/proxy/test_disconnected_clients.py
+++ b/tests/proxy/test_disconnected_clients.py
@@ -5,7 +5,7 @@
 import asyncio
 import socket
 
-from helpers import S
+from balancer_harness import SECOND_US
 from loopback import answer, deaf, hung, play, request, served, until, world
 
 from sidecar.balancer.events import ServerState
@@ -43,7 +43,7 @@
 def test_nothing_is_sent_for_a_request_that_is_over_even_if_cancelling_is_not_allowed() -> None:
     # Guards rule 1: a dial that came up after the final answer would still write the request.
     async def scene() -> None:
-        limits = {"max_attempts": 3, "allow_cancel": False, "dial_timeout_us": 600 * S}
+        limits = {"max_attempts": 3, "allow_cancel": False, "dial_timeout_us": 600 * SECOND_US}
         with deaf() as address:
             async with world(served, limits=limits) as w:
                 w.sidecar._pool.update("s-0", address, None, ServerState.READY)
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from helpers import S
+from balancer_harness import SECOND_US
 from loopback import FakeDiscovery, answer, play, served, until, world
 from virtual_time import play_in_virtual_time
 
@@ -78,7 +78,7 @@
 )
 def test_failed_registry_call_is_reported_and_retried(bad: bytes) -> None:
     async def scene() -> None:
-        async with world(served, rules={"max_poll_interval_us": 1 * S}) as w:
+        async with world(served, rules={"max_poll_interval_us": 1 * SECOND_US}) as w:
             w.discovery.answers.put_nowait(bad)
             await until(lambda: len(w.discovery.targets) == 2)
             assert w.sidecar._balancer._registry_poller.failed_polls == 1
@@ -133,7 +133,7 @@
     monkeypatch.setattr("sidecar.proxy.discovery_client._WATCH_MARGIN_S", 0.02)
 
     async def scene() -> None:
-        async with world(served, rules={"max_poll_interval_us": 600 * S}) as w:
+        async with world(served, rules={"max_poll_interval_us": 600 * SECOND_US}) as w:
             server = w.sidecar._balancer._context.registry.servers["s-0"]
 
             def is_told() -> bool:
--- a/tests/proxy/test_endpoint_list_races.py
+++ b/tests/proxy/test_endpoint_list_races.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from helpers import S
+from balancer_harness import SECOND_US
 from loopback import (
     CLASSES,
     LIMITS,
@@ -65,7 +65,7 @@
 def test_dial_ends_as_its_server_drains_and_the_next_request_of_the_key_is_due() -> None:
     # The end of the dial reaches the balancer ahead of the list, and lets the next request of its key out.
     classes = [each | {"ordered_by_key": True} for each in CLASSES]
-    limits = LIMITS | {"max_attempts": 1, "dial_timeout_us": 600 * S}
+    limits = LIMITS | {"max_attempts": 1, "dial_timeout_us": 600 * SECOND_US}
 
     async def scene() -> None:
         with deaf() as address:
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 import pytest
-from helpers import MS, S
+from balancer_harness import MILLISECOND_US, SECOND_US
 from loopback import CLASSES, World, hung, read_message, request, until, world
 from virtual_time import VirtualTimeLoop, now_s, pass_s, play_in_virtual_time
 
@@ -96,7 +96,10 @@
 async def scene_of(
     deadline_s: float, *scripts: object, sockets: int = 1024
 ) -> AsyncIterator[tuple[World, Clients]]:
-    classes = [each | {"deadline_us": int(deadline_s * S), "latency_target_us": 20 * MS} for each in CLASSES]
+    classes = [
+        each | {"deadline_us": int(deadline_s * SECOND_US), "latency_target_us": 20 * MILLISECOND_US}
+        for each in CLASSES
+    ]
     async with world(*scripts, classes=classes, sockets=sockets) as w:  # type: ignore[arg-type]
         clients = Clients(w, deadline_s)
         try:
--- a/tests/proxy/test_long_outages.py
+++ b/tests/proxy/test_long_outages.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 import pytest
-from helpers import MS, S
+from balancer_harness import MILLISECOND_US, SECOND_US
 from loopback import served, world
 from virtual_time import Service, now_s, pass_s, play_in_virtual_time, told_within
 
@@ -16,8 +16,8 @@
 QUIET_S = 600.0
 OUTAGE_S = 300.0
 FAULTS = ("503", "reset", "refused", "silent", "cut off")
-TICK_US = 100 * MS  # the clock has fewer moments to pass through
-RULES = [{"max_poll_interval_us": 2 * S}, {"max_poll_interval_us": 60 * S}]
+TICK_US = 100 * MILLISECOND_US  # the clock has fewer moments to pass through
+RULES = [{"max_poll_interval_us": 2 * SECOND_US}, {"max_poll_interval_us": 60 * SECOND_US}]
 
 
 @pytest.fixture(autouse=True)
--- a/tests/proxy/test_registry_faults.py
+++ b/tests/proxy/test_registry_faults.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from helpers import S
+from balancer_harness import SECOND_US
 from loopback import answer, reset, served, until, world
 from virtual_time import Service, now_s, play_in_virtual_time, told_within
 
@@ -20,7 +20,7 @@
 from sidecar.proxy.server_connection import Connection
 
 NOTIFIED_WITHIN_S = 6.0  # after discovery has a change and can be reached
-RULES = {"max_poll_interval_us": 60 * S}
+RULES = {"max_poll_interval_us": 60 * SECOND_US}
 MODES = ("on_request", "pushed")
 DIAL_FAULTS = [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EINTR]
 BREAKS = [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ECONNRESET, errno.EPIPE]
--- a/tests/proxy/test_registry_races.py
+++ b/tests/proxy/test_registry_races.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from helpers import S
+from balancer_harness import SECOND_US
 from loopback import FakeServer, World, answer, ask, hung, read_answer, request, reset, served, until, world
 from virtual_time import STEP_S, Service, now_s, pass_s, play_in_virtual_time, told_within
 
@@ -18,7 +18,7 @@
 
 NOTIFIED_WITHIN_S = 6.0  # after a watch fell silent, or discovery has a change and can be reached
 RELOADED_S = 4.0  # after SIGHUP, what discovery's new place has counts as notified
-RULES = {"max_poll_interval_us": 60 * S}
+RULES = {"max_poll_interval_us": 60 * SECOND_US}
 MODES = ("on_request", "pushed")  # how discovery tells, by the settings
 
 
--- a/tests/proxy/test_registry_update_delay.py
+++ b/tests/proxy/test_registry_update_delay.py
@@ -7,7 +7,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 import pytest
-from helpers import S
+from balancer_harness import SECOND_US
 from loopback import served, world
 from virtual_time import STEP_S, Service, now_s, pass_s, play_in_virtual_time, told_within
 
@@ -15,7 +15,7 @@
 
 
 # The settings allow far longer; nothing of that counts after a failed call.
-RULES = {"max_poll_interval_us": 60 * S}
+RULES = {"max_poll_interval_us": 60 * SECOND_US}
 FAULTS = ("503", "reset", "refused", "cut off", "silent")
 
 
--- a/tests/proxy/test_remaining_time.py
+++ b/tests/proxy/test_remaining_time.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from helpers import S
+from balancer_harness import SECOND_US
 from loopback import CLASSES, LIMITS, Head, World, answer, full, hung, play, reset, served, until, world
 
 from sidecar.balancer.policy.hedging import HedgingPolicy
@@ -38,7 +38,7 @@
         return connection
 
     async def scene() -> None:
-        limits = LIMITS | {"dial_timeout_us": 600 * S}
+        limits = LIMITS | {"dial_timeout_us": 600 * SECOND_US}
         async with world(served, limits=limits) as w:
             monkeypatch.setattr(connection_dialer, "connect", slow)
             assert (await w.ask(budget=str(_BUDGET_S)))[0] == 200
@@ -78,7 +78,7 @@
     def world(self, monkeypatch: pytest.MonkeyPatch) -> Any:
         """Servers of which one that is overdue is taken for lost, which else takes more of them to tell."""
         monkeypatch.setattr(HedgingPolicy, "is_hedge_due", lambda *_: True)
-        classes = [each | {"latency_target_us": S // 2} for each in CLASSES]
+        classes = [each | {"latency_target_us": SECOND_US // 2} for each in CLASSES]
         limits = LIMITS | {"allow_hedging": True}
         return world(self.answer, self.answer, self.answer, classes=classes, limits=limits)
 
--- a/tests/proxy/test_request_ids.py
+++ b/tests/proxy/test_request_ids.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from helpers import S
+from balancer_harness import SECOND_US
 from loopback import (
     CLASSES,
     answer,
@@ -54,7 +54,7 @@
 
 def test_request_id_is_remembered_no_longer_than_its_deadline() -> None:
     async def scene() -> None:
-        classes = [each | {"deadline_us": 1 * S} for each in CLASSES]
+        classes = [each | {"deadline_us": 1 * SECOND_US} for each in CLASSES]
         async with world(served, classes=classes) as w:
             assert (await w.ask(kind="pay", budget="1.0"))[0] == 200
             assert w.sidecar._active._ids_in_use
