--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 import pytest
-from virtual_time import Service
+from virtual_time import RegistryStandIn
 
 from sidecar.proxy import discovery_client, server_connection
 from sidecar.proxy.addresses import Address
@@ -14,19 +14,19 @@
 
 
 @pytest.fixture
-def service(monkeypatch: pytest.MonkeyPatch) -> Callable[[], Service]:
-    """Makes services; a dial begun while one is cut off never comes up."""
-    made: list[Service] = []
+def make_registry(monkeypatch: pytest.MonkeyPatch) -> Callable[[], RegistryStandIn]:
+    """Creates registry stand-ins; connections dialed to a partitioned one are never established."""
+    registries: list[RegistryStandIn] = []
     connect = server_connection.connect
 
     async def dial(address: Address, body_most: int) -> Connection:
-        if any(each.address == address and each.fault == "cut off" for each in made):
+        if any(each.address == address and each.fault == "partitioned" for each in registries):
             await asyncio.Event().wait()
         return await connect(address, body_most)
 
-    def make() -> Service:
-        made.append(Service())
-        return made[-1]
+    def make() -> RegistryStandIn:
+        registries.append(RegistryStandIn())
+        return registries[-1]
 
     monkeypatch.setattr(discovery_client, "connect", dial)
     return make
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -219,12 +219,12 @@
     *scripts: Callable[[str, Head, bytes], bytes | None],
     sockets: int = 256,
     settled: bool = True,
-    service: FakeDiscovery | None = None,
+    registry: FakeDiscovery | None = None,
     **changes: Any,
 ) -> AsyncIterator[World]:
     """A world with one server for each script; its sidecar is called ready at once if `settled`."""
     servers = [FakeServer(f"s-{number}", script) for number, script in enumerate(scripts)]
-    discovery = service or FakeDiscovery()
+    discovery = registry or FakeDiscovery()
     for server in servers:
         await server.start()
     await discovery.start()
--- a/tests/proxy/test_client_connections.py
+++ b/tests/proxy/test_client_connections.py
@@ -18,7 +18,7 @@
     until,
     world,
 )
-from virtual_time import now_s, play_in_virtual_time
+from virtual_time import now_s, run_in_virtual_time
 
 from sidecar.proxy.client_connection import ClientConnection
 from sidecar.proxy.connection_state import ConnectionState
@@ -100,7 +100,7 @@
             assert len(w.sent()) == 1
             writer.close()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 @pytest.mark.parametrize("pipelined", PIPELINED.values(), ids=PIPELINED)
@@ -120,7 +120,7 @@
             assert (await w.ask(kind="look", path="/health/ready"))[0] == 200
             writer.close()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 def test_response_to_a_client_that_has_just_closed_ends_only_its_connection() -> None:
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -7,7 +7,7 @@
 import pytest
 from balancer_harness import SECOND_US
 from loopback import FakeDiscovery, answer, play, served, until, world
-from virtual_time import play_in_virtual_time
+from virtual_time import run_in_virtual_time
 
 from sidecar.balancer.events import ServerState
 from sidecar.proxy.connection_pool import ConnectionPool
@@ -249,7 +249,7 @@
             await until(lambda: len(w.discovery.called_after_s) == 4)
             assert min(w.discovery.called_after_s) >= 0.09
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 def test_response_without_changes_compares_no_addresses(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -11,7 +11,7 @@
 import pytest
 from balancer_harness import MILLISECOND_US, SECOND_US
 from loopback import CLASSES, World, hung, read_message, request, until, world
-from virtual_time import VirtualTimeLoop, now_s, pass_s, play_in_virtual_time
+from virtual_time import VirtualTimeLoop, advance, now_s, run_in_virtual_time
 
 from sidecar.proxy.active_requests import ActiveRequest
 from sidecar.proxy.http_messages import Headers
@@ -29,7 +29,7 @@
     """Let time pass with nothing done."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, VirtualTimeLoop)
-    loop.time_selector.passed += HOLD_UP_S
+    loop.time_selector.elapsed_s += HOLD_UP_S
 
 
 def kill_after_s(deadline_s: float) -> float:
@@ -65,7 +65,7 @@
         except ConnectionError:
             return
         if wait_s:
-            await pass_s(wait_s)
+            await advance(wait_s)
         try:
             while await self._send(reader, writer):
                 await asyncio.sleep(SEND_EVERY_S)
@@ -153,7 +153,7 @@
             hold_up_at_an_answer(monkeypatch, began + kill_s - held_before_kill_s)
             while now_s() < began + NEW_CONNECTIONS_S:
                 clients.open()
-                await pass_s(SEND_EVERY_S)
+                await advance(SEND_EVERY_S)
             while now_s() < began + kill_s:
                 await asyncio.sleep(0.005)
             assert lost(clients, began) == []
@@ -161,7 +161,7 @@
             assert len(new) > 10
             assert all(each.status is not None for each in new)
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 @pytest.mark.parametrize("noticed_late", [False, True])
@@ -187,12 +187,12 @@
             w.stop.set()
             reads = [asyncio.create_task(read_message(reader)) for reader, _ in opened]
             for number, (_, writer) in enumerate(opened):
-                await pass_s(max(began + kill_s * number / CLIENTS - now_s(), 0.0))
+                await advance(max(began + kill_s * number / CLIENTS - now_s(), 0.0))
                 if not reads[number].done():
                     writer.write(data[number][-1:])
-            await pass_s(began + kill_s - now_s())
+            await advance(began + kill_s - now_s())
             assert all(each.done() and each.exception() is None for each in reads)
             for _, writer in opened:
                 writer.close()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
--- a/tests/proxy/test_long_outages.py
+++ b/tests/proxy/test_long_outages.py
@@ -7,7 +7,7 @@
 import pytest
 from balancer_harness import MILLISECOND_US, SECOND_US
 from loopback import served, world
-from virtual_time import Service, now_s, pass_s, play_in_virtual_time, told_within
+from virtual_time import RegistryStandIn, advance, assert_notified_within, now_s, run_in_virtual_time
 
 from sidecar.proxy import connection_table, loop_lag
 
@@ -15,7 +15,7 @@
 RELOADED_S = 4.0  # after SIGHUP, what discovery's new place has counts as notified
 QUIET_S = 600.0
 OUTAGE_S = 300.0
-FAULTS = ("503", "reset", "refused", "silent", "cut off")
+FAULTS = ("503", "reset", "refused", "silent", "partitioned")
 TICK_US = 100 * MILLISECOND_US  # the clock has fewer moments to pass through
 RULES = [{"max_poll_interval_us": 2 * SECOND_US}, {"max_poll_interval_us": 60 * SECOND_US}]
 
@@ -37,25 +37,27 @@
     ],
 )
 def test_change_after_ten_quiet_minutes_is_applied_in_time(
-    fault: str | None, rules: dict[str, int], mode: str, service: Callable[[], Service]
+    fault: str | None, rules: dict[str, int], mode: str, make_registry: Callable[[], RegistryStandIn]
 ) -> None:
     async def scene() -> None:
-        there = service()
-        async with world(served, served, service=there, rules=rules, discovery=mode, tick_us=TICK_US) as w:
-            await pass_s(QUIET_S)
-            assert len(there.targets) > QUIET_S / 5.0  # the watch has gone on
+        registry = make_registry()
+        async with world(
+            served, served, registry=registry, rules=rules, discovery=mode, tick_us=TICK_US
+        ) as w:
+            await advance(QUIET_S)
+            assert len(registry.targets) > QUIET_S / 5.0  # the watch has gone on
             began = now_s()
             if fault is not None:
-                there.fail(fault)
+                registry.fail(fault)
                 if fault != "silent":  # the silence of a watch counts from its begin
-                    await pass_s(2.0)
+                    await advance(2.0)
                     began = now_s()
-                await there.come_back()
-            await there.change(w.servers[0].entry(status="leaving"))
-            await told_within(w, NOTIFIED_WITHIN_S, began)
+                await registry.recover()
+            await registry.change(w.servers[0].entry(status="leaving"))
+            await assert_notified_within(w, NOTIFIED_WITHIN_S, began)
             assert (await w.ask())[2] == b"served"
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 @pytest.mark.parametrize(
@@ -68,39 +70,41 @@
     ],
 )
 def test_change_after_an_outage_of_five_minutes_is_applied_in_time(
-    fault: str, rules: dict[str, int], mode: str, service: Callable[[], Service]
+    fault: str, rules: dict[str, int], mode: str, make_registry: Callable[[], RegistryStandIn]
 ) -> None:
     async def scene() -> None:
-        there = service()
-        async with world(served, served, service=there, rules=rules, discovery=mode, tick_us=TICK_US) as w:
-            there.fail(fault)
-            await pass_s(OUTAGE_S)
+        registry = make_registry()
+        async with world(
+            served, served, registry=registry, rules=rules, discovery=mode, tick_us=TICK_US
+        ) as w:
+            registry.fail(fault)
+            await advance(OUTAGE_S)
             assert (await w.ask())[2] == b"served"  # by the list that it has
-            await there.come_back()
+            await registry.recover()
             began = now_s()
-            await there.change(w.servers[0].entry(status="leaving"))
-            await told_within(w, NOTIFIED_WITHIN_S, began)
+            await registry.change(w.servers[0].entry(status="leaving"))
+            await assert_notified_within(w, NOTIFIED_WITHIN_S, began)
             assert (await w.ask())[2] == b"served"
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
-@pytest.mark.parametrize(("fault", "mode"), [("refused", "on_request"), ("cut off", "pushed")])
+@pytest.mark.parametrize(("fault", "mode"), [("refused", "on_request"), ("partitioned", "pushed")])
 def test_reload_in_an_outage_of_five_minutes_is_applied_at_once(
-    fault: str, mode: str, service: Callable[[], Service]
+    fault: str, mode: str, make_registry: Callable[[], RegistryStandIn]
 ) -> None:
     async def scene() -> None:
-        former, latter = service(), service()
+        former, latter = make_registry(), make_registry()
         await latter.start()
         async with world(
-            served, served, service=former, rules=RULES[1], discovery=mode, tick_us=TICK_US
+            served, served, registry=former, rules=RULES[1], discovery=mode, tick_us=TICK_US
         ) as w:
             former.fail(fault)
-            await pass_s(OUTAGE_S)
+            await advance(OUTAGE_S)
             began = now_s()
             w.sidecar.migrate_discovery(latter.address)
             await latter.change(w.servers[0].entry(status="leaving"))
-            await told_within(w, RELOADED_S, began)
+            await assert_notified_within(w, RELOADED_S, began)
         latter.stop()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
--- a/tests/proxy/test_new_connection_responses.py
+++ b/tests/proxy/test_new_connection_responses.py
@@ -7,7 +7,7 @@
 
 import pytest
 from loopback import hung, is_closed, read_answer, request, served, until, world
-from virtual_time import now_s, pass_s, play_in_virtual_time
+from virtual_time import advance, now_s, run_in_virtual_time
 
 from sidecar.proxy.connection_state import ConnectionState
 from sidecar.proxy.connection_table import ConnectionTable
@@ -27,7 +27,7 @@
             reader, writer = await w.connect()
             if in_pieces:
                 writer.write(data[:30])
-                await pass_s(0.3)
+                await advance(0.3)
                 writer.write(data[30:])
             else:
                 writer.write(data)
@@ -37,7 +37,7 @@
             assert not w.sent()
             writer.close()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 # New connections come for 0.4 s after SIGTERM; the listener stays open for longer.
@@ -48,16 +48,16 @@
         async with world(served) as w:
             w.stop.set()
             await until(lambda: w.sidecar.frontend.draining)
-            await pass_s(after_s)
+            await advance(after_s)
             reader, writer = await w.connect()
-            await pass_s(later_s)
+            await advance(later_s)
             writer.write(SIZES["small"])
             status, headers, _ = await read_answer(reader)
             assert (status, headers["connection"]) == (200, "close")
             assert await is_closed(reader)
             writer.close()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 def test_connection_queued_as_the_listener_closes_gets_a_response() -> None:
@@ -75,7 +75,7 @@
             assert (status, headers["connection"]) == (200, "close")
             writer.close()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 def test_request_in_flight_to_the_end_of_a_drain_gets_a_response_before_sigkill() -> None:
@@ -85,7 +85,7 @@
             w.stop.set()
             await until(lambda: w.sidecar.frontend.draining)
             began = now_s()
-            await pass_s(0.4)
+            await advance(0.4)
             reader, writer = await w.connect()
             writer.write(request("pay", body=b"held", budget="500"))
             status, headers, _ = await read_answer(reader)
@@ -93,7 +93,7 @@
             assert now_s() < began + 3.0 + 0.7  # SIGKILL may come then
             writer.close()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 def test_no_connection_is_evicted_before_its_response_has_been_read() -> None:
@@ -113,4 +113,4 @@
             await until(frontend.table.evict_one)
             writer.close()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
--- a/tests/proxy/test_registry_faults.py
+++ b/tests/proxy/test_registry_faults.py
@@ -11,7 +11,7 @@
 import pytest
 from balancer_harness import SECOND_US
 from loopback import answer, reset, served, until, world
-from virtual_time import Service, now_s, play_in_virtual_time, told_within
+from virtual_time import RegistryStandIn, assert_notified_within, now_s, run_in_virtual_time
 
 from sidecar.proxy import discovery_client, server_connection, sockets
 from sidecar.proxy.addresses import Address
@@ -35,9 +35,9 @@
     in_socket: bool, code: int, times: int, mode: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
-        there = Service()
-        async with world(served, served, service=there, rules=RULES, discovery=mode) as w:
-            await until(lambda: there.targets)
+        registry = RegistryStandIn()
+        async with world(served, served, registry=registry, rules=RULES, discovery=mode) as w:
+            await until(lambda: registry.targets)
             faults = iter([code] * times)
             failed_at: list[float] = []
 
@@ -50,32 +50,32 @@
             new_socket, sock_connect = sockets.new_socket, asyncio.get_running_loop().sock_connect
 
             def make(address: Address) -> socket.socket:
-                if in_socket and address == there.address:
+                if in_socket and address == registry.address:
                     fail_first()
                 return new_socket(address)
 
             async def dial(sock: socket.socket, address: Any) -> None:
-                if not in_socket and address == there.address:
+                if not in_socket and address == registry.address:
                     fail_first()
                 await sock_connect(sock, address)
 
             monkeypatch.setattr(sockets, "new_socket", make)
             monkeypatch.setattr(asyncio.get_running_loop(), "sock_connect", dial)
-            there.fail("reset")
-            there.fault = None
+            registry.fail("reset")
+            registry.fault = None
             await until(lambda: len(failed_at) == times)
             began = failed_at[-1]
-            await there.change(w.servers[0].entry(status="leaving"))
-            await told_within(w, NOTIFIED_WITHIN_S, began)
+            await registry.change(w.servers[0].entry(status="leaving"))
+            await assert_notified_within(w, NOTIFIED_WITHIN_S, began)
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("code", BREAKS)
 def test_change_is_applied_in_time_though_the_watch_breaks(code: int, mode: str) -> None:
     async def scene() -> None:
-        there = Service()
+        registry = RegistryStandIn()
         dialled: list[Connection] = []
         connect = server_connection.connect
 
@@ -85,18 +85,18 @@
 
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(discovery_client, "connect", dial)
-            async with world(served, served, service=there, rules=RULES, discovery=mode) as w:
-                await until(lambda: there.targets)
+            async with world(served, served, registry=registry, rules=RULES, discovery=mode) as w:
+                await until(lambda: registry.targets)
                 transport: Any = dialled[-1]._transport
                 transport._fatal_error(OSError(code, os.strerror(code)))  # as reading it would
                 began = now_s()
-                await there.change(w.servers[0].entry(status="leaving"))
-                await told_within(w, NOTIFIED_WITHIN_S, began)
+                await registry.change(w.servers[0].entry(status="leaving"))
+                await assert_notified_within(w, NOTIFIED_WITHIN_S, began)
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
-class ResettingService(Service):
+class ResettingRegistry(RegistryStandIn):
     """Resets connections as they come up, for a while."""
 
     left = 0
@@ -115,10 +115,10 @@
     connect = server_connection.connect
 
     async def scene() -> None:
-        there = ResettingService()
+        registry = ResettingRegistry()
 
         async def dial(address: Address, body_most: int) -> Connection:
-            is_reset = there.left > 0
+            is_reset = registry.left > 0
             connection = await connect(address, body_most)
             if is_reset:
                 await until(lambda: connection._transport is None or connection._transport.is_closing())
@@ -126,19 +126,19 @@
             return connection
 
         monkeypatch.setattr(discovery_client, "connect", dial)
-        async with world(served, served, service=there, rules=RULES) as w:
-            await until(lambda: there.targets)
-            there.left = 3
-            there.fail("reset")
-            there.fault = None
-            await until(lambda: not there.left)
+        async with world(served, served, registry=registry, rules=RULES) as w:
+            await until(lambda: registry.targets)
+            registry.left = 3
+            registry.fail("reset")
+            registry.fault = None
+            await until(lambda: not registry.left)
             began = now_s()
-            await there.change(w.servers[0].entry(status="leaving"))
-            await told_within(
+            await registry.change(w.servers[0].entry(status="leaving"))
+            await assert_notified_within(
                 w, 2.0, began
             )  # a wait before the next call; given up on, the last would take 2.5 s
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 @pytest.mark.parametrize("mode", MODES)
@@ -157,16 +157,16 @@
         return handle(*given)
 
     async def scene() -> None:
-        there = Service()
-        async with world(served, served, service=there, rules=RULES, discovery=mode) as w:
-            await until(lambda: there.targets)
+        registry = RegistryStandIn()
+        async with world(served, served, registry=registry, rules=RULES, discovery=mode) as w:
+            await until(lambda: registry.targets)
             monkeypatch.setattr(place, where, fail_once)
             began = now_s()
-            await there.change(w.servers[0].entry(status="leaving"))
-            await told_within(w, NOTIFIED_WITHIN_S, began)
+            await registry.change(w.servers[0].entry(status="leaving"))
+            await assert_notified_within(w, NOTIFIED_WITHIN_S, began)
             assert not failures
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 DEEP = b'{"index":42,"endpoints":' + b"[" * 20_000 + b"]" * 20_000 + b"}"
@@ -186,7 +186,7 @@
 }
 
 
-class JunkService(Service):
+class MalformedRegistry(RegistryStandIn):
     """Answers the call that is out with junk, and the next ones as it should."""
 
     junk: bytes | None = None
@@ -201,16 +201,16 @@
 @pytest.mark.parametrize("what", JUNK)
 def test_change_is_applied_in_time_though_junk_came_in_its_place(what: str, mode: str) -> None:
     async def scene() -> None:
-        there = JunkService()
-        async with world(served, served, service=there, rules=RULES, discovery=mode) as w:
-            await until(lambda: there.targets)
-            there.junk = JUNK[what]
+        registry = MalformedRegistry()
+        async with world(served, served, registry=registry, rules=RULES, discovery=mode) as w:
+            await until(lambda: registry.targets)
+            registry.junk = JUNK[what]
             began = now_s()
-            await there.change(w.servers[0].entry(status="leaving"))
-            await told_within(w, NOTIFIED_WITHIN_S, began)
-            assert there.junk is None
+            await registry.change(w.servers[0].entry(status="leaving"))
+            await assert_notified_within(w, NOTIFIED_WITHIN_S, began)
+            assert registry.junk is None
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 def test_entry_with_a_number_too_large_affects_no_other() -> None:
--- a/tests/proxy/test_registry_races.py
+++ b/tests/proxy/test_registry_races.py
@@ -11,7 +11,7 @@
 import pytest
 from balancer_harness import SECOND_US
 from loopback import FakeServer, World, answer, ask, hung, read_answer, request, reset, served, until, world
-from virtual_time import STEP_S, Service, now_s, pass_s, play_in_virtual_time, told_within
+from virtual_time import STEP_S, RegistryStandIn, advance, assert_notified_within, now_s, run_in_virtual_time
 
 from sidecar.balancer.events import ServerState
 from sidecar.proxy import shutdown
@@ -67,12 +67,12 @@
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("reload_first", [True, False])
 def test_drain_is_applied_in_time_where_a_reload_migrates_discovery(
-    reload_first: bool, mode: str, service: Callable[[], Service]
+    reload_first: bool, mode: str, make_registry: Callable[[], RegistryStandIn]
 ) -> None:
     async def scene() -> None:
-        former, latter = service(), service()
+        former, latter = make_registry(), make_registry()
         await latter.start()
-        async with world(hung, served, service=former, rules=RULES, discovery=mode) as w:
+        async with world(hung, served, registry=former, rules=RULES, discovery=mode) as w:
             reader, writer = await hold_at_first(w)
             leaving = w.servers[0].entry(status="leaving")
             if not reload_first:
@@ -80,29 +80,29 @@
             w.sidecar.migrate_discovery(latter.address)
             began = now_s()
             if reload_first:
-                await pass_s(STEP_S)
+                await advance(STEP_S)
                 assert latter.targets[0] == "/registry/instances"  # asked at once, for the complete list
                 await latter.change(leaving)
-            await told_within(w, RELOADED_S, began)
+            await assert_notified_within(w, RELOADED_S, began)
             await nothing_more_reaches_the_first(w)
             w.servers[0].writers[-1].write(answer(200, b"late"))  # what it has, it finishes
             assert (await read_answer(reader))[2] == b"late"
             writer.close()
         latter.stop()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 @pytest.mark.parametrize("reload_first", [True, False])
 def test_drain_notified_after_sigterm_and_a_reload_keeps_late_requests_from_its_server(
-    reload_first: bool, service: Callable[[], Service], monkeypatch: pytest.MonkeyPatch
+    reload_first: bool, make_registry: Callable[[], RegistryStandIn], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(shutdown, "_ACCEPT_S", 600.0)  # connections are taken for as long as the test needs
 
     async def scene() -> None:
-        former, latter = service(), service()
+        former, latter = make_registry(), make_registry()
         await latter.start()
-        async with world(hung, served, service=former, rules=RULES) as w:
+        async with world(hung, served, registry=former, rules=RULES) as w:
             reader, writer = await hold_at_first(w)
             steps = [lambda: w.sidecar.migrate_discovery(latter.address), w.stop.set]
             for step in steps if reload_first else reversed(steps):
@@ -112,7 +112,7 @@
             await until(lambda: latter.targets)
             began = now_s()
             await latter.change(w.servers[0].entry(status="leaving"))
-            await told_within(w, RELOADED_S, began)
+            await assert_notified_within(w, RELOADED_S, began)
             await nothing_more_reaches_the_first(w)
             w.servers[0].writers[-1].write(answer(200, b"late"))
             status, headers, body = await read_answer(reader)
@@ -120,7 +120,7 @@
             writer.close()
         latter.stop()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 # -- A silence that begins late
@@ -130,28 +130,28 @@
 @pytest.mark.parametrize("missed_after_s", [0.0, 1.0, 2.4, 3.9, 5.0])
 @pytest.mark.parametrize("open_for_s", [0.0, 1.5, 3.1])
 def test_change_missed_by_a_watch_that_falls_silent_after_other_events_is_applied_in_time(
-    open_for_s: float, missed_after_s: float, mode: str, service: Callable[[], Service]
+    open_for_s: float, missed_after_s: float, mode: str, make_registry: Callable[[], RegistryStandIn]
 ) -> None:
     async def scene() -> None:
-        there = service()
-        async with world(served, served, service=there, rules=RULES, discovery=mode) as w:
+        registry = make_registry()
+        async with world(served, served, registry=registry, rules=RULES, discovery=mode) as w:
             weight = 1.0
             for _ in range(3):
-                await pass_s(2.0)
+                await advance(2.0)
                 weight += 1.0
-                await there.change(w.servers[1].entry(weight=weight))
-            calls = len(there.targets)
-            await until(lambda: len(there.targets) > calls)  # the next watch is out
-            await pass_s(open_for_s)
-            there.fail("silent")  # for the calls that are out, and no others
-            await there.come_back()
+                await registry.change(w.servers[1].entry(weight=weight))
+            calls = len(registry.targets)
+            await until(lambda: len(registry.targets) > calls)  # the next watch is out
+            await advance(open_for_s)
+            registry.fail("silent")  # for the calls that are out, and no others
+            await registry.recover()
             began = now_s()
-            await pass_s(missed_after_s)
-            await there.change(w.servers[0].entry(status="leaving"))
-            await told_within(w, NOTIFIED_WITHIN_S, began)
+            await advance(missed_after_s)
+            await registry.change(w.servers[0].entry(status="leaving"))
+            await assert_notified_within(w, NOTIFIED_WITHIN_S, began)
             await nothing_more_reaches_the_first(w)
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 # -- A complete list that leaves out what drains, or what is in use
@@ -186,7 +186,7 @@
             await until(lambda: first.closed == len(first.writers))  # no connection to it is kept
             writer.close()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 def test_request_whose_server_is_missing_from_a_snapshot_and_dies_is_retried_only_if_safe() -> None:
@@ -206,13 +206,13 @@
             assert [head["x-call-class"] for _, head, _ in survivor.requests] == ["look"]
             survivor.stop()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 # -- A watch that ends without its event x a first response that is the complete list
 
 
-class EndingService(Service):
+class WatchEndingRegistry(RegistryStandIn):
     """Ends the watches that are out as something changes; calls anew get the complete list at once."""
 
     how = "reset"
@@ -244,14 +244,14 @@
 @pytest.mark.parametrize("how", ["reset", "503", "half an answer", "end"])
 def test_watch_ends_without_its_event_and_the_snapshot_lacks_what_drains(how: str, mode: str) -> None:
     async def scene() -> None:
-        there = EndingService()
-        there.how = how
-        async with world(served, served, service=there, rules=RULES, discovery=mode) as w:
-            there.listed = [each.entry() for each in w.servers]
-            await until(partial(there.called, 2))  # a watch has ended by its time, and the next is out
-            await there.change(w.servers[0].entry(status="leaving"))
+        registry = WatchEndingRegistry()
+        registry.how = how
+        async with world(served, served, registry=registry, rules=RULES, discovery=mode) as w:
+            registry.listed = [each.entry() for each in w.servers]
+            await until(partial(registry.called, 2))  # a watch has ended by its time, and the next is out
+            await registry.change(w.servers[0].entry(status="leaving"))
             await gone_within(w, NOTIFIED_WITHIN_S, now_s())
             await nothing_more_reaches_the_first(w)
             assert (await ask(w.sidecar.frontend.address, request(path="/health/ready")))[0] == 200
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
--- a/tests/proxy/test_request_crossings.py
+++ b/tests/proxy/test_request_crossings.py
@@ -24,7 +24,7 @@
     until,
     world,
 )
-from virtual_time import now_s, pass_s, play_in_virtual_time
+from virtual_time import advance, now_s, run_in_virtual_time
 
 from sidecar.balancer.events import ServerState
 from sidecar.proxy import connection_dialer, server_connection
@@ -186,7 +186,7 @@
             assert [each for *_, each in w.servers[1].requests[-4:]] == [b"in single bytes"] * 4
             writer.close()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 @pytest.mark.parametrize("used", [False, True], ids=["new connection", "used connection"])
@@ -205,7 +205,7 @@
             assert [each for *_, each in w.servers[0].requests[used:]] == [b"in single bytes"]
             writer.close()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 @pytest.mark.parametrize("used", [False, True], ids=["new connection", "used connection"])
@@ -232,7 +232,7 @@
             assert len(w.sent()) == used
             writer.close()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 # -- SIGTERM x what clients go on sending
@@ -275,7 +275,7 @@
             assert await is_closed(reader)
             writer.close()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 @pytest.mark.parametrize("after_s", [0.0, 0.01, 0.3, 0.49, 0.51, 0.6, 1.2])
@@ -288,7 +288,7 @@
             reader, writer = await CONNECTIONS[how](w)
             w.stop.set()
             await until(lambda: w.sidecar.frontend.draining)
-            await pass_s(after_s)
+            await advance(after_s)
             writer.write(CROSSING[30:] if how == "half a request" else CROSSING)
             try:
                 status, headers, body = await read_answer(reader)
@@ -301,7 +301,7 @@
             await until(lambda: w.sidecar.frontend.is_empty())
             writer.close()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 def test_request_behind_the_last_response_of_a_drain_is_not_forwarded() -> None:
@@ -322,7 +322,7 @@
             assert [head["x-call-id"] for _, head, _ in w.sent()] == ["first"]
             writer.close()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 def test_pipelined_request_is_answered_before_a_drain_closes_its_connection() -> None:
@@ -344,4 +344,4 @@
             assert [head["x-call-id"] for _, head, _ in w.sent()] == ["first", "crossing"]
             writer.close()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
--- a/tests/proxy/test_stalled_clients.py
+++ b/tests/proxy/test_stalled_clients.py
@@ -6,7 +6,7 @@
 
 import pytest
 from loopback import PATIENCE_S, hung, is_closed, read_answer, request, served, until, world
-from virtual_time import now_s, pass_s, play_in_virtual_time
+from virtual_time import advance, now_s, run_in_virtual_time
 
 BAD_PEER_S = 3.0  # by when a client that breaks the protocol gets its error or a close
 
@@ -36,7 +36,7 @@
             for number in range(earlier):
                 writer.write(request(X_Call_Id=f"{number}"))
                 assert (await read_answer(reader))[0] == 200
-                await pass_s(0.5)
+                await advance(0.5)
             began = now_s()
             writer.write(stop)
             got = await asyncio.wait_for(reader.read(), PATIENCE_S)
@@ -47,7 +47,7 @@
             assert len(w.sent()) == earlier
             writer.close()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 @pytest.mark.parametrize("pieces_s", [0.2, 0.9])
@@ -58,12 +58,12 @@
             began = now_s()
             for piece in (WHOLE[:10], WHOLE[10:20]):
                 writer.write(piece)
-                await pass_s(pieces_s)
+                await advance(pieces_s)
             assert b"HTTP/1.1 408 " in await asyncio.wait_for(reader.read(), PATIENCE_S)
             assert now_s() < began + BAD_PEER_S
             writer.close()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 @pytest.mark.parametrize("answered_after_s", [0.0, 0.5, 1.8])
@@ -80,7 +80,7 @@
             writer.write(stop)
             (connection,) = w.sidecar.frontend.connections
             await until(connection.has_partial_request)
-            await pass_s(answered_after_s)
+            await advance(answered_after_s)
             w.servers[0].writers[0].write(served())
             status, _, body = await read_answer(reader)
             assert (status, body) == (200, b"served")
@@ -89,7 +89,7 @@
             assert len(w.sent()) == 1
             writer.close()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
 
 
 def test_complete_pipelined_request_is_served_next() -> None:
@@ -104,11 +104,11 @@
             w.servers[0].script = served
             w.servers[0].writers[0].write(served())
             assert (await read_answer(reader))[0] == 200
-            await pass_s(1.0)
+            await advance(1.0)
             writer.write(WHOLE[30:])
             assert (await read_answer(reader))[0] == 200
             assert await is_closed(reader)  # it rested for long enough
             assert len(w.sent()) == 2
             writer.close()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scene())
