--- a/tests/configuration/reload_stage.py
+++ b/tests/configuration/reload_stage.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from balancer_harness import settings
-from loopback import CLASSES, LIMITS
+from proxy_harness import CLASSES, LIMITS
 
 from sidecar.config import Config
 from sidecar.settings import Settings
--- a/tests/configuration/test_consecutive_reloads.py
+++ b/tests/configuration/test_consecutive_reloads.py
@@ -10,7 +10,7 @@
 
 import pytest
 from balancer_harness import SECOND_US
-from loopback import hung, served, until, world
+from proxy_harness import never_respond, respond_ok, running_proxy, wait_until
 from reload_stage import read_from
 from virtual_time import RegistryStandIn, advance, assert_notified_within, now_s, run_in_virtual_time
 
@@ -45,48 +45,48 @@
 @pytest.mark.parametrize("failures", [1, 4])
 @pytest.mark.parametrize("code", FAULTS)
 def test_a_drain_is_applied_in_time_though_the_file_is_unreadable_at_first(code: int, failures: int) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         old, new = RegistryStandIn(), RegistryStandIn()
         await new.start()
-        async with world(served, served, registry=old, rules=RULES) as w:
-            file = FlakyFile(replace(w.config, discovery=new.address), code, failures)
-            signal = ReloadSignalHandler(Reloader(w.config, w.sidecar.reconfigure), file.read)
-            await new.change(w.servers[0].entry(status="leaving"))
+        async with running_proxy(respond_ok, respond_ok, registry=old, rules=RULES) as proxy:
+            file = FlakyFile(replace(proxy.config, discovery=new.address), code, failures)
+            signal = ReloadSignalHandler(Reloader(proxy.config, proxy.sidecar.reconfigure), file.read)
+            await new.change(proxy.servers[0].entry(status="leaving"))
             began = now_s()
             signal.handle_signal()
-            await assert_notified_within(w, RELOADED_S, began)
+            await assert_notified_within(proxy, RELOADED_S, began)
         new.stop()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 def test_retries_of_an_unreadable_file_end_and_leave_the_configuration() -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            reloader = Reloader(w.config, w.sidecar.reconfigure)
-            file = FlakyFile(w.config, errno.EIO, failures=1_000)
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            reloader = Reloader(proxy.config, proxy.sidecar.reconfigure)
+            file = FlakyFile(proxy.config, errno.EIO, failures=1_000)
             ReloadSignalHandler(reloader, file.read).handle_signal()
             await advance(10.0)
             assert file.reads == 1 + len(reload._RETRY_DELAYS_S)
-            assert reloader.active is w.config
+            assert reloader.active is proxy.config
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 def test_a_signal_cancels_the_retries_of_an_earlier_one() -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            reloader = Reloader(w.config, w.sidecar.reconfigure)
-            file = FlakyFile(w.config, errno.EIO, failures=1)
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            reloader = Reloader(proxy.config, proxy.sidecar.reconfigure)
+            file = FlakyFile(proxy.config, errno.EIO, failures=1)
             signal = ReloadSignalHandler(reloader, file.read)
             signal.handle_signal()
-            file.content = replace(w.config, version=5)
+            file.content = replace(proxy.config, version=5)
             signal.handle_signal()
             await advance(5.0)
             assert file.reads == 2
             assert reloader.active.version == 5
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 def read_bad_file() -> Config:
@@ -103,18 +103,22 @@
 def test_of_consecutive_reloads_the_last_is_in_force_and_its_changes_are_applied_in_time(
     fault: str | None, apart_s: float, between: str, mode: str, make_registry: Callable[[], RegistryStandIn]
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         first, middle, last = make_registry(), make_registry(), make_registry()
         for each in (middle, last):
             await each.start()
         if fault is not None:
             middle.fail(fault)
-        async with world(hung, served, registry=first, rules=RULES, discovery=mode) as w:
-            await until(lambda: first.targets)
-            pending = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="500"))
-            await until(w.sent)
-            reloader = Reloader(w.config, w.sidecar.reconfigure)
-            configs = [replace(w.config, discovery=each.address) for each in (middle, first, middle, last)]
+        async with running_proxy(
+            never_respond, respond_ok, registry=first, rules=RULES, discovery=mode
+        ) as proxy:
+            await wait_until(lambda: first.targets)
+            pending = asyncio.create_task(proxy.send_request(kind="pay", body=b"x", budget="500"))
+            await wait_until(proxy.sent)
+            reloader = Reloader(proxy.config, proxy.sidecar.reconfigure)
+            configs = [
+                replace(proxy.config, discovery=each.address) for each in (middle, first, middle, last)
+            ]
             for number, config in enumerate(configs, start=1):
                 await advance(apart_s)
                 began = now_s()
@@ -125,15 +129,15 @@
                 elif between == "the same file":
                     reloader.reload(lambda: reloader.active)
                 elif between == "a drain" and number == 2:
-                    w.stop.set()
-            await last.change(w.servers[1].entry(weight=2.0))
-            await last.change(w.servers[0].entry(status="leaving"))
-            await assert_notified_within(w, RELOADED_S, began)
+                    proxy.stop.set()
+            await last.change(proxy.servers[1].entry(weight=2.0))
+            await last.change(proxy.servers[0].entry(status="leaving"))
+            await assert_notified_within(proxy, RELOADED_S, began)
             assert last.targets[0] == "/registry/instances"
-            assert w.sidecar._endpoint_list.client._address == last.address
-            await until(lambda: len(last.targets) > 1)  # the watch goes on there
+            assert proxy.sidecar._endpoint_list.client._address == last.address
+            await wait_until(lambda: len(last.targets) > 1)  # the watch goes on there
             pending.cancel()
         for each in (middle, last):
             each.stop()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
--- a/tests/proxy/pool_requests.py
+++ b/tests/proxy/pool_requests.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from loopback import PATIENCE_S
+from proxy_harness import TIMEOUT_S
 
 from sidecar.balancer.events import Outcome
 from sidecar.proxy.connection_pool import ConnectionPool
@@ -22,7 +22,7 @@
     return EncodedRequest(encode_post(body))
 
 
-async def outcome_of(pool: ConnectionPool, timeout_s: float = PATIENCE_S, body: bytes = b"") -> Outcome:
+async def outcome_of(pool: ConnectionPool, timeout_s: float = TIMEOUT_S, body: bytes = b"") -> Outcome:
     """Send a POST to server s; return its outcome."""
     loop = asyncio.get_running_loop()
     ended: asyncio.Future[Outcome] = loop.create_future()
@@ -31,4 +31,4 @@
         ended.set_result(outcome)  # a second outcome would raise here
 
     pool.send("s", post_request(body), loop.time() + timeout_s, on_outcome)
-    return await asyncio.wait_for(ended, PATIENCE_S)
+    return await asyncio.wait_for(ended, TIMEOUT_S)
--- a/tests/proxy/race_stage.py
+++ b/tests/proxy/race_stage.py
@@ -9,9 +9,9 @@
 import socket
 import time
 
-from loopback import (
-    PATIENCE_S,
-    World,
+from proxy_harness import (
+    TIMEOUT_S,
+    ProxyHarness,
 )
 
 from sidecar.proxy.addresses import Address
@@ -33,7 +33,7 @@
 
     def leave(self) -> None:
         self._sock.shutdown(socket.SHUT_WR)
-        deadline = time.monotonic() + PATIENCE_S
+        deadline = time.monotonic() + TIMEOUT_S
         while self._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] != _FIN_WAIT2:
             assert time.monotonic() < deadline
 
@@ -41,17 +41,17 @@
         self._sock.close()
 
 
-def connection_of(w: World, ident: str) -> Connection:
+def connection_of(proxy: ProxyHarness, ident: str) -> Connection:
     """The connection that a request's attempt is out on."""
-    (live,) = [each for each in w.sidecar._active if each.client_request.request_id == ident]
+    (live,) = [each for each in proxy.sidecar._active if each.client_request.request_id == ident]
     (exchange,) = live.in_flight.values()
     assert exchange is not None
     assert exchange.connection is not None
     return exchange.connection
 
 
-async def rested_everywhere(w: World) -> None:
+async def rested_everywhere(proxy: ProxyHarness) -> None:
     """Let each server have a connection that carries nothing: what is sent next is written at once."""
-    w.sidecar._pool._idle_connections.reuse_delay_s = 0.0
-    while not all(each.writers for each in w.servers):
-        assert (await w.ask())[0] == 200
+    proxy.sidecar._pool._idle_connections.reuse_delay_s = 0.0
+    while not all(each.writers for each in proxy.servers):
+        assert (await proxy.send_request())[0] == 200
--- a/tests/proxy/test_accept_faults.py
+++ b/tests/proxy/test_accept_faults.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from loopback import World, play, served, until, world
+from proxy_harness import ProxyHarness, respond_ok, run_scenario, running_proxy, wait_until
 
 from sidecar.proxy import listener
 
@@ -51,9 +51,9 @@
     return errno.errorcode[code] if isinstance(code, int) else str(code)
 
 
-def fail_accepts(w: World, code: int, failures: int) -> FailingListener:
+def fail_accepts(proxy: ProxyHarness, code: int, failures: int) -> FailingListener:
     """Make the next accepts of a sidecar fail."""
-    frontend = w.sidecar.frontend
+    frontend = proxy.sidecar.frontend
     frontend._sock = made = FailingListener(frontend._sock, code, failures)  # type: ignore[assignment]
     return made
 
@@ -73,38 +73,38 @@
 def test_fault_of_one_queued_connection_does_not_delay_the_next(
     monkeypatch: pytest.MonkeyPatch, code: int
 ) -> None:
-    async def scene() -> None:
-        async with world(served) as w:
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
             faults = record_loop_faults()
             pauses: list[None] = []
-            monkeypatch.setattr(w.sidecar.frontend, "_pause_accepting", lambda: pauses.append(None))
-            await until(lambda: w.sidecar.frontend._accepting)
-            fail_accepts(w, code, 3)
-            assert (await w.ask())[0] == 200
+            monkeypatch.setattr(proxy.sidecar.frontend, "_pause_accepting", lambda: pauses.append(None))
+            await wait_until(lambda: proxy.sidecar.frontend._accepting)
+            fail_accepts(proxy, code, 3)
+            assert (await proxy.send_request())[0] == 200
             assert not faults
             assert not pauses
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("code", [*CONNECTION_ERRORS, *RESOURCE_ERRORS], ids=name_of)
 def test_failing_accepts_back_off_and_end_nothing(code: int) -> None:
-    async def scene() -> None:
-        async with world(served) as w:
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
             faults = record_loop_faults()
-            sock = fail_accepts(w, code, 40)
+            sock = fail_accepts(proxy, code, 40)
             began = asyncio.get_running_loop().time()
-            assert (await w.ask())[0] == 200
+            assert (await proxy.send_request())[0] == 200
             elapsed = asyncio.get_running_loop().time() - began
             assert not faults
             backoffs = 40 / listener._MAX_ACCEPT_ATTEMPTS
             assert elapsed >= backoffs * 0.05 * 0.9  # it left the queue alone meanwhile
             assert sock.accepts < 50
 
-    play(scene())
+    run_scenario(scenario())
 
 
-def fail_method(method: str) -> Callable[[pytest.MonkeyPatch, World], None]:
+def fail_method(method: str) -> Callable[[pytest.MonkeyPatch, ProxyHarness], None]:
     """Makes a method of the next accepted socket fail, as after a reset."""
 
     class Broken(socket.socket):
@@ -115,21 +115,21 @@
 
     setattr(Broken, method, fail)
 
-    def apply(monkeypatch: pytest.MonkeyPatch, w: World) -> None:
-        real = w.sidecar.frontend._sock
+    def apply(monkeypatch: pytest.MonkeyPatch, proxy: ProxyHarness) -> None:
+        real = proxy.sidecar.frontend._sock
 
         class Breaking(FailingListener):
             def accept(self) -> Any:
                 sock, address = real.accept()
-                w.sidecar.frontend._sock = real
+                proxy.sidecar.frontend._sock = real
                 return Broken(fileno=sock.detach()), address
 
-        w.sidecar.frontend._sock = Breaking(real, 0, 0)  # type: ignore[assignment]
+        proxy.sidecar.frontend._sock = Breaking(real, 0, 0)  # type: ignore[assignment]
 
     return apply
 
 
-def fail_transport(monkeypatch: pytest.MonkeyPatch, w: World) -> None:
+def fail_transport(monkeypatch: pytest.MonkeyPatch, proxy: ProxyHarness) -> None:
     """Make the next accepted socket fail while its transport is set up."""
     loop = asyncio.get_running_loop()
     connect = loop.connect_accepted_socket
@@ -150,24 +150,24 @@
 
 @pytest.mark.parametrize("apply", SOCKET_FAULTS.values(), ids=SOCKET_FAULTS)
 def test_accepted_socket_that_fails_is_closed_and_no_longer_counted(
-    monkeypatch: pytest.MonkeyPatch, apply: Callable[[pytest.MonkeyPatch, World], None]
+    monkeypatch: pytest.MonkeyPatch, apply: Callable[[pytest.MonkeyPatch, ProxyHarness], None]
 ) -> None:
-    async def scene() -> None:
-        async with world(served) as w:
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
             faults = record_loop_faults()
-            await until(lambda: w.sidecar.frontend._accepting)
+            await wait_until(lambda: proxy.sidecar.frontend._accepting)
             before = count_descriptors()
-            apply(monkeypatch, w)
-            client = socket.create_connection(w.sidecar.frontend.address)
+            apply(monkeypatch, proxy)
+            client = socket.create_connection(proxy.sidecar.frontend.address)
             client.setblocking(False)
             reader, writer = await asyncio.open_connection(sock=client)
             assert await asyncio.wait_for(reader.read(), 20.0) == b""
             writer.close()
-            await until(lambda: w.sidecar.frontend.is_empty() and count_descriptors() == before)
+            await wait_until(lambda: proxy.sidecar.frontend.is_empty() and count_descriptors() == before)
             assert not faults
-            assert (await w.ask())[0] == 200
+            assert (await proxy.send_request())[0] == 200
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def fail_opening(monkeypatch: pytest.MonkeyPatch, code: int, failures: int) -> list[int]:
@@ -201,13 +201,13 @@
 def test_opening_the_listener_is_retried_on_transient_errors(
     monkeypatch: pytest.MonkeyPatch, code: int
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         calls = fail_opening(monkeypatch, code, 3)
-        async with world(served) as w:
-            assert (await w.ask())[0] == 200
+        async with running_proxy(respond_ok) as proxy:
+            assert (await proxy.send_request())[0] == 200
             assert len(calls) == 4
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("patience_s", [10.0, 0.0])
--- a/tests/proxy/test_attempt_outcomes.py
+++ b/tests/proxy/test_attempt_outcomes.py
@@ -6,8 +6,20 @@
 import socket
 
 import pytest
-from loopback import PATIENCE_S, FakeServer, answer, ask, hung, play, request, reset, served, until, world
 from pool_requests import encode_post, outcome_of, post_request
+from proxy_harness import (
+    TIMEOUT_S,
+    FakeServer,
+    encode_response,
+    never_respond,
+    request,
+    reset,
+    respond_ok,
+    run_scenario,
+    running_proxy,
+    send_request,
+    wait_until,
+)
 
 from sidecar.balancer.actions import Action
 from sidecar.balancer.events import AttemptEnded, Event, Outcome, ServerState
@@ -18,35 +30,35 @@
 
 
 def test_request_and_response_are_forwarded_unchanged() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         body = bytes(range(256)) * 16
-        async with world(lambda *_: answer(200, body, Content_Type="x/y")) as w:
+        async with running_proxy(lambda *_: encode_response(200, body, Content_Type="x/y")) as proxy:
             sent = request("amend", "/api/7f3a?q=1", b"\0body\xff", X_Caller="acme")
-            status, headers, got = await ask(w.sidecar.frontend.address, sent)
+            status, headers, got = await send_request(proxy.sidecar.frontend.address, sent)
             assert (status, headers["content-type"], got) == (200, "x/y", body)
-            ((first, given, there),) = w.sent()
+            ((first, given, there),) = proxy.sent()
             assert first == "POST /api/7f3a?q=1 HTTP/1.1"
             assert there == b"\0body\xff"
             assert given["x-call-id"] == "9b1f03aa5c7e2d41"
             assert given["idempotency-key"] == "5c0f6e1a"
             assert 0.0 < float(given["x-budget"]) < 5.0
 
-    play(scene())
+    run_scenario(scenario())
 
 
 # Guards rule 2: of an unsafe request only these ends prove that it never ran.
 @pytest.mark.parametrize(
     ("reply", "status", "attempts"),
     [
-        (answer(503, b"", X_Rejected="1"), 200, 2),
-        (answer(504, b"", X_Rejected="1"), 200, 2),
-        (answer(503, b""), 500, 1),
-        (answer(500, b"", X_Rejected="1"), 500, 1),
+        (encode_response(503, b"", X_Rejected="1"), 200, 2),
+        (encode_response(504, b"", X_Rejected="1"), 200, 2),
+        (encode_response(503, b""), 500, 1),
+        (encode_response(500, b"", X_Rejected="1"), 500, 1),
         # These say two things: one answer may be another request's, and one header takes the other back.
-        (answer(503, b"", X_Rejected="1") + answer(200, b"served"), 500, 1),
-        (answer(503, b"", X_Rejected="1") + answer(503, b"", X_Rejected="1"), 500, 1),
-        (answer(503, b"", X_Rejected="1") + b"nonsense", 500, 1),
-        (answer(503, b"", X_Rejected="1", x_rejected="0"), 500, 1),
+        (encode_response(503, b"", X_Rejected="1") + encode_response(200, b"served"), 500, 1),
+        (encode_response(503, b"", X_Rejected="1") + encode_response(503, b"", X_Rejected="1"), 500, 1),
+        (encode_response(503, b"", X_Rejected="1") + b"nonsense", 500, 1),
+        (encode_response(503, b"", X_Rejected="1", x_rejected="0"), 500, 1),
         (b"", 500, 1),
         (b"HTTP/1.1 200 X\r\nContent-Length: 10\r\nConnection: close\r\n\r\nshort", 500, 1),
         (b"nonsense\r\n\r\n", 500, 1),
@@ -55,29 +67,29 @@
 def test_non_idempotent_request_is_retried_only_if_it_never_ran(
     reply: bytes, status: int, attempts: int
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         replies = [reply]
 
         def first_so(*_: object) -> bytes:
-            return replies.pop() if replies else answer(200, b"served")
+            return replies.pop() if replies else encode_response(200, b"served")
 
-        async with world(first_so, first_so, first_so) as w:
-            got, _, body = await w.ask(kind="pay", body=b"x")
+        async with running_proxy(first_so, first_so, first_so) as proxy:
+            got, _, body = await proxy.send_request(kind="pay", body=b"x")
             assert got == status
             assert (body == b"served") == (status == 200)
-            assert len(w.sent()) == attempts
+            assert len(proxy.sent()) == attempts
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_refused_connection_lets_even_a_non_idempotent_request_be_retried() -> None:
-    async def scene() -> None:
-        async with world(served, served) as w:
-            w.servers[0].stop()
+    async def scenario() -> None:
+        async with running_proxy(respond_ok, respond_ok) as proxy:
+            proxy.servers[0].stop()
             for _ in range(3):
-                assert (await w.ask(kind="pay", body=b"x"))[0] == 200
+                assert (await proxy.send_request(kind="pay", body=b"x"))[0] == 200
 
-    play(scene())
+    run_scenario(scenario())
 
 
 # Guards rule 1: what announces more than came has been cut short, and is never passed on.
@@ -89,17 +101,17 @@
     ],
 )
 def test_truncated_body_is_not_forwarded(cut: bytes) -> None:
-    async def scene() -> None:
-        async with world(lambda *_: cut) as w:
-            asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
-            await until(w.sent)
+    async def scenario() -> None:
+        async with running_proxy(lambda *_: cut) as proxy:
+            asking = asyncio.create_task(proxy.send_request(kind="pay", body=b"x"))
+            await wait_until(proxy.sent)
             await asyncio.sleep(0)
-            server = w.servers[0]
-            await until(lambda: server.writers)
+            server = proxy.servers[0]
+            await wait_until(lambda: server.writers)
             server.writers[0].close()
             assert (await asking)[0] == 500
 
-    play(scene())
+    run_scenario(scenario())
 
 
 MALFORMED = [
@@ -119,52 +131,54 @@
     malformed: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The server keeps the connection open: nothing but the answer itself tells.
-    async def scene() -> None:
-        async with world(lambda *_: malformed) as w:
-            real, heard = w.sidecar._balancer.handle, []
+    async def scenario() -> None:
+        async with running_proxy(lambda *_: malformed) as proxy:
+            real, heard = proxy.sidecar._balancer.handle, []
 
             def handle(now: int, event: Event) -> list[Action]:
                 heard.append(event)
                 return real(now, event)
 
-            monkeypatch.setattr(w.sidecar._balancer, "handle", handle)
-            assert (await w.ask(kind="pay", body=b"x"))[0] == 500  # it may have run
+            monkeypatch.setattr(proxy.sidecar._balancer, "handle", handle)
+            assert (await proxy.send_request(kind="pay", body=b"x"))[0] == 500  # it may have run
             assert [each.outcome for each in heard if isinstance(each, AttemptEnded)] == [Outcome.ERROR]
-            await until(lambda: w.servers[0].closed == 1)
-            w.servers[0].script = served
-            assert (await w.ask())[0] == 200
-            assert len(w.servers[0].writers) == 2
+            await wait_until(lambda: proxy.servers[0].closed == 1)
+            proxy.servers[0].script = respond_ok
+            assert (await proxy.send_request())[0] == 200
+            assert len(proxy.servers[0].writers) == 2
 
-    play(scene())
+    run_scenario(scenario())
 
 
-@pytest.mark.parametrize("more", [answer(200, b"a second copy"), b"noise"])
+@pytest.mark.parametrize("more", [encode_response(200, b"a second copy"), b"noise"])
 def test_excess_data_after_a_response_costs_its_connection_and_nothing_else(more: bytes) -> None:
-    async def scene() -> None:
-        async with world(lambda *_: b"HTTP/1.1 103 X\r\n\r\n" + answer(200, b"done") + more) as w:
+    async def scenario() -> None:
+        async with running_proxy(
+            lambda *_: b"HTTP/1.1 103 X\r\n\r\n" + encode_response(200, b"done") + more
+        ) as proxy:
             for number in range(3):
-                assert (await w.ask(X_Call_Id=f"{number}"))[2] == b"done"
-            assert len(w.servers[0].writers) == 3
+                assert (await proxy.send_request(X_Call_Id=f"{number}"))[2] == b"done"
+            assert len(proxy.servers[0].writers) == 3
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_hung_server_leaves_time_for_a_response_and_its_connection_is_closed() -> None:
-    async def scene() -> None:
-        async with world(hung) as w:
+    async def scenario() -> None:
+        async with running_proxy(never_respond) as proxy:
             loop = asyncio.get_running_loop()
             began = loop.time()
-            status, _, _ = await w.ask(kind="pay", body=b"x", budget="0.6")
+            status, _, _ = await proxy.send_request(kind="pay", body=b"x", budget="0.6")
             assert status == 500
             assert loop.time() - began > 0.3
-            await until(lambda: w.servers[0].closed == 1)
-            assert len(w.sent()) == 1
+            await wait_until(lambda: proxy.servers[0].closed == 1)
+            assert len(proxy.sent()) == 1
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_reset_before_the_last_byte_is_written_proves_that_the_request_never_ran() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         body = bytes(32 * 1024 * 1024)  # more than the kernel takes: the rest waits in the transport
         listener = socket.create_server(("127.0.0.1", 0))
         connection = await connect(listener.getsockname()[:2], 1024)
@@ -173,18 +187,18 @@
         connection.request(encode_post(body), ended.set_result)
         assert not connection.request_written
         other.close()  # with bytes unread: a reset
-        assert await asyncio.wait_for(ended, PATIENCE_S) is None
+        assert await asyncio.wait_for(ended, TIMEOUT_S) is None
         assert (
             classify_outcome(None, connection.request_written, connection.protocol_error)
             is Outcome.CONNECT_FAILED
         )
         listener.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_request_is_written_once_the_transport_has_handed_all_of_it_to_the_kernel() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         body = bytes(32 * 1024 * 1024)
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
@@ -195,39 +209,39 @@
         connection.request(encode_post(body), ended.set_result)
         await reader.readuntil(b"\r\n\r\n")
         await reader.readexactly(len(body))
-        await until(lambda: connection.request_written)
+        await wait_until(lambda: connection.request_written)
         reset(writer)
-        assert await asyncio.wait_for(ended, PATIENCE_S) is None
+        assert await asyncio.wait_for(ended, TIMEOUT_S) is None
         assert classify_outcome(None, connection.request_written, connection.protocol_error) is Outcome.RESET
         listener.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_attempt_past_its_deadline_is_never_sent() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         pool = ConnectionPool(1.0, 60.0, 10)
         pool.update("s", ("127.0.0.1", 1), None, ServerState.READY)
         assert await outcome_of(pool, -1.0) is Outcome.NOT_SENT
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_cancelled_attempt_has_one_outcome_and_its_connection_is_closed() -> None:
-    async def scene() -> None:
-        server = FakeServer("s", hung)
+    async def scenario() -> None:
+        server = FakeServer("s", never_respond)
         await server.start()
         pool = ConnectionPool(1.0, 60.0, 10)
         pool.update("s", server.address, None, ServerState.READY)
         outcomes: list[Outcome] = []
         loop = asyncio.get_running_loop()
         exchange: Exchange = pool.send("s", post_request(), loop.time() + 30, lambda o, _: outcomes.append(o))
-        await until(lambda: server.requests)
+        await wait_until(lambda: server.requests)
         pool.cancel(exchange)
         pool.cancel(exchange)
-        await until(lambda: server.closed == 1)
+        await wait_until(lambda: server.closed == 1)
         assert outcomes == [Outcome.CANCELLED]
         assert pool.open_connections == 0
         server.stop()
 
-    play(scene())
+    run_scenario(scenario())
--- a/tests/proxy/test_client_connections.py
+++ b/tests/proxy/test_client_connections.py
@@ -6,17 +6,17 @@
 import socket
 
 import pytest
-from loopback import (
-    PATIENCE_S,
-    answer,
-    hung,
-    is_closed,
-    play,
-    read_answer,
+from proxy_harness import (
+    TIMEOUT_S,
+    encode_response,
+    never_respond,
+    read_response,
     request,
-    served,
-    until,
-    world,
+    respond_ok,
+    run_scenario,
+    running_proxy,
+    wait_for_eof,
+    wait_until,
 )
 from virtual_time import now_s, run_in_virtual_time
 
@@ -28,26 +28,26 @@
 
 
 def test_pipelined_requests_are_answered_in_order() -> None:
-    async def scene() -> None:
-        async with world(lambda first, *_: answer(200, first.encode())) as w:
-            reader, writer = await w.connect()
+    async def scenario() -> None:
+        async with running_proxy(lambda first, *_: encode_response(200, first.encode())) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(
                 b"".join(request(path=f"/api/{number}", X_Call_Id=f"{number}") for number in range(20))
             )
             for number in range(20):
-                assert f"/api/{number} " in (await read_answer(reader))[2].decode()
+                assert f"/api/{number} " in (await read_response(reader))[2].decode()
             writer.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_connection_with_an_unread_request_is_not_idle() -> None:
     # Guards against closing a connection whose request is in the kernel and has not been read yet.
-    async def scene() -> None:
-        async with world(served) as w:
-            _, writer = await w.connect()
-            await until(lambda: w.sidecar.frontend.connections)
-            connection: ClientConnection = next(iter(w.sidecar.frontend.connections))
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            _, writer = await proxy.connect()
+            await wait_until(lambda: proxy.sidecar.frontend.connections)
+            connection: ClientConnection = next(iter(proxy.sidecar.frontend.connections))
             assert connection.is_idle()
             peer = writer.get_extra_info("socket")
             peer_fd = socket.socket(fileno=socket.dup(peer.fileno()))
@@ -56,7 +56,7 @@
             peer_fd.close()
             writer.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
@@ -70,70 +70,70 @@
     ids=["silent", "idle", "half a head", "half a body"],
 )
 def test_silent_connection_is_closed(sent: bytes, expected: bytes) -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            reader, writer = await w.connect()
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(sent)
-            assert (await asyncio.wait_for(reader.read(), PATIENCE_S)).startswith(expected)
-            await until(lambda: not w.sidecar.frontend.connections)
+            assert (await asyncio.wait_for(reader.read(), TIMEOUT_S)).startswith(expected)
+            await wait_until(lambda: not proxy.sidecar.frontend.connections)
             writer.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("pipelined", PIPELINED.values(), ids=PIPELINED)
 def test_request_in_flight_gets_its_response_whatever_is_pipelined_behind_it(pipelined: bytes) -> None:
-    async def scene() -> None:
-        async with world(hung) as w:
-            reader, writer = await w.connect()
+    async def scenario() -> None:
+        async with running_proxy(never_respond) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(request("pay", body=b"held"))
-            await until(w.sent)
+            await wait_until(proxy.sent)
             writer.write(pipelined)
-            (connection,) = w.sidecar.frontend.connections
-            await until(lambda: connection.state is ConnectionState.READING_PIPELINED)
-            w.servers[0].writers[0].write(served())
-            status, _, body = await read_answer(reader)
+            (connection,) = proxy.sidecar.frontend.connections
+            await wait_until(lambda: connection.state is ConnectionState.READING_PIPELINED)
+            proxy.servers[0].writers[0].write(respond_ok())
+            status, _, body = await read_response(reader)
             assert (status, body) == (200, b"served")
-            ending = await asyncio.wait_for(reader.read(), PATIENCE_S)
+            ending = await asyncio.wait_for(reader.read(), TIMEOUT_S)
             assert ending.partition(b"\r\n")[0] in (b"HTTP/1.1 408 ", b"")
             assert bool(ending) is (pipelined == PIPELINED["half a request"])
-            assert len(w.sent()) == 1
+            assert len(proxy.sent()) == 1
             writer.close()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 @pytest.mark.parametrize("pipelined", PIPELINED.values(), ids=PIPELINED)
 def test_request_still_in_flight_when_bad_pipelined_data_times_out_fails(pipelined: bytes) -> None:
-    async def scene() -> None:
-        async with world(hung) as w:
-            reader, writer = await w.connect()
+    async def scenario() -> None:
+        async with running_proxy(never_respond) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(request("pay", body=b"held"))
-            await until(w.sent)
+            await wait_until(proxy.sent)
             began = now_s()
             writer.write(pipelined)
-            status, headers, _ = await read_answer(reader)
+            status, headers, _ = await read_response(reader)
             assert (status, headers["connection"]) == (500, "close")
-            assert await is_closed(reader)
+            assert await wait_for_eof(reader)
             assert now_s() < began + BAD_PEER_S
-            await until(lambda: w.servers[0].closed == 1)  # nothing waits for the attempt
-            assert (await w.ask(kind="look", path="/health/ready"))[0] == 200
+            await wait_until(lambda: proxy.servers[0].closed == 1)  # nothing waits for the attempt
+            assert (await proxy.send_request(kind="look", path="/health/ready"))[0] == 200
             writer.close()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 def test_response_to_a_client_that_has_just_closed_ends_only_its_connection() -> None:
-    async def scene() -> None:
-        async with world(lambda *_: None) as w:
-            client = socket.create_connection(w.sidecar.frontend.address)
+    async def scenario() -> None:
+        async with running_proxy(lambda *_: None) as proxy:
+            client = socket.create_connection(proxy.sidecar.frontend.address)
             client.sendall(request("pay", body=b"held", Connection="close"))
-            await until(w.sent)
-            (connection,) = w.sidecar.frontend.connections
+            await wait_until(proxy.sent)
+            (connection,) = proxy.sidecar.frontend.connections
             held = connection._request
             assert held is not None
             client.close()
             held.responder.respond(200, [], b"done")  # before the event loop hears of the close
-            await until(lambda: not w.sidecar.frontend.connections)
+            await wait_until(lambda: not proxy.sidecar.frontend.connections)
 
-    play(scene())
+    run_scenario(scenario())
--- a/tests/proxy/test_client_disconnect_races.py
+++ b/tests/proxy/test_client_disconnect_races.py
@@ -9,17 +9,17 @@
 
 import pytest
 from balancer_harness import SECOND_US
-from loopback import (
+from proxy_harness import (
     CLASSES,
     LIMITS,
-    answer,
-    full,
-    hung,
-    play,
+    encode_response,
+    never_respond,
+    reject,
     request,
-    served,
-    until,
-    world,
+    respond_ok,
+    run_scenario,
+    running_proxy,
+    wait_until,
 )
 from race_stage import LATER, Client, connection_of, rested_everywhere
 
@@ -33,24 +33,24 @@
 
 
 def test_client_disconnects_while_queued_or_unread() -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            address = w.sidecar.frontend.address
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            address = proxy.sidecar.frontend.address
             unread = Client(address, b"")
-            await until(lambda: w.sidecar.frontend.connections)
-            w.sidecar.frontend._pause_accepting()
+            await wait_until(lambda: proxy.sidecar.frontend.connections)
+            proxy.sidecar.frontend._pause_accepting()
             queued = Client(address, request(X_Call_Id="queued"))
             unread.send(request(X_Call_Id="unread"))
             for each in (queued, unread):
                 each.leave()
-            w.sidecar.frontend._resume_accepting()
-            assert (await w.ask(X_Call_Id="next"))[0] == 200  # it was queued behind them
-            await until(lambda: not w.sidecar._active)
-            assert [head["x-call-id"] for _, head, _ in w.sent()] == ["next"]
+            proxy.sidecar.frontend._resume_accepting()
+            assert (await proxy.send_request(X_Call_Id="next"))[0] == 200  # it was queued behind them
+            await wait_until(lambda: not proxy.sidecar._active)
+            assert [head["x-call-id"] for _, head, _ in proxy.sent()] == ["next"]
             for each in (queued, unread):
                 each.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_client_disconnects_as_the_connection_for_its_request_opens(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -63,66 +63,66 @@
         await go_on.wait()
         return connection
 
-    async def scene() -> None:
-        async with world(served) as w:
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
             monkeypatch.setattr(connection_dialer, "connect", held_up)
-            client = Client(w.sidecar.frontend.address, request("pay", body=b"x"))
+            client = Client(proxy.sidecar.frontend.address, request("pay", body=b"x"))
             await dialled.wait()
             client.leave()
             go_on.set()  # the dial is next in the loop, ahead of what the client's socket holds
-            await until(lambda: not w.sidecar._active)
-            assert (await w.ask(kind="pay", body=b"next", X_Call_Id="next"))[0] == 200
-            assert [body for _, _, body in w.sent()] == [b"next"]
+            await wait_until(lambda: not proxy.sidecar._active)
+            assert (await proxy.send_request(kind="pay", body=b"next", X_Call_Id="next"))[0] == 200
+            assert [body for _, _, body in proxy.sent()] == [b"next"]
             # The connection was kept for others, and is counted once.
-            assert w.sidecar._pool.open_connections == len(w.sidecar._pool.servers["s-0"].idle)
+            assert proxy.sidecar._pool.open_connections == len(proxy.sidecar._pool.servers["s-0"].idle)
             client.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_client_disconnects_as_its_request_is_retried() -> None:
-    async def scene() -> None:
-        async with world(served, served) as w:
-            await rested_everywhere(w)
-            for each in w.servers:
-                each.script = hung
-            before = len(w.sent())
-            client = Client(w.sidecar.frontend.address, request())
-            await until(lambda: len(w.sent()) == before + 1)
+    async def scenario() -> None:
+        async with running_proxy(respond_ok, respond_ok) as proxy:
+            await rested_everywhere(proxy)
+            for each in proxy.servers:
+                each.script = never_respond
+            before = len(proxy.sent())
+            client = Client(proxy.sidecar.frontend.address, request())
+            await wait_until(lambda: len(proxy.sent()) == before + 1)
             client.leave()
-            connection_of(w, "9b1f03aa5c7e2d41").data_received(full())  # read before the client's end
-            await until(lambda: not w.sidecar._active)
-            assert (await w.ask(path="/health/ready"))[0] == 200  # the loop has had its turns
-            assert len(w.sent()) == before + 1
+            connection_of(proxy, "9b1f03aa5c7e2d41").data_received(reject())  # read before the client's end
+            await wait_until(lambda: not proxy.sidecar._active)
+            assert (await proxy.send_request(path="/health/ready"))[0] == 200  # the loop has had its turns
+            assert len(proxy.sent()) == before + 1
             client.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_client_disconnects_as_its_request_is_next_for_its_key() -> None:
     classes = [each | {"ordered_by_key": True} for each in CLASSES]
 
-    async def scene() -> None:
-        async with world(hung, classes=classes) as w:
-            w.sidecar._pool._idle_connections.reuse_delay_s = 0.0  # what is free is used at once
-            first = Client(w.sidecar.frontend.address, request(X_Call_Id="first"))
-            await until(w.sent)
-            second = Client(w.sidecar.frontend.address, request(X_Call_Id="second"))
-            await until(lambda: len(w.sidecar._active) == 2)
+    async def scenario() -> None:
+        async with running_proxy(never_respond, classes=classes) as proxy:
+            proxy.sidecar._pool._idle_connections.reuse_delay_s = 0.0  # what is free is used at once
+            first = Client(proxy.sidecar.frontend.address, request(X_Call_Id="first"))
+            await wait_until(proxy.sent)
+            second = Client(proxy.sidecar.frontend.address, request(X_Call_Id="second"))
+            await wait_until(lambda: len(proxy.sidecar._active) == 2)
             second.leave()
-            connection_of(w, "first").data_received(served())
-            await until(lambda: not w.sidecar._active)
-            assert [head["x-call-id"] for _, head, _ in w.sent()] == ["first"]
+            connection_of(proxy, "first").data_received(respond_ok())
+            await wait_until(lambda: not proxy.sidecar._active)
+            assert [head["x-call-id"] for _, head, _ in proxy.sent()] == ["first"]
             first.close()
             second.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("left", [True, False])
 def test_client_disconnects_as_its_long_request_is_half_written(left: bool) -> None:
     # With the last byte a server begins, and a busy event loop may write it long after the client left.
-    async def scene() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         with socket.socket() as listener:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -139,24 +139,24 @@
             )
             accepted, _ = await loop.sock_accept(listener)
             with accepted:
-                await until(lambda: exchange.connection is not None)
+                await wait_until(lambda: exchange.connection is not None)
                 assert not exchange.is_written()
                 assert len(orders) == 1
                 got = 0
                 while got < len(data) - left:
                     got += len(await loop.sock_recv(accepted, 1 << 20))
                 if left:
-                    await until(lambda: heard)
+                    await wait_until(lambda: heard)
                     with contextlib.suppress(ConnectionError):
                         assert await loop.sock_recv(accepted, 10) == b""
                     assert heard == [Outcome.NOT_SENT]
                 else:
-                    await loop.sock_sendall(accepted, served())
-                    await until(lambda: heard)
+                    await loop.sock_sendall(accepted, respond_ok())
+                    await wait_until(lambda: heard)
                     assert heard == [Outcome.SUCCEEDED]
             assert orders == []
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("leaves", [False, True])
@@ -176,27 +176,27 @@
     report = {"source": "probes", "columns": ["inflight"]}
 
     def holds_probes(first: str, *_: object) -> bytes | None:
-        return None if "/stats" in first else served()
+        return None if "/stats" in first else respond_ok()
 
-    async def scene() -> None:
+    async def scenario() -> None:
         # Held until the probes' answers settle it: nothing has told yet how long probes take.
         classes = [
             each | {"deadline_us": 600 * SECOND_US, "latency_target_us": 600 * SECOND_US} for each in CLASSES
         ]
         limits = LIMITS | {"allow_probes": True, "dial_timeout_us": 600 * SECOND_US}
         changes: dict[str, Any] = {"classes": classes, "limits": limits, "prices": {"probe": 0.001}}
-        async with world(holds_probes, holds_probes, report=report, **changes) as w:
-            w.sidecar._pool._idle_connections.reuse_delay_s = 0.0  # what was probed is written at once
-            client = Client(w.sidecar.frontend.address, request(budget="500"))
-            await until(lambda: len(w.sent()) == 2)
+        async with running_proxy(holds_probes, holds_probes, report=report, **changes) as proxy:
+            proxy.sidecar._pool._idle_connections.reuse_delay_s = 0.0  # what was probed is written at once
+            client = Client(proxy.sidecar.frontend.address, request(budget="500"))
+            await wait_until(lambda: len(proxy.sent()) == 2)
             if leaves:
                 client.leave()
             for probed in made:
                 if not probed.is_idle() and probed.request_written:  # read before the client's end
-                    probed.data_received(answer(200, b'{"inflight": 1}'))
-            await until(lambda: not w.sidecar._active)
-            begun = [first for first, _, _ in w.sent() if "/stats" not in first]
+                    probed.data_received(encode_response(200, b'{"inflight": 1}'))
+            await wait_until(lambda: not proxy.sidecar._active)
+            begun = [first for first, _, _ in proxy.sent() if "/stats" not in first]
             assert len(begun) == (not leaves)
             client.close()
 
-    play(scene())
+    run_scenario(scenario())
--- a/tests/proxy/test_connection_limits.py
+++ b/tests/proxy/test_connection_limits.py
@@ -6,8 +6,15 @@
 import time
 
 import pytest
-from loopback import FakeServer, deaf, hung, play, served, until
 from pool_requests import outcome_of, post_request
+from proxy_harness import (
+    FakeServer,
+    full_backlog_listener,
+    never_respond,
+    respond_ok,
+    run_scenario,
+    wait_until,
+)
 
 from sidecar.balancer.events import Outcome, ServerState
 from sidecar.proxy.connection_pool import ConnectionPool
@@ -15,19 +22,19 @@
 
 @pytest.mark.parametrize(("dial_timeout_s", "seconds"), [(0.1, 30.0), (30.0, 0.1)])
 def test_dial_ends_at_the_dial_timeout_and_at_the_deadline(dial_timeout_s: float, seconds: float) -> None:
-    async def scene() -> None:
-        with deaf() as address:
+    async def scenario() -> None:
+        with full_backlog_listener() as address:
             pool = ConnectionPool(dial_timeout_s, 60.0, 10)
             pool.update("s", address, None, ServerState.READY)
             assert await outcome_of(pool, seconds) is Outcome.CONNECT_FAILED
-            await until(lambda: pool.open_connections == 0)
+            await wait_until(lambda: pool.open_connections == 0)
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_dial_that_succeeded_while_the_event_loop_lagged_is_not_a_failure() -> None:
-    async def scene() -> None:
-        server = FakeServer("s", served)
+    async def scenario() -> None:
+        server = FakeServer("s", respond_ok)
         await server.start()
         pool = ConnectionPool(0.1, 60.0, 10)
         pool.update("s", server.address, None, ServerState.READY)
@@ -39,29 +46,29 @@
         assert await outcome is Outcome.SUCCEEDED
         server.stop()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.REMOVED])
 def test_dial_in_progress_to_a_draining_or_removed_server_is_ended(state: ServerState) -> None:
     # Guards rule 3: a slow dial would write its request after the grace.
-    async def scene() -> None:
-        with deaf() as address:
+    async def scenario() -> None:
+        with full_backlog_listener() as address:
             pool = ConnectionPool(30.0, 60.0, 10)
             pool.update("s", address, None, ServerState.READY)
             sending = asyncio.create_task(outcome_of(pool))
-            await until(lambda: pool.open_connections == 1)
+            await wait_until(lambda: pool.open_connections == 1)
             pool.update("s", address, None, state)
             assert await sending is Outcome.CONNECT_FAILED
-            await until(lambda: pool.open_connections == 0)
+            await wait_until(lambda: pool.open_connections == 0)
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_connections_stay_within_their_limit() -> None:
     # Guards the descriptors: an idle connection elsewhere makes room, one in use does not.
-    async def scene() -> None:
-        servers = [FakeServer("a", served), FakeServer("s", hung)]
+    async def scenario() -> None:
+        servers = [FakeServer("a", respond_ok), FakeServer("s", never_respond)]
         pool = ConnectionPool(1.0, 60.0, 1)
         for each in servers:
             await each.start()
@@ -69,11 +76,11 @@
         loop = asyncio.get_running_loop()
         ended: list[Outcome] = []
         pool.send("a", post_request(), loop.time() + 30, lambda o, _: ended.append(o))
-        await until(lambda: ended)
+        await wait_until(lambda: ended)
         pool.send("s", post_request(), loop.time() + 30, lambda o, _: ended.append(o))
-        await until(lambda: servers[1].requests)
+        await wait_until(lambda: servers[1].requests)
         assert await outcome_of(pool) is Outcome.CONNECT_FAILED
         for each in servers:
             each.stop()
 
-    play(scene())
+    run_scenario(scenario())
--- a/tests/proxy/test_connection_reuse.py
+++ b/tests/proxy/test_connection_reuse.py
@@ -7,8 +7,8 @@
 
 import pytest
 from balancer_harness import SECOND_US
-from loopback import LIMITS, FakeServer, play, served, until, world
 from pool_requests import outcome_of
+from proxy_harness import LIMITS, FakeServer, respond_ok, run_scenario, running_proxy, wait_until
 
 from sidecar.balancer.events import Outcome, ServerState
 from sidecar.proxy.connection_pool import ConnectionPool
@@ -16,38 +16,38 @@
 
 
 def test_connections_are_reused() -> None:
-    async def scene() -> None:
-        async with world(served) as w:
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
             for _ in range(5):
-                assert (await w.ask())[0] == 200
+                assert (await proxy.send_request())[0] == 200
                 await asyncio.sleep(0.05)  # longer than it has to rest
-            assert len(w.servers[0].writers) == 1
+            assert len(proxy.servers[0].writers) == 1
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_connection_is_not_reused_before_the_reuse_delay_even_at_the_connection_limit() -> None:
     # Guards against an end or a second copy that is under way behind the answer: it would pass for the answer
     # to the next request.  What has no room takes the place of a connection instead.
-    async def scene() -> None:
+    async def scenario() -> None:
         limits = LIMITS | {"dial_timeout_us": 600 * SECOND_US}
-        async with world(served, sockets=72, limits=limits) as w:
+        async with running_proxy(respond_ok, sockets=72, limits=limits) as proxy:
             for _ in range(9):
-                assert (await w.ask())[0] == 200
-                assert w.sidecar._pool.open_connections <= 4  # all that the descriptors allow
-            assert len(w.servers[0].writers) == 9
+                assert (await proxy.send_request())[0] == 200
+                assert proxy.sidecar._pool.open_connections <= 4  # all that the descriptors allow
+            assert len(proxy.servers[0].writers) == 9
 
-    play(scene())
+    run_scenario(scenario())
 
 
 # Guards against a request that is written to a connection which its server has already ended.
 @pytest.mark.parametrize("how", ["end", "stray"])
 def test_connection_with_an_unread_end_or_stray_bytes_is_not_reused(how: str) -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            assert (await w.ask(kind="pay", body=b"x"))[0] == 200
-            connection = w.sidecar._pool.servers["s-0"].idle[0].connection
-            writer = w.servers[0].writers[0]
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            assert (await proxy.send_request(kind="pay", body=b"x"))[0] == 200
+            connection = proxy.sidecar._pool.servers["s-0"].idle[0].connection
+            writer = proxy.servers[0].writers[0]
             if how == "end":
                 raw = writer.get_extra_info("socket")
                 raw.shutdown(socket.SHUT_WR)
@@ -58,10 +58,10 @@
             assert connection.sock.recv(1, socket.MSG_PEEK) is not None
             connection.sock.setblocking(False)
             assert not connection.is_idle()
-            assert (await w.ask(kind="pay", body=b"x"))[0] == 200
-            assert len(w.servers[0].writers) == 2
+            assert (await proxy.send_request(kind="pay", body=b"x"))[0] == 200
+            assert len(proxy.servers[0].writers) == 2
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_idle_times_after_which_connections_break_are_not_trusted() -> None:
@@ -87,7 +87,7 @@
 
 
 def test_requests_get_new_connections_if_idle_ones_break() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         used: set[asyncio.StreamWriter] = set()
 
         def once(*_: object) -> bytes:
@@ -95,7 +95,7 @@
             if writer in used:
                 return b""
             used.add(writer)
-            return served()
+            return respond_ok()
 
         server = FakeServer("s", once)
         await server.start()
@@ -109,34 +109,34 @@
         }  # lags spread requests over more idle times, each learnt apart
         server.stop()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_idle_connection_is_closed_before_the_idle_timeout_of_its_server() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         limits = {"max_attempts": 3, "allow_cancel": True, "idle_close_us": 1 * SECOND_US}
-        async with world(served, limits=limits) as w:
-            assert (await w.ask())[0] == 200
+        async with running_proxy(respond_ok, limits=limits) as proxy:
+            assert (await proxy.send_request())[0] == 200
             loop = asyncio.get_running_loop()
-            timer = w.sidecar._pool.servers["s-0"].idle[0].close_timer
+            timer = proxy.sidecar._pool.servers["s-0"].idle[0].close_timer
             assert timer.when() - loop.time() < 0.95
-            await until(lambda: w.servers[0].closed == 1)
+            await wait_until(lambda: proxy.servers[0].closed == 1)
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_connections_of_a_restarted_or_moved_server_are_closed() -> None:
-    async def scene() -> None:
-        server = FakeServer("s", served)
+    async def scenario() -> None:
+        server = FakeServer("s", respond_ok)
         await server.start()
         pool = ConnectionPool(1.0, 60.0, 10)
         pool.update("s", server.address, None, ServerState.READY)
         assert await outcome_of(pool) is Outcome.SUCCEEDED
         pool.update("s", server.address, 5, ServerState.READY)
-        await until(lambda: server.closed == 1)
+        await wait_until(lambda: server.closed == 1)
         assert await outcome_of(pool) is Outcome.SUCCEEDED
         assert len(server.writers) == 2
-        other = FakeServer("s", served)
+        other = FakeServer("s", respond_ok)
         await other.start()
         pool.update("s", other.address, 5, ServerState.READY)
         assert await outcome_of(pool) is Outcome.SUCCEEDED
@@ -144,4 +144,4 @@
         server.stop()
         other.stop()
 
-    play(scene())
+    run_scenario(scenario())
--- a/tests/proxy/test_dedup_window.py
+++ b/tests/proxy/test_dedup_window.py
@@ -7,7 +7,17 @@
 
 import pytest
 from balancer_harness import SECOND_US
-from loopback import FakeServer, World, broken, play, served, shrink_send_buffers, unread, until, world
+from proxy_harness import (
+    FakeServer,
+    ProxyHarness,
+    reset_connection,
+    respond_ok,
+    run_scenario,
+    running_proxy,
+    shrink_send_buffers,
+    unread_listener,
+    wait_until,
+)
 
 from sidecar.balancer.events import ServerState
 from sidecar.proxy import connection_dialer, server_connection
@@ -15,8 +25,8 @@
 from sidecar.proxy.server_connection import Connection
 
 
-def other_than(w: World, first: FakeServer) -> str:
-    (name,) = [each.name for each in w.servers if each is not first]
+def other_than(proxy: ProxyHarness, first: FakeServer) -> str:
+    (name,) = [each.name for each in proxy.servers if each is not first]
     return name
 
 
@@ -43,56 +53,58 @@
 
     monkeypatch.setattr(connection_dialer, "connect", second_held_up)
 
-    async def scene() -> None:
-        async with world(broken, broken) as w:
-            asked = asyncio.create_task(w.ask(kind="amend", body=b"x", budget="500"))
+    async def scenario() -> None:
+        async with running_proxy(reset_connection, reset_connection) as proxy:
+            asked = asyncio.create_task(proxy.send_request(kind="amend", body=b"x", budget="500"))
             await dialled.wait()
-            ((_, head, _),) = w.sent()
-            (first,) = [each for each in w.servers if each.requests]
-            for each in w.servers:
-                each.script = served
+            ((_, head, _),) = proxy.sent()
+            (first,) = [each for each in proxy.servers if each.requests]
+            for each in proxy.servers:
+                each.script = respond_ok
             if late:
-                w.sidecar._clock._offset_us += 2 * SECOND_US  # the window of the class
+                proxy.sidecar._clock._offset_us += 2 * SECOND_US  # the window of the class
             go_on.set()
             status, _, body = await asked
             if late:
                 assert (status, body) == (500, b"")
-                assert len(w.sent()) == 1
-                (kept,) = w.sidecar._pool.servers[other_than(w, first)].idle
+                assert len(proxy.sent()) == 1
+                (kept,) = proxy.sidecar._pool.servers[other_than(proxy, first)].idle
                 assert kept.connection.is_idle()  # the connection serves others
             else:
                 assert (status, body) == (200, b"served")
-                assert [each["x-call-id"] for _, each, _ in w.sent()] == [head["x-call-id"]] * 2
+                assert [each["x-call-id"] for _, each, _ in proxy.sent()] == [head["x-call-id"]] * 2
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_dedup_window_ends_while_the_retry_is_partly_written(monkeypatch: pytest.MonkeyPatch) -> None:
     shrink_send_buffers(monkeypatch)
 
-    async def scene() -> None:
-        with unread() as listener:
-            async with world(broken, broken) as w:
+    async def scenario() -> None:
+        with unread_listener() as listener:
+            async with running_proxy(reset_connection, reset_connection) as proxy:
 
                 def breaks_and_leaves_the_other(*_: object) -> bytes:
-                    (first,) = [each for each in w.servers if each.requests]
-                    w.sidecar._pool.update(
-                        other_than(w, first), listener.getsockname()[:2], None, ServerState.READY
+                    (first,) = [each for each in proxy.servers if each.requests]
+                    proxy.sidecar._pool.update(
+                        other_than(proxy, first), listener.getsockname()[:2], None, ServerState.READY
                     )
                     return b""
 
-                for each in w.servers:
+                for each in proxy.servers:
                     each.script = breaks_and_leaves_the_other
-                asked = asyncio.create_task(w.ask(kind="amend", body=bytes(60_000), budget="500"))
-                await until(lambda: any(each.started == {0, 1} for each in w.sidecar._active))
-                (live,) = w.sidecar._active
+                asked = asyncio.create_task(
+                    proxy.send_request(kind="amend", body=bytes(60_000), budget="500")
+                )
+                await wait_until(lambda: any(each.started == {0, 1} for each in proxy.sidecar._active))
+                (live,) = proxy.sidecar._active
                 exchange = live.in_flight[1]
                 assert exchange is not None
                 assert not exchange.is_written()
                 # asyncio's types leave out the callback of a timer.
-                bound = w.sidecar._attempts._end_unwritten
+                bound = proxy.sidecar._attempts._end_unwritten
                 (timer,) = [each for each in exchange.timers if each._callback == bound]  # type: ignore[attr-defined]
-                due = w.sidecar._clock.to_loop_time(w.sidecar._clock.now() + 2 * SECOND_US)
+                due = proxy.sidecar._clock.to_loop_time(proxy.sidecar._clock.now() + 2 * SECOND_US)
                 assert timer.when() < due  # counted from the attempt before
                 timer._run()
                 assert (await asked)[0] == 500
@@ -103,4 +115,4 @@
                     got = sum(map(len, iter(lambda: accepted.recv(65536), b"")))
                 assert 0 < got < 60_000
 
-    play(scene())
+    run_scenario(scenario())
--- a/tests/proxy/test_descriptor_shortage.py
+++ b/tests/proxy/test_descriptor_shortage.py
@@ -6,12 +6,12 @@
 import socket
 
 from balancer_harness import settings
-from loopback import (
+from proxy_harness import (
     CLASSES,
-    ask,
-    play,
     request,
-    until,
+    run_scenario,
+    send_request,
+    wait_until,
 )
 
 from sidecar.proxy.client_request import ClientRequest
@@ -50,14 +50,14 @@
         def fileno(self) -> int:
             return self.real.fileno()
 
-    async def scene() -> None:
+    async def scenario() -> None:
         frontend = Frontend(("127.0.0.1", 0), 5, RespondingHandler(), settings(classes=CLASSES))
         real = frontend._sock
         frontend._sock = ListenerWithoutDescriptors(real)  # type: ignore[assignment]
         frontend.start()
-        assert (await ask(frontend.address, request()))[2] == b"taken"
+        assert (await send_request(frontend.address, request()))[2] == b"taken"
         frontend._sock = real
         frontend.stop()
-        await until(frontend.is_empty)
+        await wait_until(frontend.is_empty)
 
-    play(scene())
+    run_scenario(scenario())
--- a/tests/proxy/test_dialing.py
+++ b/tests/proxy/test_dialing.py
@@ -10,8 +10,17 @@
 import pytest
 from balancer_harness import SECOND_US
 from faulty_sockets import Failures, failing, named, use_faulty
-from loopback import LIMITS, PATIENCE_S, FakeServer, deaf, play, served, until, world
 from pool_requests import outcome_of
+from proxy_harness import (
+    LIMITS,
+    TIMEOUT_S,
+    FakeServer,
+    full_backlog_listener,
+    respond_ok,
+    run_scenario,
+    running_proxy,
+    wait_until,
+)
 
 from sidecar.balancer.events import Outcome, ServerState
 from sidecar.proxy.addresses import Address
@@ -37,11 +46,11 @@
     return len(os.listdir("/proc/self/fd"))
 
 
-def dial(expected: Outcome, dial_timeout_s: float = PATIENCE_S, address: Address | None = None) -> None:
+def dial(expected: Outcome, dial_timeout_s: float = TIMEOUT_S, address: Address | None = None) -> None:
     """Send one request; check its outcome, and that neither a descriptor nor a count of one is left."""
 
-    async def scene() -> None:
-        server = FakeServer("s", served)
+    async def scenario() -> None:
+        server = FakeServer("s", respond_ok)
         await server.start()
         servers = ConnectionPool(dial_timeout_s, 60.0, 10)
         servers.update("s", address or server.address, None, ServerState.READY)
@@ -49,11 +58,11 @@
         assert await outcome_of(servers) is expected
         assert len(server.requests) == (expected is Outcome.SUCCEEDED)
         servers.close_idle("s")
-        await until(lambda: servers.open_connections == 0)
+        await wait_until(lambda: servers.open_connections == 0)
         server.stop()
-        await until(lambda: descriptors() <= before)
+        await wait_until(lambda: descriptors() <= before)
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("code", _LOCAL, ids=named)
@@ -76,7 +85,7 @@
     code: int, times: int, expected: Outcome, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     use_faulty(monkeypatch, sockets=failing(code, times))
-    dial(expected, dial_timeout_s=PATIENCE_S if expected is Outcome.SUCCEEDED else 0.1)
+    dial(expected, dial_timeout_s=TIMEOUT_S if expected is Outcome.SUCCEEDED else 0.1)
 
 
 @pytest.mark.parametrize("code", _OF_THE_SERVER, ids=named)
@@ -108,7 +117,7 @@
 
 
 def test_dial_timeout_without_a_local_failure_is_a_failure_of_the_server() -> None:
-    with deaf() as address:
+    with full_backlog_listener() as address:
         dial(Outcome.CONNECT_FAILED, dial_timeout_s=0.1, address=address)
 
 
@@ -117,20 +126,20 @@
 ) -> None:
     use_faulty(monkeypatch, connects=failing(errno.EADDRNOTAVAIL, 10**9))
 
-    async def scene(end: Callable[[ConnectionPool], None], expected: Outcome, seconds: float) -> None:
-        servers = ConnectionPool(PATIENCE_S, 60.0, 10)
+    async def scenario(end: Callable[[ConnectionPool], None], expected: Outcome, seconds: float) -> None:
+        servers = ConnectionPool(TIMEOUT_S, 60.0, 10)
         servers.update("s", ("127.0.0.1", 1), None, ServerState.READY)
         sending = asyncio.create_task(outcome_of(servers, seconds))
-        await until(lambda: servers.open_connections == 1)
+        await wait_until(lambda: servers.open_connections == 1)
         end(servers)
         assert await sending is expected
-        await until(lambda: servers.open_connections == 0)
+        await wait_until(lambda: servers.open_connections == 0)
 
     def leave(servers: ConnectionPool) -> None:
         servers.update("s", None, None, ServerState.REMOVED)
 
-    play(scene(lambda _: None, Outcome.NOT_SENT, 0.1))
-    play(scene(leave, Outcome.CONNECT_FAILED, PATIENCE_S))
+    run_scenario(scenario(lambda _: None, Outcome.NOT_SENT, 0.1))
+    run_scenario(scenario(leave, Outcome.CONNECT_FAILED, TIMEOUT_S))
 
 
 def test_dials_back_off_between_retries(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -151,19 +160,19 @@
 ) -> None:
     limits = LIMITS | {"dial_timeout_us": SECOND_US // 10}
 
-    async def scene() -> None:
-        async with world(served, served, limits=limits) as w:
+    async def scenario() -> None:
+        async with running_proxy(respond_ok, respond_ok, limits=limits) as proxy:
             with monkeypatch.context() as patched:
                 use_faulty(patched, connects=failing(errno.EADDRNOTAVAIL, 10**9))
                 for _ in range(8):
-                    assert (await w.ask(kind="pay", body=b"x"))[0] == 503  # it never ran
-            known = w.sidecar._balancer._context.registry.servers.values()
+                    assert (await proxy.send_request(kind="pay", body=b"x"))[0] == 503  # it never ran
+            known = proxy.sidecar._balancer._context.registry.servers.values()
             assert [(each.consecutive_failures, each.ejected_until) for each in known] == [(0, None)] * 2
-            assert not w.sent()
-            assert not w.sidecar._active
-            assert (await w.ask(kind="pay", body=b"x"))[0] == 200
+            assert not proxy.sent()
+            assert not proxy.sidecar._active
+            assert (await proxy.send_request(kind="pay", body=b"x"))[0] == 200
 
-    play(scene())
+    run_scenario(scenario())
 
 
 # Guards discovery's calls, which have retries of their own.
@@ -173,8 +182,8 @@
 ) -> None:
     use_faulty(monkeypatch, connects=failing(code, 1))
 
-    async def scene() -> None:
-        server = FakeServer("s", served)
+    async def scenario() -> None:
+        server = FakeServer("s", respond_ok)
         await server.start()
         before = descriptors()
         with pytest.raises(OSError) as caught:
@@ -183,4 +192,4 @@
         assert descriptors() == before
         server.stop()
 
-    play(scene())
+    run_scenario(scenario())
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -6,7 +6,7 @@
 
 import pytest
 from balancer_harness import SECOND_US
-from loopback import FakeDiscovery, answer, play, served, until, world
+from proxy_harness import FakeDiscovery, encode_response, respond_ok, run_scenario, running_proxy, wait_until
 from virtual_time import run_in_virtual_time
 
 from sidecar.balancer.events import ServerState
@@ -21,107 +21,107 @@
 
 
 def test_watch_continues_from_the_cached_list_and_repeats_at_once() -> None:
-    async def scene() -> None:
-        async with world(served) as w:
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
             for index in (42, 43, 44):
-                w.discovery.say(index, [])
-            await until(lambda: len(w.discovery.targets) == 4)
-            paths = [each.split("&")[0] for each in w.discovery.targets]
+                proxy.discovery.push_update(index, [])
+            await wait_until(lambda: len(proxy.discovery.targets) == 4)
+            paths = [each.split("&")[0] for each in proxy.discovery.targets]
             assert paths == [f"/registry/instances?after={index}" for index in (41, 42, 43, 44)]
             assert _EMPTY_RESPONSE_PAUSE_S < 0.2  # the only pause there is; later it would be a new watch
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_deltas_and_snapshots_reach_the_balancer() -> None:
-    async def scene() -> None:
-        async with world(served, served) as w:
-            states = w.sidecar._balancer._context.registry.servers
-            first, second = w.servers
-            w.discovery.say(42, [first.entry(status="leaving")])
-            await until(lambda: states["s-0"].state is ServerState.DRAINING)
+    async def scenario() -> None:
+        async with running_proxy(respond_ok, respond_ok) as proxy:
+            states = proxy.sidecar._balancer._context.registry.servers
+            first, second = proxy.servers
+            proxy.discovery.push_update(42, [first.entry(status="leaving")])
+            await wait_until(lambda: states["s-0"].state is ServerState.DRAINING)
             for _ in range(10):
-                assert (await w.ask())[0] == 200
+                assert (await proxy.send_request())[0] == 200
             assert not first.requests
-            w.discovery.say(43, [first.entry()], snapshot=True)  # who is missing is gone
-            await until(lambda: "s-1" not in states)
-            assert set(w.sidecar._pool.servers) == {"s-0"}
+            proxy.discovery.push_update(43, [first.entry()], snapshot=True)  # who is missing is gone
+            await wait_until(lambda: "s-1" not in states)
+            assert set(proxy.sidecar._pool.servers) == {"s-0"}
             seen = len(second.requests)
             for _ in range(10):
-                assert (await w.ask())[0] == 200
+                assert (await proxy.send_request())[0] == 200
             assert len(second.requests) == seen
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_restarted_server_is_in_slow_start() -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            server = w.sidecar._balancer._context.registry.servers["s-0"]
-            since_ms = w.sidecar._clock.now() // 1000
-            w.discovery.say(42, [w.servers[0].entry(since_ms=since_ms)])
-            await until(lambda: server.started_at == since_ms * 1000)
-            assert w.sidecar._balancer._slow_start.is_warming_up(server)
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            server = proxy.sidecar._balancer._context.registry.servers["s-0"]
+            since_ms = proxy.sidecar._clock.now() // 1000
+            proxy.discovery.push_update(42, [proxy.servers[0].entry(since_ms=since_ms)])
+            await wait_until(lambda: server.started_at == since_ms * 1000)
+            assert proxy.sidecar._balancer._slow_start.is_warming_up(server)
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
     "bad",
     [
-        answer(503, b""),
-        answer(200, b"not json"),
-        answer(200, b'{"index": "x", "endpoints": []}'),
-        answer(200, b"[]"),
+        encode_response(503, b""),
+        encode_response(200, b"not json"),
+        encode_response(200, b'{"index": "x", "endpoints": []}'),
+        encode_response(200, b"[]"),
         b"HTTP/1.1 200 X\r\nContent-Length: 99\r\n\r\n{",
     ],
 )
 def test_failed_registry_call_is_reported_and_retried(bad: bytes) -> None:
-    async def scene() -> None:
-        async with world(served, rules={"max_poll_interval_us": 1 * SECOND_US}) as w:
-            w.discovery.answers.put_nowait(bad)
-            await until(lambda: len(w.discovery.targets) == 2)
-            assert w.sidecar._balancer._registry_poller.failed_polls == 1
-            assert (await w.ask())[0] == 200
+    async def scenario() -> None:
+        async with running_proxy(respond_ok, rules={"max_poll_interval_us": 1 * SECOND_US}) as proxy:
+            proxy.discovery.responses.put_nowait(bad)
+            await wait_until(lambda: len(proxy.discovery.targets) == 2)
+            assert proxy.sidecar._balancer._registry_poller.failed_polls == 1
+            assert (await proxy.send_request())[0] == 200
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_registry_that_is_down_is_a_failed_call() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         heard: list[RegistryResponse | None] = []
         down = FakeDiscovery()
         await down.start()
         down.stop()
         discovery = DiscoveryClient(down.address, 1, heard.append)
         discovery.start_watch()
-        await until(lambda: heard == [None])
-        await until(lambda: discovery._watch is None or discovery._watch.done())
+        await wait_until(lambda: heard == [None])
+        await wait_until(lambda: discovery._watch is None or discovery._watch.done())
         discovery.start_watch()  # and a new watch may begin
-        await until(lambda: heard == [None, None])
+        await wait_until(lambda: heard == [None, None])
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_watch_is_not_started_twice_and_can_be_stopped() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         service = FakeDiscovery()
         await service.start()
         heard: list[RegistryResponse | None] = []
         discovery = DiscoveryClient(service.address, 1, heard.append)
         for _ in range(3):
             discovery.start_watch()
-        await until(lambda: service.targets)
+        await wait_until(lambda: service.targets)
         discovery.fetch()
-        await until(lambda: len(service.targets) == 2)
+        await wait_until(lambda: len(service.targets) == 2)
         assert service.targets[1] == "/registry/instances"
-        service.say(7, [entry()], snapshot=True)
-        await until(lambda: heard)
+        service.push_update(7, [entry()], snapshot=True)
+        await wait_until(lambda: heard)
         discovery.stop_watch()
         assert discovery._watch is None
         service.stop()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_silent_watch_is_reopened_before_the_former_call_is_closed(
@@ -132,32 +132,34 @@
     monkeypatch.setattr("sidecar.proxy.discovery_client._WATCH_WAIT_MS", (20, 20))
     monkeypatch.setattr("sidecar.proxy.discovery_client._WATCH_MARGIN_S", 0.02)
 
-    async def scene() -> None:
-        async with world(served, rules={"max_poll_interval_us": 600 * SECOND_US}) as w:
-            server = w.sidecar._balancer._context.registry.servers["s-0"]
+    async def scenario() -> None:
+        async with running_proxy(respond_ok, rules={"max_poll_interval_us": 600 * SECOND_US}) as proxy:
+            server = proxy.sidecar._balancer._context.registry.servers["s-0"]
 
             def is_told() -> bool:
-                w.discovery.say(42, [w.servers[0].entry(status="leaving")])  # to whichever call is out
+                proxy.discovery.push_update(
+                    42, [proxy.servers[0].entry(status="leaving")]
+                )  # to whichever call is out
                 return server.state is ServerState.DRAINING
 
-            w.discovery.answers.put_nowait(None)
-            await until(lambda: "left 1" in w.discovery.happened)
-            await until(is_told)
-            assert w.discovery.happened[:2] == ["call 1", "call 2"]
+            proxy.discovery.responses.put_nowait(None)
+            await wait_until(lambda: "left 1" in proxy.discovery.call_log)
+            await wait_until(is_told)
+            assert proxy.discovery.call_log[:2] == ["call 1", "call 2"]
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_pushed_lists_are_watched_by_themselves() -> None:
-    async def scene() -> None:
-        async with world(served, discovery="pushed") as w:
-            w.discovery.answers.put_nowait(answer(503, b""))
-            w.discovery.say(42, [w.servers[0].entry(status="leaving")])
-            await until(
-                lambda: w.sidecar._balancer._context.registry.servers["s-0"].state is ServerState.DRAINING
+    async def scenario() -> None:
+        async with running_proxy(respond_ok, discovery="pushed") as proxy:
+            proxy.discovery.responses.put_nowait(encode_response(503, b""))
+            proxy.discovery.push_update(42, [proxy.servers[0].entry(status="leaving")])
+            await wait_until(
+                lambda: proxy.sidecar._balancer._context.registry.servers["s-0"].state is ServerState.DRAINING
             )
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_invalid_entries_of_a_list_are_skipped() -> None:
@@ -206,50 +208,50 @@
 def test_new_server_at_the_address_of_a_former_one_supersedes_it() -> None:
     # The list may name the former one for seconds yet: what is sent to it would go to the new process, which
     # is cold, over connections that no process holds any more.
-    async def scene() -> None:
-        async with world(served) as w:
-            assert (await w.ask())[0] == 200
-            old = w.servers[0]
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            assert (await proxy.send_request())[0] == 200
+            old = proxy.servers[0]
             new = old.entry(name="s-new", since_ms=1_000)
-            w.discovery.say(42, [new])
-            await until(lambda: list(w.sidecar._balancer._context.registry.servers) == ["s-new"])
-            await until(lambda: old.closed == 1)
-            w.discovery.say(43, [new, old.entry()], snapshot=True)
-            await until(lambda: len(w.discovery.targets) == 3)
+            proxy.discovery.push_update(42, [new])
+            await wait_until(lambda: list(proxy.sidecar._balancer._context.registry.servers) == ["s-new"])
+            await wait_until(lambda: old.closed == 1)
+            proxy.discovery.push_update(43, [new, old.entry()], snapshot=True)
+            await wait_until(lambda: len(proxy.discovery.targets) == 3)
             assert (
-                list(w.sidecar._balancer._context.registry.servers)
-                == list(w.sidecar._pool.servers)
+                list(proxy.sidecar._balancer._context.registry.servers)
+                == list(proxy.sidecar._pool.servers)
                 == ["s-new"]
             )
-            assert (await w.ask())[0] == 200
+            assert (await proxy.send_request())[0] == 200
             assert len(old.writers) == 2
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("status", ["leaving", "left"])
 def test_draining_server_is_reported_even_without_its_address(status: str) -> None:
     # Guards rule 3: skipped as junk, the entry would leave the server in use.
-    async def scene() -> None:
-        async with world(served) as w:
-            w.discovery.say(42, [w.servers[0].entry(status=status, address=None)])
-            servers = w.sidecar._balancer._context.registry.servers
-            await until(lambda: "s-0" not in servers or servers["s-0"].state is ServerState.DRAINING)
-            assert (await w.ask())[0] == 503
-            assert not w.sent()
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            proxy.discovery.push_update(42, [proxy.servers[0].entry(status=status, address=None)])
+            servers = proxy.sidecar._balancer._context.registry.servers
+            await wait_until(lambda: "s-0" not in servers or servers["s-0"].state is ServerState.DRAINING)
+            assert (await proxy.send_request())[0] == 503
+            assert not proxy.sent()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_registry_that_does_not_hold_watches_is_polled_with_a_pause() -> None:
-    async def scene() -> None:
-        async with world(served) as w:
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
             for _ in range(4):
-                w.discovery.say(41, [])
-            await until(lambda: len(w.discovery.called_after_s) == 4)
-            assert min(w.discovery.called_after_s) >= 0.09
+                proxy.discovery.push_update(41, [])
+            await wait_until(lambda: len(proxy.discovery.call_delays_s) == 4)
+            assert min(proxy.discovery.call_delays_s) >= 0.09
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 def test_response_without_changes_compares_no_addresses(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -262,14 +264,14 @@
 
     monkeypatch.setattr(ConnectionPool, "remove_superseded", counted)
 
-    async def scene() -> None:
-        async with world(lambda *_: answer()) as w:
+    async def scenario() -> None:
+        async with running_proxy(lambda *_: encode_response()) as proxy:
             before = len(looks)
-            w.discovery.say(42, [])
-            await until(lambda: w.sidecar._endpoint_list.client._version == 42)
+            proxy.discovery.push_update(42, [])
+            await wait_until(lambda: proxy.sidecar._endpoint_list.client._version == 42)
             assert len(looks) == before
-            w.discovery.say(43, [w.servers[0].entry(status="leaving")])
-            await until(lambda: w.sidecar._endpoint_list.client._version == 43)
+            proxy.discovery.push_update(43, [proxy.servers[0].entry(status="leaving")])
+            await wait_until(lambda: proxy.sidecar._endpoint_list.client._version == 43)
             assert len(looks) == before + 1
 
-    play(scene())
+    run_scenario(scenario())
--- a/tests/proxy/test_drain_races.py
+++ b/tests/proxy/test_drain_races.py
@@ -5,14 +5,14 @@
 import asyncio
 
 import pytest
-from loopback import (
-    hung,
-    play,
-    read_answer,
+from proxy_harness import (
+    never_respond,
+    read_response,
     request,
-    served,
-    until,
-    world,
+    respond_ok,
+    run_scenario,
+    running_proxy,
+    wait_until,
 )
 
 from sidecar.proxy import shutdown
@@ -22,25 +22,25 @@
     monkeypatch.setattr(shutdown, "_ACCEPT_S", 0.0)
     monkeypatch.setattr(shutdown, "_MAX_DEADLINE_S", 600.0)
 
-    async def scene() -> None:
-        async with world(hung, sockets=66) as w:  # room for one client
-            held, held_writer = await w.connect()
+    async def scenario() -> None:
+        async with running_proxy(never_respond, sockets=66) as proxy:  # room for one client
+            held, held_writer = await proxy.connect()
             held_writer.write(request("pay", body=b"held", budget="500"))
-            await until(w.sent)
-            await until(lambda: w.sidecar.frontend._accepting)
-            waiting, waiting_writer = await w.connect()
+            await wait_until(proxy.sent)
+            await wait_until(lambda: proxy.sidecar.frontend._accepting)
+            waiting, waiting_writer = await proxy.connect()
             waiting_writer.write(request("pay", body=b"waits", budget="500", X_Call_Id="waits"))
-            await until(lambda: not w.sidecar.frontend._accepting)  # there was no room for it
-            drained = asyncio.create_task(w.sidecar.drain())
-            await until(lambda: w.sidecar.frontend.draining)
-            w.servers[0].script = served
-            w.servers[0].writers[0].write(served())
+            await wait_until(lambda: not proxy.sidecar.frontend._accepting)  # there was no room for it
+            drained = asyncio.create_task(proxy.sidecar.drain())
+            await wait_until(lambda: proxy.sidecar.frontend.draining)
+            proxy.servers[0].script = respond_ok
+            proxy.servers[0].writers[0].write(respond_ok())
             for reader in (held, waiting):
-                status, headers, body = await read_answer(reader)
+                status, headers, body = await read_response(reader)
                 assert (status, headers["connection"], body) == (200, "close", b"served")
             for each in (held_writer, waiting_writer):
                 each.close()
             await drained
-            assert w.sidecar.frontend._sock.fileno() < 0
+            assert proxy.sidecar.frontend._sock.fileno() < 0
 
-    play(scene())
+    run_scenario(scenario())
--- a/tests/proxy/test_endpoint_list_races.py
+++ b/tests/proxy/test_endpoint_list_races.py
@@ -6,14 +6,14 @@
 
 import pytest
 from balancer_harness import SECOND_US
-from loopback import (
+from proxy_harness import (
     CLASSES,
     LIMITS,
-    deaf,
-    play,
-    served,
-    until,
-    world,
+    full_backlog_listener,
+    respond_ok,
+    run_scenario,
+    running_proxy,
+    wait_until,
 )
 from race_stage import LATER
 
@@ -27,39 +27,41 @@
 
 
 def test_slow_snapshot_arrives_after_the_delta_of_a_watch() -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            await until(lambda: w.discovery.called(1))
-            w.sidecar._endpoint_list.client.fetch()
-            await until(lambda: w.discovery.called(2))
-            (server,) = w.servers
-            state = w.sidecar._balancer._context.registry.servers["s-0"]
-            w.discovery.say(43, [server.entry(status="leaving")])  # to the watch
-            await until(lambda: state.state is ServerState.DRAINING)
-            await until(lambda: w.discovery.called(3))  # it goes on
-            w.discovery.say(42, [server.entry()], snapshot=True)  # to the fetch, which was called before it
-            await until(lambda: not w.sidecar._endpoint_list.client._fetches)
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            await wait_until(lambda: proxy.discovery.called(1))
+            proxy.sidecar._endpoint_list.client.fetch()
+            await wait_until(lambda: proxy.discovery.called(2))
+            (server,) = proxy.servers
+            state = proxy.sidecar._balancer._context.registry.servers["s-0"]
+            proxy.discovery.push_update(43, [server.entry(status="leaving")])  # to the watch
+            await wait_until(lambda: state.state is ServerState.DRAINING)
+            await wait_until(lambda: proxy.discovery.called(3))  # it goes on
+            proxy.discovery.push_update(
+                42, [server.entry()], snapshot=True
+            )  # to the fetch, which was called before it
+            await wait_until(lambda: not proxy.sidecar._endpoint_list.client._fetches)
             assert state.state is ServerState.DRAINING
-            w.discovery.say(44, [])
-            await until(lambda: w.discovery.called(4))
-            watched = [each.split("&")[0] for each in w.discovery.targets if "after" in each]
+            proxy.discovery.push_update(44, [])
+            await wait_until(lambda: proxy.discovery.called(4))
+            watched = [each.split("&")[0] for each in proxy.discovery.targets if "after" in each]
             assert watched == [f"/registry/instances?after={index}" for index in (41, 43, 44)]
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_server_changes_its_address_while_its_former_one_is_dialed() -> None:
-    async def scene() -> None:
-        with deaf() as address:
+    async def scenario() -> None:
+        with full_backlog_listener() as address:
             servers = ConnectionPool(600.0, 600.0, 10)
             servers.update("s", address, None, ServerState.READY)
             heard: list[Outcome] = []
             servers.send("s", EncodedRequest(b""), LATER, lambda outcome, _: heard.append(outcome))
             servers.update("s", ("127.0.0.1", 9), None, ServerState.READY)
             assert heard == [Outcome.NOT_SENT]  # which is no strike against the server
-            await until(lambda: servers.open_connections == 0)
+            await wait_until(lambda: servers.open_connections == 0)
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_dial_ends_as_its_server_drains_and_the_next_request_of_the_key_is_due() -> None:
@@ -67,29 +69,31 @@
     classes = [each | {"ordered_by_key": True} for each in CLASSES]
     limits = LIMITS | {"max_attempts": 1, "dial_timeout_us": 600 * SECOND_US}
 
-    async def scene() -> None:
-        with deaf() as address:
-            async with world(served, classes=classes, limits=limits) as w:
-                w.sidecar._pool.update("s-0", address, None, ServerState.READY)
+    async def scenario() -> None:
+        with full_backlog_listener() as address:
+            async with running_proxy(respond_ok, classes=classes, limits=limits) as proxy:
+                proxy.sidecar._pool.update("s-0", address, None, ServerState.READY)
                 outs = [
-                    asyncio.create_task(w.ask(kind="pay", body=b"x", X_Call_Id=each, budget="500"))
+                    asyncio.create_task(
+                        proxy.send_request(kind="pay", body=b"x", X_Call_Id=each, budget="500")
+                    )
                     for each in ("first", "second")
                 ]
-                await until(lambda: len(w.sidecar._active) == 2)
+                await wait_until(lambda: len(proxy.sidecar._active) == 2)
                 where = "{}:{}".format(*address)
-                entry = w.servers[0].entry(status="leaving", address=where)
-                w.sidecar._endpoint_list.on_response(
+                entry = proxy.servers[0].entry(status="leaving", address=where)
+                proxy.sidecar._endpoint_list.on_response(
                     parse_registry_response({"index": 42, "endpoints": [entry]})
                 )
-                dialling = w.sidecar._pool.servers["s-0"].dialing
+                dialling = proxy.sidecar._pool.servers["s-0"].dialing
                 assert not dialling
                 assert {(await each)[0] for each in outs} == {503}
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_migration_as_the_former_registry_responds(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         heard: list[RegistryResponse | None] = []
         called: list[tuple[Address, str, asyncio.Future[Response]]] = []
 
@@ -100,16 +104,16 @@
         monkeypatch.setattr(DiscoveryClient, "_call", call)
         discovery = DiscoveryClient(("127.0.0.1", 1), 41, heard.append)
         discovery.start_watch()
-        await until(lambda: called)
+        await wait_until(lambda: called)
         called[0][2].set_result(Response(200, [], b'{"index": 99, "snapshot": true, "endpoints": []}'))
         discovery.migrate(("127.0.0.1", 2))  # before the watch had a turn
-        await until(lambda: len(called) == 2)
+        await wait_until(lambda: len(called) == 2)
         assert heard == []
         assert called[1][:2] == (("127.0.0.1", 2), "/registry/instances")
         called[1][2].set_result(Response(200, [], b'{"index": 7, "snapshot": true, "endpoints": []}'))
-        await until(lambda: len(called) == 3)
+        await wait_until(lambda: len(called) == 3)
         assert [response and response.version for response in heard] == [7]
         assert called[2][1].startswith("/registry/instances?after=7&")
         discovery.stop()
 
-    play(scene())
+    run_scenario(scenario())
--- a/tests/proxy/test_failed_requests.py
+++ b/tests/proxy/test_failed_requests.py
@@ -9,12 +9,12 @@
 from typing import Any, get_args
 
 import pytest
-from loopback import (
-    ask,
-    play,
+from proxy_harness import (
     request,
-    served,
-    world,
+    respond_ok,
+    run_scenario,
+    running_proxy,
+    send_request,
 )
 
 import sidecar
@@ -23,79 +23,81 @@
 
 
 def test_request_without_servers_is_rejected_at_once_and_readiness_is_unaffected() -> None:
-    async def scene() -> None:
-        async with world() as w:
+    async def scenario() -> None:
+        async with running_proxy() as proxy:
             loop = asyncio.get_running_loop()
             began = loop.time()
-            assert (await w.ask(budget="30"))[0] == 503
+            assert (await proxy.send_request(budget="30"))[0] == 503
             assert loop.time() - began < 15.0
-            assert (await ask(w.sidecar.frontend.address, request(path="/health/ready")))[0] == 200
+            assert (await send_request(proxy.sidecar.frontend.address, request(path="/health/ready")))[
+                0
+            ] == 200
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_rejection_has_a_retry_after_header() -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            w.sidecar._balancer.handle = lambda now, event: (  # type: ignore[method-assign]
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            proxy.sidecar._balancer.handle = lambda now, event: (  # type: ignore[method-assign]
                 [RejectRequest(event.request, 250_000)] if isinstance(event, RequestArrived) else []
             )
-            status, headers, _ = await w.ask()
+            status, headers, _ = await proxy.send_request()
             assert status == 503
             assert float(headers["retry-after"]) == 0.25
 
-    play(scene())
+    run_scenario(scenario())
 
 
 # Guards against a defect that would end the process or leave a request without a response.
 def test_exception_in_the_balancer_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            real = w.sidecar._balancer.handle
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            real = proxy.sidecar._balancer.handle
 
             def faulty(now: int, event: Event) -> list[Action]:
                 if isinstance(event, RequestArrived) and event.service_class == "pay":
                     raise ZeroDivisionError
                 return real(now, event)
 
-            monkeypatch.setattr(w.sidecar._balancer, "handle", faulty)
-            assert (await w.ask(kind="pay", body=b"x"))[0] == 500
-            assert (await w.ask())[0] == 200
-            assert not w.sidecar._active
+            monkeypatch.setattr(proxy.sidecar._balancer, "handle", faulty)
+            assert (await proxy.send_request(kind="pay", body=b"x"))[0] == 500
+            assert (await proxy.send_request())[0] == 200
+            assert not proxy.sidecar._active
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_exception_in_carrying_out_an_action_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            monkeypatch.setattr(w.sidecar._pool, "send", None)
-            assert (await w.ask(kind="pay", body=b"x"))[0] == 500
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            monkeypatch.setattr(proxy.sidecar._pool, "send", None)
+            assert (await proxy.send_request(kind="pay", body=b"x"))[0] == 500
             monkeypatch.undo()
-            assert (await w.ask())[0] == 200
-            assert not w.sidecar._active
+            assert (await proxy.send_request())[0] == 200
+            assert not proxy.sidecar._active
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_request_that_the_balancer_forgets_fails_at_its_deadline() -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            w.sidecar._balancer.handle = lambda now, event: []  # type: ignore[method-assign]
-            assert (await w.ask(budget="0.2"))[0] == 500
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            proxy.sidecar._balancer.handle = lambda now, event: []  # type: ignore[method-assign]
+            assert (await proxy.send_request(budget="0.2"))[0] == 500
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_exception_in_the_request_handler_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            monkeypatch.setattr(w.sidecar.frontend.handler, "handle_request", None)
-            assert (await w.ask())[0] == 500
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            monkeypatch.setattr(proxy.sidecar.frontend.handler, "handle_request", None)
+            assert (await proxy.send_request())[0] == 500
             monkeypatch.undo()
-            assert (await w.ask())[0] == 200
+            assert (await proxy.send_request())[0] == 200
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def names_used_by_the_balancer() -> set[str]:
@@ -108,13 +110,13 @@
 
 
 def test_every_action_of_the_balancer_is_carried_out() -> None:
-    async def scene() -> None:
-        async with world() as w:
+    async def scenario() -> None:
+        async with running_proxy() as proxy:
             emitted = {kind for kind in get_args(Action) if kind.__name__ in names_used_by_the_balancer()}
             assert len(emitted) > 5
             for kind in emitted:
                 action: Any = kind.__new__(kind)  # without its fields: they are read behind the dispatch
                 with contextlib.suppress(AttributeError):
-                    w.sidecar.carry_out(action)  # raises for kinds that it does not carry out
+                    proxy.sidecar.carry_out(action)  # raises for kinds that it does not carry out
 
-    play(scene())
+    run_scenario(scenario())
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -10,7 +10,15 @@
 
 import pytest
 from balancer_harness import MILLISECOND_US, SECOND_US
-from loopback import CLASSES, World, hung, read_message, request, until, world
+from proxy_harness import (
+    CLASSES,
+    ProxyHarness,
+    never_respond,
+    read_message,
+    request,
+    running_proxy,
+    wait_until,
+)
 from virtual_time import VirtualTimeLoop, advance, now_s, run_in_virtual_time
 
 from sidecar.proxy.active_requests import ActiveRequest
@@ -49,7 +57,7 @@
 class Clients:
     """Clients that send again on every connection that stays open."""
 
-    w: World
+    proxy: ProxyHarness
     deadline_s: float
     sent: list[Sent] = field(default_factory=list)
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
@@ -61,7 +69,7 @@
 
     async def _use(self, wait_s: float) -> None:
         try:
-            reader, writer = await self.w.connect()
+            reader, writer = await self.proxy.connect()
         except ConnectionError:
             return
         if wait_s:
@@ -95,15 +103,15 @@
 @asynccontextmanager
 async def scene_of(
     deadline_s: float, *scripts: object, sockets: int = 1024
-) -> AsyncIterator[tuple[World, Clients]]:
+) -> AsyncIterator[tuple[ProxyHarness, Clients]]:
     classes = [
         each | {"deadline_us": int(deadline_s * SECOND_US), "latency_target_us": 20 * MILLISECOND_US}
         for each in CLASSES
     ]
-    async with world(*scripts, classes=classes, sockets=sockets) as w:  # type: ignore[arg-type]
-        clients = Clients(w, deadline_s)
+    async with running_proxy(*scripts, classes=classes, sockets=sockets) as proxy:  # type: ignore[arg-type]
+        clients = Clients(proxy, deadline_s)
         try:
-            yield w, clients
+            yield proxy, clients
         finally:
             await clients.end()
 
@@ -139,17 +147,17 @@
 def test_requests_at_hung_servers_are_answered_before_sigkill(
     deadline_s: float, held_before_kill_s: float, noticed_late: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene() -> None:
-        async with scene_of(deadline_s, hung, hung) as (w, clients):
+    async def scenario() -> None:
+        async with scene_of(deadline_s, never_respond, never_respond) as (proxy, clients):
             kill_s = kill_after_s(deadline_s)
             waits_s = [kill_s * number / CLIENTS for number in range(CLIENTS)]
             for wait_s in waits_s:
                 clients.open(wait_s)  # some clients use their connection for the first time near the end
-            await until(lambda: len(w.sidecar.frontend.connections) == len(waits_s))
+            await wait_until(lambda: len(proxy.sidecar.frontend.connections) == len(waits_s))
             began = now_s()
             if noticed_late:
                 hold_up()
-            w.stop.set()
+            proxy.stop.set()
             hold_up_at_an_answer(monkeypatch, began + kill_s - held_before_kill_s)
             while now_s() < began + NEW_CONNECTIONS_S:
                 clients.open()
@@ -161,7 +169,7 @@
             assert len(new) > 10
             assert all(each.status is not None for each in new)
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 @pytest.mark.parametrize("noticed_late", [False, True])
@@ -169,22 +177,24 @@
 def test_request_completed_at_any_moment_of_a_shutdown_gets_a_response(
     deadline_s: float, noticed_late: bool
 ) -> None:
-    async def scene() -> None:
-        async with scene_of(deadline_s, hung) as (w, _):
+    async def scenario() -> None:
+        async with scene_of(deadline_s, never_respond) as (proxy, _):
             kill_s = kill_after_s(deadline_s)
-            opened = [await w.connect() for _ in range(CLIENTS)]
+            opened = [await proxy.connect() for _ in range(CLIENTS)]
             data = [
                 request("pay", body=b"x", budget=f"{deadline_s}", X_Call_Id=f"{n}") for n in range(CLIENTS)
             ]
             for (_, writer), each in zip(opened, data, strict=True):
                 writer.write(each[:-1])
 
-            frontend = w.sidecar.frontend
-            await until(lambda: sum(each.has_partial_request() for each in frontend.connections) == CLIENTS)
+            frontend = proxy.sidecar.frontend
+            await wait_until(
+                lambda: sum(each.has_partial_request() for each in frontend.connections) == CLIENTS
+            )
             began = now_s()
             if noticed_late:
                 hold_up()
-            w.stop.set()
+            proxy.stop.set()
             reads = [asyncio.create_task(read_message(reader)) for reader, _ in opened]
             for number, (_, writer) in enumerate(opened):
                 await advance(max(began + kill_s * number / CLIENTS - now_s(), 0.0))
@@ -195,4 +205,4 @@
             for _, writer in opened:
                 writer.close()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
--- a/tests/proxy/test_hedging_races.py
+++ b/tests/proxy/test_hedging_races.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from loopback import LIMITS, hung, play, until, world
-from loopback import request as request_bytes
+from proxy_harness import LIMITS, never_respond, run_scenario, running_proxy, wait_until
+from proxy_harness import request as request_bytes
 from race_stage import Client, rested_everywhere
 
 from sidecar.balancer.policy.hedging import HedgingPolicy
@@ -18,15 +18,15 @@
 def test_client_disconnects_as_its_request_is_hedged(
     dialled: bool, leaves: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene() -> None:
-        async with world(hung, hung, limits=HEDGING) as w:
+    async def scenario() -> None:
+        async with running_proxy(never_respond, never_respond, limits=HEDGING) as proxy:
             if not dialled:
-                for each in w.servers:
+                for each in proxy.servers:
                     each.script = lambda *_: b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-                await rested_everywhere(w)
-                for each in w.servers:
-                    each.script = hung
-            before = len(w.sent())
+                await rested_everywhere(proxy)
+                for each in proxy.servers:
+                    each.script = never_respond
+            before = len(proxy.sent())
             hedged: list[int] = []
 
             def is_hedge_due(detector: HedgingPolicy, request: Request, attempt: Attempt) -> bool:
@@ -36,14 +36,14 @@
                 return len(hedged) == 1
 
             monkeypatch.setattr(HedgingPolicy, "is_hedge_due", is_hedge_due)
-            client = Client(w.sidecar.frontend.address, request_bytes())
-            await until(lambda: hedged)
+            client = Client(proxy.sidecar.frontend.address, request_bytes())
+            await wait_until(lambda: hedged)
             if leaves:
-                await until(lambda: not w.sidecar._active)
+                await wait_until(lambda: not proxy.sidecar._active)
             else:
-                await until(lambda: len(w.sent()) == before + 2)
-            assert (await w.ask(path="/health/ready"))[0] == 200  # the loop has had its turns
-            assert len(w.sent()) == before + (1 if leaves else 2)
+                await wait_until(lambda: len(proxy.sent()) == before + 2)
+            assert (await proxy.send_request(path="/health/ready"))[0] == 200  # the loop has had its turns
+            assert len(proxy.sent()) == before + (1 if leaves else 2)
             client.close()
 
-    play(scene())
+    run_scenario(scenario())
--- a/tests/proxy/test_load_report_parsing.py
+++ b/tests/proxy/test_load_report_parsing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from loopback import answer, play, world
+from proxy_harness import encode_response, run_scenario, running_proxy
 
 from sidecar.proxy.load_reports import parse_report
 
@@ -15,9 +15,11 @@
     assert parse_report("TEXT util=inf, qps=3", columns) == {"qps": 3.0}
     assert parse_report("TEXT util=0.5", ()) is None
 
-    async def scene() -> None:
+    async def scenario() -> None:
         report = {"source": "answers", "columns": ["util"]}
-        async with world(lambda *_: answer(200, b"x", X_Load_Report="TEXT util=;;="), report=report) as w:
-            assert (await w.ask())[0] == 200
+        async with running_proxy(
+            lambda *_: encode_response(200, b"x", X_Load_Report="TEXT util=;;="), report=report
+        ) as proxy:
+            assert (await proxy.send_request())[0] == 200
 
-    play(scene())
+    run_scenario(scenario())
--- a/tests/proxy/test_long_outages.py
+++ b/tests/proxy/test_long_outages.py
@@ -6,7 +6,7 @@
 
 import pytest
 from balancer_harness import MILLISECOND_US, SECOND_US
-from loopback import served, world
+from proxy_harness import respond_ok, running_proxy
 from virtual_time import RegistryStandIn, advance, assert_notified_within, now_s, run_in_virtual_time
 
 from sidecar.proxy import connection_table, loop_lag
@@ -39,11 +39,11 @@
 def test_change_after_ten_quiet_minutes_is_applied_in_time(
     fault: str | None, rules: dict[str, int], mode: str, make_registry: Callable[[], RegistryStandIn]
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         registry = make_registry()
-        async with world(
-            served, served, registry=registry, rules=rules, discovery=mode, tick_us=TICK_US
-        ) as w:
+        async with running_proxy(
+            respond_ok, respond_ok, registry=registry, rules=rules, discovery=mode, tick_us=TICK_US
+        ) as proxy:
             await advance(QUIET_S)
             assert len(registry.targets) > QUIET_S / 5.0  # the watch has gone on
             began = now_s()
@@ -53,11 +53,11 @@
                     await advance(2.0)
                     began = now_s()
                 await registry.recover()
-            await registry.change(w.servers[0].entry(status="leaving"))
-            await assert_notified_within(w, NOTIFIED_WITHIN_S, began)
-            assert (await w.ask())[2] == b"served"
+            await registry.change(proxy.servers[0].entry(status="leaving"))
+            await assert_notified_within(proxy, NOTIFIED_WITHIN_S, began)
+            assert (await proxy.send_request())[2] == b"served"
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 @pytest.mark.parametrize(
@@ -72,39 +72,39 @@
 def test_change_after_an_outage_of_five_minutes_is_applied_in_time(
     fault: str, rules: dict[str, int], mode: str, make_registry: Callable[[], RegistryStandIn]
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         registry = make_registry()
-        async with world(
-            served, served, registry=registry, rules=rules, discovery=mode, tick_us=TICK_US
-        ) as w:
+        async with running_proxy(
+            respond_ok, respond_ok, registry=registry, rules=rules, discovery=mode, tick_us=TICK_US
+        ) as proxy:
             registry.fail(fault)
             await advance(OUTAGE_S)
-            assert (await w.ask())[2] == b"served"  # by the list that it has
+            assert (await proxy.send_request())[2] == b"served"  # by the list that it has
             await registry.recover()
             began = now_s()
-            await registry.change(w.servers[0].entry(status="leaving"))
-            await assert_notified_within(w, NOTIFIED_WITHIN_S, began)
-            assert (await w.ask())[2] == b"served"
+            await registry.change(proxy.servers[0].entry(status="leaving"))
+            await assert_notified_within(proxy, NOTIFIED_WITHIN_S, began)
+            assert (await proxy.send_request())[2] == b"served"
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 @pytest.mark.parametrize(("fault", "mode"), [("refused", "on_request"), ("partitioned", "pushed")])
 def test_reload_in_an_outage_of_five_minutes_is_applied_at_once(
     fault: str, mode: str, make_registry: Callable[[], RegistryStandIn]
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         former, latter = make_registry(), make_registry()
         await latter.start()
-        async with world(
-            served, served, registry=former, rules=RULES[1], discovery=mode, tick_us=TICK_US
-        ) as w:
+        async with running_proxy(
+            respond_ok, respond_ok, registry=former, rules=RULES[1], discovery=mode, tick_us=TICK_US
+        ) as proxy:
             former.fail(fault)
             await advance(OUTAGE_S)
             began = now_s()
-            w.sidecar.migrate_discovery(latter.address)
-            await latter.change(w.servers[0].entry(status="leaving"))
-            await assert_notified_within(w, RELOADED_S, began)
+            proxy.sidecar.migrate_discovery(latter.address)
+            await latter.change(proxy.servers[0].entry(status="leaving"))
+            await assert_notified_within(proxy, RELOADED_S, began)
         latter.stop()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
--- a/tests/proxy/test_new_connection_responses.py
+++ b/tests/proxy/test_new_connection_responses.py
@@ -6,7 +6,15 @@
 import socket
 
 import pytest
-from loopback import hung, is_closed, read_answer, request, served, until, world
+from proxy_harness import (
+    never_respond,
+    read_response,
+    request,
+    respond_ok,
+    running_proxy,
+    wait_for_eof,
+    wait_until,
+)
 from virtual_time import advance, now_s, run_in_virtual_time
 
 from sidecar.proxy.connection_state import ConnectionState
@@ -21,96 +29,96 @@
 def test_new_connection_is_rejected_with_a_response_under_overload(
     monkeypatch: pytest.MonkeyPatch, data: bytes, in_pieces: bool
 ) -> None:
-    async def scene() -> None:
-        async with world(served) as w:
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
             monkeypatch.setattr(ConnectionTable, "is_overloaded", lambda _: True)
-            reader, writer = await w.connect()
+            reader, writer = await proxy.connect()
             if in_pieces:
                 writer.write(data[:30])
                 await advance(0.3)
                 writer.write(data[30:])
             else:
                 writer.write(data)
-            status, headers, _ = await read_answer(reader)
+            status, headers, _ = await read_response(reader)
             assert (status, headers["connection"]) == (503, "close")
-            assert await is_closed(reader)
-            assert not w.sent()
+            assert await wait_for_eof(reader)
+            assert not proxy.sent()
             writer.close()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 # New connections come for 0.4 s after SIGTERM; the listener stays open for longer.
 @pytest.mark.parametrize("after_s", [0.0, 0.1, 0.3, 0.4, _ACCEPT_S - 0.01])
 @pytest.mark.parametrize("later_s", [0.0, 0.005, 0.1], ids=["at once", "a moment later", "later"])
 def test_request_on_a_new_connection_while_draining_gets_a_response(after_s: float, later_s: float) -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            w.stop.set()
-            await until(lambda: w.sidecar.frontend.draining)
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            proxy.stop.set()
+            await wait_until(lambda: proxy.sidecar.frontend.draining)
             await advance(after_s)
-            reader, writer = await w.connect()
+            reader, writer = await proxy.connect()
             await advance(later_s)
             writer.write(SIZES["small"])
-            status, headers, _ = await read_answer(reader)
+            status, headers, _ = await read_response(reader)
             assert (status, headers["connection"]) == (200, "close")
-            assert await is_closed(reader)
+            assert await wait_for_eof(reader)
             writer.close()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 def test_connection_queued_as_the_listener_closes_gets_a_response() -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            frontend = w.sidecar.frontend
-            await until(lambda: frontend._accepting)
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            frontend = proxy.sidecar.frontend
+            await wait_until(lambda: frontend._accepting)
             client = socket.create_connection(frontend.address)
             client.sendall(SIZES["small"])
             frontend.drain()
             assert frontend.stop()  # within one step of the event loop: nothing has been accepted before
             client.setblocking(False)
             reader, writer = await asyncio.open_connection(sock=client)
-            status, headers, _ = await read_answer(reader)
+            status, headers, _ = await read_response(reader)
             assert (status, headers["connection"]) == (200, "close")
             writer.close()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 def test_request_in_flight_to_the_end_of_a_drain_gets_a_response_before_sigkill() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         # It arrives late, and its server hangs for longer than the drain may last.
-        async with world(hung) as w:
-            w.stop.set()
-            await until(lambda: w.sidecar.frontend.draining)
+        async with running_proxy(never_respond) as proxy:
+            proxy.stop.set()
+            await wait_until(lambda: proxy.sidecar.frontend.draining)
             began = now_s()
             await advance(0.4)
-            reader, writer = await w.connect()
+            reader, writer = await proxy.connect()
             writer.write(request("pay", body=b"held", budget="500"))
-            status, headers, _ = await read_answer(reader)
+            status, headers, _ = await read_response(reader)
             assert (status, headers["connection"]) == (500, "close")
             assert now_s() < began + 3.0 + 0.7  # SIGKILL may come then
             writer.close()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 def test_no_connection_is_evicted_before_its_response_has_been_read() -> None:
     # A close over unread bytes resets the connection, and a response that its client has yet to read is lost.
-    async def scene() -> None:
-        async with world(served, sockets=66) as w:  # room for one client
-            frontend = w.sidecar.frontend
+    async def scenario() -> None:
+        async with running_proxy(respond_ok, sockets=66) as proxy:  # room for one client
+            frontend = proxy.sidecar.frontend
             too_large = request("pay", body=bytes(64 * 1024 + 1))
             client = socket.create_connection(frontend.address)
             client.sendall(too_large[:-1])
-            await until(lambda: frontend.table._by_state[ConnectionState.CLOSING])
+            await wait_until(lambda: frontend.table._by_state[ConnectionState.CLOSING])
             client.sendall(too_large[-1:])  # within one step of the event loop
             assert not frontend.table.evict_one()
             client.setblocking(False)
             reader, writer = await asyncio.open_connection(sock=client)
-            assert (await read_answer(reader))[0] == 413
-            await until(frontend.table.evict_one)
+            assert (await read_response(reader))[0] == 413
+            await wait_until(frontend.table.evict_one)
             writer.close()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
--- a/tests/proxy/test_overload_detection.py
+++ b/tests/proxy/test_overload_detection.py
@@ -6,15 +6,15 @@
 import time
 
 import pytest
-from loopback import (
+from proxy_harness import (
     LIMITS,
-    is_closed,
-    play,
-    read_answer,
+    read_response,
     request,
-    served,
-    until,
-    world,
+    respond_ok,
+    run_scenario,
+    running_proxy,
+    wait_for_eof,
+    wait_until,
 )
 
 from sidecar.proxy.connection_state import STATE_TIME_LIMITS_S, ConnectionState
@@ -28,33 +28,33 @@
     monkeypatch.setattr("sidecar.proxy.overload._LIMIT_INCREASE", 1.0)
     limits = LIMITS | {"retry_after": True, "max_retry_after_us": 750_000}
 
-    async def scene() -> None:
-        async with world(lambda *_: None, limits=limits) as w:
-            address = w.sidecar.frontend.address
+    async def scenario() -> None:
+        async with running_proxy(lambda *_: None, limits=limits) as proxy:
+            address = proxy.sidecar.frontend.address
             held = [await asyncio.open_connection(*address) for _ in range(40)]
             for number, (_, writer) in enumerate(held):
                 writer.write(request(X_Call_Id=f"held-{number}", budget="500"))
-            await until(lambda: len(w.sent()) == len(held))
+            await wait_until(lambda: len(proxy.sent()) == len(held))
 
             def lags() -> bool:
                 time.sleep(0.15)  # longer than it takes to the next sweep
-                return w.sidecar.frontend.table._overload.active_limit < 33
+                return proxy.sidecar.frontend.table._overload.active_limit < 33
 
-            await until(lags)
+            await wait_until(lags)
             reader, writer = await asyncio.open_connection(*address)
             writer.write(request("pay", body=b"x", X_Call_Id="new"))
-            status, headers, _ = await read_answer(reader)
+            status, headers, _ = await read_response(reader)
             assert (status, headers["retry-after"], headers["connection"]) == (503, "0.750", "close")
-            assert await is_closed(reader)
+            assert await wait_for_eof(reader)
             writer.close()
-            assert len(w.sent()) == len(held)
+            assert len(proxy.sent()) == len(held)
             for _, writer in held:
                 writer.close()
-            await until(lambda: not w.sidecar.frontend.table.is_overloaded())
-            w.servers[0].script = served
-            assert (await w.ask(X_Call_Id="after"))[0] == 200
+            await wait_until(lambda: not proxy.sidecar.frontend.table.is_overloaded())
+            proxy.servers[0].script = respond_ok
+            assert (await proxy.send_request(X_Call_Id="after"))[0] == 200
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_silent_clients_do_not_count_as_load_after_a_lag(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -62,31 +62,33 @@
     monkeypatch.setattr("sidecar.proxy.overload._LIMIT_INCREASE", 1.0)  # a late sweep is not forgotten
     monkeypatch.setitem(STATE_TIME_LIMITS_S, ConnectionState.READING, 600.0)
 
-    async def scene() -> None:
-        async with world(served, sockets=144) as w:
-            frontend = w.sidecar.frontend
+    async def scenario() -> None:
+        async with running_proxy(respond_ok, sockets=144) as proxy:
+            frontend = proxy.sidecar.frontend
             capacity = frontend.table.capacity
             assert capacity == 40
             clients = [await asyncio.open_connection(*frontend.address) for _ in range(capacity)]
-            await until(lambda: len(frontend.connections) == capacity)
+            await wait_until(lambda: len(frontend.connections) == capacity)
 
             def lags() -> bool:
                 time.sleep(0.15)  # longer than it takes to the next sweep
                 return frontend.table._overload.active_limit == 32
 
-            await until(lags)
+            await wait_until(lags)
             swept = frontend.table._sweep_due
-            await until(lambda: frontend.table._sweep_due > swept)  # it has looked since the last client came
-            status, _, body = await w.ask(kind="pay", body=b"x")
+            await wait_until(
+                lambda: frontend.table._sweep_due > swept
+            )  # it has looked since the last client came
+            status, _, body = await proxy.send_request(kind="pay", body=b"x")
             assert (status, body) == (200, b"served")
             # Requests that have begun to arrive do count.
             for _, writer in clients:
                 writer.write(request()[:20])
             begun = frontend.table._by_state[ConnectionState.READING]
-            await until(lambda: len([each for each in begun if each.has_partial_request()]) >= 32)
-            await until(lambda: not frontend.table._silent)
+            await wait_until(lambda: len([each for each in begun if each.has_partial_request()]) >= 32)
+            await wait_until(lambda: not frontend.table._silent)
             assert frontend.table.is_overloaded()
             for _, writer in clients:
                 writer.close()
 
-    play(scene())
+    run_scenario(scenario())
--- a/tests/proxy/test_pipelined_client_races.py
+++ b/tests/proxy/test_pipelined_client_races.py
@@ -5,55 +5,55 @@
 import asyncio
 
 import pytest
-from loopback import (
-    World,
-    hung,
-    is_closed,
-    play,
-    read_answer,
+from proxy_harness import (
+    ProxyHarness,
+    never_respond,
+    read_response,
     request,
-    served,
-    until,
-    world,
+    respond_ok,
+    run_scenario,
+    running_proxy,
+    wait_for_eof,
+    wait_until,
 )
 
 
-async def flood(w: World, held: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+async def flood(proxy: ProxyHarness, held: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     """Send a request that is held at its server, and then more than is kept."""
-    reader, writer = await w.connect()
+    reader, writer = await proxy.connect()
     writer.write(held)
-    await until(w.sent)
+    await wait_until(proxy.sent)
     ahead = request("pay", body=bytes(60_000), X_Call_Id="ahead")
     writer.write(ahead * 50)  # more than the kernel holds
     return reader, writer
 
 
 def test_client_that_pipelines_too_much_disconnects_while_its_request_is_in_flight() -> None:
-    async def scene() -> None:
-        async with world(hung) as w:
-            _, writer = await flood(w, request("pay", body=b"held", budget="500"))
+    async def scenario() -> None:
+        async with running_proxy(never_respond) as proxy:
+            _, writer = await flood(proxy, request("pay", body=b"held", budget="500"))
             writer.close()  # its end comes behind all that
-            await until(lambda: w.servers[0].closed == 1)
-            assert not w.sidecar._active
-            assert len(w.sent()) == 1
+            await wait_until(lambda: proxy.servers[0].closed == 1)
+            assert not proxy.sidecar._active
+            assert len(proxy.sent()) == 1
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_client_that_pipelines_too_much_gets_its_response_and_a_close() -> None:
-    async def scene() -> None:
-        async with world(hung) as w:
-            reader, writer = await flood(w, request("pay", body=b"held", budget="500"))
-            (connection,) = w.sidecar.frontend.connections
-            await until(lambda: connection._discarded_bytes)
-            w.servers[0].writers[0].write(served())
-            status, headers, body = await read_answer(reader)
+    async def scenario() -> None:
+        async with running_proxy(never_respond) as proxy:
+            reader, writer = await flood(proxy, request("pay", body=b"held", budget="500"))
+            (connection,) = proxy.sidecar.frontend.connections
+            await wait_until(lambda: connection._discarded_bytes)
+            proxy.servers[0].writers[0].write(respond_ok())
+            status, headers, body = await read_response(reader)
             assert (status, headers["connection"], body) == (200, "close", b"served")
-            assert await is_closed(reader)
-            assert len(w.sent()) == 1
+            assert await wait_for_eof(reader)
+            assert len(proxy.sent()) == 1
             writer.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_client_that_never_stops_sending_gets_its_response_and_a_close(
@@ -61,13 +61,13 @@
 ) -> None:
     monkeypatch.setattr("sidecar.proxy.client_connection._MAX_DISCARDED_BYTES", 1024 * 1024)
 
-    async def scene() -> None:
-        async with world(hung) as w:
-            reader, writer = await flood(w, request("pay", body=b"held", budget="500"))
-            status, headers, _ = await read_answer(reader)
+    async def scenario() -> None:
+        async with running_proxy(never_respond) as proxy:
+            reader, writer = await flood(proxy, request("pay", body=b"held", budget="500"))
+            status, headers, _ = await read_response(reader)
             assert (status, headers["connection"]) == (500, "close")
-            assert await is_closed(reader)
-            await until(lambda: w.servers[0].closed == 1)
+            assert await wait_for_eof(reader)
+            await wait_until(lambda: proxy.servers[0].closed == 1)
             writer.close()
 
-    play(scene())
+    run_scenario(scenario())
--- a/tests/proxy/test_process_lifecycle.py
+++ b/tests/proxy/test_process_lifecycle.py
@@ -17,18 +17,18 @@
 from typing import Any
 
 import pytest
-from loopback import (
-    PATIENCE_S,
+from proxy_harness import (
+    TIMEOUT_S,
     FakeDiscovery,
     FakeServer,
-    answer,
-    ask,
-    is_closed,
-    play,
-    read_answer,
+    encode_response,
+    read_response,
     request,
-    until,
-    world,
+    run_scenario,
+    running_proxy,
+    send_request,
+    wait_for_eof,
+    wait_until,
 )
 
 from scale.ports import ReservedAddress
@@ -90,14 +90,14 @@
     ],
 )
 def test_invalid_configuration_ends_the_start_with_one_line(given: object, tmp_path: Path) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         process = await launch(tmp_path / "config.json", given)
-        _, err = await asyncio.wait_for(process.communicate(), PATIENCE_S)
+        _, err = await asyncio.wait_for(process.communicate(), TIMEOUT_S)
         assert process.returncode == 2
         assert len(err.decode().strip().splitlines()) == 1
         assert err.startswith(b"bad configuration: ")
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_log_lines_are_rate_limited() -> None:
@@ -132,10 +132,10 @@
         given["limits"] = {"sockets": descriptors}
     process = await launch(tmp_path / "config.json", given, descriptors)
     try:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while True:
                 with contextlib.suppress(OSError):
-                    if (await ask(listen, request(path="/health/ready")))[0] == 200:
+                    if (await send_request(listen, request(path="/health/ready")))[0] == 200:
                         break
                 await asyncio.sleep(0.02)
         yield process, listen
@@ -149,45 +149,47 @@
 
 
 def test_sigterm_answers_requests_in_flight_and_ends_the_process(tmp_path: Path) -> None:
-    async def scene() -> None:
-        server = FakeServer("s-0", lambda first, *_: None if "held" in first else answer(200, b"served"))
+    async def scenario() -> None:
+        server = FakeServer(
+            "s-0", lambda first, *_: None if "held" in first else encode_response(200, b"served")
+        )
         async with program(tmp_path, server) as (process, listen):
             resting, resting_writer = await asyncio.open_connection(*listen)
             resting_writer.write(request())
-            status, headers, _ = await read_answer(resting)
+            status, headers, _ = await read_response(resting)
             assert status == 200
             assert "connection" not in headers
             reader, writer = await asyncio.open_connection(*listen)
             writer.write(request("pay", path="/api/held", body=b"x"))
-            await until(lambda: len(server.requests) == 2)
+            await wait_until(lambda: len(server.requests) == 2)
 
             process.send_signal(signal.SIGTERM)
-            assert await is_closed(resting)
+            assert await wait_for_eof(resting)
             for each in server.writers:
                 if not each.is_closing():
-                    each.write(answer(200, b"held"))
-            status, headers, body = await read_answer(reader)
+                    each.write(encode_response(200, b"held"))
+            status, headers, body = await read_response(reader)
             assert (status, headers["connection"], body) == (200, "close", b"held")
-            assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
+            assert await asyncio.wait_for(process.wait(), TIMEOUT_S) == 0
             for each in (resting_writer, writer):
                 each.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_request_that_never_ends_is_failed_in_time_after_sigterm(tmp_path: Path) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         server = FakeServer("s-0", lambda *_: None)
         async with program(tmp_path, server) as (process, listen):
             reader, writer = await asyncio.open_connection(*listen)
             writer.write(request("pay", body=b"x", budget="500"))
-            await until(lambda: server.requests)
+            await wait_until(lambda: server.requests)
             process.send_signal(signal.SIGTERM)
-            assert (await read_answer(reader))[0] == 500
-            assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
+            assert (await read_response(reader))[0] == 500
+            assert await asyncio.wait_for(process.wait(), TIMEOUT_S) == 0
             writer.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_drain_still_accepts_connections_and_serves_those_just_opened(
@@ -196,52 +198,52 @@
     # Guards the 0.4 s in which connections still come; made long, so that a slow machine can't miss them.
     monkeypatch.setattr(shutdown, "_ACCEPT_S", 600.0)
 
-    async def scene() -> None:
-        async with world(lambda *_: answer(200, b"served")) as w:
-            listen = w.sidecar.frontend.address
+    async def scenario() -> None:
+        async with running_proxy(lambda *_: encode_response(200, b"served")) as proxy:
+            listen = proxy.sidecar.frontend.address
             rested, rested_writer = await asyncio.open_connection(*listen)
             rested_writer.write(request())
-            assert (await read_answer(rested))[0] == 200
+            assert (await read_response(rested))[0] == 200
             opened, opened_writer = await asyncio.open_connection(*listen)
-            await until(lambda: len(w.sidecar.frontend.connections) == 2)
-            w.stop.set()
+            await wait_until(lambda: len(proxy.sidecar.frontend.connections) == 2)
+            proxy.stop.set()
             # What is at rest is closed while a request that crosses it can still come again.
-            assert await is_closed(rested)
-            assert (await ask(listen, request(path="/health/ready")))[0] == 503
+            assert await wait_for_eof(rested)
+            assert (await send_request(listen, request(path="/health/ready")))[0] == 503
             # What was just opened keeps its request, and so does what is opened now.
             late, late_writer = await asyncio.open_connection(*listen)
             for reader, writer in ((opened, opened_writer), (late, late_writer)):
                 writer.write(request())
-                status, headers, body = await read_answer(reader)
+                status, headers, body = await read_response(reader)
                 assert (status, headers["connection"], body) == (200, "close", b"served")
-                assert await is_closed(reader)
+                assert await wait_for_eof(reader)
                 writer.close()
             rested_writer.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 async def next_line(log: asyncio.StreamReader) -> bytes:
     """The next line of the program's log, past those on a busy machine."""
     while True:
-        line = await asyncio.wait_for(log.readline(), PATIENCE_S)
+        line = await asyncio.wait_for(log.readline(), TIMEOUT_S)
         if b"the event loop was" not in line:
             return line
 
 
 def test_sighup_migrates_discovery_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         old, first, second = FakeDiscovery(), FakeDiscovery(), FakeDiscovery()
         await first.start()
         await second.start()
-        server = FakeServer("s-0", lambda *_: answer(200, b"served"))
+        server = FakeServer("s-0", lambda *_: encode_response(200, b"served"))
         path = tmp_path / "config.json"
 
         def replaced(discovery: FakeDiscovery) -> str:
             return json.dumps(config(discovery="{}:{}".format(*discovery.address)))
 
         async with program(tmp_path, server, old) as (process, listen):
-            await until(lambda: old.targets)
+            await wait_until(lambda: old.targets)
             for junk in ("not json", json.dumps(config(discovery="nowhere"))):
                 path.write_text(junk, encoding="utf-8")
                 process.send_signal(signal.SIGHUP)
@@ -250,49 +252,49 @@
                 path.write_text(replaced(now), encoding="utf-8")
                 process.send_signal(signal.SIGHUP)
                 # The complete list is asked for: what was heard elsewhere may be behind, or ahead.
-                await until(partial(now.called, 1))
+                await wait_until(partial(now.called, 1))
                 assert now.targets == ["/registry/instances"]
-                now.say(number, [server.entry()], snapshot=True)
-                await until(partial(now.called, 2))
+                now.push_update(number, [server.entry()], snapshot=True)
+                await wait_until(partial(now.called, 2))
                 assert now.targets[1].startswith(f"/registry/instances?after={number}&wait_ms=")
-            assert (await ask(listen, request()))[0] == 200
+            assert (await send_request(listen, request()))[0] == 200
             assert len(old.targets) == 1
             assert len(first.targets) == 2
             process.send_signal(signal.SIGTERM)
             process.send_signal(signal.SIGHUP)
-            assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
+            assert await asyncio.wait_for(process.wait(), TIMEOUT_S) == 0
         first.stop()
         second.stop()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_readiness_waits_for_an_event_loop_on_time(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     # Guards the first clients: a platform may hold a program back for the CPU that it spent on starting.
-    async def scene() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr(loop_lag, "SETTLED_AFTER_S", 600.0)
         monkeypatch.setattr(loop_lag, "_CHECK_INTERVAL_S", 0.01)
         monkeypatch.setattr(loop_lag, "_LAG_WARNING_S", -1.0)  # as if it were late whenever it looked
-        async with world(settled=False) as w:
-            await until(lambda: caplog.text.count("late") > 2)
-            assert (await w.ask(path="/health/ready"))[0] == 503
+        async with running_proxy(settled=False) as proxy:
+            await wait_until(lambda: caplog.text.count("late") > 2)
+            assert (await proxy.send_request(path="/health/ready"))[0] == 503
             monkeypatch.setattr(loop_lag, "_LAG_WARNING_S", 600.0)
-            await until(lambda: w.sidecar.is_ready())
-            assert (await w.ask(path="/health/ready"))[0] == 200
+            await wait_until(lambda: proxy.sidecar.is_ready())
+            assert (await proxy.send_request(path="/health/ready"))[0] == 200
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_readiness_comes_in_time_on_a_machine_that_always_lags(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr(loop_lag, "SETTLED_AFTER_S", 0.05)
         monkeypatch.setattr(loop_lag, "_LAG_WARNING_S", -1.0)
-        async with world(settled=False) as w:
-            await until(lambda: w.sidecar.is_ready())
+        async with running_proxy(settled=False) as proxy:
+            await wait_until(lambda: proxy.sidecar.is_ready())
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.fixture
@@ -320,7 +322,7 @@
 def test_idle_clients_fill_the_descriptors_while_discovery_is_down(descriptors: int, tmp_path: Path) -> None:
     most = (descriptors - RESERVED_DESCRIPTORS) // 2  # clients, and as many connections to servers
 
-    async def scene() -> None:
+    async def scenario() -> None:
         server, down = FakeServer("s-0", lambda *_: None), FakeDiscovery()
         async with program(tmp_path, server, down, is_up=False, descriptors=descriptors) as (process, listen):
             held: list[asyncio.Task[Any]] = []
@@ -332,28 +334,32 @@
                 8, most - len(server.requests)
             ):  # so few, and again what a slow machine refuses
                 data = [request("pay", X_Call_Id=f"{len(held) + n}", budget="500") for n in range(more)]
-                held += [asyncio.create_task(ask(listen, each)) for each in data]
-                await until(all_there_or_refused)
-            server.script = lambda *_: answer(200, b"served")
+                held += [asyncio.create_task(send_request(listen, each)) for each in data]
+                await wait_until(all_there_or_refused)
+            server.script = lambda *_: encode_response(200, b"served")
             for each in server.writers:
-                each.write(answer(200, b"served"))  # so that each leaves a connection behind
+                each.write(encode_response(200, b"served"))  # so that each leaves a connection behind
             statuses = [(await each)[0] for each in held]
             assert statuses.count(200) == most
             idle = []
             for _ in range(4):
                 idle += opened(listen, 400)
-                assert (await ask(listen, request(path="/health/ready")))[0] == 200  # it came behind them
+                assert (await send_request(listen, request(path="/health/ready")))[
+                    0
+                ] == 200  # it came behind them
             down._server = await asyncio.start_server(down._serve, *down.address)
-            await until(lambda: down.targets)
-            other = FakeServer("s-1", lambda *_: answer(200, b"other"))
+            await wait_until(lambda: down.targets)
+            other = FakeServer("s-1", lambda *_: encode_response(200, b"other"))
             await other.start()
-            down.say(2, [server.entry(status="left"), other.entry()])
+            down.push_update(2, [server.entry(status="left"), other.entry()])
             for _ in range(9):
-                down.say(2, [])
+                down.push_update(2, [])
             # Between these calls 0.1 s pass on the program's own clock: it has found silent clients since.
-            await until(lambda: sum("after=2&" in each for each in down.targets) >= 4)
-            assert (await ask(listen, request("pay", budget="500")))[2] == b"other"  # on a new connection
-            assert (await ask(listen, request(path="/health/ready")))[0] == 200
+            await wait_until(lambda: sum("after=2&" in each for each in down.targets) >= 4)
+            assert (await send_request(listen, request("pay", budget="500")))[
+                2
+            ] == b"other"  # on a new connection
+            assert (await send_request(listen, request(path="/health/ready")))[0] == 200
             process.kill()
             _, err = await process.communicate()
             assert b"Errno 24" not in err
@@ -362,29 +368,31 @@
                 client.close()
             other.stop()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_restart_with_a_thousand_servers_is_ready_in_time_while_discovery_is_down(tmp_path: Path) -> None:
     # Nine in ten have to be ready within 10 s, on a part of a core and in 32 MB.
-    async def scene() -> None:
-        server, down = FakeServer("s-0", lambda *_: answer(200, b"served")), FakeDiscovery()
+    async def scenario() -> None:
+        server, down = FakeServer("s-0", lambda *_: encode_response(200, b"served")), FakeDiscovery()
         listed = [f"127.1.{index // 250}.{index % 250 + 1}:9" for index in range(1023)]
         async with program(tmp_path, server, down, is_up=False, listed=listed) as (process, listen):
             spent = (Path("/proc") / str(process.pid) / "stat").read_text().rpartition(")")[2].split()
             cpu_s = (int(spent[11]) + int(spent[12])) / os.sysconf("SC_CLK_TCK")
             assert cpu_s / 0.1 + loop_lag.SETTLED_AFTER_S < 10.0  # on a tenth of a core
             down._server = await asyncio.start_server(down._serve, *down.address)
-            await until(lambda: down.targets)
+            await wait_until(lambda: down.targets)
             entries = [server.entry(), *(server.entry(name=each, address=each) for each in listed)]
-            down.say(2, entries, snapshot=True)
-            await until(lambda: down.called(2))
+            down.push_update(2, entries, snapshot=True)
+            await wait_until(lambda: down.called(2))
             leaving = [each | {"status": "leaving"} for each in entries[1:]]
-            down.say(3, leaving)
-            await until(lambda: down.called(3))
-            assert (await ask(listen, request("pay")))[2] == b"served"  # of all, the one that is left
+            down.push_update(3, leaving)
+            await wait_until(lambda: down.called(3))
+            assert (await send_request(listen, request("pay")))[
+                2
+            ] == b"served"  # of all, the one that is left
             status = (Path("/proc") / str(process.pid) / "status").read_text()
             (peak,) = [line for line in status.splitlines() if line.startswith("VmHWM")]
             assert int(peak.split()[1]) < 32 * 1024  # kB
 
-    play(scene())
+    run_scenario(scenario())
--- a/tests/proxy/test_registry_faults.py
+++ b/tests/proxy/test_registry_faults.py
@@ -10,7 +10,7 @@
 
 import pytest
 from balancer_harness import SECOND_US
-from loopback import answer, reset, served, until, world
+from proxy_harness import encode_response, reset, respond_ok, running_proxy, wait_until
 from virtual_time import RegistryStandIn, assert_notified_within, now_s, run_in_virtual_time
 
 from sidecar.proxy import discovery_client, server_connection, sockets
@@ -34,10 +34,12 @@
 def test_change_is_applied_in_time_though_dials_to_the_registry_fail(
     in_socket: bool, code: int, times: int, mode: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         registry = RegistryStandIn()
-        async with world(served, served, registry=registry, rules=RULES, discovery=mode) as w:
-            await until(lambda: registry.targets)
+        async with running_proxy(
+            respond_ok, respond_ok, registry=registry, rules=RULES, discovery=mode
+        ) as proxy:
+            await wait_until(lambda: registry.targets)
             faults = iter([code] * times)
             failed_at: list[float] = []
 
@@ -63,18 +65,18 @@
             monkeypatch.setattr(asyncio.get_running_loop(), "sock_connect", dial)
             registry.fail("reset")
             registry.fault = None
-            await until(lambda: len(failed_at) == times)
+            await wait_until(lambda: len(failed_at) == times)
             began = failed_at[-1]
-            await registry.change(w.servers[0].entry(status="leaving"))
-            await assert_notified_within(w, NOTIFIED_WITHIN_S, began)
+            await registry.change(proxy.servers[0].entry(status="leaving"))
+            await assert_notified_within(proxy, NOTIFIED_WITHIN_S, began)
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("code", BREAKS)
 def test_change_is_applied_in_time_though_the_watch_breaks(code: int, mode: str) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         registry = RegistryStandIn()
         dialled: list[Connection] = []
         connect = server_connection.connect
@@ -85,15 +87,17 @@
 
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(discovery_client, "connect", dial)
-            async with world(served, served, registry=registry, rules=RULES, discovery=mode) as w:
-                await until(lambda: registry.targets)
+            async with running_proxy(
+                respond_ok, respond_ok, registry=registry, rules=RULES, discovery=mode
+            ) as proxy:
+                await wait_until(lambda: registry.targets)
                 transport: Any = dialled[-1]._transport
                 transport._fatal_error(OSError(code, os.strerror(code)))  # as reading it would
                 began = now_s()
-                await registry.change(w.servers[0].entry(status="leaving"))
-                await assert_notified_within(w, NOTIFIED_WITHIN_S, began)
+                await registry.change(proxy.servers[0].entry(status="leaving"))
+                await assert_notified_within(proxy, NOTIFIED_WITHIN_S, began)
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 class ResettingRegistry(RegistryStandIn):
@@ -114,31 +118,31 @@
 ) -> None:
     connect = server_connection.connect
 
-    async def scene() -> None:
+    async def scenario() -> None:
         registry = ResettingRegistry()
 
         async def dial(address: Address, body_most: int) -> Connection:
             is_reset = registry.left > 0
             connection = await connect(address, body_most)
             if is_reset:
-                await until(lambda: connection._transport is None or connection._transport.is_closing())
+                await wait_until(lambda: connection._transport is None or connection._transport.is_closing())
                 await asyncio.sleep(0)  # and its end has been reported by now
             return connection
 
         monkeypatch.setattr(discovery_client, "connect", dial)
-        async with world(served, served, registry=registry, rules=RULES) as w:
-            await until(lambda: registry.targets)
+        async with running_proxy(respond_ok, respond_ok, registry=registry, rules=RULES) as proxy:
+            await wait_until(lambda: registry.targets)
             registry.left = 3
             registry.fail("reset")
             registry.fault = None
-            await until(lambda: not registry.left)
+            await wait_until(lambda: not registry.left)
             began = now_s()
-            await registry.change(w.servers[0].entry(status="leaving"))
+            await registry.change(proxy.servers[0].entry(status="leaving"))
             await assert_notified_within(
-                w, 2.0, began
+                proxy, 2.0, began
             )  # a wait before the next call; given up on, the last would take 2.5 s
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 @pytest.mark.parametrize("mode", MODES)
@@ -156,27 +160,29 @@
             raise failures.pop()
         return handle(*given)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         registry = RegistryStandIn()
-        async with world(served, served, registry=registry, rules=RULES, discovery=mode) as w:
-            await until(lambda: registry.targets)
+        async with running_proxy(
+            respond_ok, respond_ok, registry=registry, rules=RULES, discovery=mode
+        ) as proxy:
+            await wait_until(lambda: registry.targets)
             monkeypatch.setattr(place, where, fail_once)
             began = now_s()
-            await registry.change(w.servers[0].entry(status="leaving"))
-            await assert_notified_within(w, NOTIFIED_WITHIN_S, began)
+            await registry.change(proxy.servers[0].entry(status="leaving"))
+            await assert_notified_within(proxy, NOTIFIED_WITHIN_S, began)
             assert not failures
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 DEEP = b'{"index":42,"endpoints":' + b"[" * 20_000 + b"]" * 20_000 + b"}"
 JUNK = {
-    "deep": answer(200, DEEP),
-    "not utf-8": answer(200, b"\xff\xfe\xfa"),
-    "large": answer(
+    "deep": encode_response(200, DEEP),
+    "not utf-8": encode_response(200, b"\xff\xfe\xfa"),
+    "large": encode_response(
         200, b'{"index":41,"endpoints":[{"name":"s-0","status":"active","weight":1%b}]}' % (b"0" * 400)
     ),
-    "many digits": answer(200, b'{"index":%b,"endpoints":[]}' % (b"1" * 5000)),
+    "many digits": encode_response(200, b'{"index":%b,"endpoints":[]}' % (b"1" * 5000)),
     "no http": b"\x00\x01\x02\r\n\r\n",
     "two lengths": b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n{}",
     "header without end": b"HTTP/1.1 200 OK\r\nX: " + b"x" * 200_000,
@@ -200,17 +206,19 @@
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("what", JUNK)
 def test_change_is_applied_in_time_though_junk_came_in_its_place(what: str, mode: str) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         registry = MalformedRegistry()
-        async with world(served, served, registry=registry, rules=RULES, discovery=mode) as w:
-            await until(lambda: registry.targets)
+        async with running_proxy(
+            respond_ok, respond_ok, registry=registry, rules=RULES, discovery=mode
+        ) as proxy:
+            await wait_until(lambda: registry.targets)
             registry.junk = JUNK[what]
             began = now_s()
-            await registry.change(w.servers[0].entry(status="leaving"))
-            await assert_notified_within(w, NOTIFIED_WITHIN_S, began)
+            await registry.change(proxy.servers[0].entry(status="leaving"))
+            await assert_notified_within(proxy, NOTIFIED_WITHIN_S, began)
             assert registry.junk is None
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 def test_entry_with_a_number_too_large_affects_no_other() -> None:
--- a/tests/proxy/test_registry_update_delay.py
+++ b/tests/proxy/test_registry_update_delay.py
@@ -8,7 +8,7 @@
 
 import pytest
 from balancer_harness import SECOND_US
-from loopback import served, world
+from proxy_harness import respond_ok, running_proxy
 from virtual_time import STEP_S, RegistryStandIn, advance, assert_notified_within, now_s, run_in_virtual_time
 
 NOTIFIED_WITHIN_S = 6.0  # after discovery has it and can be reached, a change counts as notified
@@ -24,11 +24,11 @@
 def test_change_is_applied_in_time_after_any_fault(
     fault: str, change_first: bool, make_registry: Callable[[], RegistryStandIn]
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         for outage_s in (0.05, 0.4, 1.6, 2.9, 4.6, 13.0):
             registry = make_registry()
-            async with world(served, registry=registry, rules=RULES) as w:
-                leaving = w.servers[0].entry(status="leaving")
+            async with running_proxy(respond_ok, registry=registry, rules=RULES) as proxy:
+                leaving = proxy.servers[0].entry(status="leaving")
                 await advance(1.0)
                 registry.fail(fault)
                 await advance(outage_s)
@@ -38,9 +38,9 @@
                 began = now_s()
                 if not change_first:
                     await registry.change(leaving)
-                await assert_notified_within(w, NOTIFIED_WITHIN_S, began)
+                await assert_notified_within(proxy, NOTIFIED_WITHIN_S, began)
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 @pytest.mark.parametrize("after_s", [0.1, 1.0, 2.4, 3.9, 4.2])
@@ -48,71 +48,71 @@
     after_s: float, make_registry: Callable[[], RegistryStandIn]
 ) -> None:
     # The watch alone fell silent: its service has the change, and answers whoever calls anew.
-    async def scene() -> None:
+    async def scenario() -> None:
         registry = make_registry()
-        async with world(served, registry=registry, rules=RULES) as w:
+        async with running_proxy(respond_ok, registry=registry, rules=RULES) as proxy:
             await advance(0.5)
             registry.fail("silent")
             await registry.recover()
             await advance(after_s)
             began = now_s()
-            await registry.change(w.servers[0].entry(status="leaving"))
-            await assert_notified_within(w, NOTIFIED_WITHIN_S, began)
+            await registry.change(proxy.servers[0].entry(status="leaving"))
+            await assert_notified_within(proxy, NOTIFIED_WITHIN_S, began)
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 @pytest.mark.parametrize("fault", FAULTS)
 def test_change_is_applied_in_time_where_discovery_migrated_while_it_was_down(
     fault: str, make_registry: Callable[[], RegistryStandIn]
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         for outage_s in (0.3, 2.2, 9.0):
             former, latter = make_registry(), make_registry()
             await latter.start()
-            async with world(served, registry=former, rules=RULES) as w:
+            async with running_proxy(respond_ok, registry=former, rules=RULES) as proxy:
                 await advance(0.5)
                 former.fail(fault)
                 latter.fail(fault)
-                await latter.change(w.servers[0].entry(status="leaving"))
-                w.sidecar.migrate_discovery(latter.address)
+                await latter.change(proxy.servers[0].entry(status="leaving"))
+                proxy.sidecar.migrate_discovery(latter.address)
                 await advance(outage_s)
                 await latter.recover()
-                await assert_notified_within(w, NOTIFIED_WITHIN_S, now_s())
+                await assert_notified_within(proxy, NOTIFIED_WITHIN_S, now_s())
             latter.stop()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 def test_change_is_applied_four_seconds_after_a_migration_though_the_first_call_falls_silent(
     make_registry: Callable[[], RegistryStandIn],
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         former, latter = make_registry(), make_registry()
         await latter.start()
-        async with world(served, registry=former, rules=RULES) as w:
+        async with running_proxy(respond_ok, registry=former, rules=RULES) as proxy:
             await advance(0.5)
-            await latter.change(w.servers[0].entry(status="leaving"))
+            await latter.change(proxy.servers[0].entry(status="leaving"))
             latter.fail("silent")
             began = now_s()
-            w.sidecar.migrate_discovery(latter.address)
+            proxy.sidecar.migrate_discovery(latter.address)
             while not latter.targets:
                 await asyncio.sleep(STEP_S)
             await latter.recover()
-            await assert_notified_within(w, 4.0, began)
+            await assert_notified_within(proxy, 4.0, began)
         latter.stop()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 def test_watch_makes_no_more_calls_than_needed(make_registry: Callable[[], RegistryStandIn]) -> None:
     # Each call costs a service that answers a whole fleet in turn; shorter waits than this buy nothing.
-    async def scene() -> None:
+    async def scenario() -> None:
         registry = make_registry()
-        async with world(served, registry=registry, rules=RULES):
+        async with running_proxy(respond_ok, registry=registry, rules=RULES):
             await advance(60.0)
             assert 15 <= len(registry.targets) <= 20
             waits = {int(parse_qs(urlsplit(each).query)["wait_ms"][0]) for each in registry.targets}
             assert len(waits) > 5  # instances that were silenced at once do not come back at once
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
--- a/tests/proxy/test_request_crossings.py
+++ b/tests/proxy/test_request_crossings.py
@@ -8,21 +8,21 @@
 from collections.abc import Callable
 
 import pytest
-from loopback import (
-    Listening,
-    World,
-    hung,
-    is_closed,
-    play,
-    read_answer,
+from proxy_harness import (
+    LoopbackListener,
+    ProxyHarness,
+    never_respond,
     read_message,
+    read_response,
     request,
     reset,
-    served,
+    respond_ok,
+    run_scenario,
+    running_proxy,
     shrink_send_buffers,
-    unread,
-    until,
-    world,
+    unread_listener,
+    wait_for_eof,
+    wait_until,
 )
 from virtual_time import advance, now_s, run_in_virtual_time
 
@@ -39,7 +39,7 @@
 # -- A server dies x the connection that it accepted
 
 
-class DyingServer(Listening):
+class DyingServer(LoopbackListener):
     """Accepts connections and resets each, at once or after the last byte of its request."""
 
     def __init__(self, at_once: bool) -> None:
@@ -65,18 +65,18 @@
         if address == victim:
             assert connection._transport is not None
             connection._transport.pause_reading()  # the loop may not hear of it first
-            await until(lambda: not is_connected(connection.sock))
+            await wait_until(lambda: not is_connected(connection.sock))
         return connection
 
     monkeypatch.setattr(connection_dialer, "connect", delayed)
 
 
 async def ask_until_reached(
-    w: World, kind: str, body: bytes, is_reached: Callable[[], object]
+    proxy: ProxyHarness, kind: str, body: bytes, is_reached: Callable[[], object]
 ) -> tuple[int, bytes]:
     """Send requests until one has reached the server that dies; return its response."""
     for _ in range(200):
-        status, _, answered = await w.ask(kind=kind, body=body, budget="500")
+        status, _, answered = await proxy.send_request(kind=kind, body=body, budget="500")
         if is_reached():
             return status, answered
     raise AssertionError("no request came to the server that dies")
@@ -87,17 +87,17 @@
 def test_server_dies_after_accept_and_only_a_written_unsafe_request_fails(
     at_once: bool, kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         victim = DyingServer(at_once)
         await victim.start()
         if at_once:
             dial_until_reset(monkeypatch, victim.address)
-        async with world(served, served) as w:
-            w.sidecar._pool.update("s-0", victim.address, None, ServerState.READY)
+        async with running_proxy(respond_ok, respond_ok) as proxy:
+            proxy.sidecar._pool.update("s-0", victim.address, None, ServerState.READY)
             body = b"" if kind == "look" else b"whole"
-            got = await ask_until_reached(w, kind, body, lambda: victim.accepted)
-            sent = w.servers[1].requests
-            last = f"{w._asked:016x}"
+            got = await ask_until_reached(proxy, kind, body, lambda: victim.accepted)
+            sent = proxy.servers[1].requests
+            last = f"{proxy._requests_sent:016x}"
             copies = [each for _, head, each in sent if head["x-call-id"] == last]
             if kind == "pay" and not at_once:
                 assert got == (500, b"")
@@ -108,7 +108,7 @@
                 assert copies == [body]
         victim.stop()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("kind", ["pay", "amend"])
@@ -117,8 +117,8 @@
 ) -> None:
     shrink_send_buffers(monkeypatch)
 
-    async def scene() -> None:
-        with unread() as listener:
+    async def scenario() -> None:
+        with unread_listener() as listener:
             listener.setblocking(False)
             met: list[int] = []
 
@@ -129,27 +129,27 @@
                     met.append(len(await asyncio.get_running_loop().sock_recv(accepted, 1)))
 
             dying = asyncio.create_task(accept_and_die())
-            async with world(served, served) as w:
-                w.sidecar._pool.update("s-0", listener.getsockname()[:2], None, ServerState.READY)
-                status, body = await ask_until_reached(w, kind, bytes(60_000), lambda: met)
+            async with running_proxy(respond_ok, respond_ok) as proxy:
+                proxy.sidecar._pool.update("s-0", listener.getsockname()[:2], None, ServerState.READY)
+                status, body = await ask_until_reached(proxy, kind, bytes(60_000), lambda: met)
                 assert (status, body) == (200, b"served")
                 assert met == [1]
-                last = f"{w._asked:016x}"
-                sent = [each for _, head, each in w.sent() if head["x-call-id"] == last]
+                last = f"{proxy._requests_sent:016x}"
+                sent = [each for _, head, each in proxy.sent() if head["x-call-id"] == last]
                 assert sent == [bytes(60_000)]
             await dying
 
-    play(scene())
+    run_scenario(scenario())
 
 
 # -- A request in single bytes x a drain, x the limit for bad peers
 
 
-async def idle_connection(w: World) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+async def idle_connection(proxy: ProxyHarness) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     """A connection that has carried a request and is idle."""
-    reader, writer = await w.connect()
+    reader, writer = await proxy.connect()
     writer.write(request(X_Call_Id="earlier"))
-    assert (await read_answer(reader))[0] == 200
+    assert (await read_response(reader))[0] == 200
     return reader, writer
 
 
@@ -167,53 +167,53 @@
 @pytest.mark.parametrize("used", [False, True], ids=["new connection", "used connection"])
 @pytest.mark.parametrize("cut", [1, 40, -10, -1], ids=["first byte", "head", "body", "last byte"])
 def test_request_in_single_bytes_during_the_drain_of_a_server_goes_to_another(cut: int, used: bool) -> None:
-    async def scene() -> None:
-        async with world(served, served) as w:
-            reader, writer = await (idle_connection(w) if used else w.connect())
-            before = len(w.servers[0].requests)
-            drained = w.sidecar._pool.servers["s-0"]
+    async def scenario() -> None:
+        async with running_proxy(respond_ok, respond_ok) as proxy:
+            reader, writer = await (idle_connection(proxy) if used else proxy.connect())
+            before = len(proxy.servers[0].requests)
+            drained = proxy.sidecar._pool.servers["s-0"]
             for number in range(4):
                 data = in_pieces(f"{number}")
                 await send_bytes(writer, data[:cut])
                 if number == 0:
-                    w.discovery.say(42, [w.servers[0].entry(status="leaving")])
-                    await until(lambda: drained.state is ServerState.DRAINING)
+                    proxy.discovery.push_update(42, [proxy.servers[0].entry(status="leaving")])
+                    await wait_until(lambda: drained.state is ServerState.DRAINING)
                 await send_bytes(writer, data[cut:])
-                status, headers, body = await read_answer(reader)
+                status, headers, body = await read_response(reader)
                 assert (status, body) == (200, b"served")
                 assert "connection" not in headers
-            assert len(w.servers[0].requests) == before
-            assert [each for *_, each in w.servers[1].requests[-4:]] == [b"in single bytes"] * 4
+            assert len(proxy.servers[0].requests) == before
+            assert [each for *_, each in proxy.servers[1].requests[-4:]] == [b"in single bytes"] * 4
             writer.close()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 @pytest.mark.parametrize("used", [False, True], ids=["new connection", "used connection"])
 @pytest.mark.parametrize("cut", [1, 40, -10, -1], ids=["first byte", "head", "body", "last byte"])
 def test_request_in_single_bytes_during_sigterm_gets_its_response(cut: int, used: bool) -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            reader, writer = await (idle_connection(w) if used else w.connect())
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            reader, writer = await (idle_connection(proxy) if used else proxy.connect())
             data = in_pieces("begun")
             await send_bytes(writer, data[:cut])
-            w.stop.set()
-            await until(lambda: w.sidecar.frontend.draining)
+            proxy.stop.set()
+            await wait_until(lambda: proxy.sidecar.frontend.draining)
             await send_bytes(writer, data[cut:])
-            status, headers, body = await read_answer(reader)
+            status, headers, body = await read_response(reader)
             assert (status, headers["connection"], body) == (200, "close", b"served")
-            assert [each for *_, each in w.servers[0].requests[used:]] == [b"in single bytes"]
+            assert [each for *_, each in proxy.servers[0].requests[used:]] == [b"in single bytes"]
             writer.close()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 @pytest.mark.parametrize("used", [False, True], ids=["new connection", "used connection"])
 @pytest.mark.parametrize("whole_head", [False, True])
 def test_request_too_slow_in_single_bytes_is_rejected_in_time(whole_head: bool, used: bool) -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            reader, writer = await (idle_connection(w) if used else w.connect())
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            reader, writer = await (idle_connection(proxy) if used else proxy.connect())
             data = in_pieces("slow")
             head = data.index(b"\r\n\r\n") + 4 if whole_head else 1
             began = now_s()
@@ -225,32 +225,32 @@
                     writer.write(bytes([byte]))
 
             slow = asyncio.create_task(trickle())
-            assert (await read_answer(reader))[0] == 408
+            assert (await read_response(reader))[0] == 408
             assert now_s() - began < BAD_PEER_S
-            assert await is_closed(reader)
+            assert await wait_for_eof(reader)
             slow.cancel()
-            assert len(w.sent()) == used
+            assert len(proxy.sent()) == used
             writer.close()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 # -- SIGTERM x what clients go on sending
 
 
-async def new_connection(w: World) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+async def new_connection(proxy: ProxyHarness) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     """A connection that has carried no request yet."""
-    before = len(w.sidecar.frontend.connections)
-    streams = await w.connect()
-    await until(lambda: len(w.sidecar.frontend.connections) > before)
+    before = len(proxy.sidecar.frontend.connections)
+    streams = await proxy.connect()
+    await wait_until(lambda: len(proxy.sidecar.frontend.connections) > before)
     return streams
 
 
-async def partial_request(w: World) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+async def partial_request(proxy: ProxyHarness) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     """A connection on which part of a request has arrived."""
-    reader, writer = await new_connection(w)
+    reader, writer = await new_connection(proxy)
     writer.write(CROSSING[:30])
-    await until(lambda: any(each.has_partial_request() for each in w.sidecar.frontend.connections))
+    await wait_until(lambda: any(each.has_partial_request() for each in proxy.sidecar.frontend.connections))
     return reader, writer
 
 
@@ -264,18 +264,18 @@
 
 @pytest.mark.parametrize("how", CONNECTIONS)
 def test_request_unread_as_sigterm_is_handled_gets_its_response(how: str) -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            reader, writer = await CONNECTIONS[how](w)
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            reader, writer = await CONNECTIONS[how](proxy)
             data = CROSSING[30:] if how == "half a request" else CROSSING
             writer.write(data)  # it is unread as the drain begins: the loop has had no turn
-            w.sidecar.frontend.drain()
-            status, headers, body = await read_answer(reader)
+            proxy.sidecar.frontend.drain()
+            status, headers, body = await read_response(reader)
             assert (status, headers["connection"], body) == (200, "close", b"served")
-            assert await is_closed(reader)
+            assert await wait_for_eof(reader)
             writer.close()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 @pytest.mark.parametrize("after_s", [0.0, 0.01, 0.3, 0.49, 0.51, 0.6, 1.2])
@@ -283,65 +283,65 @@
 def test_request_after_sigterm_gets_a_response_or_a_close_without_being_forwarded(
     how: str, after_s: float
 ) -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            reader, writer = await CONNECTIONS[how](w)
-            w.stop.set()
-            await until(lambda: w.sidecar.frontend.draining)
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            reader, writer = await CONNECTIONS[how](proxy)
+            proxy.stop.set()
+            await wait_until(lambda: proxy.sidecar.frontend.draining)
             await advance(after_s)
             writer.write(CROSSING[30:] if how == "half a request" else CROSSING)
             try:
-                status, headers, body = await read_answer(reader)
+                status, headers, body = await read_response(reader)
             except (asyncio.IncompleteReadError, ConnectionError):
-                assert "crossing" not in [head["x-call-id"] for _, head, _ in w.sent()]
+                assert "crossing" not in [head["x-call-id"] for _, head, _ in proxy.sent()]
                 assert how != "half a request"
                 assert how == "idle" or after_s > 0.5
             else:
                 assert (status, headers["connection"], body) == (200, "close", b"served")
-            await until(lambda: w.sidecar.frontend.is_empty())
+            await wait_until(lambda: proxy.sidecar.frontend.is_empty())
             writer.close()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 def test_request_behind_the_last_response_of_a_drain_is_not_forwarded() -> None:
-    async def scene() -> None:
-        async with world(hung) as w:
-            reader, writer = await new_connection(w)
+    async def scenario() -> None:
+        async with running_proxy(never_respond) as proxy:
+            reader, writer = await new_connection(proxy)
             writer.write(request("pay", body=b"first", budget="500", X_Call_Id="first"))
-            await until(w.sent)
-            w.stop.set()
-            await until(lambda: w.sidecar.frontend.draining)
-            w.servers[0].script = served
-            w.servers[0].writers[0].write(served())
+            await wait_until(proxy.sent)
+            proxy.stop.set()
+            await wait_until(lambda: proxy.sidecar.frontend.draining)
+            proxy.servers[0].script = respond_ok
+            proxy.servers[0].writers[0].write(respond_ok())
             writer.write(CROSSING)
-            status, headers, body = await read_answer(reader)
+            status, headers, body = await read_response(reader)
             assert (status, headers["connection"], body) == (200, "close", b"served")
-            assert await is_closed(reader)
-            await until(lambda: w.sidecar.frontend.is_empty())
-            assert [head["x-call-id"] for _, head, _ in w.sent()] == ["first"]
+            assert await wait_for_eof(reader)
+            await wait_until(lambda: proxy.sidecar.frontend.is_empty())
+            assert [head["x-call-id"] for _, head, _ in proxy.sent()] == ["first"]
             writer.close()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 def test_pipelined_request_is_answered_before_a_drain_closes_its_connection() -> None:
-    async def scene() -> None:
-        async with world(hung) as w:
-            reader, writer = await new_connection(w)
+    async def scenario() -> None:
+        async with running_proxy(never_respond) as proxy:
+            reader, writer = await new_connection(proxy)
             writer.write(request("pay", body=b"first", budget="500", X_Call_Id="first") + CROSSING)
-            await until(w.sent)
-            w.stop.set()
-            await until(lambda: w.sidecar.frontend.draining)
-            w.servers[0].script = served
-            w.servers[0].writers[0].write(served())
-            status, headers, body = await read_answer(reader)
+            await wait_until(proxy.sent)
+            proxy.stop.set()
+            await wait_until(lambda: proxy.sidecar.frontend.draining)
+            proxy.servers[0].script = respond_ok
+            proxy.servers[0].writers[0].write(respond_ok())
+            status, headers, body = await read_response(reader)
             assert (status, headers.get("connection"), body) == (200, None, b"served")
-            status, headers, body = await read_answer(reader)
+            status, headers, body = await read_response(reader)
             assert (status, headers["connection"], body) == (200, "close", b"served")
-            assert await is_closed(reader)
-            await until(lambda: w.sidecar.frontend.is_empty())
-            assert [head["x-call-id"] for _, head, _ in w.sent()] == ["first", "crossing"]
+            assert await wait_for_eof(reader)
+            await wait_until(lambda: proxy.sidecar.frontend.is_empty())
+            assert [head["x-call-id"] for _, head, _ in proxy.sent()] == ["first", "crossing"]
             writer.close()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
--- a/tests/proxy/test_request_ids.py
+++ b/tests/proxy/test_request_ids.py
@@ -4,15 +4,15 @@
 
 import pytest
 from balancer_harness import SECOND_US
-from loopback import (
+from proxy_harness import (
     CLASSES,
-    answer,
-    play,
-    read_answer,
+    encode_response,
+    read_response,
     request,
-    served,
-    until,
-    world,
+    respond_ok,
+    run_scenario,
+    running_proxy,
+    wait_until,
 )
 
 from sidecar.balancer.events import ServerState
@@ -20,61 +20,61 @@
 
 
 def test_request_id_in_flight_is_rejected() -> None:
-    async def scene() -> None:
-        async with world(lambda *_: None) as w:
-            reader, writer = await w.connect()
+    async def scenario() -> None:
+        async with running_proxy(lambda *_: None) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(request("pay", body=b"first", X_Call_Id="one"))
-            await until(w.sent)
-            assert (await w.ask(kind="pay", body=b"second", X_Call_Id="one"))[0] == 409
-            w.servers[0].writers[0].write(answer(200, b"the first's"))
-            assert (await read_answer(reader))[2] == b"the first's"
-            assert [body for _, _, body in w.sent()] == [b"first"]
-            w.servers[0].script = served
+            await wait_until(proxy.sent)
+            assert (await proxy.send_request(kind="pay", body=b"second", X_Call_Id="one"))[0] == 409
+            proxy.servers[0].writers[0].write(encode_response(200, b"the first's"))
+            assert (await read_response(reader))[2] == b"the first's"
+            assert [body for _, _, body in proxy.sent()] == [b"first"]
+            proxy.servers[0].script = respond_ok
             # An unsafe request was forwarded, and its client may not have the response: rejected even then.
-            assert (await w.ask(kind="pay", body=b"third", X_Call_Id="one"))[0] == 409
-            assert [body for _, _, body in w.sent()] == [b"first"]
+            assert (await proxy.send_request(kind="pay", body=b"third", X_Call_Id="one"))[0] == 409
+            assert [body for _, _, body in proxy.sent()] == [b"first"]
             for kind, ident in (("pay", "other"), ("look", "safe"), ("look", "safe")):
-                assert (await w.ask(kind=kind, X_Call_Id=ident))[0] == 200
+                assert (await proxy.send_request(kind=kind, X_Call_Id=ident))[0] == 200
             writer.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_request_id_that_was_never_forwarded_is_free_at_once() -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            w.servers[0].stop()
-            assert (await w.ask(kind="pay", X_Call_Id="one"))[0] == 503
-            await w.servers[0].start()
-            w.sidecar._pool.update("s-0", w.servers[0].address, None, ServerState.READY)
-            assert (await w.ask(kind="pay", X_Call_Id="one"))[0] == 200
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            proxy.servers[0].stop()
+            assert (await proxy.send_request(kind="pay", X_Call_Id="one"))[0] == 503
+            await proxy.servers[0].start()
+            proxy.sidecar._pool.update("s-0", proxy.servers[0].address, None, ServerState.READY)
+            assert (await proxy.send_request(kind="pay", X_Call_Id="one"))[0] == 200
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_request_id_is_remembered_no_longer_than_its_deadline() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         classes = [each | {"deadline_us": 1 * SECOND_US} for each in CLASSES]
-        async with world(served, classes=classes) as w:
-            assert (await w.ask(kind="pay", budget="1.0"))[0] == 200
-            assert w.sidecar._active._ids_in_use
-            await until(lambda: not w.sidecar._active._ids_in_use)
+        async with running_proxy(respond_ok, classes=classes) as proxy:
+            assert (await proxy.send_request(kind="pay", budget="1.0"))[0] == 200
+            assert proxy.sidecar._active._ids_in_use
+            await wait_until(lambda: not proxy.sidecar._active._ids_in_use)
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_request_id_in_flight_is_rejected_under_overload_too(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards rule 2: a 503 says that a retry is safe, and the other request may have been executed.
-    async def scene() -> None:
-        async with world(lambda *_: None) as w:
-            _, writer = await w.connect()
+    async def scenario() -> None:
+        async with running_proxy(lambda *_: None) as proxy:
+            _, writer = await proxy.connect()
             writer.write(request("pay", body=b"first", X_Call_Id="one"))
-            await until(w.sent)
+            await wait_until(proxy.sent)
             monkeypatch.setattr(ConnectionTable, "is_overloaded", lambda _: True)
-            assert (await w.ask(kind="pay", X_Call_Id="other"))[0] == 503
-            assert (await w.ask(kind="pay", X_Call_Id="one"))[0] == 409
+            assert (await proxy.send_request(kind="pay", X_Call_Id="other"))[0] == 503
+            assert (await proxy.send_request(kind="pay", X_Call_Id="one"))[0] == 409
             writer.close()
 
-    play(scene())
+    run_scenario(scenario())
--- a/tests/proxy/test_request_parsing.py
+++ b/tests/proxy/test_request_parsing.py
@@ -6,15 +6,15 @@
 import contextlib
 
 import pytest
-from loopback import (
-    PATIENCE_S,
-    ask,
-    is_closed,
-    play,
-    read_answer,
+from proxy_harness import (
+    TIMEOUT_S,
+    read_response,
     request,
-    served,
-    world,
+    respond_ok,
+    run_scenario,
+    running_proxy,
+    send_request,
+    wait_for_eof,
 )
 
 BIG = bytes(64 * 1024 + 1)
@@ -64,68 +64,68 @@
     ],
 )
 def test_invalid_request_is_rejected_and_never_forwarded(data: bytes, status: int) -> None:
-    async def scene() -> None:
-        async with world(served, tenants=[{"name": "acme"}]) as w:
-            reader, writer = await w.connect()
+    async def scenario() -> None:
+        async with running_proxy(respond_ok, tenants=[{"name": "acme"}]) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(data)
-            head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
+            head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), TIMEOUT_S)
             assert head.startswith(b"HTTP/1.1 %d " % status)
-            await asyncio.wait_for(reader.read(), PATIENCE_S)  # to the end of the connection
+            await asyncio.wait_for(reader.read(), TIMEOUT_S)  # to the end of the connection
             writer.close()
-            assert (await w.ask())[0] == 200  # and the sidecar goes on
-            assert len(w.sent()) == 1
+            assert (await proxy.send_request())[0] == 200  # and the sidecar goes on
+            assert len(proxy.sent()) == 1
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_body_of_the_largest_size_in_pieces_is_accepted() -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            reader, writer = await w.connect()
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            reader, writer = await proxy.connect()
             data = request("pay", body=BIG[:-1], Expect="100-continue")
             head = data.index(b"\r\n\r\n") + 4
             writer.write(data[:head])
-            assert b" 100 " in await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
+            assert b" 100 " in await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), TIMEOUT_S)
             writer.write(data[head:])
-            assert (await read_answer(reader))[0] == 200
-            assert w.sent()[0][2] == BIG[:-1]
+            assert (await read_response(reader))[0] == 200
+            assert proxy.sent()[0][2] == BIG[:-1]
             writer.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_rejection_arrives_while_the_body_is_still_being_sent() -> None:
     # Guards against a close over unread bytes, which resets the connection and loses the response.
-    async def scene() -> None:
-        async with world(served) as w:
-            reader, writer = await w.connect()
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(request("pay", body=BIG * 64)[:-1])
             with contextlib.suppress(ConnectionError):
                 await writer.drain()
-            assert (await read_answer(reader))[0] == 413
-            assert await is_closed(reader)
+            assert (await read_response(reader))[0] == 413
+            assert await wait_for_eof(reader)
             writer.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_http_1_0_request_without_a_host_is_served() -> None:
-    async def scene() -> None:
-        async with world(served) as w:
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
             data = request(Host=None).replace(b"HTTP/1.1", b"HTTP/1.0")
-            assert (await ask(w.sidecar.frontend.address, data))[0] == 200
+            assert (await send_request(proxy.sidecar.frontend.address, data))[0] == 200
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_head_request_gets_no_body() -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            reader, writer = await w.connect()
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(request(path="/elsewhere", method="HEAD"))
-            got = await asyncio.wait_for(reader.read(), PATIENCE_S)
+            got = await asyncio.wait_for(reader.read(), TIMEOUT_S)
             assert got.startswith(b"HTTP/1.1 404 ")
             assert got.endswith(b"\r\n\r\n")
             writer.close()
 
-    play(scene())
+    run_scenario(scenario())
--- a/tests/proxy/test_request_wait.py
+++ b/tests/proxy/test_request_wait.py
@@ -11,15 +11,15 @@
 from typing import Any
 
 import pytest
-from loopback import (
-    World,
-    answer,
-    hung,
-    read_answer,
+from proxy_harness import (
+    ProxyHarness,
+    encode_response,
+    never_respond,
+    read_response,
     request,
-    served,
-    until,
-    world,
+    respond_ok,
+    running_proxy,
+    wait_until,
 )
 
 from sidecar.proxy.addresses import Address
@@ -44,13 +44,13 @@
         self._skipped_s += seconds
 
 
-def play_with_stalls(scene: Callable[[Clock], Coroutine[Any, Any, None]]) -> None:
+def play_with_stalls(scenario: Callable[[Clock], Coroutine[Any, Any, None]]) -> None:
     """Run a test on an event loop whose clock it can advance; the sidecar reads that clock, too."""
     clock = Clock()
 
     async def bounded() -> None:
         async with asyncio.timeout(60.0):
-            await scene(clock)
+            await scenario(clock)
 
     def now(own: BalancerClock) -> int:
         return int(clock() * 1e6) + own._offset_us
@@ -77,14 +77,14 @@
     async def read_status(self) -> int:
         self.sock.setblocking(False)
         reader, _ = await asyncio.open_connection(sock=self.sock)
-        return (await read_answer(reader))[0]
+        return (await read_response(reader))[0]
 
 
 @contextlib.asynccontextmanager
-async def connected(w: World) -> AsyncIterator[Client]:
+async def connected(proxy: ProxyHarness) -> AsyncIterator[Client]:
     """A client whose connection the sidecar has accepted and polled without finding data."""
-    client = Client(w.sidecar.frontend.address)
-    await until(lambda: w.sidecar.frontend.connections)
+    client = Client(proxy.sidecar.frontend.address)
+    await wait_until(lambda: proxy.sidecar.frontend.connections)
     await asyncio.sleep(0.01)
     try:
         yield client
@@ -93,102 +93,102 @@
 
 
 def test_forwarded_budget_excludes_the_wait_for_a_busy_event_loop() -> None:
-    async def scene(clock: Clock) -> None:
-        async with world(served) as w, connected(w) as client:
+    async def scenario(clock: Clock) -> None:
+        async with running_proxy(respond_ok) as proxy, connected(proxy) as client:
             client.send(request(budget=f"{BUDGET_S}"))
             clock.skip(STALL_S)
             assert await client.read_status() == 200
-            assert forwarded_budget_s(w.sent()[0][1]) <= BUDGET_S - STALL_S
+            assert forwarded_budget_s(proxy.sent()[0][1]) <= BUDGET_S - STALL_S
 
-    play_with_stalls(scene)
+    play_with_stalls(scenario)
 
 
 def test_forwarded_budget_excludes_the_wait_to_be_accepted() -> None:
-    async def scene(clock: Clock) -> None:
-        async with world(served) as w:
-            await until(lambda: w.sidecar.frontend._accepting)
-            w.sidecar.frontend._pause_accepting()
-            client = Client(w.sidecar.frontend.address)
+    async def scenario(clock: Clock) -> None:
+        async with running_proxy(respond_ok) as proxy:
+            await wait_until(lambda: proxy.sidecar.frontend._accepting)
+            proxy.sidecar.frontend._pause_accepting()
+            client = Client(proxy.sidecar.frontend.address)
             client.send(request(budget=f"{BUDGET_S}"))
             clock.skip(STALL_S)
             await asyncio.sleep(0.01)  # the loop polls meanwhile, but not for new connections
-            w.sidecar.frontend._resume_accepting()
+            proxy.sidecar.frontend._resume_accepting()
             assert await client.read_status() == 200
-            assert forwarded_budget_s(w.sent()[0][1]) <= BUDGET_S - STALL_S
+            assert forwarded_budget_s(proxy.sent()[0][1]) <= BUDGET_S - STALL_S
 
-    play_with_stalls(scene)
+    play_with_stalls(scenario)
 
 
 def test_forwarded_budget_excludes_the_wait_of_a_new_connection_for_a_busy_event_loop() -> None:
-    async def scene(clock: Clock) -> None:
-        async with world(served) as w:
-            await until(lambda: w.sidecar.frontend._accepting)
+    async def scenario(clock: Clock) -> None:
+        async with running_proxy(respond_ok) as proxy:
+            await wait_until(lambda: proxy.sidecar.frontend._accepting)
             await asyncio.sleep(0.01)
-            client = Client(w.sidecar.frontend.address)
+            client = Client(proxy.sidecar.frontend.address)
             client.send(request(budget=f"{BUDGET_S}"))
             clock.skip(STALL_S)
             assert await client.read_status() == 200
-            assert forwarded_budget_s(w.sent()[0][1]) <= BUDGET_S - STALL_S
+            assert forwarded_budget_s(proxy.sent()[0][1]) <= BUDGET_S - STALL_S
 
-    play_with_stalls(scene)
+    play_with_stalls(scenario)
 
 
 def test_forwarded_budget_excludes_the_wait_behind_another_request() -> None:
-    async def scene(clock: Clock) -> None:
-        async with world(hung) as w, connected(w) as client:
+    async def scenario(clock: Clock) -> None:
+        async with running_proxy(never_respond) as proxy, connected(proxy) as client:
             client.send(request(X_Call_Id="first"))
-            await until(w.sent)
+            await wait_until(proxy.sent)
             client.send(request(X_Call_Id="second", budget=f"{BUDGET_S}"))
-            (connection,) = w.sidecar.frontend.connections
-            await until(connection.has_partial_request)
+            (connection,) = proxy.sidecar.frontend.connections
+            await wait_until(connection.has_partial_request)
             clock.skip(STALL_S)
-            w.servers[0].script = served
-            w.servers[0].writers[0].write(answer(200, b"late"))
-            await until(lambda: len(w.sent()) == 2)
-            assert forwarded_budget_s(w.sent()[1][1]) <= BUDGET_S - STALL_S
+            proxy.servers[0].script = respond_ok
+            proxy.servers[0].writers[0].write(encode_response(200, b"late"))
+            await wait_until(lambda: len(proxy.sent()) == 2)
+            assert forwarded_budget_s(proxy.sent()[1][1]) <= BUDGET_S - STALL_S
 
-    play_with_stalls(scene)
+    play_with_stalls(scenario)
 
 
 @pytest.mark.parametrize("kind", ["look", "pay"])
 def test_request_read_after_its_deadline_is_rejected_and_not_forwarded(kind: str) -> None:
-    async def scene(clock: Clock) -> None:
-        async with world(served) as w, connected(w) as client:
+    async def scenario(clock: Clock) -> None:
+        async with running_proxy(respond_ok) as proxy, connected(proxy) as client:
             client.send(request(kind, budget=f"{STALL_S / 2}"))
             clock.skip(STALL_S)
             assert await client.read_status() == 503
-            assert not w.sent()
+            assert not proxy.sent()
 
-    play_with_stalls(scene)
+    play_with_stalls(scenario)
 
 
 def test_deadline_counts_from_when_the_client_sent_the_request() -> None:
-    async def scene(clock: Clock) -> None:
-        async with world(hung) as w, connected(w) as client:
+    async def scenario(clock: Clock) -> None:
+        async with running_proxy(never_respond) as proxy, connected(proxy) as client:
             sent_at = clock()
             client.send(request(budget=f"{BUDGET_S}"))
             clock.skip(STALL_S)
-            await until(w.sent)
-            (live,) = w.sidecar._active
-            due = w.sidecar._clock.to_loop_time(live.deadline_us)
+            await wait_until(proxy.sent)
+            (live,) = proxy.sidecar._active
+            due = proxy.sidecar._clock.to_loop_time(live.deadline_us)
             assert due <= sent_at + BUDGET_S + ALLOWED_S
 
-    play_with_stalls(scene)
+    play_with_stalls(scenario)
 
 
 def test_request_that_arrives_after_a_stall_keeps_its_budget() -> None:
-    async def scene(clock: Clock) -> None:
-        async with world(served) as w, connected(w) as client:
+    async def scenario(clock: Clock) -> None:
+        async with running_proxy(respond_ok) as proxy, connected(proxy) as client:
             clock.skip(STALL_S)
             await asyncio.sleep(0.01)
             client.send(request(budget=f"{BUDGET_S}"))
             assert await client.read_status() == 200
-            assert forwarded_budget_s(w.sent()[0][1]) > BUDGET_S - STALL_S / 2
+            assert forwarded_budget_s(proxy.sent()[0][1]) > BUDGET_S - STALL_S / 2
             # And on a connection that is new after the stall.
-            assert (await w.ask(budget=f"{BUDGET_S}"))[0] == 200
-            assert forwarded_budget_s(w.sent()[1][1]) > BUDGET_S - STALL_S / 2
+            assert (await proxy.send_request(budget=f"{BUDGET_S}"))[0] == 200
+            assert forwarded_budget_s(proxy.sent()[1][1]) > BUDGET_S - STALL_S / 2
 
-    play_with_stalls(scene)
+    play_with_stalls(scenario)
 
 
 class SleepClock:
