--- a/tests/proxy/test_response_races.py
+++ b/tests/proxy/test_response_races.py
@@ -7,16 +7,16 @@
 from collections.abc import Callable
 
 import pytest
-from loopback import (
+from proxy_harness import (
     FakeServer,
-    answer,
-    hung,
-    play,
-    read_answer,
+    encode_response,
+    never_respond,
+    read_response,
     request,
-    served,
-    until,
-    world,
+    respond_ok,
+    run_scenario,
+    running_proxy,
+    wait_until,
 )
 from race_stage import LATER
 
@@ -30,22 +30,22 @@
 
 
 def test_second_response_arrives_as_the_next_request_is_sent_where_connections_are_scarce() -> None:
-    async def scene() -> None:
-        async with world(hung, sockets=66) as w:  # room for one connection to servers
-            w.sidecar._pool._idle_connections.reuse_delay_s = 600.0
-            (server,) = w.servers
+    async def scenario() -> None:
+        async with running_proxy(never_respond, sockets=66) as proxy:  # room for one connection to servers
+            proxy.sidecar._pool._idle_connections.reuse_delay_s = 600.0
+            (server,) = proxy.servers
 
             def answered_twice(first: str, *_: object) -> bytes:
                 if len(server.writers) == 1 and len(server.requests) == 2:
-                    server.writers[0].write(answer(200, b"again to the first"))
-                return answer(200, first.encode())
+                    server.writers[0].write(encode_response(200, b"again to the first"))
+                return encode_response(200, first.encode())
 
             server.script = answered_twice
             for number in range(3):
-                status, _, body = await w.ask(path=f"/api/{number}", X_Call_Id=f"{number}")
+                status, _, body = await proxy.send_request(path=f"/api/{number}", X_Call_Id=f"{number}")
                 assert (status, body) == (200, f"GET /api/{number} HTTP/1.1".encode())
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_new_connection_arrives_while_a_response_is_being_written(
@@ -53,29 +53,29 @@
 ) -> None:
     monkeypatch.setitem(STATE_TIME_LIMITS_S, ConnectionState.CLOSING, 600.0)
 
-    async def scene() -> None:
-        async with world(hung, sockets=66) as w:  # room for one client
+    async def scenario() -> None:
+        async with running_proxy(never_respond, sockets=66) as proxy:  # room for one client
             slow = socket.socket()
             slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
             slow.setblocking(False)
-            await asyncio.get_running_loop().sock_connect(slow, w.sidecar.frontend.address)
+            await asyncio.get_running_loop().sock_connect(slow, proxy.sidecar.frontend.address)
             slow.send(request(budget="500"))
-            await until(w.sent)
-            (connection,) = w.sidecar.frontend.connections
+            await wait_until(proxy.sent)
+            (connection,) = proxy.sidecar.frontend.connections
             connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            w.servers[0].script = served
-            w.servers[0].writers[0].write(answer(200, bytes(60_000)))
-            await until(lambda: connection._write_blocked and w.sidecar.frontend._accepting)
-            reader, writer = await w.connect()
+            proxy.servers[0].script = respond_ok
+            proxy.servers[0].writers[0].write(encode_response(200, bytes(60_000)))
+            await wait_until(lambda: connection._write_blocked and proxy.sidecar.frontend._accepting)
+            reader, writer = await proxy.connect()
             writer.write(request(X_Call_Id="new"))
-            await until(lambda: not w.sidecar.frontend._accepting)  # it came, and there was no room
+            await wait_until(lambda: not proxy.sidecar.frontend._accepting)  # it came, and there was no room
             slow_reader, slow_writer = await asyncio.open_connection(sock=slow)
-            assert (await read_answer(slow_reader))[2] == bytes(60_000)
-            assert (await read_answer(reader))[2] == b"served"
+            assert (await read_response(slow_reader))[2] == bytes(60_000)
+            assert (await read_response(reader))[2] == b"served"
             for each in (slow_writer, writer):
                 each.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_response_before_its_request_is_written_does_not_count_as_one() -> None:
@@ -96,7 +96,7 @@
     heard: list[Outcome] = []
     get = message(b"GET /api/1 HTTP/1.1", [(b"Host", b"x")])
     exchange = upstream.send("s", EncodedRequest(get), LATER, lambda outcome, _: heard.append(outcome))
-    await until(lambda: server.requests)
+    await wait_until(lambda: server.requests)
     assert exchange.connection is not None
     return upstream, exchange, exchange.connection, heard
 
@@ -112,13 +112,13 @@
 def test_attempt_ends_as_its_response_arrives(how: str) -> None:
     end, ended = ENDS[how]
 
-    async def scene() -> None:
+    async def scenario() -> None:
         for answer_first in (True, False):
-            server = FakeServer("s", hung)
+            server = FakeServer("s", never_respond)
             upstream, exchange, connection, heard = await written(server)
             for step in (True, False) if answer_first else (False, True):
                 if step:
-                    connection.data_received(served())
+                    connection.data_received(respond_ok())
                 else:
                     end(upstream, exchange)
             assert heard == ([Outcome.SUCCEEDED] if answer_first else ended)
@@ -126,13 +126,13 @@
             assert connection.is_idle() is (answer_first and how != "its connection breaks")
             server.stop()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_abandoned_attempt_is_not_in_flight_as_the_next_one_is_written() -> None:
     # Guards rule 2 where second copies are not allowed: the end of one decides on the next in the same turn.
-    async def scene() -> None:
-        server = FakeServer("s", hung)
+    async def scenario() -> None:
+        server = FakeServer("s", never_respond)
         upstream, exchange, _, heard = await written(server)
         upstream.cancel(exchange)
         assert heard == [Outcome.CANCELLED]
@@ -140,50 +140,50 @@
         assert has_ended(server.writers[0].get_extra_info("socket"))
         server.stop()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_idle_connection_times_out_as_the_next_request_takes_it() -> None:
-    async def scene() -> None:
-        server = FakeServer("s", served)
+    async def scenario() -> None:
+        server = FakeServer("s", respond_ok)
         upstream, _, connection, heard = await written(server)
-        await until(lambda: heard)
+        await wait_until(lambda: heard)
         upstream._idle_connections.reuse_delay_s = 0.0
         timer = upstream.servers["s"].idle[0].close_timer
-        server.script = hung
+        server.script = never_respond
         upstream.send(
             "s", EncodedRequest(b"GET / HTTP/1.1\r\n\r\n"), LATER, lambda outcome, _: heard.append(outcome)
         )
         timer._run()  # it was due in the same turn of the loop
-        await until(lambda: len(server.requests) == 2)
-        connection.data_received(served())
+        await wait_until(lambda: len(server.requests) == 2)
+        connection.data_received(respond_ok())
         assert heard == [Outcome.SUCCEEDED, Outcome.SUCCEEDED]
         assert len(server.writers) == 1
         server.stop()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_client_has_disconnected_as_its_request_takes_an_idle_connection() -> None:
     # Kept as if it had just been used, the connection would be held for longer than its server holds it.
-    async def scene() -> None:
-        server = FakeServer("s", served)
+    async def scenario() -> None:
+        server = FakeServer("s", respond_ok)
         upstream, _, connection, heard = await written(server)
-        await until(lambda: heard)
+        await wait_until(lambda: heard)
         upstream._idle_connections.reuse_delay_s = 0.0
         upstream.send("s", DeferredRequest(lambda _: None), LATER, lambda outcome, _: heard.append(outcome))
         assert heard == [Outcome.SUCCEEDED, Outcome.NOT_SENT]
         assert not upstream.servers["s"].idle
         assert not connection.is_idle()
-        await until(lambda: upstream.open_connections == 0)
+        await wait_until(lambda: upstream.open_connections == 0)
         server.stop()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_idle_connections_closed_by_their_server_free_no_capacity() -> None:
-    async def scene() -> None:
-        idle, busy = FakeServer("a", served), FakeServer("s", hung)
+    async def scenario() -> None:
+        idle, busy = FakeServer("a", respond_ok), FakeServer("s", never_respond)
         servers = ConnectionPool(600.0, 600.0, 2)
         for each in (idle, busy):
             await each.start()
@@ -195,14 +195,14 @@
             servers.send(name, EncodedRequest(get), LATER, lambda outcome, _: heard.append(outcome))
 
         send("a")
-        await until(lambda: heard)
+        await wait_until(lambda: heard)
         idle.stop()
-        await until(lambda: not servers.open_connections)  # and still noted as idle
+        await wait_until(lambda: not servers.open_connections)  # and still noted as idle
         for _ in range(3):
             send("s")
         assert servers.open_connections == 2
         assert heard == [Outcome.SUCCEEDED, Outcome.CONNECT_FAILED]
-        await until(lambda: len(busy.requests) == 2)
+        await wait_until(lambda: len(busy.requests) == 2)
         busy.stop()
 
-    play(scene())
+    run_scenario(scenario())
--- a/tests/proxy/test_responses_without_length.py
+++ b/tests/proxy/test_responses_without_length.py
@@ -7,7 +7,7 @@
 import struct
 
 import pytest
-from loopback import PATIENCE_S, FakeServer, hung, play, reset, until, world
+from proxy_harness import TIMEOUT_S, FakeServer, never_respond, reset, run_scenario, running_proxy, wait_until
 
 from sidecar.balancer.events import Outcome, ServerState
 from sidecar.proxy.connection_dialer import MAX_BODY_BYTES
@@ -30,36 +30,36 @@
     loop = asyncio.get_running_loop()
     ended: asyncio.Future[tuple[Outcome, Response | None]] = loop.create_future()
     data = message(b"POST / HTTP/1.1", [(b"Host", b"x"), (b"Content-Length", b"0")])
-    pool.send("s", EncodedRequest(data), loop.time() + PATIENCE_S, lambda *end: ended.set_result(end))
+    pool.send("s", EncodedRequest(data), loop.time() + TIMEOUT_S, lambda *end: ended.set_result(end))
     return await ended
 
 
 @pytest.mark.parametrize("body", _BODIES.values(), ids=_BODIES)
 @pytest.mark.parametrize("head", _HEADS.values(), ids=_HEADS)
 def test_orderly_close_completes_a_response(head: bytes, body: bytes) -> None:
-    async def scene() -> None:
-        async with world(hung) as w:
-            asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
-            await until(w.sent)
-            (writer,) = w.servers[0].writers
+    async def scenario() -> None:
+        async with running_proxy(never_respond) as proxy:
+            asking = asyncio.create_task(proxy.send_request(kind="pay", body=b"x"))
+            await wait_until(proxy.sent)
+            (writer,) = proxy.servers[0].writers
             writer.write(head + body)
             writer.close()
             status, _, got = await asking
             assert (status, got) == (200, body)
-            assert len(w.sent()) == 1
+            assert len(proxy.sent()) == 1
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_orderly_close_completes_a_response_in_pieces_and_its_connection_is_not_reused() -> None:
-    async def scene() -> None:
-        server = FakeServer("s", hung)
+    async def scenario() -> None:
+        server = FakeServer("s", never_respond)
         await server.start()
-        pool = ConnectionPool(PATIENCE_S, 60.0, 10)
+        pool = ConnectionPool(TIMEOUT_S, 60.0, 10)
         pool._idle_connections.reuse_delay_s = 0.0
         pool.update("s", server.address, None, ServerState.READY)
         sending = asyncio.create_task(send_one(pool))
-        await until(lambda: server.requests)
+        await wait_until(lambda: server.requests)
         for piece in (_HEAD[:9], _HEAD[9:] + b"ser", b"ved"):
             server.writers[0].write(piece)
             await asyncio.sleep(0)
@@ -70,45 +70,45 @@
         assert response is not None
         assert response.body == b"served"
         assert not pool.servers["s"].idle
-        await until(lambda: pool.open_connections == 0)
+        await wait_until(lambda: pool.open_connections == 0)
         server.stop()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("body", [b"", b"part of it or all", bytes(MAX_BODY_BYTES)], ids=_BODIES)
 def test_reset_truncates_a_response_however_much_of_it_was_received(body: bytes) -> None:
     # Read by the sidecar or not: the reset is in its kernel behind the bytes, or comes after they were read.
-    async def scene(is_read_before: bool) -> None:
-        async with world(hung) as w:
-            asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
-            await until(w.sent)
-            (writer,) = w.servers[0].writers
+    async def scenario(is_read_before: bool) -> None:
+        async with running_proxy(never_respond) as proxy:
+            asking = asyncio.create_task(proxy.send_request(kind="pay", body=b"x"))
+            await wait_until(proxy.sent)
+            (writer,) = proxy.servers[0].writers
             writer.write(_HEAD + body)
             await writer.drain()
             if is_read_before:
-                (live,) = w.sidecar._active
+                (live,) = proxy.sidecar._active
                 (exchange,) = live.in_flight.values()
                 assert exchange is not None
                 assert exchange.connection is not None
                 reader = exchange.connection._response_reader
                 assert reader is not None
-                await until(lambda: reader._head is not None and len(reader._body) == len(body))
+                await wait_until(lambda: reader._head is not None and len(reader._body) == len(body))
             reset(writer)
             assert (await asking)[0] == 500
-            assert len(w.sent()) == 1
+            assert len(proxy.sent()) == 1
 
-    play(scene(True))
-    play(scene(False))
+    run_scenario(scenario(True))
+    run_scenario(scenario(False))
 
 
 def test_close_with_unread_bytes_is_a_reset() -> None:
     # The kernel resets a connection that is closed over bytes that nobody has read.
-    async def scene() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
-        pool = ConnectionPool(PATIENCE_S, 60.0, 10)
+        pool = ConnectionPool(TIMEOUT_S, 60.0, 10)
         pool.update("s", listener.getsockname()[:2], None, ServerState.READY)
         sending = asyncio.create_task(send_one(pool))
         accepted, _ = await loop.sock_accept(listener)
@@ -118,36 +118,36 @@
         assert await sending == (Outcome.RESET, None)
         listener.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_killed_process_truncates_its_responses() -> None:
-    async def scene() -> None:
-        async with world(hung) as w:
-            asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
-            await until(w.sent)
-            w.servers[0].writers[0].write(_HEAD + b"all of it")
-            w.servers[0].stop()
+    async def scenario() -> None:
+        async with running_proxy(never_respond) as proxy:
+            asking = asyncio.create_task(proxy.send_request(kind="pay", body=b"x"))
+            await wait_until(proxy.sent)
+            proxy.servers[0].writers[0].write(_HEAD + b"all of it")
+            proxy.servers[0].stop()
             assert (await asking)[0] == 500
-            assert len(w.sent()) == 1
+            assert len(proxy.sent()) == 1
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("ends", [True, False])
 def test_response_over_the_size_limit_is_not_forwarded(ends: bool) -> None:
-    async def scene() -> None:
-        async with world(hung) as w:
-            asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
-            await until(w.sent)
-            (writer,) = w.servers[0].writers
+    async def scenario() -> None:
+        async with running_proxy(never_respond) as proxy:
+            asking = asyncio.create_task(proxy.send_request(kind="pay", body=b"x"))
+            await wait_until(proxy.sent)
+            (writer,) = proxy.servers[0].writers
             writer.write(_HEAD + bytes(MAX_BODY_BYTES + 1))
             if ends:
                 writer.close()
             assert (await asking)[0] == 500
-            assert len(w.sent()) == 1
+            assert len(proxy.sent()) == 1
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
@@ -163,40 +163,40 @@
     ],
 )
 def test_orderly_close_does_not_complete_a_response_that_announces_more(cut: bytes) -> None:
-    async def scene() -> None:
-        async with world(hung) as w:
-            asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
-            await until(w.sent)
-            (writer,) = w.servers[0].writers
+    async def scenario() -> None:
+        async with running_proxy(never_respond) as proxy:
+            asking = asyncio.create_task(proxy.send_request(kind="pay", body=b"x"))
+            await wait_until(proxy.sent)
+            (writer,) = proxy.servers[0].writers
             writer.write(cut)
             writer.close()
             assert (await asking)[0] == 500
-            assert len(w.sent()) == 1
+            assert len(proxy.sent()) == 1
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_response_that_never_ends_times_out() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         server = FakeServer("s", lambda *_: _HEAD + b"and no end")
         await server.start()
         pool = ConnectionPool(0.1, 60.0, 10)  # the dial limit bounds an answer that has begun
         pool.update("s", server.address, None, ServerState.READY)
         assert await send_one(pool) == (Outcome.ERROR, None)
-        await until(lambda: server.closed == 1 and pool.open_connections == 0)
+        await wait_until(lambda: server.closed == 1 and pool.open_connections == 0)
         server.stop()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_rejection_without_length_is_a_rejection_once_it_is_complete() -> None:
-    async def scene(resets: bool) -> None:
-        server = FakeServer("s", hung)
+    async def scenario(resets: bool) -> None:
+        server = FakeServer("s", never_respond)
         await server.start()
-        pool = ConnectionPool(PATIENCE_S, 60.0, 10)
+        pool = ConnectionPool(TIMEOUT_S, 60.0, 10)
         pool.update("s", server.address, None, ServerState.READY)
         sending = asyncio.create_task(send_one(pool))
-        await until(lambda: server.requests)
+        await wait_until(lambda: server.requests)
         (writer,) = server.writers
         writer.write(b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\n\r\n")
         if resets:
@@ -206,5 +206,5 @@
         assert (await sending)[0] is (Outcome.RESET if resets else Outcome.REJECTED)
         server.stop()
 
-    play(scene(False))
-    play(scene(True))
+    run_scenario(scenario(False))
+    run_scenario(scenario(True))
--- a/tests/proxy/test_socket_errors.py
+++ b/tests/proxy/test_socket_errors.py
@@ -8,8 +8,16 @@
 
 import pytest
 from faulty_sockets import Failures, failing, named, use_faulty
-from loopback import PATIENCE_S, FakeServer, answer, hung, play, served, until
 from pool_requests import outcome_of
+from proxy_harness import (
+    TIMEOUT_S,
+    FakeServer,
+    encode_response,
+    never_respond,
+    respond_ok,
+    run_scenario,
+    wait_until,
+)
 
 from sidecar.balancer.events import Outcome, ServerState
 from sidecar.proxy.connection_pool import ConnectionPool
@@ -25,23 +33,23 @@
     return itertools.chain(itertools.repeat(None, times), itertools.repeat(code))
 
 
-def attempt(expected: Outcome, received: int, body: bytes = b"", reply: bytes = served()) -> None:
+def attempt(expected: Outcome, received: int, body: bytes = b"", reply: bytes = respond_ok()) -> None:
     """Send one request; check its outcome, how often it came whole, and that its connection is given back."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         server = FakeServer("s", lambda *_: reply)
         await server.start()
-        servers = ConnectionPool(PATIENCE_S, 60.0, 10)
+        servers = ConnectionPool(TIMEOUT_S, 60.0, 10)
         servers.update("s", server.address, None, ServerState.READY)
         assert await outcome_of(servers, body=body) is expected
         servers.close_idle("s")
-        await until(lambda: servers.open_connections == 0)
+        await wait_until(lambda: servers.open_connections == 0)
         if expected is not Outcome.RESET:
-            await until(lambda: server.closed == 1)  # all that was sent has been read
+            await wait_until(lambda: server.closed == 1)  # all that was sent has been read
             assert len(server.requests) == received
         server.stop()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("code", _BROKEN, ids=named)
@@ -79,7 +87,7 @@
 @pytest.mark.parametrize("body", [b"", _LONG])
 def test_short_reads_and_writes_lose_nothing(body: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     use_faulty(monkeypatch, send_most=19, read_most=3)
-    attempt(Outcome.SUCCEEDED, 1, body, answer(200, bytes(999)))
+    attempt(Outcome.SUCCEEDED, 1, body, encode_response(200, bytes(999)))
 
 
 @pytest.mark.parametrize("code", [errno.ENOBUFS, errno.ENOMEM], ids=named)
@@ -97,21 +105,21 @@
 ) -> None:
     use_faulty(monkeypatch, shutdowns=working_then(code, 0), closes=working_then(code, 0))
 
-    async def scene() -> None:
-        server = FakeServer("s", hung)
+    async def scenario() -> None:
+        server = FakeServer("s", never_respond)
         await server.start()
-        servers = ConnectionPool(PATIENCE_S, 60.0, 10)
+        servers = ConnectionPool(TIMEOUT_S, 60.0, 10)
         servers.update("s", server.address, None, ServerState.READY)
         outcomes: list[Outcome] = []
         data = message(b"GET / HTTP/1.1", [(b"Host", b"x")])
-        until_at = asyncio.get_running_loop().time() + PATIENCE_S
+        until_at = asyncio.get_running_loop().time() + TIMEOUT_S
         exchange: Exchange = servers.send(
             "s", EncodedRequest(data), until_at, lambda end, _: outcomes.append(end)
         )
-        await until(lambda: server.requests)
+        await wait_until(lambda: server.requests)
         servers.cancel(exchange)
-        await until(lambda: server.closed == 1 and servers.open_connections == 0)
+        await wait_until(lambda: server.closed == 1 and servers.open_connections == 0)
         assert outcomes == [Outcome.CANCELLED]
         server.stop()
 
-    play(scene())
+    run_scenario(scenario())
--- a/tests/proxy/test_stalled_clients.py
+++ b/tests/proxy/test_stalled_clients.py
@@ -5,7 +5,16 @@
 import asyncio
 
 import pytest
-from loopback import PATIENCE_S, hung, is_closed, read_answer, request, served, until, world
+from proxy_harness import (
+    TIMEOUT_S,
+    never_respond,
+    read_response,
+    request,
+    respond_ok,
+    running_proxy,
+    wait_for_eof,
+    wait_until,
+)
 from virtual_time import advance, now_s, run_in_virtual_time
 
 BAD_PEER_S = 3.0  # by when a client that breaks the protocol gets its error or a close
@@ -30,40 +39,40 @@
 @pytest.mark.parametrize("earlier", [0, 3], ids=["first", "after others"])
 @pytest.mark.parametrize("stop", STOPS.values(), ids=STOPS)
 def test_client_that_stops_within_a_request_gets_an_error_in_time(stop: bytes, earlier: int) -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            reader, writer = await w.connect()
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            reader, writer = await proxy.connect()
             for number in range(earlier):
                 writer.write(request(X_Call_Id=f"{number}"))
-                assert (await read_answer(reader))[0] == 200
+                assert (await read_response(reader))[0] == 200
                 await advance(0.5)
             began = now_s()
             writer.write(stop)
-            got = await asyncio.wait_for(reader.read(), PATIENCE_S)
+            got = await asyncio.wait_for(reader.read(), TIMEOUT_S)
             assert now_s() < began + BAD_PEER_S
             assert b"HTTP/1.1 408 " in got
             assert (b"HTTP/1.1 100 " in got) is (b"Expect" in stop and b"\r\n\r\n" in stop)
-            await until(w.sidecar.frontend.is_empty)
-            assert len(w.sent()) == earlier
+            await wait_until(proxy.sidecar.frontend.is_empty)
+            assert len(proxy.sent()) == earlier
             writer.close()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 @pytest.mark.parametrize("pieces_s", [0.2, 0.9])
 def test_client_that_trickles_a_request_and_stops_gains_no_time(pieces_s: float) -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            reader, writer = await w.connect()
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            reader, writer = await proxy.connect()
             began = now_s()
             for piece in (WHOLE[:10], WHOLE[10:20]):
                 writer.write(piece)
                 await advance(pieces_s)
-            assert b"HTTP/1.1 408 " in await asyncio.wait_for(reader.read(), PATIENCE_S)
+            assert b"HTTP/1.1 408 " in await asyncio.wait_for(reader.read(), TIMEOUT_S)
             assert now_s() < began + BAD_PEER_S
             writer.close()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 @pytest.mark.parametrize("answered_after_s", [0.0, 0.5, 1.8])
@@ -71,44 +80,44 @@
 def test_client_that_stops_within_a_pipelined_request_gets_response_and_error_in_time(
     stop: bytes, answered_after_s: float
 ) -> None:
-    async def scene() -> None:
-        async with world(hung) as w:
-            reader, writer = await w.connect()
+    async def scenario() -> None:
+        async with running_proxy(never_respond) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(request("pay", body=b"held"))
-            await until(w.sent)
+            await wait_until(proxy.sent)
             began = now_s()
             writer.write(stop)
-            (connection,) = w.sidecar.frontend.connections
-            await until(connection.has_partial_request)
+            (connection,) = proxy.sidecar.frontend.connections
+            await wait_until(connection.has_partial_request)
             await advance(answered_after_s)
-            w.servers[0].writers[0].write(served())
-            status, _, body = await read_answer(reader)
+            proxy.servers[0].writers[0].write(respond_ok())
+            status, _, body = await read_response(reader)
             assert (status, body) == (200, b"served")
-            assert b"HTTP/1.1 408 " in await asyncio.wait_for(reader.read(), PATIENCE_S)
+            assert b"HTTP/1.1 408 " in await asyncio.wait_for(reader.read(), TIMEOUT_S)
             assert now_s() < began + BAD_PEER_S
-            assert len(w.sent()) == 1
+            assert len(proxy.sent()) == 1
             writer.close()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 def test_complete_pipelined_request_is_served_next() -> None:
-    async def scene() -> None:
-        async with world(hung) as w:
-            reader, writer = await w.connect()
+    async def scenario() -> None:
+        async with running_proxy(never_respond) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(request("pay", body=b"held", X_Call_Id="held"))
-            await until(w.sent)
+            await wait_until(proxy.sent)
             writer.write(WHOLE[:30])
-            (connection,) = w.sidecar.frontend.connections
-            await until(connection.has_partial_request)
-            w.servers[0].script = served
-            w.servers[0].writers[0].write(served())
-            assert (await read_answer(reader))[0] == 200
+            (connection,) = proxy.sidecar.frontend.connections
+            await wait_until(connection.has_partial_request)
+            proxy.servers[0].script = respond_ok
+            proxy.servers[0].writers[0].write(respond_ok())
+            assert (await read_response(reader))[0] == 200
             await advance(1.0)
             writer.write(WHOLE[30:])
-            assert (await read_answer(reader))[0] == 200
-            assert await is_closed(reader)  # it rested for long enough
-            assert len(w.sent()) == 2
+            assert (await read_response(reader))[0] == 200
+            assert await wait_for_eof(reader)  # it rested for long enough
+            assert len(proxy.sent()) == 2
             writer.close()
 
-    run_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
--- a/tests/proxy/test_wall_clock_steps.py
+++ b/tests/proxy/test_wall_clock_steps.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 import pytest
-from loopback import hung, play, served, until, world
+from proxy_harness import never_respond, respond_ok, run_scenario, running_proxy, wait_until
 
 from sidecar.logs import RateLimitFilter
 from sidecar.proxy.clock import Clock
@@ -43,20 +43,20 @@
 @pytest.mark.parametrize("before", [True, False])
 @pytest.mark.parametrize("span_s", STEPS_S)
 def test_deadline_is_kept_through_a_step(span_s: float, before: bool, step: Step) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         if before:
             step(span_s)
-        async with world(served) as w:
-            assert (await w.ask())[0] == 200
-            w.servers[0].script = hung
-            asked = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="0.4"))
-            await until(lambda: len(w.sent()) == 2)
+        async with running_proxy(respond_ok) as proxy:
+            assert (await proxy.send_request())[0] == 200
+            proxy.servers[0].script = never_respond
+            asked = asyncio.create_task(proxy.send_request(kind="pay", body=b"x", budget="0.4"))
+            await wait_until(lambda: len(proxy.sent()) == 2)
             if not before:
                 step(span_s)
             assert (await asked)[0] == 500
-            assert float(w.sent()[1][1]["x-budget"]) <= 0.4
+            assert float(proxy.sent()[1][1]["x-budget"]) <= 0.4
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("span_s", STEPS_S)
--- a/tests/loopback.py
+++ b/tests/proxy_harness.py
@@ -1,4 +1,4 @@
-"""A small world over loopback sockets: scripted servers and discovery, and a client that sends raw bytes."""
+"""A sidecar over loopback sockets, with scripted servers and discovery, and a client that sends raw bytes."""
 
 from __future__ import annotations
 
@@ -19,65 +19,65 @@
 from sidecar.proxy.driver import Sidecar
 from sidecar.proxy.registry_messages import parse_registry_response
 
-PATIENCE_S = 20.0  # for what must come; no test takes it as proof of anything
+TIMEOUT_S = 20.0  # for events that must happen; no test asserts by it that one did not
 
-Head = dict[str, str]
+Headers = dict[str, str]
 
 
-def play(scene: Coroutine[Any, Any, None]) -> None:
-    """Run an asynchronous test, which may not hang."""
+def run_scenario(scenario: Coroutine[Any, Any, None]) -> None:
+    """Run an asynchronous test with a time limit."""
 
     async def bounded() -> None:
         async with asyncio.timeout(60.0):
-            await scene
+            await scenario
 
     asyncio.run(bounded())
 
 
-async def until(condition: Callable[[], object]) -> None:
-    """Wait for something to become true."""
-    async with asyncio.timeout(PATIENCE_S):
+async def wait_until(condition: Callable[[], object]) -> None:
+    """Poll a condition until it holds."""
+    async with asyncio.timeout(TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.005)
 
 
-async def read_message(reader: asyncio.StreamReader) -> tuple[str, Head, bytes]:
-    """Read a request or an answer: first line, headers, body."""
+async def read_message(reader: asyncio.StreamReader) -> tuple[str, Headers, bytes]:
+    """Read a request or a response: first line, headers, body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     first, *lines = head.strip().split("\r\n")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
     return first, headers, await reader.readexactly(int(headers.get("content-length", "0")))
 
 
-def answer(status: int = 200, body: bytes = b"done", **headers: str) -> bytes:
+def encode_response(status: int = 200, body: bytes = b"done", **headers: str) -> bytes:
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     return "\r\n".join([*lines, "", ""]).encode() + body
 
 
-# What servers do with a request, whatever it is.
+# Scripts of servers: the response to any request.
 
 
-def served(*_: object) -> bytes:
-    return answer(200, b"served")
+def respond_ok(*_: object) -> bytes:
+    return encode_response(200, b"served")
 
 
-def hung(*_: object) -> None:
-    """Say nothing."""
+def never_respond(*_: object) -> None:
+    """Send no response."""
 
 
-def broken(*_: object) -> bytes:
+def reset_connection(*_: object) -> bytes:
     """Reset the connection."""
     return b""
 
 
-def full(*_: object) -> bytes:
-    """Turn it away: it has not run."""
-    return answer(503, b"", X_Rejected="1")
+def reject(*_: object) -> bytes:
+    """Reject the request before its execution."""
+    return encode_response(503, b"", X_Rejected="1")
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Break a connection as a process that dies does."""
+    """Reset a connection, as a dying process does."""
     sock = writer.get_extra_info("socket")
     if sock.fileno() < 0:
         return
@@ -85,8 +85,8 @@
     writer.transport.abort()
 
 
-class Listening:
-    """What listens on a port that the kernel picks."""
+class LoopbackListener:
+    """A listener on a loopback port that the kernel picks."""
 
     address: Address = ("127.0.0.1", 0)
     _server: asyncio.Server | None = None
@@ -103,15 +103,15 @@
             self._server.close()
 
 
-class FakeServer(Listening):
-    """A server that answers as `script` says; None is silence, b"" a reset."""
+class FakeServer(LoopbackListener):
+    """A server that responds as `script` returns: None for no response, b"" for a reset."""
 
-    def __init__(self, name: str, script: Callable[[str, Head, bytes], bytes | None]) -> None:
+    def __init__(self, name: str, script: Callable[[str, Headers, bytes], bytes | None]) -> None:
         self.name = name
         self.script = script
-        self.requests: list[tuple[str, Head, bytes]] = []
+        self.requests: list[tuple[str, Headers, bytes]] = []
         self.writers: list[asyncio.StreamWriter] = []
-        self.closed = 0  # connections that the other side ended
+        self.closed = 0  # connections that the peer closed
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.append(writer)
@@ -134,7 +134,7 @@
             writer.close()
 
     def stop(self) -> None:
-        """Die: no new connections, and those that are open break."""
+        """Stop listening, and reset all open connections."""
         super().stop()
         for writer in self.writers:
             reset(writer)
@@ -145,44 +145,44 @@
         return entry | {"status": "active", "weight": 1.0, "since_ms": 0} | changes
 
 
-class FakeDiscovery(Listening):
-    """Answers each call with the next of `answers`; without one it lets the call wait."""
+class FakeDiscovery(LoopbackListener):
+    """Answers each call with the next of `responses`; without one the call waits."""
 
     def __init__(self) -> None:
         self.targets: list[str] = []
-        self.answers: asyncio.Queue[bytes | None] = asyncio.Queue()  # None: that call stays unanswered
-        self.happened: list[str] = []  # each call, and each connection that the caller left unanswered
-        self.called_after_s: list[float] = []  # from each answer to the next call
-        self._answered_at: float | None = None
+        self.responses: asyncio.Queue[bytes | None] = asyncio.Queue()  # None: no response to that call
+        self.call_log: list[str] = []  # calls, and connections that the caller closed without a response
+        self.call_delays_s: list[float] = []  # from each response to the next call
+        self._responded_at: float | None = None
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         loop = asyncio.get_running_loop()
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             first, _, _ = await read_message(reader)
-            if self._answered_at is not None:
-                self.called_after_s.append(loop.time() - self._answered_at)
+            if self._responded_at is not None:
+                self.call_delays_s.append(loop.time() - self._responded_at)
             self.targets.append(first.split(" ")[1])
-            self.happened.append(f"call {len(self.targets)}")
+            self.call_log.append(f"call {len(self.targets)}")
             number = len(self.targets)
-            reply = await self.answers.get()
+            reply = await self.responses.get()
             if reply is None:
                 await reader.read()
-                self.happened.append(f"left {number}")
+                self.call_log.append(f"left {number}")
                 return
             writer.write(reply)
             await writer.drain()
-            self._answered_at = loop.time()
+            self._responded_at = loop.time()
         writer.close()
 
     def called(self, times: int) -> bool:
         return len(self.targets) >= times
 
-    def say(self, index: int, entries: list[Any], snapshot: bool = False) -> None:
-        told = {"index": index, "snapshot": snapshot, "endpoints": entries}
-        self.answers.put_nowait(answer(200, json.dumps(told).encode()))
+    def push_update(self, index: int, entries: list[Any], snapshot: bool = False) -> None:
+        payload = {"index": index, "snapshot": snapshot, "endpoints": entries}
+        self.responses.put_nowait(encode_response(200, json.dumps(payload).encode()))
 
 
-class World:
+class ProxyHarness:
     """A sidecar in this process, with its servers and discovery."""
 
     def __init__(self, config: Config, servers: list[FakeServer], discovery: FakeDiscovery) -> None:
@@ -191,9 +191,9 @@
         self.servers = servers
         self.discovery = discovery
         self.stop = asyncio.Event()
-        self._asked = 0
+        self._requests_sent = 0
 
-    def sent(self) -> list[tuple[str, Head, bytes]]:
+    def sent(self) -> list[tuple[str, Headers, bytes]]:
         """All requests that reached servers, by server."""
         return [request for server in self.servers for request in server.requests]
 
@@ -201,28 +201,28 @@
         """Open a connection to the sidecar, as a client does."""
         return await asyncio.open_connection(*self.sidecar.frontend.address)
 
-    async def ask(self, **changes: Any) -> tuple[int, Head, bytes]:
-        """Ask with an id of its own, as each request has."""
-        self._asked += 1
-        return await ask(
-            self.sidecar.frontend.address, request(**{"X_Call_Id": f"{self._asked:016x}", **changes})
+    async def send_request(self, **changes: Any) -> tuple[int, Headers, bytes]:
+        """Send a request with a unique id."""
+        self._requests_sent += 1
+        return await send_request(
+            self.sidecar.frontend.address, request(**{"X_Call_Id": f"{self._requests_sent:016x}", **changes})
         )
 
 
-# As the stage has them, with time enough for a slow machine.
+# The classes of the balancer harness, with deadlines long enough for a slow machine.
 CLASSES = [each | {"deadline_us": 600 * SECOND_US} for each in (SAFE, UNSAFE, KEYED)]
 LIMITS = {"max_attempts": 3, "allow_hedging": False, "allow_cancel": True}
 
 
 @contextlib.asynccontextmanager
-async def world(
-    *scripts: Callable[[str, Head, bytes], bytes | None],
+async def running_proxy(
+    *scripts: Callable[[str, Headers, bytes], bytes | None],
     sockets: int = 256,
     settled: bool = True,
     registry: FakeDiscovery | None = None,
     **changes: Any,
-) -> AsyncIterator[World]:
-    """A world with one server for each script; its sidecar is called ready at once if `settled`."""
+) -> AsyncIterator[ProxyHarness]:
+    """Run a sidecar with one server for each script; it is ready at once if `settled`."""
     servers = [FakeServer(f"s-{number}", script) for number, script in enumerate(scripts)]
     discovery = registry or FakeDiscovery()
     for server in servers:
@@ -233,13 +233,13 @@
         {"index": 41, "snapshot": True, "endpoints": [each.entry() for each in servers]}
     )
     config = Config(("127.0.0.1", 0), discovery.address, 7, sockets, given, known)
-    made = World(config, servers, discovery)
-    running = asyncio.create_task(made.sidecar.run(made.stop))
-    await until(lambda: made.sidecar._balancer._has_started)
+    proxy = ProxyHarness(config, servers, discovery)
+    running = asyncio.create_task(proxy.sidecar.run(proxy.stop))
+    await wait_until(lambda: proxy.sidecar._balancer._has_started)
     if settled:
-        made.sidecar._lag_monitor.settle()
+        proxy.sidecar._lag_monitor.settle()
     try:
-        yield made
+        yield proxy
     finally:
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
@@ -271,32 +271,32 @@
     return "\r\n".join([f"{verb} {path} HTTP/1.1", *lines, "", ""]).encode() + body
 
 
-async def ask(address: Address, data: bytes) -> tuple[int, Head, bytes]:
-    """Send raw bytes on a connection of their own; give status, headers and body of the answer."""
+async def send_request(address: Address, data: bytes) -> tuple[int, Headers, bytes]:
+    """Send raw bytes on a new connection; return status, headers and body of the response."""
     reader, writer = await asyncio.open_connection(*address)
     try:
         writer.write(data)
-        return await read_answer(reader)
+        return await read_response(reader)
     finally:
         writer.close()
 
 
-async def read_answer(reader: asyncio.StreamReader) -> tuple[int, Head, bytes]:
-    first, headers, body = await asyncio.wait_for(read_message(reader), PATIENCE_S)
+async def read_response(reader: asyncio.StreamReader) -> tuple[int, Headers, bytes]:
+    first, headers, body = await asyncio.wait_for(read_message(reader), TIMEOUT_S)
     return int(first.split(" ")[1]), headers, body
 
 
-async def is_closed(reader: asyncio.StreamReader) -> bool:
-    """Wait for the other side to end the connection."""
+async def wait_for_eof(reader: asyncio.StreamReader) -> bool:
+    """Wait for the peer to close the connection."""
     try:
-        return await asyncio.wait_for(reader.read(1), PATIENCE_S) == b""
+        return await asyncio.wait_for(reader.read(1), TIMEOUT_S) == b""
     except ConnectionError:
         return True
 
 
 @contextlib.contextmanager
-def unread() -> Iterator[socket.socket]:
-    """A listener whose connections hold little of what nobody reads."""
+def unread_listener() -> Iterator[socket.socket]:
+    """A listener that reads nothing, with small receive buffers."""
     with socket.socket() as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
         listener.bind(("127.0.0.1", 0))
@@ -305,7 +305,7 @@
 
 
 def shrink_send_buffers(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let new connections to servers take little at once, so that long requests are written in parts."""
+    """Shrink the send buffers of new connections to servers, so that long requests are written in parts."""
     new_socket = sockets.new_socket
 
     def small(address: Address) -> socket.socket:
@@ -317,8 +317,8 @@
 
 
 @contextlib.contextmanager
-def deaf() -> Iterator[Address]:
-    """A listener whose queue is full: connections to it never come up."""
+def full_backlog_listener() -> Iterator[Address]:
+    """A listener with a full backlog: connections to it are never established."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(0)
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -13,7 +13,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 import pytest
-from loopback import FakeDiscovery, World, answer, read_message, reset
+from proxy_harness import FakeDiscovery, ProxyHarness, encode_response, read_message, reset
 
 from sidecar.balancer.events import ServerState
 from sidecar.proxy.clock import Clock
@@ -52,11 +52,11 @@
     return int(asyncio.get_running_loop().time() * 1e6) + clock._offset_us
 
 
-def run_in_virtual_time(scene: Coroutine[Any, Any, None]) -> None:
+def run_in_virtual_time(scenario: Coroutine[Any, Any, None]) -> None:
     """Run an asynchronous test on a virtual clock, which the sidecar reads too."""
     with pytest.MonkeyPatch.context() as patch, asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         patch.setattr(Clock, "now", _loop_clock)
-        runner.run(scene)
+        runner.run(scenario)
 
 
 def now_s() -> float:
@@ -86,7 +86,7 @@
                 else:
                     await reader.read()  # it failed in the meantime: this call is lost
             elif self.fault == "503":
-                writer.write(answer(503, b""))
+                writer.write(encode_response(503, b""))
             elif self.fault == "reset":
                 reset(writer)
             else:
@@ -108,7 +108,7 @@
             pass
         endpoints = self.changes if self.version > after else []
         payload = {"index": self.version, "snapshot": False, "endpoints": endpoints}
-        return answer(200, json.dumps(payload).encode())
+        return encode_response(200, json.dumps(payload).encode())
 
     async def change(self, entry: dict[str, Any]) -> None:
         async with self._version_changed:
@@ -121,7 +121,7 @@
         self.fault = fault
         for writer in list(self._calls):
             if fault == "503":
-                writer.write(answer(503, b""))
+                writer.write(encode_response(503, b""))
             elif fault in ("reset", "refused"):
                 reset(writer)
         self._calls.clear()
@@ -134,11 +134,13 @@
         self.fault = None
 
 
-async def assert_notified_within(w: World, limit_s: float, began: float) -> None:
+async def assert_notified_within(proxy: ProxyHarness, limit_s: float, began: float) -> None:
     """Wait until the drain is applied, and fail if that takes longer than the limit."""
-    server = w.sidecar._balancer._context.registry.servers["s-0"]
+    server = proxy.sidecar._balancer._context.registry.servers["s-0"]
     while server.state is not ServerState.DRAINING:
-        assert now_s() < began + limit_s, f"not notified {limit_s} s later; calls: {len(w.discovery.targets)}"
+        assert now_s() < began + limit_s, (
+            f"not notified {limit_s} s later; calls: {len(proxy.discovery.targets)}"
+        )
         await asyncio.sleep(STEP_S)
 
 
