--- a/tests/configuration/reload_stage.py
+++ b/tests/configuration/reload_stage.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from helpers import settings
-from loopback import CLASSES, LIMITS
+from balancer_harness import settings
+from proxy_harness import CLASSES, LIMITS
 
 from sidecar.config import Config
 from sidecar.settings import Settings
--- a/tests/configuration/test_consecutive_reloads.py
+++ b/tests/configuration/test_consecutive_reloads.py
@@ -9,10 +9,10 @@
 from dataclasses import replace
 
 import pytest
-from helpers import S
-from loopback import hung, served, until, world
+from balancer_harness import SECOND_US
+from proxy_harness import never_respond, respond_ok, running_proxy, wait_until
 from reload_stage import read_from
-from virtual_time import Service, now_s, pass_s, play_in_virtual_time, told_within
+from virtual_time import RegistryStandIn, advance, assert_notified_within, now_s, run_in_virtual_time
 
 from sidecar import reload
 from sidecar.config import Config
@@ -20,7 +20,7 @@
 from sidecar.settings import ConfigurationError
 
 RELOADED_S = 4.0  # after SIGHUP, changes at the new address of discovery count as notified
-RULES = {"max_poll_interval_us": 60 * S}
+RULES = {"max_poll_interval_us": 60 * SECOND_US}
 MODES = ("on_request", "pushed")
 FAULTS = [errno.ENFILE, errno.EMFILE, errno.EIO, errno.EINTR, errno.ENOENT]
 
@@ -45,48 +45,48 @@
 @pytest.mark.parametrize("failures", [1, 4])
 @pytest.mark.parametrize("code", FAULTS)
 def test_a_drain_is_applied_in_time_though_the_file_is_unreadable_at_first(code: int, failures: int) -> None:
-    async def scene() -> None:
-        old, new = Service(), Service()
+    async def scenario() -> None:
+        old, new = RegistryStandIn(), RegistryStandIn()
         await new.start()
-        async with world(served, served, service=old, rules=RULES) as w:
-            file = FlakyFile(replace(w.config, discovery=new.address), code, failures)
-            signal = ReloadSignalHandler(Reloader(w.config, w.sidecar.reconfigure), file.read)
-            await new.change(w.servers[0].entry(status="leaving"))
+        async with running_proxy(respond_ok, respond_ok, registry=old, rules=RULES) as proxy:
+            file = FlakyFile(replace(proxy.config, discovery=new.address), code, failures)
+            signal = ReloadSignalHandler(Reloader(proxy.config, proxy.sidecar.reconfigure), file.read)
+            await new.change(proxy.servers[0].entry(status="leaving"))
             began = now_s()
             signal.handle_signal()
-            await told_within(w, RELOADED_S, began)
+            await assert_notified_within(proxy, RELOADED_S, began)
         new.stop()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 def test_retries_of_an_unreadable_file_end_and_leave_the_configuration() -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            reloader = Reloader(w.config, w.sidecar.reconfigure)
-            file = FlakyFile(w.config, errno.EIO, failures=1_000)
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            reloader = Reloader(proxy.config, proxy.sidecar.reconfigure)
+            file = FlakyFile(proxy.config, errno.EIO, failures=1_000)
             ReloadSignalHandler(reloader, file.read).handle_signal()
-            await pass_s(10.0)
+            await advance(10.0)
             assert file.reads == 1 + len(reload._RETRY_DELAYS_S)
-            assert reloader.active is w.config
+            assert reloader.active is proxy.config
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 def test_a_signal_cancels_the_retries_of_an_earlier_one() -> None:
-    async def scene() -> None:
-        async with world(served) as w:
-            reloader = Reloader(w.config, w.sidecar.reconfigure)
-            file = FlakyFile(w.config, errno.EIO, failures=1)
+    async def scenario() -> None:
+        async with running_proxy(respond_ok) as proxy:
+            reloader = Reloader(proxy.config, proxy.sidecar.reconfigure)
+            file = FlakyFile(proxy.config, errno.EIO, failures=1)
             signal = ReloadSignalHandler(reloader, file.read)
             signal.handle_signal()
-            file.content = replace(w.config, version=5)
+            file.content = replace(proxy.config, version=5)
             signal.handle_signal()
-            await pass_s(5.0)
+            await advance(5.0)
             assert file.reads == 2
             assert reloader.active.version == 5
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 def read_bad_file() -> Config:
@@ -99,24 +99,28 @@
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("between", BETWEEN)
 @pytest.mark.parametrize("apart_s", [0.0, 0.01, 1.0])
-@pytest.mark.parametrize("fault", [None, "silent", "cut off", "503", "reset", "refused"])
+@pytest.mark.parametrize("fault", [None, "silent", "partitioned", "503", "reset", "refused"])
 def test_of_consecutive_reloads_the_last_is_in_force_and_its_changes_are_applied_in_time(
-    fault: str | None, apart_s: float, between: str, mode: str, service: Callable[[], Service]
+    fault: str | None, apart_s: float, between: str, mode: str, make_registry: Callable[[], RegistryStandIn]
 ) -> None:
-    async def scene() -> None:
-        first, middle, last = service(), service(), service()
+    async def scenario() -> None:
+        first, middle, last = make_registry(), make_registry(), make_registry()
         for each in (middle, last):
             await each.start()
         if fault is not None:
             middle.fail(fault)
-        async with world(hung, served, service=first, rules=RULES, discovery=mode) as w:
-            await until(lambda: first.targets)
-            pending = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="500"))
-            await until(w.sent)
-            reloader = Reloader(w.config, w.sidecar.reconfigure)
-            configs = [replace(w.config, discovery=each.address) for each in (middle, first, middle, last)]
+        async with running_proxy(
+            never_respond, respond_ok, registry=first, rules=RULES, discovery=mode
+        ) as proxy:
+            await wait_until(lambda: first.targets)
+            pending = asyncio.create_task(proxy.send_request(kind="pay", body=b"x", budget="500"))
+            await wait_until(proxy.sent)
+            reloader = Reloader(proxy.config, proxy.sidecar.reconfigure)
+            configs = [
+                replace(proxy.config, discovery=each.address) for each in (middle, first, middle, last)
+            ]
             for number, config in enumerate(configs, start=1):
-                await pass_s(apart_s)
+                await advance(apart_s)
                 began = now_s()
                 result = reloader.reload(read_from(replace(config, version=number)))
                 assert isinstance(result, Applied)
@@ -125,15 +129,15 @@
                 elif between == "the same file":
                     reloader.reload(lambda: reloader.active)
                 elif between == "a drain" and number == 2:
-                    w.stop.set()
-            await last.change(w.servers[1].entry(weight=2.0))
-            await last.change(w.servers[0].entry(status="leaving"))
-            await told_within(w, RELOADED_S, began)
+                    proxy.stop.set()
+            await last.change(proxy.servers[1].entry(weight=2.0))
+            await last.change(proxy.servers[0].entry(status="leaving"))
+            await assert_notified_within(proxy, RELOADED_S, began)
             assert last.targets[0] == "/registry/instances"
-            assert w.sidecar._endpoint_list.client._address == last.address
-            await until(lambda: len(last.targets) > 1)  # the watch goes on there
+            assert proxy.sidecar._endpoint_list.client._address == last.address
+            await wait_until(lambda: len(last.targets) > 1)  # the watch goes on there
             pending.cancel()
         for each in (middle, last):
             each.stop()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -9,9 +9,17 @@
 from dataclasses import dataclass, field
 
 import pytest
-from helpers import MS, S
-from loopback import CLASSES, World, hung, read_message, request, until, world
-from virtual_time import VirtualTimeLoop, now_s, pass_s, play_in_virtual_time
+from balancer_harness import MILLISECOND_US, SECOND_US
+from proxy_harness import (
+    CLASSES,
+    ProxyHarness,
+    never_respond,
+    read_message,
+    request,
+    running_proxy,
+    wait_until,
+)
+from virtual_time import VirtualTimeLoop, advance, now_s, run_in_virtual_time
 
 from sidecar.proxy.active_requests import ActiveRequest
 from sidecar.proxy.http_messages import Headers
@@ -29,7 +37,7 @@
     """Let time pass with nothing done."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, VirtualTimeLoop)
-    loop.time_selector.passed += HOLD_UP_S
+    loop.time_selector.elapsed_s += HOLD_UP_S
 
 
 def kill_after_s(deadline_s: float) -> float:
@@ -49,7 +57,7 @@
 class Clients:
     """Clients that send again on every connection that stays open."""
 
-    w: World
+    proxy: ProxyHarness
     deadline_s: float
     sent: list[Sent] = field(default_factory=list)
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
@@ -61,11 +69,11 @@
 
     async def _use(self, wait_s: float) -> None:
         try:
-            reader, writer = await self.w.connect()
+            reader, writer = await self.proxy.connect()
         except ConnectionError:
             return
         if wait_s:
-            await pass_s(wait_s)
+            await advance(wait_s)
         try:
             while await self._send(reader, writer):
                 await asyncio.sleep(SEND_EVERY_S)
@@ -95,12 +103,15 @@
 @asynccontextmanager
 async def scene_of(
     deadline_s: float, *scripts: object, sockets: int = 1024
-) -> AsyncIterator[tuple[World, Clients]]:
-    classes = [each | {"deadline_us": int(deadline_s * S), "latency_target_us": 20 * MS} for each in CLASSES]
-    async with world(*scripts, classes=classes, sockets=sockets) as w:  # type: ignore[arg-type]
-        clients = Clients(w, deadline_s)
+) -> AsyncIterator[tuple[ProxyHarness, Clients]]:
+    classes = [
+        each | {"deadline_us": int(deadline_s * SECOND_US), "latency_target_us": 20 * MILLISECOND_US}
+        for each in CLASSES
+    ]
+    async with running_proxy(*scripts, classes=classes, sockets=sockets) as proxy:  # type: ignore[arg-type]
+        clients = Clients(proxy, deadline_s)
         try:
-            yield w, clients
+            yield proxy, clients
         finally:
             await clients.end()
 
@@ -136,21 +147,21 @@
 def test_requests_at_hung_servers_are_answered_before_sigkill(
     deadline_s: float, held_before_kill_s: float, noticed_late: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene() -> None:
-        async with scene_of(deadline_s, hung, hung) as (w, clients):
+    async def scenario() -> None:
+        async with scene_of(deadline_s, never_respond, never_respond) as (proxy, clients):
             kill_s = kill_after_s(deadline_s)
             waits_s = [kill_s * number / CLIENTS for number in range(CLIENTS)]
             for wait_s in waits_s:
                 clients.open(wait_s)  # some clients use their connection for the first time near the end
-            await until(lambda: len(w.sidecar.frontend.connections) == len(waits_s))
+            await wait_until(lambda: len(proxy.sidecar.frontend.connections) == len(waits_s))
             began = now_s()
             if noticed_late:
                 hold_up()
-            w.stop.set()
+            proxy.stop.set()
             hold_up_at_an_answer(monkeypatch, began + kill_s - held_before_kill_s)
             while now_s() < began + NEW_CONNECTIONS_S:
                 clients.open()
-                await pass_s(SEND_EVERY_S)
+                await advance(SEND_EVERY_S)
             while now_s() < began + kill_s:
                 await asyncio.sleep(0.005)
             assert lost(clients, began) == []
@@ -158,7 +169,7 @@
             assert len(new) > 10
             assert all(each.status is not None for each in new)
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
 
 
 @pytest.mark.parametrize("noticed_late", [False, True])
@@ -166,30 +177,32 @@
 def test_request_completed_at_any_moment_of_a_shutdown_gets_a_response(
     deadline_s: float, noticed_late: bool
 ) -> None:
-    async def scene() -> None:
-        async with scene_of(deadline_s, hung) as (w, _):
+    async def scenario() -> None:
+        async with scene_of(deadline_s, never_respond) as (proxy, _):
             kill_s = kill_after_s(deadline_s)
-            opened = [await w.connect() for _ in range(CLIENTS)]
+            opened = [await proxy.connect() for _ in range(CLIENTS)]
             data = [
                 request("pay", body=b"x", budget=f"{deadline_s}", X_Call_Id=f"{n}") for n in range(CLIENTS)
             ]
             for (_, writer), each in zip(opened, data, strict=True):
                 writer.write(each[:-1])
 
-            frontend = w.sidecar.frontend
-            await until(lambda: sum(each.has_partial_request() for each in frontend.connections) == CLIENTS)
+            frontend = proxy.sidecar.frontend
+            await wait_until(
+                lambda: sum(each.has_partial_request() for each in frontend.connections) == CLIENTS
+            )
             began = now_s()
             if noticed_late:
                 hold_up()
-            w.stop.set()
+            proxy.stop.set()
             reads = [asyncio.create_task(read_message(reader)) for reader, _ in opened]
             for number, (_, writer) in enumerate(opened):
-                await pass_s(max(began + kill_s * number / CLIENTS - now_s(), 0.0))
+                await advance(max(began + kill_s * number / CLIENTS - now_s(), 0.0))
                 if not reads[number].done():
                     writer.write(data[number][-1:])
-            await pass_s(began + kill_s - now_s())
+            await advance(began + kill_s - now_s())
             assert all(each.done() and each.exception() is None for each in reads)
             for _, writer in opened:
                 writer.close()
 
-    play_in_virtual_time(scene())
+    run_in_virtual_time(scenario())
