--- a/tests/proxy/test_accept_faults.py
+++ b/tests/proxy/test_accept_faults.py
@@ -54,6 +54,7 @@
 def fail_accepts(proxy: ProxyHarness, code: int, failures: int) -> FailingListener:
     """Make the next accepts of a sidecar fail."""
     frontend = proxy.sidecar.frontend
+    # The double has the part of a socket that the frontend uses.
     frontend._sock = made = FailingListener(frontend._sock, code, failures)  # type: ignore[assignment]
     return made
 
@@ -124,6 +125,7 @@
                 proxy.sidecar.frontend._sock = real
                 return Broken(fileno=sock.detach()), address
 
+        # The double has the part of a socket that the frontend uses.
         proxy.sidecar.frontend._sock = Breaking(real, 0, 0)  # type: ignore[assignment]
 
     return apply
--- a/tests/proxy/test_client_disconnect_races.py
+++ b/tests/proxy/test_client_disconnect_races.py
@@ -58,6 +58,7 @@
     connect = server_connection.connect
 
     async def held_up(*given: object) -> Connection:
+        # It passes on whatever the code under test gives it.
         connection = await connect(*given)  # type: ignore[arg-type]
         dialled.set()
         await go_on.wait()
--- a/tests/proxy/test_dedup_window.py
+++ b/tests/proxy/test_dedup_window.py
@@ -103,6 +103,7 @@
                 assert not exchange.is_written()
                 # asyncio's types leave out the callback of a timer.
                 bound = proxy.sidecar._attempts._end_unwritten
+                # Only the private attribute of a handle tells its callback.
                 (timer,) = [each for each in exchange.timers if each._callback == bound]  # type: ignore[attr-defined]
                 due = proxy.sidecar._clock.to_loop_time(proxy.sidecar._clock.now() + 2 * SECOND_US)
                 assert timer.when() < due  # counted from the attempt before
--- a/tests/proxy/test_descriptor_shortage.py
+++ b/tests/proxy/test_descriptor_shortage.py
@@ -53,6 +53,7 @@
     async def scenario() -> None:
         frontend = Frontend(("127.0.0.1", 0), 5, RespondingHandler(), settings(classes=CLASSES))
         real = frontend._sock
+        # The double has the part of a socket that the frontend uses.
         frontend._sock = ListenerWithoutDescriptors(real)  # type: ignore[assignment]
         frontend.start()
         assert (await send_request(frontend.address, request()))[2] == b"taken"
--- a/tests/proxy/test_failed_requests.py
+++ b/tests/proxy/test_failed_requests.py
@@ -39,6 +39,7 @@
 def test_rejection_has_a_retry_after_header() -> None:
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
+            # The defect of one balancer is simulated: the method of this instance alone is replaced.
             proxy.sidecar._balancer.handle = lambda now, event: (  # type: ignore[method-assign]
                 [RejectRequest(event.request, 250_000)] if isinstance(event, RequestArrived) else []
             )
@@ -83,6 +84,7 @@
 def test_request_that_the_balancer_forgets_fails_at_its_deadline() -> None:
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
+            # The defect of one balancer is simulated: the method of this instance alone is replaced.
             proxy.sidecar._balancer.handle = lambda now, event: []  # type: ignore[method-assign]
             assert (await proxy.send_request(budget="0.2"))[0] == 500
 
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -4,7 +4,7 @@
 
 import asyncio
 import itertools
-from collections.abc import AsyncIterator, Iterator
+from collections.abc import AsyncIterator, Callable, Iterator
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, field
 
@@ -102,13 +102,13 @@
 
 @asynccontextmanager
 async def scene_of(
-    deadline_s: float, *scripts: object, sockets: int = 1024
+    deadline_s: float, *scripts: Callable[..., bytes | None], sockets: int = 1024
 ) -> AsyncIterator[tuple[ProxyHarness, Clients]]:
     classes = [
         each | {"deadline_us": int(deadline_s * SECOND_US), "latency_target_us": 20 * MILLISECOND_US}
         for each in CLASSES
     ]
-    async with running_proxy(*scripts, classes=classes, sockets=sockets) as proxy:  # type: ignore[arg-type]
+    async with running_proxy(*scripts, classes=classes, sockets=sockets) as proxy:
         clients = Clients(proxy, deadline_s)
         try:
             yield proxy, clients
--- a/tests/proxy/test_response_races.py
+++ b/tests/proxy/test_response_races.py
@@ -104,6 +104,7 @@
 ENDS: dict[str, tuple[Callable[[ConnectionPool, Exchange], None], list[Outcome]]] = {
     "its time is up": (lambda u, e: e.on_deadline(), [Outcome.TIMED_OUT]),
     "it is called off": (lambda u, e: u.cancel(e), [Outcome.CANCELLED]),
+    # The exchange has a connection by then, which mypy can't know.
     "its connection breaks": (lambda u, e: e.connection.connection_lost(None), [Outcome.RESET]),  # type: ignore[union-attr]
 }
 
