--- a/sidecar/balancer/lifecycle/request_table.py
+++ b/sidecar/balancer/lifecycle/request_table.py
@@ -37,8 +37,9 @@
     def restrict(self) -> None:
         """Hold all requests to the limits of the settings in force, where they are stricter than before."""
         settings = self._context.settings
+        non_execution_outcomes = retries.non_execution_outcomes(settings)
         for request in self._requests.values():
-            request.restrict(settings.limits, retries.non_execution_outcomes(settings))
+            request.restrict(settings.limits, non_execution_outcomes)
 
     def close(self, request: Request) -> None:
         """Note that no final response is owed any more, and cancel active attempts where that is allowed."""
