--- a/sidecar/balancer/balancer.py
+++ b/sidecar/balancer/balancer.py
@@ -141,8 +141,8 @@
         cross_zone_cost = load_comparison.cross_zone_cost(settings)
         self._placer.checks_per_request = checks_per_request
         self._admission.checks_load_before_sending = checks_load
-        is_crossing_costly = cross_zone_cost >= load_comparison.MIN_CROSS_ZONE_COST
-        self._zone_preference.local_first = checks_load and is_crossing_costly
+        is_crossing_costly = cross_zone_cost >= load_comparison.MIN_LOCAL_FIRST_COST
+        self._zone_preference.is_local_first = checks_load and is_crossing_costly
 
     def handle(self, now: int, event: Event) -> list[Action]:
         """Handle one event; events have to come in the order in which they happened.
@@ -258,7 +258,7 @@
             return False
         attempt = self._record_attempt(request, server)
         self._admission.attempt_sent(request.service_class.latency_target_us)
-        self._hedging.watch(request, attempt)
+        self._hedging.monitor(request, attempt)
         write_by = self._write_deadline(request)
         self._context.actions.append(SendAttempt(request.id, server.name, request.deadline, write_by))
         return True
--- a/sidecar/balancer/lifecycle/attempt_feedback.py
+++ b/sidecar/balancer/lifecycle/attempt_feedback.py
@@ -68,8 +68,8 @@
             self.admission.count_late_attempt()
         counted_until = self.context.now + event.elapsed_us  # for as long as it was waited for
         self.context.load.abandon(attempt.server, counted_until, attempt.within_target)
-        usual_us = self.latency.usual_us(request) * attempt.server.latency_weight
-        if event.elapsed_us > usual_us and not self.context.stalls.is_catching_up():
+        usual_latency_us = self.latency.usual_latency_us(request) * attempt.server.latency_weight
+        if event.elapsed_us > usual_latency_us and not self.context.stalls.is_catching_up():
             self.latency.observe_latency(request, attempt.server, event.elapsed_us)
 
     def _succeeded(self, request: Request, attempt: Attempt, elapsed_us: int) -> None:
--- a/sidecar/balancer/lifecycle/request_factory.py
+++ b/sidecar/balancer/lifecycle/request_factory.py
@@ -46,7 +46,7 @@
             deadline=self.context.now + event.remaining_us - early_us,
             relative_cost=relative_cost,
             traffic_key=TrafficKey(service_class.name, event.tenant),
-            all_zones=not self.zone_preference.local_first,
+            all_zones=not self.zone_preference.is_local_first,
             cost_class=cost_class(relative_cost),
             limits=settings.limits,
             non_execution_outcomes=retries.non_execution_outcomes(settings),
--- a/sidecar/balancer/policy/admission.py
+++ b/sidecar/balancer/policy/admission.py
@@ -4,15 +4,17 @@
 
 from sidecar.balancer.policy.concurrency_limit import UNRESTRICTED_UTILIZATION, ConcurrencyLimit
 from sidecar.balancer.policy.latency_ratio import ALLOWED_LATENCY_RATIO
-from sidecar.balancer.policy.low_traffic import CONFIDENT_LOAD
+from sidecar.balancer.policy.low_traffic import FULL_CONFIDENCE_LOAD
 from sidecar.balancer.policy.low_traffic_shedding import LowTrafficShedder
 from sidecar.balancer.policy.priority import TrafficPriorities
 from sidecar.balancer.policy.stale_requests import StaleRequestDetector
 from sidecar.balancer.state import Context, DecayingRate, Request, Traffic
 
-LOW_TRAFFIC_LOAD = CONFIDENT_LOAD / 2  # attempts in flight; with fewer, shedding goes by counts of responses
-FULL_LIMIT_PRESSURE = 4.0  # at a full limit, one in fifty requests of median priority is admitted (e^-4)
-LOWEST_PRIORITY_FACTOR = 2.0  # the pressure on the lowest priority; the highest feels almost none
+LOW_TRAFFIC_LOAD = (
+    FULL_CONFIDENCE_LOAD / 2
+)  # attempts in flight; with fewer, shedding goes by counts of responses
+FULL_LIMIT_SHED_EXPONENT = 4.0  # at a full limit, one in fifty requests of median priority is admitted (e^-4)
+LOWEST_PRIORITY_FACTOR = 2.0  # the exponent of the lowest priority; the highest feels almost none
 
 
 class AdmissionControl:
@@ -41,7 +43,7 @@
         self._priorities = TrafficPriorities(context)
         self._low_traffic_shedder = LowTrafficShedder(context)
         self._stale_requests = StaleRequestDetector(context)
-        self._sample_due = 0  # us; then a request is admitted as a sample, even at a full limit
+        self._sample_due_at = 0  # us; then a request is admitted as a sample, even at a full limit
         self._last_response_was_fast = False  # and nothing was sent since
 
     def observe_latency(self, latency_ratio: float) -> None:
@@ -64,7 +66,7 @@
 
     def attempt_sent(self, latency_target_us: int) -> None:
         """Note an attempt that was sent: it is the latest sample until it is answered or late."""
-        self._sample_due = self._context.now + latency_target_us
+        self._sample_due_at = self._context.now + latency_target_us
         self._last_response_was_fast = False
 
     def should_reject(self, request: Request, remaining_us: int) -> bool:
@@ -95,22 +97,22 @@
         excess_share = self._low_traffic_shedder.excess_share(self._limit.cpu.utilization)
         if excess_share <= 0.0:
             return False
-        if self._context.rng.random() >= excess_share * self._pressure_factor(traffic):
+        if self._context.rng.random() >= excess_share * self._priority_factor(traffic):
             return False
         self._low_traffic_shedder.count_shed()
         return True
 
     def _should_shed_at_limit(self, traffic: Traffic) -> bool:
         utilization = self._limit.utilization()
-        if utilization <= UNRESTRICTED_UTILIZATION or self._context.now >= self._sample_due:
+        if utilization <= UNRESTRICTED_UTILIZATION or self._context.now >= self._sample_due_at:
             return False
         restricted_share = (utilization - UNRESTRICTED_UTILIZATION) / (1.0 - UNRESTRICTED_UTILIZATION)
-        pressure = FULL_LIMIT_PRESSURE * restricted_share
-        admitted_share = math.exp(-pressure * self._pressure_factor(traffic))
+        shed_exponent = FULL_LIMIT_SHED_EXPONENT * restricted_share
+        admitted_share = math.exp(-shed_exponent * self._priority_factor(traffic))
         if utilization < 1.0 and self._context.rng.random() < admitted_share:
             return False
         self._limit.has_rejected = True
         return True
 
-    def _pressure_factor(self, traffic: Traffic) -> float:
+    def _priority_factor(self, traffic: Traffic) -> float:
         return LOWEST_PRIORITY_FACTOR * (1.0 - self._priorities.priority(traffic))
--- a/sidecar/balancer/policy/concurrency_limit.py
+++ b/sidecar/balancer/policy/concurrency_limit.py
@@ -8,14 +8,14 @@
 
 from sidecar.balancer.policy.cpu_utilization import CpuUtilizationTracker
 from sidecar.balancer.policy.latency_ratio import ALLOWED_LATE_SHARE, LatencyRatioTracker
-from sidecar.balancer.policy.low_traffic import CONFIDENT_LOAD, low_traffic_factor
+from sidecar.balancer.policy.low_traffic import FULL_CONFIDENCE_LOAD, low_traffic_factor
 from sidecar.balancer.state import Context, DecayingRate
 
 MIN_LIMIT = 0.1  # attempts in flight; a trickle is always admitted, so that relief is seen
 UNRESTRICTED_UTILIZATION = 0.5  # up to this share of the limit all are admitted, and the limit does not grow
-INITIAL_SIZING_DELAY_TARGETS = 2.0  # the limit is first sized this many longest targets after a response
+INITIAL_RESIZE_DELAY_TARGETS = 2.0  # the limit is first sized this many longest targets after a response
 MOSTLY_LATE_SHARE = 10 * ALLOWED_LATE_SHARE  # so many late responses are overload, however new the balancer
-ADJUSTMENT_TARGETS = 0.5  # at twice the allowed ratio, longest targets in which the limit shrinks e-fold
+TIME_CONSTANT_TARGETS = 0.5  # at twice the allowed ratio, longest targets in which the limit shrinks e-fold
 MAX_ELAPSED_TARGETS = 0.25  # longest targets that count at most as elapsed between two adjustments
 
 
@@ -27,7 +27,7 @@
         latency: The latency ratios of responses.
         cpu: The utilization that servers report.
         has_rejected: Whether a request was rejected for the limit since it was last sized.
-        sized_at: When the limit was last sized, in us.
+        resized_at: When the limit was last sized, in us.
     """
 
     def __init__(self, context: Context) -> None:
@@ -40,10 +40,10 @@
         self.latency = LatencyRatioTracker()
         self.cpu = CpuUtilizationTracker()
         self.has_rejected = False
-        self.sized_at = 0
+        self.resized_at = 0
         self._context = context
-        self._sized_from = 0  # us
-        self._served_target_time = DecayingRate(context.longest_target_us)  # latency targets of successes
+        self._resizes_from = 0  # us
+        self._served_target_us = DecayingRate(context.longest_target_us)  # latency targets of successes
 
     def rescale(self, factor: float) -> None:
         """Adapt to latency targets that are this many times as long, with as much more served in one."""
@@ -52,7 +52,7 @@
 
     def count_success(self, latency_target_us: int) -> None:
         """Count a successful attempt of a class with this latency target."""
-        self._served_target_time.add(self._context.now, latency_target_us)
+        self._served_target_us.add(self._context.now, latency_target_us)
 
     def observe(self, latency_ratio: float) -> None:
         """Observe a response, or an attempt that is late without one, and size the limit.
@@ -61,8 +61,8 @@
             latency_ratio: Its latency over the latency target.
         """
         if not self.latency.has_samples():
-            delay_us = int(INITIAL_SIZING_DELAY_TARGETS * self._context.longest_target_us)
-            self._sized_from = self._context.now + delay_us
+            delay_us = int(INITIAL_RESIZE_DELAY_TARGETS * self._context.longest_target_us)
+            self._resizes_from = self._context.now + delay_us
         factor = low_traffic_factor(self._context.load)
         in_flight = self._context.load.total()
         is_loaded = in_flight > UNRESTRICTED_UTILIZATION * self.limit
@@ -76,18 +76,18 @@
         For a small limit the mean load counts, as two attempts at the same time may be chance.
         """
         load = self._context.load
-        confidence = min(self.limit / CONFIDENT_LOAD, 1.0)
+        confidence = min(self.limit / FULL_CONFIDENCE_LOAD, 1.0)
         return (load.mean + confidence * (load.total() - load.mean)) / self.limit
 
     def _is_starting(self) -> bool:
         """Whether every connection is new and rates still build up, so late responses may be chance."""
-        return self._context.now < self._sized_from and self.latency.late_share < MOSTLY_LATE_SHARE
+        return self._context.now < self._resizes_from and self.latency.late_share < MOSTLY_LATE_SHARE
 
     def _resize(self, in_flight: int, low_traffic_factor: float) -> None:
         """Shrink or grow the limit by how far the median response is from the allowed one."""
         adjustment_span_us = low_traffic_factor * self._context.longest_target_us
-        elapsed_us = min(self._context.now - self.sized_at, adjustment_span_us * MAX_ELAPSED_TARGETS)
-        self.sized_at = self._context.now
+        elapsed_us = min(self._context.now - self.resized_at, adjustment_span_us * MAX_ELAPSED_TARGETS)
+        self.resized_at = self._context.now
         allowed_median = self.latency.allowed_median(low_traffic_factor)
         excess = self._excess(low_traffic_factor, allowed_median)
         if excess > 0.0 and not self._is_overloaded():
@@ -97,7 +97,7 @@
         elif not self.has_rejected:
             return  # nothing indicates that the limit is too small
         self.has_rejected = False
-        change = math.exp(-excess * elapsed_us / (ADJUSTMENT_TARGETS * self._context.longest_target_us))
+        change = math.exp(-excess * elapsed_us / (TIME_CONSTANT_TARGETS * self._context.longest_target_us))
         needed = self._needed_limit(allowed_median, adjustment_span_us)
         self.limit = max(self.limit * change, min(needed, self.limit), MIN_LIMIT)
 
@@ -106,8 +106,8 @@
 
         By Little's law, the attempts in flight are the rate of successes times their latency.
         """
-        self._served_target_time.set_span(span_us)
-        in_flight = allowed_median * self._served_target_time.per_us(self._context.now)
+        self._served_target_us.set_span(span_us)
+        in_flight = allowed_median * self._served_target_us.per_us(self._context.now)
         return in_flight / UNRESTRICTED_UTILIZATION
 
     def _is_overloaded(self) -> bool:
@@ -122,6 +122,6 @@
         """
         excess = self.latency.excess(allowed_median)
         cpu_excess = self.cpu.excess()
-        if cpu_excess is not None and (low_traffic_factor > 1.0 or self.cpu.is_spare()):
+        if cpu_excess is not None and (low_traffic_factor > 1.0 or self.cpu.has_spare_capacity()):
             excess = min(excess, cpu_excess)
         return max(-1.0, min(excess, 1.0))
--- a/sidecar/balancer/policy/connections.py
+++ b/sidecar/balancer/policy/connections.py
@@ -5,7 +5,7 @@
 from sidecar.balancer.state import Context, DecayingRate, Server
 from sidecar.balancer.state.timers import IdleCloseDue
 
-CONNECTIONS_PER_PRICE = 100.0  # the price of connections is for so many of them at a server
+CONNECTIONS_PER_PRICE_UNIT = 100.0  # the price of connections is for so many of them at a server
 MIN_REQUEST_RATE_PER_US = 1e-9  # avoids a division by zero
 
 
@@ -24,7 +24,7 @@
         self._arrivals = arrivals
         self._latency_by_load = latency_by_load
 
-    def is_open(self, server: Server) -> bool:
+    def has_idle_connection(self, server: Server) -> bool:
         """Whether an idle connection to the server is likely to be open."""
         idle_us = self._context.now - server.idle_since
         return server.idle_connections > 0 and idle_us < self._context.settings.limits.idle_close_us
@@ -38,7 +38,7 @@
         Args:
             server: The server of the connection.
         """
-        server.idle_connections = server.idle_connections + 1 if self.is_open(server) else 1
+        server.idle_connections = server.idle_connections + 1 if self.has_idle_connection(server) else 1
         server.idle_since = self._context.now
         limits = self._context.settings.limits
         if self._context.settings.prices.connection <= 0.0 or limits.streams_per_connection > 1:
@@ -65,7 +65,7 @@
         The price of a connection is charged for each request that its server gets meanwhile.
         """
         prices = self._context.settings.prices
-        requests = CONNECTIONS_PER_PRICE * prices.handshake / prices.connection
+        requests = CONNECTIONS_PER_PRICE_UNIT * prices.handshake / prices.connection
         return requests / max(self._server_request_rate(), MIN_REQUEST_RATE_PER_US)
 
     def _server_request_rate(self) -> float:
--- a/sidecar/balancer/policy/cpu_utilization.py
+++ b/sidecar/balancer/policy/cpu_utilization.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Mapping
 
-REPORT_FIELD = "util"  # of load reports: the utilization as a share of all cores
-STEP = 0.1  # weight of each report in the moving average: the last ten or so count
+UTILIZATION_FIELD = "util"  # of load reports: the utilization as a share of all cores
+UTILIZATION_SMOOTHING_FACTOR = 0.1  # weight of each report in the moving average: the last ten or so count
 SPARE_CPU_UTILIZATION = 0.4  # below this, also a busy balancer goes by reports, which lag behind a surge
 BUSY_CPU_UTILIZATION = 0.85  # below this there is capacity left
 SATURATED_CPU_UTILIZATION = 0.95  # from this on there is overload, even before responses are late
@@ -23,7 +23,7 @@
 
     def observe(self, report: Mapping[str, float] | None) -> None:
         """Take in the load report of a response, if there is one with a valid utilization."""
-        reported = (report or {}).get(REPORT_FIELD, INVALID_CPU_UTILIZATION)
+        reported = (report or {}).get(UTILIZATION_FIELD, INVALID_CPU_UTILIZATION)
         if reported < INVALID_CPU_UTILIZATION:
             utilization = min(max(reported, 0.0), 1.0)
             if self.utilization is None:
@@ -31,20 +31,20 @@
             else:
                 self._approach(utilization)
 
-    def observe_missing(self) -> None:
+    def observe_missing_report(self) -> None:
         """Count an unresponsive server as saturated: the reports of others alone would be too low."""
         if self.utilization is not None:
             self._approach(1.0)
 
     def _approach(self, utilization: float) -> None:
         if self.utilization is not None:
-            self.utilization += STEP * (utilization - self.utilization)
+            self.utilization += UTILIZATION_SMOOTHING_FACTOR * (utilization - self.utilization)
 
     def is_saturated(self) -> bool:
         """Whether reports by themselves indicate overload."""
         return self.utilization is not None and self.utilization >= SATURATED_CPU_UTILIZATION
 
-    def is_spare(self) -> bool:
+    def has_spare_capacity(self) -> bool:
         """Whether reports indicate so much idle capacity that late responses can't be overload."""
         return self.utilization is not None and self.utilization < SPARE_CPU_UTILIZATION
 
--- a/sidecar/balancer/policy/health_checks.py
+++ b/sidecar/balancer/policy/health_checks.py
@@ -4,7 +4,7 @@
 
 from sidecar.balancer.actions import CheckHealth
 from sidecar.balancer.events import HealthCheckEnded, Outcome
-from sidecar.balancer.policy.selection import CANDIDATES
+from sidecar.balancer.policy.selection import CANDIDATE_COUNT
 from sidecar.balancer.state import Context, Request, Server
 from sidecar.balancer.state.timers import HealthChecksDue
 from sidecar.settings import ReportSource, Settings
@@ -12,9 +12,11 @@
 LOAD_FIELD = "inflight"  # of load reports: the requests in flight at the server
 MAX_COST_SHARE = 0.01  # of the value of a request, which its health checks may cost
 MIN_PRICE = 1e-9  # avoids a division by zero where health checks are free
-WAIT_CHECK_TIMES = 3.0  # a request waits so many usual health check times for its candidates ...
+MAX_WAIT_CHECK_DURATIONS = 3.0  # a request waits so many usual health check times for its candidates ...
 MAX_WAIT_TARGETS = 0.05  # ... and at most this share of its latency target
-CHECK_TIME_STEP = 0.1  # weight of each health check in the usual time: the last ten or so count
+CHECK_DURATION_SMOOTHING_FACTOR = (
+    0.1  # weight of each health check in the usual time: the last ten or so count
+)
 
 
 def health_checks_per_request(settings: Settings) -> int:
@@ -24,7 +26,7 @@
     if LOAD_FIELD not in settings.report_columns:
         return 0
     affordable = MAX_COST_SHARE / max(settings.prices.probe, MIN_PRICE)
-    return int(min(affordable, CANDIDATES))
+    return int(min(affordable, CANDIDATE_COUNT))
 
 
 class HealthChecks:
@@ -38,7 +40,7 @@
         """
         self._context = context
         self._waiting: dict[int, Request] = {}  # by their ids
-        self._usual_time_us: float | None = None  # of a health check
+        self._usual_duration_us: float | None = None  # of a health check
 
     def start(self, request: Request, candidates: list[Server]) -> None:
         """Check candidates and hold the request; those that are slower than usual are passed over.
@@ -71,7 +73,7 @@
         server.health_check_sent_at = None
         server.reported_load = None
         if event.outcome is Outcome.SUCCEEDED:
-            self._observe_time(event.elapsed_us)
+            self._observe_duration(event.elapsed_us)
             if event.report is not None:
                 server.reported_load = event.report.get(LOAD_FIELD)
         for request in list(self._waiting.values()):
@@ -87,10 +89,10 @@
 
     def _max_wait_us(self, request: Request) -> int:
         max_wait_us = MAX_WAIT_TARGETS * request.service_class.latency_target_us
-        if self._usual_time_us is None:
+        if self._usual_duration_us is None:
             return int(max_wait_us)
-        return int(min(max_wait_us, WAIT_CHECK_TIMES * self._usual_time_us))
+        return int(min(max_wait_us, MAX_WAIT_CHECK_DURATIONS * self._usual_duration_us))
 
-    def _observe_time(self, elapsed_us: int) -> None:
-        usual_us = self._usual_time_us if self._usual_time_us is not None else float(elapsed_us)
-        self._usual_time_us = usual_us + CHECK_TIME_STEP * (elapsed_us - usual_us)
+    def _observe_duration(self, elapsed_us: int) -> None:
+        usual_us = self._usual_duration_us if self._usual_duration_us is not None else float(elapsed_us)
+        self._usual_duration_us = usual_us + CHECK_DURATION_SMOOTHING_FACTOR * (elapsed_us - usual_us)
--- a/sidecar/balancer/policy/hedging.py
+++ b/sidecar/balancer/policy/hedging.py
@@ -38,7 +38,7 @@
     admission: AdmissionControl
     limit: ConcurrencyLimit
 
-    def watch(self, request: Request, attempt: Attempt) -> None:
+    def monitor(self, request: Request, attempt: Attempt) -> None:
         """Schedule the examination of an attempt that was just sent."""
         self._examine_after(self._overdue_after_us(request, attempt.server), request, attempt)
 
@@ -73,7 +73,9 @@
         return is_unresponsive and attempt.server.ejected_until is not None
 
     def _overdue_after_us(self, request: Request, server: Server) -> int:
-        overdue_us = OVERDUE_LATENCY_FACTOR * self.latency.usual_us(request) * max(server.latency_weight, 1.0)
+        overdue_us = (
+            OVERDUE_LATENCY_FACTOR * self.latency.usual_latency_us(request) * max(server.latency_weight, 1.0)
+        )
         min_us = MIN_OVERDUE_TARGETS * request.service_class.latency_target_us
         return int(max(overdue_us, min_us, self.context.settings.tick_us))
 
@@ -114,5 +116,5 @@
             return
         attempt.counted_as_late = True
         if is_unresponsive:
-            self.limit.cpu.observe_missing()
+            self.limit.cpu.observe_missing_report()
         self.admission.observe_latency(UNANSWERED_LATENCY_RATIO)
--- a/sidecar/balancer/policy/key_order.py
+++ b/sidecar/balancer/policy/key_order.py
@@ -6,7 +6,11 @@
 from sidecar.balancer.state import Context, KeyQueue, Request
 from sidecar.balancer.state.timers import KeyCooldownOver
 
-MAY_STILL_RUN = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)  # the key has a cooldown after these
+POSSIBLY_RUNNING_OUTCOMES = (
+    Outcome.TIMED_OUT,
+    Outcome.RESET,
+    Outcome.CANCELLED,
+)  # the key has a cooldown after these
 
 
 class KeyOrder:
@@ -34,7 +38,7 @@
 
     def attempt_ended(self, request: Request, outcome: Outcome) -> None:
         """Begin a cooldown of the request's key after an attempt that may still be running."""
-        if request.ordering_key is not None and outcome in MAY_STILL_RUN:
+        if request.ordering_key is not None and outcome in POSSIBLY_RUNNING_OUTCOMES:
             cooldown_us = self._context.settings.rules.key_cooldown_us
             self.queues[request.ordering_key].cooldown_until = self._context.now + cooldown_us
 
--- a/sidecar/balancer/policy/latency.py
+++ b/sidecar/balancer/policy/latency.py
@@ -4,10 +4,14 @@
 from sidecar.balancer.state import Context, Request, Server
 from sidecar.settings import ServiceClass
 
-LATENCY_WEIGHT_STEP = 0.1  # weight of each response in a server's average: the last ten or so count
-MAX_LATENCY_RATIO = 4.0  # one response counts at most as so many usual ones; it may be of a costly request
-USUAL_STEP = 0.02  # weight of each response in the averages of a class: the last fifty or so count
-INITIAL_USUAL_TARGETS = 0.3  # the usual latency before any response, in latency targets
+LATENCY_WEIGHT_SMOOTHING_FACTOR = (
+    0.1  # weight of each response in a server's average: the last ten or so count
+)
+MAX_RELATIVE_LATENCY = 4.0  # one response counts at most as so many usual ones; it may be of a costly request
+CLASS_AVERAGE_SMOOTHING_FACTOR = (
+    0.02  # weight of each response in the averages of a class: the last fifty or so count
+)
+INITIAL_USUAL_LATENCY_TARGETS = 0.3  # the usual latency before any response, in latency targets
 MIN_USUAL_LATENCY_US = 1.0  # avoids a division by zero
 
 
@@ -21,8 +25,8 @@
             context: The shared state of the balancer.
         """
         self._context = context
-        self._usual_us: dict[tuple[str, int], float] = context.settings_bound.new_table(
-            lambda kind: context.catalog.has_class(kind[0])
+        self._usual_latency_us: dict[tuple[str, int], float] = context.settings_bound.new_table(
+            lambda key: context.catalog.has_class(key[0])
         )
         self._mean_cost_us: dict[str, float] = context.settings_bound.new_table(context.catalog.has_class)
 
@@ -39,7 +43,9 @@
         if not cost_us or cost_us < 0:
             return 1.0
         mean_us = self._mean_cost_us.get(service_class.name, float(cost_us))
-        self._mean_cost_us[service_class.name] = mean_us + USUAL_STEP * (cost_us - mean_us)
+        self._mean_cost_us[service_class.name] = mean_us + CLASS_AVERAGE_SMOOTHING_FACTOR * (
+            cost_us - mean_us
+        )
         return cost_us / mean_us if mean_us > 0 else 1.0
 
     @staticmethod
@@ -57,10 +63,10 @@
             else:
                 server.latency_weight = 1.0
 
-    def usual_us(self, request: Request) -> float:
+    def usual_latency_us(self, request: Request) -> float:
         """The usual latency of requests of the same class and cost, in us."""
-        initial_us = INITIAL_USUAL_TARGETS * request.service_class.latency_target_us
-        return self._usual_us.get(_latency_key(request), initial_us)
+        initial_us = INITIAL_USUAL_LATENCY_TARGETS * request.service_class.latency_target_us
+        return self._usual_latency_us.get(_latency_key(request), initial_us)
 
     def observe_latency(self, request: Request, server: Server, elapsed_us: float) -> None:
         """Move a server's latency weight towards the latency of one attempt.
@@ -70,14 +76,14 @@
             server: The server of the attempt.
             elapsed_us: How long the attempt took.
         """
-        usual_us = max(self.usual_us(request), MIN_USUAL_LATENCY_US)
-        ratio = min(elapsed_us / usual_us, MAX_LATENCY_RATIO)
-        step = LATENCY_WEIGHT_STEP * low_traffic_factor(self._context.load)
+        usual_latency_us = max(self.usual_latency_us(request), MIN_USUAL_LATENCY_US)
+        ratio = min(elapsed_us / usual_latency_us, MAX_RELATIVE_LATENCY)
+        step = LATENCY_WEIGHT_SMOOTHING_FACTOR * low_traffic_factor(self._context.load)
         server.latency_weight += step * (ratio - server.latency_weight)
 
     def observe_error(self, request: Request, server: Server) -> None:
         """Count an error as the slowest response there is, so that fast errors don't attract requests."""
-        self.observe_latency(request, server, int(MAX_LATENCY_RATIO * self.usual_us(request)))
+        self.observe_latency(request, server, int(MAX_RELATIVE_LATENCY * self.usual_latency_us(request)))
 
     def observe_success(self, request: Request, server: Server, elapsed_us: int) -> None:
         """Learn from a successful attempt; the first of its class and cost is the usual one.
@@ -88,9 +94,11 @@
             elapsed_us: How long the attempt took.
         """
         key = _latency_key(request)
-        usual_us = self._usual_us.setdefault(key, float(elapsed_us))
+        usual_latency_us = self._usual_latency_us.setdefault(key, float(elapsed_us))
         self.observe_latency(request, server, elapsed_us)
-        self._usual_us[key] = usual_us + USUAL_STEP * (elapsed_us - usual_us)
+        self._usual_latency_us[key] = usual_latency_us + CLASS_AVERAGE_SMOOTHING_FACTOR * (
+            elapsed_us - usual_latency_us
+        )
 
 
 def _latency_key(request: Request) -> tuple[str, int]:
--- a/sidecar/balancer/policy/latency_by_load.py
+++ b/sidecar/balancer/policy/latency_by_load.py
@@ -6,7 +6,7 @@
 FIT_DECAY = 0.03  # weight of each response in the fit: the last thirty or so count
 FIT_MIN_SAMPLES = 5.0  # fewer responses allow no prediction
 MAX_PREDICTION_FACTOR = 3.0  # a response counts at most as so many times the prediction: it may be congestion
-MIN_CLIPPED_RATIO = 0.2  # but for this latency ratio in any case
+MIN_RATIO_CAP = 0.2  # but for this latency ratio in any case
 
 
 class LatencyByLoad:
@@ -38,6 +38,6 @@
         if predicted is None:
             max_ratio = UNANSWERED_LATENCY_RATIO
         else:
-            max_ratio = max(MAX_PREDICTION_FACTOR * predicted, MIN_CLIPPED_RATIO)
+            max_ratio = max(MAX_PREDICTION_FACTOR * predicted, MIN_RATIO_CAP)
         latency_ratio = elapsed_us / request.service_class.latency_target_us
         self._fit.add(attempt.reported_load, min(latency_ratio, max_ratio))
--- a/sidecar/balancer/policy/latency_ratio.py
+++ b/sidecar/balancer/policy/latency_ratio.py
@@ -13,7 +13,7 @@
 BASELINE_STEP_SHARE_UNDER_LOAD = 0.002  # the same while the limit is utilized
 MEDIAN_STEP = 0.04  # of the running median: it reverses within some 25 responses
 ALLOWED_LATE_SHARE = 0.05  # while all but this share is in time, there is no overload
-LATE_SHARE_STEP = 0.02  # weight of each response in the late share: the last fifty or so count
+LATE_SHARE_SMOOTHING_FACTOR = 0.02  # weight of each response in the late share: the last fifty or so count
 UNANSWERED_LATENCY_RATIO = 2.0  # assumed for an attempt without a response, which would have been very late
 MAX_MEDIAN = 1.0  # the median isn't followed past the target, as it has to find back from there
 
@@ -55,14 +55,14 @@
         if self._baseline is None:
             self.median = min(latency_ratio, ALLOWED_LATENCY_RATIO)
             self._baseline = self.median
-        self._follow_median(latency_ratio, low_traffic_factor)
-        is_late = 1.0 if latency_ratio > 1.0 else 0.0
-        self.late_share += low_traffic_factor * LATE_SHARE_STEP * (is_late - self.late_share)
+        self._update_median(latency_ratio, low_traffic_factor)
+        late_sample = 1.0 if latency_ratio > 1.0 else 0.0
+        self.late_share += low_traffic_factor * LATE_SHARE_SMOOTHING_FACTOR * (late_sample - self.late_share)
         step_share = BASELINE_STEP_SHARE_UNDER_LOAD if is_loaded else BASELINE_STEP_SHARE
         risen_baseline = self._baseline + step_share * MEDIAN_STEP
         self._baseline = min(risen_baseline, max(self.median, MEDIAN_STEP))
 
-    def _follow_median(self, latency_ratio: float, low_traffic_factor: float) -> None:
+    def _update_median(self, latency_ratio: float, low_traffic_factor: float) -> None:
         step = low_traffic_factor * MEDIAN_STEP
         if latency_ratio <= self.median:
             step = -step
@@ -77,11 +77,11 @@
             low_traffic_factor: The factor of `low_traffic`.
         """
         baseline = self._baseline if self._baseline is not None else 0.0
-        by_baseline = max(ALLOWED_LATENCY_RATIO, BASELINE_HEADROOM_FACTOR * baseline)
+        allowed_by_baseline = max(ALLOWED_LATENCY_RATIO, BASELINE_HEADROOM_FACTOR * baseline)
         chance_share = (low_traffic_factor - 1.0) / (MAX_LOW_TRAFFIC_FACTOR - 1.0)
         low_traffic_allowance = ALLOWED_LATENCY_RATIO_LOW_TRAFFIC - ALLOWED_LATENCY_RATIO
-        by_chance = ALLOWED_LATENCY_RATIO + chance_share * low_traffic_allowance
-        return max(min(by_baseline, MAX_ALLOWED_LATENCY_RATIO), by_chance)
+        allowed_by_chance = ALLOWED_LATENCY_RATIO + chance_share * low_traffic_allowance
+        return max(min(allowed_by_baseline, MAX_ALLOWED_LATENCY_RATIO), allowed_by_chance)
 
     def excess(self, allowed_median: float) -> float:
         """How far the median is beyond the allowed one, relative to it; negative if it is below."""
--- a/sidecar/balancer/policy/load_comparison.py
+++ b/sidecar/balancer/policy/load_comparison.py
@@ -9,8 +9,10 @@
 from sidecar.balancer.state import Context, Request, Server
 from sidecar.settings import Settings
 
-MIN_SAVING_FACTOR = 2.0  # latency saved, in targets, for each point of price of a remote zone or a handshake
-MIN_CROSS_ZONE_COST = 0.1  # latency targets; if crossing costs less, zones are balanced by weights
+LATENCY_TARGETS_PER_PRICE_POINT = (
+    2.0  # latency saved, in targets, for each point of price of a remote zone or a handshake
+)
+MIN_LOCAL_FIRST_COST = 0.1  # latency targets; if crossing costs less, zones are balanced by weights
 MAX_PREDICTED_RATIO = 0.7  # latency ratio up to which requests of the highest priority are admitted ...
 PREDICTED_RATIO_RANGE = 0.5  # ... and so much less for the lowest
 SAMPLE_SHARE = 0.01  # of the requests is admitted despite predicted overload, to verify the prediction
@@ -18,7 +20,7 @@
 
 def cross_zone_cost(settings: Settings) -> float:
     """The latency that a request to another zone has to save, in latency targets."""
-    return MIN_SAVING_FACTOR * settings.prices.cross_zone
+    return LATENCY_TARGETS_PER_PRICE_POINT * settings.prices.cross_zone
 
 
 @dataclass(slots=True, eq=False)
@@ -95,6 +97,6 @@
     def _access_cost(self, server: Server) -> float:
         """The price of getting to a server, in latency targets."""
         cost = 0.0 if server.is_local else cross_zone_cost(self.context.settings)
-        if not self.connections.is_open(server):
-            cost += MIN_SAVING_FACTOR * self.context.settings.prices.handshake
+        if not self.connections.has_idle_connection(server):
+            cost += LATENCY_TARGETS_PER_PRICE_POINT * self.context.settings.prices.handshake
         return cost
--- a/sidecar/balancer/policy/low_traffic.py
+++ b/sidecar/balancer/policy/low_traffic.py
@@ -2,7 +2,7 @@
 
 from sidecar.balancer.state import ActiveLoad
 
-CONFIDENT_LOAD = 8.0  # mean attempts in flight; with fewer, their number is to a good part chance
+FULL_CONFIDENCE_LOAD = 8.0  # mean attempts in flight; with fewer, their number is to a good part chance
 MAX_LOW_TRAFFIC_FACTOR = 4.0  # bounds the factor, so that an idle balancer still follows changes
 MIN_MEAN_LOAD = 1e-9  # attempts in flight; avoids a division by zero while idle
 
@@ -17,7 +17,7 @@
         load: The attempts in flight of this balancer.
 
     Returns:
-        1.0 from `CONFIDENT_LOAD` mean attempts in flight on, up to `MAX_LOW_TRAFFIC_FACTOR` below that.
+        1.0 from `FULL_CONFIDENCE_LOAD` mean attempts in flight on, up to `MAX_LOW_TRAFFIC_FACTOR` below that.
     """
-    factor = CONFIDENT_LOAD / max(load.mean, MIN_MEAN_LOAD)
+    factor = FULL_CONFIDENCE_LOAD / max(load.mean, MIN_MEAN_LOAD)
     return max(1.0, min(factor, MAX_LOW_TRAFFIC_FACTOR))
--- a/sidecar/balancer/policy/outliers.py
+++ b/sidecar/balancer/policy/outliers.py
@@ -7,7 +7,7 @@
 from sidecar.balancer.actions import Log
 from sidecar.balancer.events import Outcome, ServerState
 from sidecar.balancer.policy.backoff import next_backoff
-from sidecar.balancer.policy.retries import FAILURES
+from sidecar.balancer.policy.retries import FAILURE_OUTCOMES
 from sidecar.balancer.policy.slow_start import SlowStart
 from sidecar.balancer.policy.subsetting import subset_size
 from sidecar.balancer.state import Attempt, Context, Request, Server
@@ -16,7 +16,7 @@
 FAILURES_TO_EJECT = 3  # consecutive failures that eject a server: networks fail a few attempts by chance
 MAX_EJECTED_SHARE = 0.6  # of the servers in use; were more ejected, the rest would be overloaded
 MAX_EJECTED_SHARE_UNRESPONSIVE = 0.34  # the same for missing responses alone: more indicate overload
-TIMEOUTS = (Outcome.TIMED_OUT, Outcome.CONNECT_FAILED)
+TIMEOUT_OUTCOMES = (Outcome.TIMED_OUT, Outcome.CONNECT_FAILED)
 
 
 class OutlierDetector:
@@ -53,7 +53,7 @@
             server.half_open_attempt = None
         if outcome is Outcome.SUCCEEDED:
             self._succeeded(request, attempt)
-        elif outcome in FAILURES:
+        elif outcome in FAILURE_OUTCOMES:
             self._failed(attempt, outcome, is_half_open)
         elif is_half_open and outcome is not Outcome.NOT_SENT:
             self.eject(server, outcome.value)  # at capacity, or cancelled as overdue: it has not recovered
@@ -134,7 +134,7 @@
             self.readmit(server)
 
     def _failed(self, attempt: Attempt, outcome: Outcome, is_half_open: bool) -> None:
-        if self._is_excusable(attempt, outcome, is_half_open):
+        if self._is_inconclusive(attempt, outcome, is_half_open):
             return
         server = attempt.server
         server.consecutive_failures += 1
@@ -151,9 +151,9 @@
             # It may have restarted, and the registry may say so later; dropped connections don't indicate it.
             self._slow_start.start(server, self._context.now)
 
-    def _is_excusable(self, attempt: Attempt, outcome: Outcome, is_half_open: bool) -> bool:
+    def _is_inconclusive(self, attempt: Attempt, outcome: Outcome, is_half_open: bool) -> bool:
         """Whether a failure says nothing of the server's health."""
         if outcome is Outcome.TIMED_OUT and attempt.server.last_success_at > attempt.sent_at:
             return True  # the server is slow, but responded to others meanwhile
         # After a stall of this process, the time that passed was its own delay.
-        return outcome in TIMEOUTS and self._context.stalls.is_catching_up() and not is_half_open
+        return outcome in TIMEOUT_OUTCOMES and self._context.stalls.is_catching_up() and not is_half_open
--- a/sidecar/balancer/policy/registry_polling.py
+++ b/sidecar/balancer/policy/registry_polling.py
@@ -18,7 +18,7 @@
 
     Attributes:
         due: When the registry is polled next, in us; None while the watch is established.
-        failed_polls: The number of failures in a row.
+        consecutive_failures: The number of failures in a row.
     """
 
     def __init__(self, context: Context) -> None:
@@ -28,7 +28,7 @@
             context: The shared state of the balancer.
         """
         self.due: int | None = None
-        self.failed_polls = 0
+        self.consecutive_failures = 0
         self._context = context
 
     def poll(self) -> None:
@@ -39,13 +39,13 @@
 
     def succeeded(self) -> None:
         """Note a response: no further poll is needed, as the watch is established."""
-        self.failed_polls = 0
+        self.consecutive_failures = 0
         self.due = None
 
     def failed(self) -> None:
         """Back off after a failed poll, with jitter so that balancers don't poll at the same time."""
-        backoff_share = min(INITIAL_BACKOFF_SHARE * 2**self.failed_polls, MAX_BACKOFF_SHARE)
-        self.failed_polls = min(self.failed_polls + 1, MAX_COUNTED_FAILURES)
+        backoff_share = min(INITIAL_BACKOFF_SHARE * 2**self.consecutive_failures, MAX_BACKOFF_SHARE)
+        self.consecutive_failures = min(self.consecutive_failures + 1, MAX_COUNTED_FAILURES)
         jitter_factor = MIN_JITTER + JITTER_RANGE * self._context.rng.random()
         self._schedule(backoff_share * jitter_factor)
 
--- a/sidecar/balancer/policy/retries.py
+++ b/sidecar/balancer/policy/retries.py
@@ -4,11 +4,11 @@
 from sidecar.balancer.state import Attempt, Request, Server
 from sidecar.settings import DedupScope, Idempotency, Settings
 
-RETRIES_PER_SUCCESS = 0.2  # tokens earned by each successful attempt; bounds retries to a share of the load
-RETRIES_LOST_PER_FAILURE = 0.3  # so that none are left while more than two attempts in five fail
-MAX_RETRY_BALANCE = 2.0  # tokens; saved retries multiply from hop to hop when a fault begins
-INITIAL_RETRY_BALANCE = 4.0  # tokens until the first success, as first connections fail by chance
-FAILURES = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.ERROR)
+TOKENS_PER_SUCCESS = 0.2  # tokens earned by each successful attempt; bounds retries to a share of the load
+TOKENS_LOST_PER_FAILURE = 0.3  # so that none are left while more than two attempts in five fail
+MAX_RETRY_TOKENS = 2.0  # tokens; saved retries multiply from hop to hop when a fault begins
+INITIAL_RETRY_TOKENS = 4.0  # tokens until the first success, as first connections fail by chance
+FAILURE_OUTCOMES = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.ERROR)
 # These prove that an attempt did not run; a rejection does so only where servers reject before they begin.
 NON_EXECUTION_OUTCOMES = frozenset((Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
 NON_EXECUTION_OUTCOMES_WITH_REJECTED = NON_EXECUTION_OUTCOMES | {Outcome.REJECTED}
@@ -21,25 +21,25 @@
     """
 
     def __init__(self) -> None:
-        """Create a budget with `INITIAL_RETRY_BALANCE`."""
-        self._balance = INITIAL_RETRY_BALANCE
+        """Create a budget with `INITIAL_RETRY_TOKENS`."""
+        self._tokens = INITIAL_RETRY_TOKENS
 
     def attempt_ended(self, outcome: Outcome) -> None:
         """Earn tokens by a success, or lose some by a failure; other outcomes have no effect."""
         if outcome is Outcome.SUCCEEDED:
-            self._balance = min(self._balance + RETRIES_PER_SUCCESS, MAX_RETRY_BALANCE)
-        elif outcome in FAILURES:
-            self._balance = max(self._balance - RETRIES_LOST_PER_FAILURE, 0.0)
+            self._tokens = min(self._tokens + TOKENS_PER_SUCCESS, MAX_RETRY_TOKENS)
+        elif outcome in FAILURE_OUTCOMES:
+            self._tokens = max(self._tokens - TOKENS_LOST_PER_FAILURE, 0.0)
 
     def has_tokens(self) -> bool:
         """Whether a retry is allowed."""
-        return self._balance >= 1.0
+        return self._tokens >= 1.0
 
     def try_acquire(self) -> bool:
         """Take the token for one retry; say whether there was one."""
         if not self.has_tokens():
             return False
-        self._balance -= 1.0
+        self._tokens -= 1.0
         return True
 
 
--- a/sidecar/balancer/policy/selection.py
+++ b/sidecar/balancer/policy/selection.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from sidecar.balancer.policy.backoff import is_backed_off
-from sidecar.balancer.policy.latency import MAX_LATENCY_RATIO
+from sidecar.balancer.policy.latency import MAX_RELATIVE_LATENCY
 from sidecar.balancer.policy.retries import is_deduplicated_at
 from sidecar.balancer.policy.slow_start import SlowStart
 from sidecar.balancer.policy.subsetting import subset_size
@@ -16,10 +16,10 @@
 from sidecar.balancer.policy.zone_preference import ZonePreference
 from sidecar.balancer.state import Context, Request, Server
 
-CANDIDATES = 4  # k; loads are mostly small here, so that two candidates would often be tied
+CANDIDATE_COUNT = 4  # k; loads are mostly small here, so that two candidates would often be tied
 MIN_LOCAL_SERVERS = 2  # with fewer eligible ones in the local zone there is no choice
-MAX_WEIGHT_POWER = 3.0  # exponent of the latency weight, for requests of four times the mean cost or more
-MIN_LATENCY_WEIGHT = 1.0 / MAX_LATENCY_RATIO  # a faster server than this is not drawn more
+MAX_LATENCY_EXPONENT = 3.0  # exponent of the latency weight, for requests of four times the mean cost or more
+MIN_LATENCY_WEIGHT = 1.0 / MAX_RELATIVE_LATENCY  # a faster server than this is not drawn more
 
 
 @dataclass(slots=True, eq=False)
@@ -49,9 +49,9 @@
         if not subset:
             return []
         remote_weight = self.zone_preference.remote_weight()
-        power = min(max(1.0, float(request.cost_class)), MAX_WEIGHT_POWER)
-        weights = [self._weight(server, power, remote_weight) for server in subset]
-        return sample_by_weight(self.context.rng, subset, weights, CANDIDATES << request.rejections)
+        exponent = min(max(1.0, float(request.cost_class)), MAX_LATENCY_EXPONENT)
+        weights = [self._weight(server, exponent, remote_weight) for server in subset]
+        return sample_by_weight(self.context.rng, subset, weights, CANDIDATE_COUNT << request.rejections)
 
     def least_loaded(self, candidates: list[Server]) -> Server:
         """The candidate with the fewest attempts of this balancer, by latency weight among equals."""
@@ -105,15 +105,15 @@
             preferred.append(server)
             if len(preferred) >= size:
                 break
-        if len(preferred) >= min(CANDIDATES, size):
+        if len(preferred) >= min(CANDIDATE_COUNT, size):
             return preferred
         return preferred + backed_off[: size - len(preferred)]
 
-    def _weight(self, server: Server, power: float, remote_weight: float) -> float:
+    def _weight(self, server: Server, exponent: float, remote_weight: float) -> float:
         """The weight of a server in the draw, lower for slower servers.
 
         The draw decides most ties, so expensive requests raise the latency to a higher power.
         """
-        latency_factor = math.pow(max(server.latency_weight, MIN_LATENCY_WEIGHT), power)
+        latency_factor = math.pow(max(server.latency_weight, MIN_LATENCY_WEIGHT), exponent)
         weight = self.slow_start.capacity_share(server) / latency_factor
         return weight if server.is_local else weight * remote_weight
--- a/sidecar/balancer/policy/server_capacity.py
+++ b/sidecar/balancer/policy/server_capacity.py
@@ -16,14 +16,14 @@
 
 
 @dataclass(slots=True)
-class Peers:
+class ReferenceServers:
     """The ready servers that serve as a reference: the warm ones, or all if none is warm.
 
     Attributes:
         ready: The list of ready servers that this was computed for.
         slow_start_us: The duration of slow start that this was computed for.
-        are_warm: Whether the peers are warm servers.
-        count: The number of peers.
+        are_warm: Whether the reference servers are warm servers.
+        count: The number of reference servers.
         mean_declared_capacity: The mean of their declared capacities.
         valid_until: The time in us at which the next server ends slow start.
     """
@@ -48,24 +48,24 @@
         """
         self._context = context
         self._arrivals = arrivals
-        self._served_by_warm = context.settings_bound.new_rate(lambda: rate_span_us(context))
+        self._warm_service_rate = context.settings_bound.new_rate(lambda: rate_span_us(context))
         self._capacity = 0.0  # requests of mean cost per us, as of _capacity_at
         self._capacity_at = -1
         self._last_warm_capacity = math.inf  # the estimate when any server was last warm
         self._last_warm_servers_used = 1  # how many servers shared the traffic then
         self._mean_declared_capacity = 1.0  # as of _capacity_at
-        self._peers: Peers | None = None  # None: to be computed anew
+        self._reference: ReferenceServers | None = None  # None: to be computed anew
 
     def count_served(self, cost: float) -> None:
         """Count what a warm server served, in requests of mean cost.
 
         It is counted by cost, as overload control admits mostly cheap requests.
         """
-        self._served_by_warm.add(self._context.now, cost)
+        self._warm_service_rate.add(self._context.now, cost)
 
-    def invalidate_peers(self) -> None:
-        """Compute the peers anew, as a server began slow start."""
-        self._peers = None
+    def invalidate_reference(self) -> None:
+        """Compute the reference servers anew, as a server began slow start."""
+        self._reference = None
 
     def of_server(self, server: Server) -> float:
         """The capacity of a server once it is warm, in requests of mean cost per us.
@@ -85,16 +85,16 @@
         """
         if self._capacity_at != self._context.now:
             self._capacity_at = self._context.now
-            self._peers = self.current_peers()
-            self._capacity = self._estimate(self._peers)
-            self._mean_declared_capacity = self._peers.mean_declared_capacity
+            self._reference = self.current_reference()
+            self._capacity = self._estimate(self._reference)
+            self._mean_declared_capacity = self._reference.mean_declared_capacity
         return self._capacity
 
-    def _estimate(self, peers: Peers) -> float:
-        servers_used = max(min(peers.count, subset_size(self._context.load)), 1)
-        if not peers.are_warm:
+    def _estimate(self, reference: ReferenceServers) -> float:
+        servers_used = max(min(reference.count, subset_size(self._context.load)), 1)
+        if not reference.are_warm:
             return self._estimate_without_warm_servers(servers_used)
-        self._last_warm_capacity = self._served_by_warm.per_us(self._context.now) / servers_used
+        self._last_warm_capacity = self._warm_service_rate.per_us(self._context.now) / servers_used
         self._last_warm_servers_used = servers_used
         return self._last_warm_capacity
 
@@ -109,19 +109,19 @@
         min_limit = MIN_ARRIVALS_SHARE * arrivals_per_us / servers_sharing
         return min(arrivals_per_us / servers_used, max(self._last_warm_capacity, min_limit))
 
-    def current_peers(self) -> Peers:
-        """The peers by now, computed anew where the list changed or a server began or ended slow start."""
-        peers = self._peers
-        if peers is not None and self._is_valid(peers):
-            return peers
-        return self._compute_peers()
+    def current_reference(self) -> ReferenceServers:
+        """The current reference servers, recomputed after a change of the list or of a slow start."""
+        reference = self._reference
+        if reference is not None and self._is_valid(reference):
+            return reference
+        return self._compute_reference()
 
-    def _is_valid(self, peers: Peers) -> bool:
-        is_same_list = peers.ready is self._context.registry.ready
-        is_same_duration = peers.slow_start_us == self._context.settings.rules.slow_start_us
-        return is_same_list and is_same_duration and self._context.now < peers.valid_until
+    def _is_valid(self, reference: ReferenceServers) -> bool:
+        is_same_list = reference.ready is self._context.registry.ready
+        is_same_duration = reference.slow_start_us == self._context.settings.rules.slow_start_us
+        return is_same_list and is_same_duration and self._context.now < reference.valid_until
 
-    def _compute_peers(self) -> Peers:
+    def _compute_reference(self) -> ReferenceServers:
         now = self._context.now
         ready = self._context.registry.ready
         slow_start_us = self._context.settings.rules.slow_start_us
@@ -133,6 +133,10 @@
                 valid_until = min(valid_until, since + slow_start_us)
             else:
                 warm.append(server)
-        peers = warm or ready  # ejected ones included, as they served part of what was counted
-        mean_declared_capacity = sum(server.declared_capacity for server in peers) / max(len(peers), 1)
-        return Peers(ready, slow_start_us, bool(warm), len(peers), mean_declared_capacity, valid_until)
+        reference_servers = warm or ready  # ejected ones included, as they served part of what was counted
+        mean_declared_capacity = sum(server.declared_capacity for server in reference_servers) / max(
+            len(reference_servers), 1
+        )
+        return ReferenceServers(
+            ready, slow_start_us, bool(warm), len(reference_servers), mean_declared_capacity, valid_until
+        )
--- a/sidecar/balancer/policy/slow_start.py
+++ b/sidecar/balancer/policy/slow_start.py
@@ -3,7 +3,7 @@
 from sidecar.balancer.policy.server_capacity import ServerCapacityEstimate, rate_span_us
 from sidecar.balancer.state import Context, Server
 
-BUDGET_FILL_SHARE = 0.15  # of the rate that overloads a server; cautious, as its capacity is an estimate
+BUDGET_REFILL_SHARE = 0.15  # of the rate that overloads a server; cautious, as its capacity is an estimate
 BUDGET_BURST_SHARE = 0.18  # of what overloads a server in one window; this much may be sent at once
 
 
@@ -32,7 +32,7 @@
             server: The server.
             since: When it started, in us of the balancer's clock.
         """
-        self.capacity_estimate.invalidate_peers()
+        self.capacity_estimate.invalidate_reference()
         server.slow_start_since = since
         server.slow_start_budget = 0.0
         server.slow_start_budget_updated_at = self._context.now
@@ -76,7 +76,7 @@
         overload_rate = rules.overload_multiple * self.capacity_share(server) * capacity
         max_budget = max(1.0, BUDGET_BURST_SHARE * overload_rate * rules.overload_window_us)
         elapsed_us = max(self._context.now - server.slow_start_budget_updated_at, 0)
-        refill = BUDGET_FILL_SHARE * overload_rate * elapsed_us
+        refill = BUDGET_REFILL_SHARE * overload_rate * elapsed_us
         server.slow_start_budget = min(server.slow_start_budget + refill, max_budget)
         server.slow_start_budget_updated_at = self._context.now
         return max_budget
--- a/sidecar/balancer/policy/start_times.py
+++ b/sidecar/balancer/policy/start_times.py
@@ -12,8 +12,8 @@
 from sidecar.balancer.state import Context
 from sidecar.settings import Discovery
 
-REMEMBERED_REMOVED_SERVERS = 500  # whose start times are kept, as they may be listed again
-MAX_FORGOTTEN_AT_ONCE = 2 * REMEMBERED_REMOVED_SERVERS  # so many extra entries start a clean-up
+RETAINED_REMOVED_SERVERS = 500  # whose start times are kept, as they may be listed again
+EVICTION_THRESHOLD = 2 * RETAINED_REMOVED_SERVERS  # so many extra entries start a clean-up
 
 
 class StartTime(NamedTuple):
@@ -72,7 +72,7 @@
             The same update with start times by this balancer's own clock.
         """
         endpoints = [self._to_local_clock(endpoint) for endpoint in update.servers]
-        self._forget_oldest()
+        self._evict_oldest()
         return replace(update, servers=endpoints)
 
     def _to_local_clock(self, endpoint: Endpoint) -> Endpoint:
@@ -102,11 +102,11 @@
         slow_start_us = self._context.settings.rules.slow_start_us
         return self._last_response_at is not None and listed + slow_start_us < self._last_response_at
 
-    def _forget_oldest(self) -> None:
+    def _evict_oldest(self) -> None:
         """Forget removed servers except for the latest; not at each update, as it visits all."""
         servers = self._context.registry.servers
-        if len(self._start_times) <= len(servers) + MAX_FORGOTTEN_AT_ONCE:
+        if len(self._start_times) <= len(servers) + EVICTION_THRESHOLD:
             return
         removed = [name for name in self._start_times if name not in servers]
-        for name in removed[:-REMEMBERED_REMOVED_SERVERS]:
+        for name in removed[:-RETAINED_REMOVED_SERVERS]:
             del self._start_times[name]
--- a/sidecar/balancer/policy/zone_preference.py
+++ b/sidecar/balancer/policy/zone_preference.py
@@ -6,7 +6,7 @@
 
 MIN_REMOTE_WEIGHT = 0.25  # weight factor of a remote server while the local zone is as fast as the others
 LATENCY_EXCESS_FOR_EQUAL_WEIGHT = 0.3  # share by which local latency exceeds remote once all are drawn alike
-SERVERS_WEIGHED_PER_INSTANT = 200  # on average; bounds the cost of each decision in long endpoint lists
+SERVERS_AVERAGED_PER_INSTANT = 200  # on average; bounds the cost of each decision in long endpoint lists
 
 
 class ZonePreference:
@@ -22,14 +22,14 @@
             context: The shared state of the balancer.
             limit: Tells whether there is overload; then capacity counts more than the zone.
         """
-        self.local_first = False  # remote servers are candidates only while the local ones are crowded
+        self.is_local_first = False  # remote servers are candidates only while the local ones are crowded
         self._context = context
         self._limit = limit
         self._remote_weight = 1.0  # as of _remote_weight_at
         self._remote_weight_at = -1  # us
-        self._weight_by_latency = 1.0  # cached, for the list in _weighed_servers
-        self._weighed_servers: list[Server] | None = None
-        self._cached_uses = 0  # how many further instants may use the cached weight
+        self._weight_by_latency = 1.0  # cached, for the list in _averaged_servers
+        self._averaged_servers: list[Server] | None = None
+        self._remaining_cache_uses = 0  # how many further instants may use the cached weight
 
     def remote_weight(self) -> float:
         """The weight factor of servers in other zones, computed once for each instant."""
@@ -39,7 +39,7 @@
         return self._remote_weight
 
     def _current_remote_weight(self) -> float:
-        if self.local_first or self._context.settings.prices.cross_zone <= 0.0:
+        if self.is_local_first or self._context.settings.prices.cross_zone <= 0.0:
             return 1.0
         if self._is_overloaded():
             return 1.0  # capacity in any zone is worth more than the price of crossing
@@ -53,11 +53,11 @@
     def _cached_weight_by_latency(self) -> float:
         """The weight by latency; the longer the list, the more instants it is reused for."""
         ready = self._context.registry.ready
-        if self._weighed_servers is not ready or self._cached_uses <= 0:
+        if self._averaged_servers is not ready or self._remaining_cache_uses <= 0:
             self._weight_by_latency = self.weight_by_latency(ready)
-            self._weighed_servers = ready
-            self._cached_uses = len(ready) // SERVERS_WEIGHED_PER_INSTANT
-        self._cached_uses -= 1
+            self._averaged_servers = ready
+            self._remaining_cache_uses = len(ready) // SERVERS_AVERAGED_PER_INSTANT
+        self._remaining_cache_uses -= 1
         return self._weight_by_latency
 
     @staticmethod
--- a/tests/balancer/test_cpu_utilization.py
+++ b/tests/balancer/test_cpu_utilization.py
@@ -16,7 +16,7 @@
     assert tracker.utilization is None
     assert tracker.excess() is None
     assert not tracker.is_saturated()
-    assert not tracker.is_spare()
+    assert not tracker.has_spare_capacity()
 
 
 @pytest.mark.parametrize(("reported", "expected"), [(-0.2, 0.0), (0.4, 0.4), (1.3, 1.0)])
@@ -34,12 +34,12 @@
     assert tracker.utilization == pytest.approx(0.6, abs=0.001)
     assert not tracker.is_saturated()
     for _ in range(100):
-        tracker.observe_missing()
+        tracker.observe_missing_report()
     assert tracker.is_saturated()
     assert tracker.excess() == pytest.approx(1.0, abs=0.001)
 
 
 def test_missing_reports_say_nothing_where_no_server_reports() -> None:
     tracker = CpuUtilizationTracker()
-    tracker.observe_missing()
+    tracker.observe_missing_report()
     assert tracker.utilization is None
--- a/tests/balancer/test_long_lists.py
+++ b/tests/balancer/test_long_lists.py
@@ -77,18 +77,18 @@
     assert servers_checked < 4 * 1_000
 
 
-def test_peers_are_updated_when_a_server_begins_or_ends_slow_start() -> None:
+def test_reference_servers_are_updated_when_a_server_begins_or_ends_slow_start() -> None:
     harness = BalancerHarness(settings())
     harness.update_servers(two_zones(6))
     slow_start, servers = harness.balancer._slow_start, harness.balancer._context.registry.ready
-    peer_counts = []
+    reference_counts = []
     for number in range(4):
         harness.advance(4 * SECOND_US)
         harness.handle(RegistryUpdated(RegistryUpdateKind.DELTA))
         slow_start.start(servers[number], harness.now)
         slow_start.capacity_estimate.of_warm_server()
-        peer_counts.append(slow_start.capacity_estimate.current_peers().count)
-    assert peer_counts == [
+        reference_counts.append(slow_start.capacity_estimate.current_reference().count)
+    assert reference_counts == [
         5,
         4,
         3,
@@ -97,4 +97,4 @@
     harness.advance(2 * SECOND_US)
     harness.handle(RegistryUpdated(RegistryUpdateKind.DELTA))
     slow_start.capacity_estimate.of_warm_server()
-    assert slow_start.capacity_estimate.current_peers().count == 4
+    assert slow_start.capacity_estimate.current_reference().count == 4
--- a/tests/balancer/test_registry_polling.py
+++ b/tests/balancer/test_registry_polling.py
@@ -59,7 +59,7 @@
     harness.handle(RegistryUpdated(RegistryUpdateKind.DELTA, [], 1))
     assert context.registry.ready is ready  # not rebuilt
     assert harness.balancer._registry_poller.due is None
-    assert not harness.balancer._registry_poller.failed_polls
+    assert not harness.balancer._registry_poller.consecutive_failures
     harness.handle(
         RegistryUpdated(RegistryUpdateKind.SNAPSHOT, [], 1)
     )  # an empty snapshot removes all servers
--- a/tests/balancer/test_retries.py
+++ b/tests/balancer/test_retries.py
@@ -11,8 +11,8 @@
 from sidecar.balancer.actions import FailRequest, RejectRequest
 from sidecar.balancer.events import Outcome
 from sidecar.balancer.policy.retries import (
-    MAX_RETRY_BALANCE,
-    RETRIES_PER_SUCCESS,
+    MAX_RETRY_TOKENS,
+    TOKENS_PER_SUCCESS,
     RetryBudget,
 )
 
@@ -56,7 +56,7 @@
     budget = RetryBudget()
     while budget.try_acquire():
         pass
-    for _ in range(math.ceil(1 / RETRIES_PER_SUCCESS) - 1):
+    for _ in range(math.ceil(1 / TOKENS_PER_SUCCESS) - 1):
         budget.attempt_ended(Outcome.SUCCEEDED)
         assert not budget.has_tokens()
     budget.attempt_ended(Outcome.SUCCEEDED)
@@ -67,7 +67,7 @@
     spent = 0
     while budget.try_acquire():
         spent += 1
-    assert spent == MAX_RETRY_BALANCE
+    assert spent == MAX_RETRY_TOKENS
 
 
 @pytest.mark.parametrize("failure", [Outcome.ERROR, Outcome.TIMED_OUT, Outcome.RESET, Outcome.CONNECT_FAILED])
--- a/tests/balancer/test_settings_changed.py
+++ b/tests/balancer/test_settings_changed.py
@@ -95,11 +95,11 @@
     harness.serve_requests(60)
     context, balancer = harness.balancer._context, harness.balancer
     weights = {name: server.latency_weight for name, server in context.registry.servers.items()}
-    budget, usual = balancer._retry_budget._balance, dict(balancer._latency._usual_us)
+    budget, usual = balancer._retry_budget._tokens, dict(balancer._latency._usual_latency_us)
     ratio, arrivals = balancer._limit.latency.median, balancer._slow_start.arrivals.per_us(harness.now)
     change_settings(harness, classes=[SAFE | {"priority_weight": 5}, UNSAFE, KEYED])
     assert {name: server.latency_weight for name, server in context.registry.servers.items()} == weights
-    assert (balancer._retry_budget._balance, balancer._latency._usual_us) == (budget, usual)
+    assert (balancer._retry_budget._tokens, balancer._latency._usual_latency_us) == (budget, usual)
     assert balancer._limit.latency.median == ratio
     assert balancer._slow_start.arrivals.per_us(harness.now) == arrivals
     harness.send_request()
@@ -132,7 +132,7 @@
         harness.end_attempt(request)
     change_settings(harness)
     balancer = harness.balancer
-    assert not balancer._latency._usual_us
+    assert not balancer._latency._usual_latency_us
     assert not balancer._latency._mean_cost_us
     assert not balancer._admission._priorities._traffic
     assert not balancer._admission._stale_requests._longest_remaining_us
--- a/tests/balancer/test_start_times.py
+++ b/tests/balancer/test_start_times.py
@@ -9,7 +9,7 @@
 from balancer_harness import MILLISECOND_US, SECOND_US, START_US, BalancerHarness, server_names, settings
 
 from sidecar.balancer.events import Endpoint, RegistryUpdated, RegistryUpdateKind, ServerState
-from sidecar.balancer.policy.start_times import REMEMBERED_REMOVED_SERVERS
+from sidecar.balancer.policy.start_times import RETAINED_REMOVED_SERVERS
 from sidecar.balancer.state import Server
 
 HOUR_US = 3_600 * SECOND_US
@@ -228,4 +228,4 @@
         apply_delta(harness, replaced)
         apply_delta(harness, Endpoint(replaced.server, state=ServerState.REMOVED))
     apply_delta(harness, restarted_endpoint(harness.now))
-    assert len(harness.balancer._start_times._start_times) <= 2 * REMEMBERED_REMOVED_SERVERS + 5
+    assert len(harness.balancer._start_times._start_times) <= 2 * RETAINED_REMOVED_SERVERS + 5
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -81,7 +81,7 @@
         async with running_proxy(respond_ok, rules={"max_poll_interval_us": 1 * SECOND_US}) as proxy:
             proxy.discovery.responses.put_nowait(bad)
             await wait_until(lambda: len(proxy.discovery.targets) == 2)
-            assert proxy.sidecar._balancer._registry_poller.failed_polls == 1
+            assert proxy.sidecar._balancer._registry_poller.consecutive_failures == 1
             assert (await proxy.send_request())[0] == 200
 
     run_scenario(scenario())
