--- a/sidecar/settings/errors.py
+++ b/sidecar/settings/errors.py
@@ -14,16 +14,16 @@
         key: Path of the key, as the source of the configuration has it.
     """
 
-    def __init__(self, key: str, needed: str, given: object) -> None:
+    def __init__(self, key: str, expected: str, value: object) -> None:
         """Make the error.
 
         Args:
             key: Path of the key, such as `settings.guarantees.turnGapUs`.
-            needed: What is needed there, such as "a whole number from 0".
-            given: The value that came instead; None where there was none.
+            expected: What is needed there, such as "a whole number from 0".
+            value: The value that came instead; None where there was none.
         """
-        came = "" if given is None else f", not {given!r:.60}"
-        super().__init__(f"{key}: {needed} is needed{came}")
+        actual = "" if value is None else f", not {value!r:.60}"
+        super().__init__(f"{key}: {expected} is needed{actual}")
         self.key = key
 
 
--- a/sidecar/settings/mapping_reader.py
+++ b/sidecar/settings/mapping_reader.py
@@ -10,8 +10,8 @@
 from sidecar.settings.errors import InvalidSettingError
 from sidecar.settings.model import Bounds
 
-_Choice = TypeVar("_Choice", bound=Enum)
-_ROOT = "settings"  # the name of the outermost section
+_EnumMember = TypeVar("_EnumMember", bound=Enum)
+_ROOT_SECTION = "settings"  # the name of the outermost section
 _UNBOUNDED = Bounds()
 
 
@@ -23,20 +23,20 @@
         keys: Key of each field, by section and field.  A key with a dot names a field of an inner object;
             where there is no such object, the field is absent.  A section that isn't listed has the fields'
             own names.
-        words: Word of each enum member.  The member's own value is accepted, too.
+        enum_values: Word of each enum member.  The member's own value is accepted, too.
     """
 
     keys: Mapping[str, Mapping[str, str]] = field(default_factory=dict)
-    words: Mapping[Enum, str] = field(default_factory=dict)
+    enum_values: Mapping[Enum, str] = field(default_factory=dict)
 
     def key(self, section: str, name: str) -> str:
         """Return the key of a field."""
         section_keys = self.keys.get(section)
         return name if section_keys is None else section_keys[name]
 
-    def word(self, member: Enum) -> str:
+    def enum_value(self, member: Enum) -> str:
         """Return the word for a member of an enum."""
-        return self.words.get(member, str(member.value))
+        return self.enum_values.get(member, str(member.value))
 
 
 class MappingReader:
@@ -46,21 +46,23 @@
     type, lies out of bounds or is absent without a default.
     """
 
-    def __init__(self, given: object, names: NameTable, path: str = "", section: str = _ROOT) -> None:
+    def __init__(
+        self, mapping: object, names: NameTable, path: str = "", section: str = _ROOT_SECTION
+    ) -> None:
         """Take the mapping to read.
 
         Args:
-            given: The mapping.
+            mapping: The mapping.
             names: How the mapping names its fields.
             path: Path of the mapping itself, for error messages; empty for the outermost one.
             section: Which section of `names` holds its fields.
 
         Raises:
-            InvalidSettingError: `given` isn't a mapping.
+            InvalidSettingError: `mapping` isn't a mapping.
         """
-        if not isinstance(given, Mapping):
-            raise InvalidSettingError(path or section, "a mapping", given)
-        self._given = given
+        if not isinstance(mapping, Mapping):
+            raise InvalidSettingError(path or section, "a mapping", mapping)
+        self._mapping = mapping
         self._names = names
         self._path = path
         self._section = section
@@ -73,7 +75,7 @@
     def value(self, name: str) -> object:
         """Return the value of a field as it came, or None."""
         outer_key, _, inner_key = self._names.key(self._section, name).partition(".")
-        value: object = self._given.get(outer_key)
+        value: object = self._mapping.get(outer_key)
         if not inner_key:
             return value
         return value.get(inner_key) if isinstance(value, Mapping) else None
@@ -89,10 +91,10 @@
         if value is None:
             return []
         if not isinstance(value, Sequence) or isinstance(value, str | bytes):
-            raise self.invalid(name, "a list")
+            raise self.invalid_setting(name, "a list")
         path = self.path(name)
         return [
-            MappingReader(each, self._names, f"{path}[{index}]", name) for index, each in enumerate(value)
+            MappingReader(item, self._names, f"{path}[{index}]", name) for index, item in enumerate(value)
         ]
 
     def string(self, name: str, default: str | None = None) -> str:
@@ -101,7 +103,7 @@
         if value is None and default is not None:
             return default
         if not isinstance(value, str):
-            raise self.invalid(name, "a text")
+            raise self.invalid_setting(name, "a text")
         return value
 
     def strings(self, name: str, default: tuple[str, ...] = ()) -> tuple[str, ...]:
@@ -110,9 +112,9 @@
         if value is None:
             return default
         if not isinstance(value, Sequence) or isinstance(value, str):
-            raise self.invalid(name, "a list of texts")
-        if not all(isinstance(each, str) for each in value):
-            raise self.invalid(name, "a list of texts")
+            raise self.invalid_setting(name, "a list of texts")
+        if not all(isinstance(item, str) for item in value):
+            raise self.invalid_setting(name, "a list of texts")
         return tuple(value)
 
     def boolean(self, name: str, default: bool | None = None) -> bool:
@@ -121,7 +123,7 @@
         if value is None and default is not None:
             return default
         if not isinstance(value, bool):
-            raise self.invalid(name, "true or false")
+            raise self.invalid_setting(name, "true or false")
         return value
 
     def number(self, name: str, default: float | None = None, bounds: Bounds = _UNBOUNDED) -> float:
@@ -130,7 +132,7 @@
         if value is None and default is not None:
             return default
         if not _is_number(value) or not bounds.low <= value <= bounds.high:
-            raise self.invalid(name, f"a number from {bounds.low:g} to {bounds.high:g}")
+            raise self.invalid_setting(name, f"a number from {bounds.low:g} to {bounds.high:g}")
         return float(value)
 
     def integer(self, name: str, default: int | None = None, bounds: Bounds = _UNBOUNDED) -> int:
@@ -139,25 +141,27 @@
         if value is None and default is not None:
             return default
         if not _is_number(value) or not bounds.low <= value <= bounds.high:
-            raise self.invalid(name, f"a whole number from {bounds.low:g}")
+            raise self.invalid_setting(name, f"a whole number from {bounds.low:g}")
         if value != int(value):
-            raise self.invalid(name, "a whole number")
+            raise self.invalid_setting(name, "a whole number")
         return int(value)
 
-    def choice(self, name: str, kind: type[_Choice], default: _Choice | None = None) -> _Choice:
+    def enum_member(
+        self, name: str, enum_type: type[_EnumMember], default: _EnumMember | None = None
+    ) -> _EnumMember:
         """Return the member of an enum whose word a field holds."""
         value = self.value(name)
         if value is None and default is not None:
             return default
-        for member in kind:
-            if value in (self._names.word(member), member.value):
+        for member in enum_type:
+            if value in (self._names.enum_value(member), member.value):
                 return member
-        words = ", ".join(self._names.word(member) for member in kind)
-        raise self.invalid(name, f"one of {words}")
+        allowed = ", ".join(self._names.enum_value(member) for member in enum_type)
+        raise self.invalid_setting(name, f"one of {allowed}")
 
-    def invalid(self, name: str, needed: str) -> InvalidSettingError:
+    def invalid_setting(self, name: str, expected: str) -> InvalidSettingError:
         """Return the error about the value of a field."""
-        return InvalidSettingError(self.path(name), needed, self.value(name))
+        return InvalidSettingError(self.path(name), expected, self.value(name))
 
 
 def _is_number(value: object) -> TypeGuard[float]:
--- a/sidecar/settings/model.py
+++ b/sidecar/settings/model.py
@@ -11,7 +11,7 @@
 from enum import Enum, unique
 from typing import Annotated
 
-LARGEST_NUMBER = 2**53
+MAX_EXACT_INTEGER = 2**53
 """Every whole number up to this one survives a double."""
 
 
@@ -20,7 +20,7 @@
     """The values that a numeric field may have, both ends included."""
 
     low: float = 0
-    high: float = LARGEST_NUMBER
+    high: float = MAX_EXACT_INTEGER
 
 
 POSITIVE = Bounds(low=1)
@@ -260,11 +260,11 @@
     prices: Prices = field(default_factory=Prices)
 
     @staticmethod
-    def from_mapping(given: Mapping[str, object]) -> Settings:
+    def from_mapping(mapping: Mapping[str, object]) -> Settings:
         """Read settings from plain nested mappings, whose keys are the names of the fields.
 
         Args:
-            given: The mapping.  Keys that aren't known are skipped, and None counts as absent.
+            mapping: The mapping.  Keys that aren't known are skipped, and None counts as absent.
 
         Returns:
             The settings.
@@ -274,4 +274,4 @@
         """
         from sidecar.settings.parsing import parse_settings  # here, as that module needs this one
 
-        return parse_settings(given)
+        return parse_settings(mapping)
--- a/sidecar/settings/parsing.py
+++ b/sidecar/settings/parsing.py
@@ -18,11 +18,11 @@
 _Model = TypeVar("_Model")
 
 
-def parse_settings(given: object, names: NameTable = FIELD_NAMES, path: str = "") -> Settings:
+def parse_settings(mapping: object, names: NameTable = FIELD_NAMES, path: str = "") -> Settings:
     """Read settings from plain nested mappings.
 
     Args:
-        given: The mapping.  Keys that aren't known are skipped, and None counts as absent.
+        mapping: The mapping.  Keys that aren't known are skipped, and None counts as absent.
         names: How the mapping names the fields.
         path: Path of the mapping itself, for error messages.
 
@@ -32,21 +32,21 @@
     Raises:
         ConfigurationError: A value makes no sense; the message names its key as the mapping has it.
     """
-    reader = MappingReader(given, names, path)
-    classes = tuple(_parse_service_class(each) for each in reader.sections("classes"))
+    reader = MappingReader(mapping, names, path)
+    classes = tuple(_parse_service_class(section) for section in reader.sections("classes"))
     if not classes:
-        raise reader.invalid("classes", "at least one class of requests")
-    _require_unique(reader.path("classes"), (each.name for each in classes))
-    tenants = tuple(_parse_fields(Tenant, each) for each in reader.sections("tenants"))
-    _require_unique(reader.path("tenants"), (each.name for each in tenants))
-    report, declared = reader.section("report"), _field_specs(Settings)
+        raise reader.invalid_setting("classes", "at least one class of requests")
+    _require_unique(reader.path("classes"), (service_class.name for service_class in classes))
+    tenants = tuple(_parse_fields(Tenant, section) for section in reader.sections("tenants"))
+    _require_unique(reader.path("tenants"), (tenant.name for tenant in tenants))
+    report, field_specs = reader.section("report"), _field_specs(Settings)
     return _parse_fields(
         Settings,
         reader,
         classes=classes,
         tenants=tenants,
-        report_source=declared["report_source"].read(report, "source"),
-        report_columns=declared["report_columns"].read(report, "columns"),
+        report_source=field_specs["report_source"].read(report, "source"),
+        report_columns=field_specs["report_columns"].read(report, "columns"),
         limits=_parse_fields(Limits, reader.section("limits")),
         rules=_parse_fields(Rules, reader.section("rules")),
         prices=_parse_fields(Prices, reader.section("prices")),
@@ -78,30 +78,30 @@
     """What the model declares of a field.
 
     Attributes:
-        kind: Type of the value.
+        value_type: Type of the value.
         bounds: The values that a number may have.
         default: Value of an absent field; None where it is required.
     """
 
-    kind: object
+    value_type: object
     bounds: Bounds
     default: Any
 
     def read(self, reader: MappingReader, name: str) -> object:
         """Read the field from a mapping, where it has this name."""
-        if self.kind is bool:
+        if self.value_type is bool:
             return reader.boolean(name, self.default)
-        if self.kind is int:
+        if self.value_type is int:
             return reader.integer(name, self.default, self.bounds)
-        if self.kind is float:
+        if self.value_type is float:
             return reader.number(name, self.default, self.bounds)
-        if self.kind is str:
+        if self.value_type is str:
             return reader.string(name, self.default)
-        if isinstance(self.kind, type) and issubclass(self.kind, Enum):
-            return reader.choice(name, self.kind, self.default)
-        if self.kind == tuple[str, ...]:
+        if isinstance(self.value_type, type) and issubclass(self.value_type, Enum):
+            return reader.enum_member(name, self.value_type, self.default)
+        if self.value_type == tuple[str, ...]:
             return reader.strings(name, self.default)
-        raise NotImplementedError(self.kind)
+        raise NotImplementedError(self.value_type)
 
 
 @cache
@@ -109,19 +109,21 @@
     """Return what a dataclass of the model declares, by the name of the field."""
     hints = get_type_hints(model, include_extras=True)
     specs = {}
-    for declared in fields(model):
-        kind, bounds = hints[declared.name], Bounds()
-        if get_origin(kind) is Annotated:
-            kind, bounds = get_args(kind)
-        default = None if declared.default is MISSING else declared.default
-        specs[declared.name] = _FieldSpec(kind, bounds, default)
+    for model_field in fields(model):
+        value_type, bounds = hints[model_field.name], Bounds()
+        if get_origin(value_type) is Annotated:
+            value_type, bounds = get_args(value_type)
+        default = None if model_field.default is MISSING else model_field.default
+        specs[model_field.name] = _FieldSpec(value_type, bounds, default)
     return specs
 
 
 def _parse_fields(model: type[_Model], reader: MappingReader, **parsed: object) -> _Model:
     """Make a dataclass of the model: from what was parsed already, and the other fields from a mapping."""
-    kind: type = model  # mypy takes type[_Model] for unhashable
+    hashable_model: type = model  # mypy takes type[_Model] for unhashable
     values = {
-        name: spec.read(reader, name) for name, spec in _field_specs(kind).items() if name not in parsed
+        name: spec.read(reader, name)
+        for name, spec in _field_specs(hashable_model).items()
+        if name not in parsed
     }
     return model(**values, **parsed)
--- a/sidecar/settings/wire_names.py
+++ b/sidecar/settings/wire_names.py
@@ -79,7 +79,7 @@
             "connection": "connection",
         },
     },
-    words={
+    enum_values={
         Idempotency.SAFE: "read_like",
         Idempotency.KEYED: "idempotency_key",
         Idempotency.UNSAFE: "non_idempotent",
@@ -89,11 +89,11 @@
 )
 
 
-def settings_from_wire(given: object) -> Settings:
+def settings_from_wire(value: object) -> Settings:
     """Read the settings object of the wire or of a configuration file.
 
     Args:
-        given: The object.  Keys that aren't known are skipped, and null counts as absent.
+        value: The object.  Keys that aren't known are skipped, and null counts as absent.
 
     Returns:
         The settings.
@@ -102,4 +102,4 @@
         ConfigurationError: A value makes no sense; the message names the path of its key, such as
             `settings.guarantees.turnGapUs`.
     """
-    return parse_settings(given, WIRE_NAMES, "settings")
+    return parse_settings(value, WIRE_NAMES, "settings")
