--- a/sidecar/simulator/adapter.py
+++ b/sidecar/simulator/adapter.py
@@ -20,7 +20,7 @@
     decode_batch_start,
     decode_message,
     encode_action,
-    encode_defect,
+    encode_internal_error,
     parse_line,
 )
 from sidecar.simulator.errors import (
@@ -32,11 +32,11 @@
 )
 from sidecar.simulator.messages import (
     EndpointPage,
-    EndpointsNotified,
     EventReceived,
     InstanceStarted,
     InstanceStopped,
     Message,
+    RegistryUpdateReceived,
 )
 
 _EXIT_WIRE_ERROR = 2
@@ -51,7 +51,7 @@
         self._pages: dict[int, Sequence[Endpoint]] = {}
         self._now_us = 0
         self._in_batch = False
-        self._reply: list[str] = []
+        self._reply_lines: list[str] = []
 
     def handle_line(self, line: str) -> list[str] | None:
         """Take one line of input.
@@ -70,38 +70,40 @@
             if self._in_batch:
                 raise NestedBatchError
             self._now_us = decode_batch_start(message)
-            self._in_batch, self._reply = True, []
+            self._in_batch, self._reply_lines = True, []
             return None
         if not self._in_batch:
             raise OutsideBatchError(message.name)
         if message.name == BATCH_END:
             self._in_batch = False
-            return [*self._reply, BATCH_DONE]
+            return [*self._reply_lines, BATCH_DONE]
         self._handle_message(message.name, decode_message(message))
         return None
 
     def _handle_message(self, name: object, message: Message) -> None:
         match message:
             case EventReceived():
-                self._play(message.instance, self._balancer(name, message.instance), message.event)
-            case EndpointsNotified():
-                balancer = self._balancer(name, message.instance)
-                self._play(message.instance, balancer, self._registry_update(message))
+                self._deliver_event(
+                    message.instance, self._find_balancer(name, message.instance), message.event
+                )
+            case RegistryUpdateReceived():
+                balancer = self._find_balancer(name, message.instance)
+                self._deliver_event(message.instance, balancer, self._registry_update(message))
             case EndpointPage():
                 self._pages[message.number] = message.endpoints
             case InstanceStarted():
                 self._balancers[message.instance] = Balancer(message.settings, message.seed)
             case InstanceStopped():
-                self._balancer(name, message.instance)
+                self._find_balancer(name, message.instance)
                 del self._balancers[message.instance]
 
-    def _balancer(self, name: object, instance: str) -> Balancer:
+    def _find_balancer(self, name: object, instance: str) -> Balancer:
         balancer = self._balancers.get(instance)
         if balancer is None:
             raise UnknownInstanceError(name, instance)
         return balancer
 
-    def _registry_update(self, message: EndpointsNotified) -> RegistryUpdated:
+    def _registry_update(self, message: RegistryUpdateReceived) -> RegistryUpdated:
         if message.page is None:
             return RegistryUpdated(message.kind)
         endpoints = self._pages.get(message.page)
@@ -109,23 +111,23 @@
             raise UnknownPageError(message.page)
         return RegistryUpdated(message.kind, endpoints, message.version)
 
-    def _play(self, instance: str, balancer: Balancer, event: Event) -> None:
+    def _deliver_event(self, instance: str, balancer: Balancer, event: Event) -> None:
         try:
             actions = balancer.handle(self._now_us, event)
         except Exception as error:  # the wire has a message for a defect of the decisions
-            self._reply.append(encode_defect(instance, error))
+            self._reply_lines.append(encode_internal_error(instance, error))
             return
         for action in actions:
-            self._reply.append(encode_action(instance, action))
+            self._reply_lines.append(encode_action(instance, action))
 
 
-def run(lines: Iterable[str], out: TextIO, err: TextIO) -> int:
+def run(lines: Iterable[str], output: TextIO, error_output: TextIO) -> int:
     """Play all lines of input.
 
     Args:
         lines: The input.
-        out: Gets the replies.
-        err: Gets a line about input that the wire does not allow, at which it ends.
+        output: Gets the replies.
+        error_output: Gets a line about input that the wire does not allow, at which it ends.
 
     Returns:
         The exit code.
@@ -133,13 +135,13 @@
     adapter = Adapter()
     for number, line in enumerate(lines, 1):
         try:
-            reply = adapter.handle_line(line)
+            reply_lines = adapter.handle_line(line)
         except WireError as error:
-            err.write(f"line {number}: {error}\n")
+            error_output.write(f"line {number}: {error}\n")
             return _EXIT_WIRE_ERROR
-        if reply is not None:
-            out.write("\n".join(reply) + "\n")
-            out.flush()
+        if reply_lines is not None:
+            output.write("\n".join(reply_lines) + "\n")
+            output.flush()
     return 0
 
 
--- a/sidecar/simulator/codec.py
+++ b/sidecar/simulator/codec.py
@@ -42,23 +42,23 @@
 from sidecar.settings import ConfigurationError
 from sidecar.settings.wire_names import settings_from_wire
 from sidecar.simulator.errors import (
+    ExpectedType,
     InvalidJsonError,
     InvalidMessageError,
     InvalidSettingsError,
     InvalidValueError,
     MissingValuesError,
-    Needed,
     ShortEndpointError,
+    UnknownEnumValueError,
     UnknownMessageError,
-    UnknownWordError,
 )
 from sidecar.simulator.messages import (
     EndpointPage,
-    EndpointsNotified,
     EventReceived,
     InstanceStarted,
     InstanceStopped,
     Message,
+    RegistryUpdateReceived,
 )
 
 BATCH_START = "FRAME"
@@ -93,10 +93,10 @@
 _IS_WRITE = 4
 
 _ALL_INSTANCES = -1  # the receiver of a message to all
-_ENDPOINT_VALUES = 6  # of an entry of an endpoint list, at least
-_ERROR_TEXT_LENGTH = 500
+_MIN_ENDPOINT_VALUES = 6  # of an entry of an endpoint list, at least
+_MAX_ERROR_TEXT_LENGTH = 500
 
-_Word = TypeVar("_Word")
+_EnumMember = TypeVar("_EnumMember")
 _encode_json = json.JSONEncoder(separators=(",", ":")).encode
 
 
@@ -170,28 +170,28 @@
         raise UnknownMessageError(name)
     event_decoder = _EVENT_DECODERS.get(name)
     if event_decoder is not None:
-        least, decode_event = event_decoder
-        message.require(least)
+        min_values, decode_event = event_decoder
+        message.require(min_values)
         return EventReceived(_string(message.values[1]), decode_event(message.values))
     message_decoder = _MESSAGE_DECODERS.get(name)
     if message_decoder is None:
         raise UnknownMessageError(name)
-    least, decode = message_decoder
-    message.require(least)
+    min_values, decode = message_decoder
+    message.require(min_values)
     return decode(message.values)
 
 
 def _decode_page(values: list[object]) -> EndpointPage:
     _, number, entries, *_ = values
     if not isinstance(entries, list):
-        raise InvalidValueError(Needed.ENDPOINT_LIST, entries)
+        raise InvalidValueError(ExpectedType.ENDPOINT_LIST, entries)
     return EndpointPage(_integer(number), [_endpoint(entry) for entry in entries])
 
 
 def _decode_instance_started(values: list[object]) -> InstanceStarted:
-    _, instance, seed, given, *_ = values
+    _, instance, seed, raw_settings, *_ = values
     try:
-        settings = settings_from_wire(given)
+        settings = settings_from_wire(raw_settings)
     except ConfigurationError as error:
         raise InvalidSettingsError(error) from error
     return InstanceStarted(_string(instance), _integer(seed), settings)
@@ -202,12 +202,12 @@
     return InstanceStopped(_string(instance))
 
 
-def _decode_endpoints_notified(values: list[object]) -> EndpointsNotified:
-    _, instance, word, page, version, *_ = values
-    kind = _word(word, _REGISTRY_UPDATE_KINDS)
+def _decode_registry_update(values: list[object]) -> RegistryUpdateReceived:
+    _, instance, kind_name, page, version, *_ = values
+    kind = _enum_member(kind_name, _REGISTRY_UPDATE_KINDS)
     if kind is RegistryUpdateKind.FAILED:
-        return EndpointsNotified(_string(instance), kind)
-    return EndpointsNotified(_string(instance), kind, _integer(page), _integer(version))
+        return RegistryUpdateReceived(_string(instance), kind)
+    return RegistryUpdateReceived(_string(instance), kind, _integer(page), _integer(version))
 
 
 def _decode_request_arrived(values: list[object]) -> RequestArrived:
@@ -241,7 +241,7 @@
         request=_integer(request),
         attempt=_integer(attempt),
         server=_string(server),
-        outcome=_word(outcome, _OUTCOMES),
+        outcome=_enum_member(outcome, _OUTCOMES),
         elapsed_us=_integer(elapsed_us),
         answered=_boolean(answered),
         report=_load_report(optional[0]) if optional else None,
@@ -262,7 +262,7 @@
     _, _, elapsed_us, outcome, server, *optional = values
     return HealthCheckEnded(
         server=_string(server),
-        outcome=_word(outcome, _OUTCOMES),
+        outcome=_enum_member(outcome, _OUTCOMES),
         elapsed_us=_integer(elapsed_us),
         report=_load_report(optional[0]) if optional else None,
     )
@@ -287,7 +287,7 @@
     "PAGE": (3, _decode_page),
     "BEGIN": (4, _decode_instance_started),
     "EXIT": (2, _decode_instance_stopped),
-    "TARGETS": (5, _decode_endpoints_notified),
+    "TARGETS": (5, _decode_registry_update),
 }
 
 
@@ -296,7 +296,7 @@
 
 def _integer(value: object) -> int:
     if type(value) is not int:
-        raise InvalidValueError(Needed.INTEGER, value)
+        raise InvalidValueError(ExpectedType.INTEGER, value)
     return value
 
 
@@ -306,51 +306,51 @@
 
 def _string(value: object) -> str:
     if type(value) is not str:
-        raise InvalidValueError(Needed.STRING, value)
+        raise InvalidValueError(ExpectedType.STRING, value)
     return value
 
 
 def _boolean(value: object) -> bool:
     if type(value) is not bool:
-        raise InvalidValueError(Needed.BOOLEAN, value)
+        raise InvalidValueError(ExpectedType.BOOLEAN, value)
     return value
 
 
 def _number(value: object) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise InvalidValueError(Needed.NUMBER, value)
+        raise InvalidValueError(ExpectedType.NUMBER, value)
     return value
 
 
-def _word(value: object, words: Mapping[str, _Word]) -> _Word:
-    meaning = words.get(value) if isinstance(value, str) else None
-    if meaning is None:
-        raise UnknownWordError(value)
-    return meaning
+def _enum_member(value: object, members: Mapping[str, _EnumMember]) -> _EnumMember:
+    member = members.get(value) if isinstance(value, str) else None
+    if member is None:
+        raise UnknownEnumValueError(value)
+    return member
 
 
 def _payload(value: object) -> bytes:
     try:
         return bytes.fromhex(_string(value))
     except ValueError:
-        raise InvalidValueError(Needed.HEX_DIGITS, value) from None
+        raise InvalidValueError(ExpectedType.HEX_DIGITS, value) from None
 
 
 def _load_report(value: object) -> Mapping[str, float] | None:
     if value is None:
         return None
     if not isinstance(value, dict):
-        raise InvalidValueError(Needed.LOAD_REPORT, value)
-    for figure in value.values():
-        _number(figure)
+        raise InvalidValueError(ExpectedType.LOAD_REPORT, value)
+    for load_figure in value.values():
+        _number(load_figure)
     return value
 
 
 def _endpoint(entry: object) -> Endpoint:
     if not isinstance(entry, list):
-        raise InvalidValueError(Needed.ENDPOINT, entry)
-    if len(entry) < _ENDPOINT_VALUES:
-        raise ShortEndpointError(_ENDPOINT_VALUES, len(entry))
+        raise InvalidValueError(ExpectedType.ENDPOINT, entry)
+    if len(entry) < _MIN_ENDPOINT_VALUES:
+        raise ShortEndpointError(_MIN_ENDPOINT_VALUES, len(entry))
     server, zone, kind, cell, state, nominal, *optional = entry
     started_at = _optional_integer(optional[0]) if optional else None
     return Endpoint(
@@ -358,7 +358,7 @@
         zone=_string(zone),
         kind=_string(kind),
         cell=_integer(cell),
-        state=_word(state, _SERVER_STATES),
+        state=_enum_member(state, _SERVER_STATES),
         nominal=float(_number(nominal)),
         started_at=started_at or None,  # on the wire, 0 is long ago, too
     )
@@ -388,11 +388,11 @@
 
 def encode_action(instance: str, action: Action) -> str:
     """Return the line, without its end, for an action of an instance."""
-    name, values_of = _ACTION_ENCODERS[type(action)]
-    return _encode_json([name, instance, *values_of(action)])
+    name, encode_values = _ACTION_ENCODERS[type(action)]
+    return _encode_json([name, instance, *encode_values(action)])
 
 
-def encode_defect(instance: str, error: Exception) -> str:
+def encode_internal_error(instance: str, error: Exception) -> str:
     """Return the line, without its end, for an exception in the decisions of an instance."""
-    text = f"{type(error).__name__}: {error}"[:_ERROR_TEXT_LENGTH]
+    text = f"{type(error).__name__}: {error}"[:_MAX_ERROR_TEXT_LENGTH]
     return json.dumps(["INTERNAL_ERROR", instance, text])
--- a/sidecar/simulator/errors.py
+++ b/sidecar/simulator/errors.py
@@ -36,21 +36,21 @@
 class MissingValuesError(WireError):
     """A message has too few values."""
 
-    def __init__(self, name: object, needed: int, came: int) -> None:
+    def __init__(self, name: object, expected: int, received: int) -> None:
         """Make the error for a message, with the numbers of values after its name."""
-        super().__init__(f"{name} needs {needed} values, {came} came")
+        super().__init__(f"{name} needs {expected} values, {received} received")
 
 
 class ShortEndpointError(WireError):
     """An entry of an endpoint list has too few values."""
 
-    def __init__(self, needed: int, came: int) -> None:
+    def __init__(self, expected: int, received: int) -> None:
         """Make the error from the numbers of values."""
-        super().__init__(f"an entry of an endpoint list has at least {needed} values, {came} came")
+        super().__init__(f"an entry of an endpoint list has at least {expected} values, {received} received")
 
 
 @unique
-class Needed(Enum):
+class ExpectedType(Enum):
     """What the wire needs for a value."""
 
     BOOLEAN = "true or false"
@@ -66,12 +66,12 @@
 class InvalidValueError(WireError):
     """A value of a message has another type or form."""
 
-    def __init__(self, needed: Needed, value: object) -> None:
+    def __init__(self, expected: ExpectedType, value: object) -> None:
         """Make the error for a value where something else is needed."""
-        super().__init__(f"{needed.value} is needed, not {value!r:.60}")
+        super().__init__(f"{expected.value} is needed, not {value!r:.60}")
 
 
-class UnknownWordError(WireError):
+class UnknownEnumValueError(WireError):
     """A value is none of the words that the wire has for it."""
 
     def __init__(self, value: object) -> None:
--- a/sidecar/simulator/messages.py
+++ b/sidecar/simulator/messages.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(slots=True)
-class EndpointsNotified:
+class RegistryUpdateReceived:
     """An instance gets an endpoint list, or learns that a call for it failed.
 
     Attributes:
@@ -81,4 +81,4 @@
     event: Event
 
 
-Message = EventReceived | EndpointsNotified | EndpointPage | InstanceStarted | InstanceStopped
+Message = EventReceived | RegistryUpdateReceived | EndpointPage | InstanceStarted | InstanceStopped
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -34,22 +34,22 @@
     ServerState,
     TimerFired,
 )
-from sidecar.simulator.codec import decode_message, encode_action, encode_defect, parse_line
+from sidecar.simulator.codec import decode_message, encode_action, encode_internal_error, parse_line
 from sidecar.simulator.errors import (
     InvalidSettingsError,
     InvalidValueError,
     MissingValuesError,
     ShortEndpointError,
+    UnknownEnumValueError,
     UnknownMessageError,
-    UnknownWordError,
     WireError,
 )
 from sidecar.simulator.messages import (
     EndpointPage,
-    EndpointsNotified,
     EventReceived,
     InstanceStopped,
     Message,
+    RegistryUpdateReceived,
 )
 
 
@@ -95,9 +95,9 @@
     ]
     assert decode("PAGE", 4, entries) == EndpointPage(4, endpoints)
     assert decode("EXIT", "a") == InstanceStopped("a")
-    full = EndpointsNotified("a", RegistryUpdateKind.SNAPSHOT, page=4, version=9)
+    full = RegistryUpdateReceived("a", RegistryUpdateKind.SNAPSHOT, page=4, version=9)
     assert decode("TARGETS", "a", "full", 4, 9) == full
-    failed = EndpointsNotified("a", RegistryUpdateKind.FAILED)
+    failed = RegistryUpdateReceived("a", RegistryUpdateKind.FAILED)
     assert decode("TARGETS", "a", "failed", None, None) == failed
 
 
@@ -123,8 +123,8 @@
 
 
 def test_a_defect_is_encoded_with_a_limited_text() -> None:
-    assert encode_defect("a", KeyError("x")) == '["INTERNAL_ERROR", "a", "KeyError: \'x\'"]'
-    assert len(json.loads(encode_defect("a", ValueError("x" * 9_000)))[2]) == 500
+    assert encode_internal_error("a", KeyError("x")) == '["INTERNAL_ERROR", "a", "KeyError: \'x\'"]'
+    assert len(json.loads(encode_internal_error("a", ValueError("x" * 9_000)))[2]) == 500
 
 
 @pytest.mark.parametrize(
@@ -136,7 +136,7 @@
         (("WAKE", "a", 5), InvalidValueError),
         (("CLIENT_GONE", "a", True), InvalidValueError),
         (("ATTEMPT_END", "a", 5, 0, "s:1", "delivered", 1, True, {"util": "x"}), InvalidValueError),
-        (("SAMPLED", "a", 1, [], "s:1"), UnknownWordError),
+        (("SAMPLED", "a", 1, [], "s:1"), UnknownEnumValueError),
         (("PAGE", 0, 5), InvalidValueError),
         (("PAGE", 0, [["s:1"]]), ShortEndpointError),
         (("BEGIN", "a", 7, {}), InvalidSettingsError),
