--- a/scale/callgraph/policies.py
+++ b/scale/callgraph/policies.py
@@ -69,7 +69,7 @@
             self._in_flight.clear()
         for endpoint in event.servers:
             if endpoint.state is ServerState.READY:
-                self._in_flight.setdefault(endpoint.server, 0)
+                self._in_flight.setdefault(endpoint.name, 0)
 
     def _attempt(self, now: int, number: int, request: _BaselineRequest) -> list[Action]:
         untried = [name for name in self._in_flight if name not in request.attempted]
--- a/scale/callgraph/sidecar.py
+++ b/scale/callgraph/sidecar.py
@@ -107,7 +107,7 @@
                     0, self._abort_attempt, action.request, action.attempt, Outcome.CANCELLED
                 )
             case SetTimer():
-                self._loop.call_later(action.in_us, self._handle, TimerFired(action.token))
+                self._loop.call_later(action.delay_us, self._handle, TimerFired(action.token))
 
     def _respond_to_caller(self, number: int, result: CallResult) -> None:
         request = self._requests.get(number)
@@ -126,7 +126,7 @@
         attempt = _Attempt(request.attempts_sent, server, self._loop.now, server.incarnation)
         request.in_flight[attempt.index] = attempt
         request.attempts_sent += 1
-        until = max(action.until, self._loop.now)
+        until = max(action.deadline, self._loop.now)
         self._loop.call_at(until, self._abort_attempt, action.request, attempt.index, Outcome.TIMED_OUT)
         one_way_us = self._network.delay_us(self.location, server.location)
         if self._acquire_connection(server):
--- a/scale/control/stub_sidecar.py
+++ b/scale/control/stub_sidecar.py
@@ -69,10 +69,10 @@
     def _apply(self, response: RegistryResponse) -> None:
         """Apply an update in the order of `Sidecar`: addresses first, then the balancer."""
         if response.complete:
-            self._pool.retain({resolved.endpoint.server for resolved in response.endpoints})
+            self._pool.retain({resolved.endpoint.name for resolved in response.endpoints})
         for resolved in response.endpoints:
             endpoint = resolved.endpoint
-            self._pool.update(endpoint.server, resolved.address, endpoint.started_at, endpoint.state)
+            self._pool.update(endpoint.name, resolved.address, endpoint.started_at, endpoint.state)
         servers = [resolved.endpoint for resolved in response.endpoints]
         servers += [Endpoint(name, state=ServerState.REMOVED) for name in self._pool.remove_superseded()]
         kind = RegistryUpdateKind.SNAPSHOT if response.complete else RegistryUpdateKind.DELTA
@@ -85,7 +85,7 @@
             match action:
                 case SetTimer():
                     loop = asyncio.get_running_loop()
-                    loop.call_later(action.in_us / 1e6, self._handle, TimerFired(action.token))
+                    loop.call_later(action.delay_us / 1e6, self._handle, TimerFired(action.token))
                 case WatchRegistry():
                     self._set_watching(action.wanted)
                 case FetchRegistry():
--- a/sidecar/balancer/actions.py
+++ b/sidecar/balancer/actions.py
@@ -16,14 +16,14 @@
     Attributes:
         request: The number of the request.
         server: The name of the server to send it to.
-        until: The time at which the attempt times out.
+        deadline: The time at which the attempt times out.
         write_by: The time by which the request has to be written completely if another attempt was begun
             before; None: it may be written at any time.
     """
 
     request: int
     server: str
-    until: int
+    deadline: int
     write_by: int | None = None
 
 
@@ -69,11 +69,11 @@
     """Send a `TimerFired` event later.
 
     Attributes:
-        in_us: How long to wait, in microseconds.
+        delay_us: How long to wait, in microseconds.
         token: The token to send with the event.
     """
 
-    in_us: int
+    delay_us: int
     token: str
 
 
--- a/sidecar/balancer/events.py
+++ b/sidecar/balancer/events.py
@@ -66,21 +66,21 @@
     """An entry of the endpoint list.
 
     Attributes:
-        server: The server's name.
+        name: The server's name.
         zone: The availability zone that it runs in.
         kind: The kind of machine that it runs on; decisions don't depend on it.
         cell: The group of servers that it shares its record of idempotency keys with.
         state: Whether it accepts requests.
-        nominal: Its capacity relative to that of the others.
+        capacity_weight: Its capacity relative to that of the others.
         started_at: When its process started, on the registry's clock; None: long ago.
     """
 
-    server: str
+    name: str
     zone: str = ""
     kind: str = ""
     cell: int = 0
     state: ServerState = ServerState.READY
-    nominal: float = 1.0
+    capacity_weight: float = 1.0
     started_at: int | None = None
 
 
--- a/sidecar/balancer/policy/start_times.py
+++ b/sidecar/balancer/policy/start_times.py
@@ -78,7 +78,7 @@
     def _to_local_clock(self, endpoint: Endpoint) -> Endpoint:
         if endpoint.started_at is None:
             return endpoint
-        start_time = self._start_time(endpoint.server, endpoint.started_at)
+        start_time = self._start_time(endpoint.name, endpoint.started_at)
         if start_time.local == endpoint.started_at:
             return endpoint
         return replace(endpoint, started_at=start_time.local)
--- a/sidecar/balancer/state/registry.py
+++ b/sidecar/balancer/state/registry.py
@@ -36,7 +36,7 @@
         """
         if update.kind is not RegistryUpdateKind.DELTA:
             self._remove_unlisted(update)
-        restarted = [endpoint.server for endpoint in update.servers if self._apply(endpoint)]
+        restarted = [endpoint.name for endpoint in update.servers if self._apply(endpoint)]
         if len(self._by_rank) < len(self.servers):
             self._by_rank = sorted(self.servers.values(), key=lambda each: each.rank)
         self.ready = [each for each in self._by_rank if each.state is ServerState.READY]
@@ -44,23 +44,23 @@
         return [self.servers[name] for name in restarted]
 
     def _remove_unlisted(self, update: RegistryUpdated) -> None:
-        listed = {endpoint.server for endpoint in update.servers}
+        listed = {endpoint.name for endpoint in update.servers}
         for server in self.servers.values():
             if server.name not in listed:
                 server.state = ServerState.REMOVED
 
     def _apply(self, endpoint: Endpoint) -> bool:
         """Apply one entry; return whether its server has a new process."""
-        server = self.servers.get(endpoint.server)
+        server = self.servers.get(endpoint.name)
         if server is None:
-            server = Server(endpoint.server, self._rng.random())
-            self.servers[endpoint.server] = server
+            server = Server(endpoint.name, self._rng.random())
+            self.servers[endpoint.name] = server
         server.zone = endpoint.zone
         server.is_local = endpoint.zone == self._local_zone
         server.cell = endpoint.cell
-        if server.state is ServerState.REMOVED or endpoint.nominal != server.declared_capacity:
+        if server.state is ServerState.REMOVED or endpoint.capacity_weight != server.declared_capacity:
             server.latency_weight = 0.0  # unknown
-        server.declared_capacity = max(endpoint.nominal, 0.0)
+        server.declared_capacity = max(endpoint.capacity_weight, 0.0)
         server.state = endpoint.state
         if endpoint.started_at is None or endpoint.started_at == server.started_at:
             return False
--- a/sidecar/proxy/attempts.py
+++ b/sidecar/proxy/attempts.py
@@ -76,7 +76,7 @@
             return
         request.in_flight[number] = None
         attempt = Attempt(request, number, action.server, self._clock.now(), action.write_by)
-        self._start(attempt, min(action.until or request.deadline_us, request.deadline_us))
+        self._start(attempt, min(action.deadline or request.deadline_us, request.deadline_us))
 
     def cancel(self, action: CancelAttempt) -> None:
         """Cancel an attempt that is in flight."""
--- a/sidecar/proxy/driver.py
+++ b/sidecar/proxy/driver.py
@@ -214,4 +214,4 @@
 
     def _set_timer(self, action: SetTimer) -> None:
         fired = TimerFired(action.token)
-        asyncio.get_running_loop().call_later(action.in_us / 1e6, self.handle, fired)
+        asyncio.get_running_loop().call_later(action.delay_us / 1e6, self.handle, fired)
--- a/sidecar/proxy/endpoint_list.py
+++ b/sidecar/proxy/endpoint_list.py
@@ -71,10 +71,10 @@
     def apply(self, kind: RegistryUpdateKind, response: RegistryResponse) -> None:
         """Apply a list: addresses first, as the balancer may send to a server once it knows of it."""
         if kind is not RegistryUpdateKind.DELTA:
-            self._pool.retain({resolved.endpoint.server for resolved in response.endpoints})
+            self._pool.retain({resolved.endpoint.name for resolved in response.endpoints})
         for resolved in response.endpoints:
             endpoint = resolved.endpoint
-            self._pool.update(endpoint.server, resolved.address, endpoint.started_at, endpoint.state)
+            self._pool.update(endpoint.name, resolved.address, endpoint.started_at, endpoint.state)
         endpoints = [resolved.endpoint for resolved in response.endpoints]
         if endpoints:
             endpoints += self._remove_superseded()
--- a/sidecar/proxy/registry_messages.py
+++ b/sidecar/proxy/registry_messages.py
@@ -86,12 +86,12 @@
         raise InvalidEndpointError("entry", "an object")
     state = _parse_state(entry)
     endpoint = Endpoint(
-        server=_parse_name(entry),
+        name=_parse_name(entry),
         zone=_parse_text(entry, "zone"),
         kind=_parse_text(entry, "type"),
         cell=_parse_integer(entry, "group"),
         state=state,
-        nominal=_parse_weight(entry),
+        capacity_weight=_parse_weight(entry),
         started_at=_parse_started_at(entry),
     )
     return ResolvedEndpoint(endpoint, _parse_address(entry, state))
--- a/sidecar/simulator/codec.py
+++ b/sidecar/simulator/codec.py
@@ -354,12 +354,12 @@
     server, zone, kind, cell, state, nominal, *optional = entry
     started_at = _optional_integer(optional[0]) if optional else None
     return Endpoint(
-        server=_string(server),
+        name=_string(server),
         zone=_string(zone),
         kind=_string(kind),
         cell=_integer(cell),
         state=_word(state, _SERVER_STATES),
-        nominal=float(_number(nominal)),
+        capacity_weight=float(_number(nominal)),
         started_at=started_at or None,  # on the wire, 0 is long ago, too
     )
 
@@ -368,11 +368,11 @@
 
 # By the action's type: the message's name, and what gives its values after the instance's name.
 _ACTION_ENCODERS: dict[type[Action], tuple[str, Callable[[Any], list[object]]]] = {
-    SendAttempt: ("ASSIGN", lambda action: [action.request, action.server, action.until]),
+    SendAttempt: ("ASSIGN", lambda action: [action.request, action.server, action.deadline]),
     RejectRequest: ("NOT_NOW", lambda action: [action.request, action.retry_after_us]),
     FailRequest: ("SURRENDER", lambda action: [action.request]),
     CancelAttempt: ("ABORT_ATTEMPT", lambda action: [action.request, action.attempt]),
-    SetTimer: ("REMIND", lambda action: [action.in_us, action.token]),
+    SetTimer: ("REMIND", lambda action: [action.delay_us, action.token]),
     CheckHealth: ("CHECK", lambda action: [action.server]),
     CloseIdleConnections: ("SHUT_IDLE", lambda action: [action.server]),
     SendMessage: ("POST", lambda action: [_receiver(action), action.payload.hex()]),
--- a/tests/balancer/test_idempotency.py
+++ b/tests/balancer/test_idempotency.py
@@ -45,7 +45,7 @@
     for seed in range(20):
         harness = BalancerHarness(seed=seed)
         harness.update_servers(two_cells())
-        cell_of = {each.server: each.cell for each in two_cells()}
+        cell_of = {each.name: each.cell for each in two_cells()}
         request = harness.send_request("amend")
         for _ in range(3):
             harness.advance(10 * MILLISECOND_US)
@@ -99,7 +99,7 @@
     for seed in range(20):
         harness = BalancerHarness(settings(rules={"late_shedding": True}), seed=seed)
         harness.update_servers(two_cells())
-        cell_of = {each.server: each.cell for each in two_cells()}
+        cell_of = {each.name: each.cell for each in two_cells()}
         request = harness.send_request("amend", remaining_us=4 * SECOND_US)
         for _ in range(2):
             harness.advance(10 * MILLISECOND_US)
--- a/tests/balancer/test_invariants.py
+++ b/tests/balancer/test_invariants.py
@@ -140,7 +140,7 @@
                 case CancelAttempt():
                     assert action.attempt < len(self.requests[action.request].attempts)
                 case SetTimer():
-                    self.timers.append((self.now + action.in_us, action.token))
+                    self.timers.append((self.now + action.delay_us, action.token))
                 case CheckHealth():
                     assert self.settings.limits.allow_probes
                     assert action.server in self.listed
@@ -204,7 +204,7 @@
         in_flight: dict[str, int] = dict.fromkeys(SERVERS, 0)
         for request in self.requests.values():
             for each in request.attempts:
-                in_flight[each.endpoint.server] += each.pending
+                in_flight[each.endpoint.name] += each.pending
         for name, server in self.balancer._context.registry.servers.items():
             assert server.in_flight == in_flight[name], "the count of requests in flight is off"
 
@@ -240,7 +240,7 @@
         if outcome is Outcome.SUCCEEDED:
             request.completed = True
         elapsed_us = self.now - attempt.sent_at
-        server = attempt.endpoint.server
+        server = attempt.endpoint.name
         self.play(AttemptEnded(number, index, server, outcome, elapsed_us, request.completed))
 
     def end_health_check(self, outcome: Outcome, load: float | None) -> None:
@@ -261,7 +261,7 @@
             for endpoint in self.listed.values():
                 endpoint.state = ServerState.REMOVED
         for endpoint in endpoints:
-            self.listed[endpoint.server] = endpoint
+            self.listed[endpoint.name] = endpoint
         self.play(RegistryUpdated(kind, endpoints, 1))
 
     def wait(self, span_us: int) -> None:
@@ -282,12 +282,12 @@
 
 endpoints = st.builds(
     Endpoint,
-    server=st.sampled_from(SERVERS),
+    name=st.sampled_from(SERVERS),
     zone=st.sampled_from(ZONES),
     kind=st.just("box"),
     cell=st.integers(0, 2),
     state=st.sampled_from([ServerState.READY, ServerState.READY, ServerState.DRAINING, ServerState.REMOVED]),
-    nominal=st.sampled_from([0.0, 1.0, 3.0]),
+    capacity_weight=st.sampled_from([0.0, 1.0, 3.0]),
     started_at=st.sampled_from([None, START_US - 5 * SECOND_US, START_US, START_US + 2 * SECOND_US]),
 )
 arrivals = st.tuples(
@@ -320,7 +320,7 @@
     st.tuples(
         st.just("registry"),
         st.sampled_from([RegistryUpdateKind.DELTA, RegistryUpdateKind.SNAPSHOT, RegistryUpdateKind.FAILED]),
-        st.lists(endpoints, max_size=5, unique_by=lambda each: each.server),
+        st.lists(endpoints, max_size=5, unique_by=lambda each: each.name),
     ),
 )
 
--- a/tests/balancer/test_overload_recovery.py
+++ b/tests/balancer/test_overload_recovery.py
@@ -119,11 +119,11 @@
 
     def carry_out(self, now: int, balancer: int, action: Action) -> None:
         if isinstance(action, SetTimer):
-            self.add(now + action.in_us, balancer, TimerFired(action.token))
+            self.add(now + action.delay_us, balancer, TimerFired(action.token))
         elif isinstance(action, (RejectRequest, FailRequest)):
             self.answered.setdefault(action.request, (now, None))
         elif isinstance(action, SendAttempt):
-            job = Job(action.request, balancer, now, action.until)
+            job = Job(action.request, balancer, now, action.deadline)
             self.in_flight.add(job.request)
             self.sent[balancer].append(now)
             left_us = job.until - now
--- a/tests/balancer/test_selection.py
+++ b/tests/balancer/test_selection.py
@@ -53,7 +53,7 @@
     harness = BalancerHarness()
     harness.update_servers(
         [
-            Endpoint(name, "east", nominal=4.0 if name == server_names(8)[0] else 1.0)
+            Endpoint(name, "east", capacity_weight=4.0 if name == server_names(8)[0] else 1.0)
             for name in server_names(8)
         ]
     )
@@ -96,7 +96,7 @@
     harness = BalancerHarness()
     harness.update_servers(
         [
-            Endpoint(name, "east", nominal=0.5 if name == server_names(5)[0] else 1.0)
+            Endpoint(name, "east", capacity_weight=0.5 if name == server_names(5)[0] else 1.0)
             for name in server_names(5)
         ]
     )
--- a/tests/balancer/test_slow_start_fleet.py
+++ b/tests/balancer/test_slow_start_fleet.py
@@ -144,7 +144,7 @@
                 if action.server in warming_up and start >= 0:
                     sent[start][action.server].append(now - start_times[start])
             elif isinstance(action, SetTimer):
-                add(now + action.in_us, index, TimerFired(action.token))
+                add(now + action.delay_us, index, TimerFired(action.token))
     return sent
 
 
--- a/tests/balancer/test_start_times.py
+++ b/tests/balancer/test_start_times.py
@@ -226,6 +226,6 @@
     for number in range(3_000):
         replaced = Endpoint(f"10.1.0.{number}:80", zone="east", started_at=harness.now)
         apply_delta(harness, replaced)
-        apply_delta(harness, Endpoint(replaced.server, state=ServerState.REMOVED))
+        apply_delta(harness, Endpoint(replaced.name, state=ServerState.REMOVED))
     apply_delta(harness, restarted_endpoint(harness.now))
     assert len(harness.balancer._start_times._start_times) <= 2 * REMEMBERED_REMOVED_SERVERS + 5
--- a/tests/balancer/test_timers.py
+++ b/tests/balancer/test_timers.py
@@ -25,13 +25,13 @@
     queue.add(50, KeyCooldownOver(1))
     timer = queue.arm(20, always)
     assert timer is not None
-    assert timer.in_us == 30
+    assert timer.delay_us == 30
     queue.add(70, KeyCooldownOver(2))
     assert queue.arm(20, always) is None
     queue.add(40, KeyCooldownOver(3))
     timer = queue.arm(20, always)
     assert timer is not None
-    assert timer.in_us == 20
+    assert timer.delay_us == 20
 
 
 def test_an_obsolete_timer_is_dropped() -> None:
--- a/tests/balancer_harness.py
+++ b/tests/balancer_harness.py
@@ -90,7 +90,7 @@
         for action in actions:
             self.action_log.append((self.now, action))
             if isinstance(action, SetTimer):
-                self._timers.append((self.now + action.in_us, action.token))
+                self._timers.append((self.now + action.delay_us, action.token))
         return actions
 
     def update_servers(
--- a/tests/decision_digest.py
+++ b/tests/decision_digest.py
@@ -172,7 +172,7 @@
                     AttemptEnding(*_key(action), Outcome.CANCELLED),
                 )
             case SetTimer():
-                self._schedule(action.in_us, TimerFired(action.token))
+                self._schedule(action.delay_us, TimerFired(action.token))
             case CheckHealth():
                 self._probe(action.server)
             case WatchRegistry():
@@ -186,7 +186,7 @@
     def _send(self, send: SendAttempt) -> None:
         request = self._requests[send.request]
         index = len(request.attempts)
-        request.attempts.append(SentAttempt(send.server, self._now, send.until))
+        request.attempts.append(SentAttempt(send.server, self._now, send.deadline))
         self._in_flight[send.server] += 1
         chance = self._random.random()
         congestion = 1.0 + 0.15 * self._in_flight[send.server]
@@ -197,12 +197,12 @@
             * (0.4 + self._random.expovariate(1.0))
         )
         if send.server in self._hung or chance < 0.004:
-            outcome, took = Outcome.TIMED_OUT, float(send.until - self._now)
+            outcome, took = Outcome.TIMED_OUT, float(send.deadline - self._now)
         elif send.server in self._failing or chance < 0.03:
             outcome = self._random.choice(FAILURES)
             took *= 0.1
-        elif took > send.until - self._now:
-            outcome, took = Outcome.TIMED_OUT, float(send.until - self._now)
+        elif took > send.deadline - self._now:
+            outcome, took = Outcome.TIMED_OUT, float(send.deadline - self._now)
         else:
             outcome = Outcome.SUCCEEDED
             if chance > 0.9:
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -182,7 +182,7 @@
     response = parse_registry_response(
         {"index": 5, "snapshot": True, "endpoints": [*junk, entry(since_ms=2, group=3)]}
     )
-    assert [each.endpoint.server for each in response.endpoints] == ["s-1"]
+    assert [each.endpoint.name for each in response.endpoints] == ["s-1"]
     line = response.endpoints[0]
     assert (response.version, response.complete, line.address) == (5, True, ("127.0.0.1", 9))
     assert (line.endpoint.started_at, line.endpoint.cell, line.endpoint.zone) == (2000, 3, "a")
--- a/tests/proxy/test_registry_faults.py
+++ b/tests/proxy/test_registry_faults.py
@@ -226,4 +226,4 @@
     response = parse_registry_response(
         {"index": 1, "endpoints": [large, large | {"name": "s-1", "weight": 1}]}
     )
-    assert [each.endpoint.server for each in response.endpoints] == ["s-1"]
+    assert [each.endpoint.name for each in response.endpoints] == ["s-1"]
--- a/tests/scale/test_registry_standin.py
+++ b/tests/scale/test_registry_standin.py
@@ -79,7 +79,7 @@
             ["s-1", "s-2"],
         )
         parsed = parse_registry_response(payload)
-        assert [(each.endpoint.zone, each.endpoint.nominal) for each in parsed.endpoints] == [
+        assert [(each.endpoint.zone, each.endpoint.capacity_weight) for each in parsed.endpoints] == [
             ("a", 1.0),
             ("b", 2.0),
         ]
