--- a/sidecar/proxy/client_connection.py
+++ b/sidecar/proxy/client_connection.py
@@ -29,7 +29,7 @@
     RequestTimeoutError,
 )
 from sidecar.proxy.request_reader import MAX_BODY_BYTES, ReceivedRequest, RequestReader
-from sidecar.proxy.sockets import Reader, has_ended, is_quiet
+from sidecar.proxy.sockets import SharedBufferProtocol, has_peer_closed, is_receive_queue_empty
 from sidecar.settings import Settings
 
 log = logging.getLogger(__name__)
@@ -71,7 +71,7 @@
         """Set a connection's state."""
 
 
-class ClientConnection(Reader):
+class ClientConnection(SharedBufferProtocol):
     """One connection of a client; it carries one request at a time.
 
     Attributes:
@@ -125,7 +125,7 @@
         if self._discarded_bytes is not None:
             self._discard(len(data))
             return
-        if self._request is None and has_ended(self._sock):
+        if self._request is None and has_peer_closed(self._sock):
             # The client has left while its request waited unread.  Guards a busy proxy against work for
             # clients that gave up, which would delay others until they give up, too.
             self.abort()
@@ -159,13 +159,13 @@
 
     def is_disconnected(self) -> bool:
         """Whether nobody waits for a response here, even if the close has not been read yet."""
-        return self._transport is None or self._transport.is_closing() or has_ended(self._sock)
+        return self._transport is None or self._transport.is_closing() or has_peer_closed(self._sock)
 
     # -- State ----------------------------------------------------------------------------------------
 
     def has_unread_data(self) -> bool:
         """Whether the kernel holds data, an end or an error that has not been read yet."""
-        return not is_quiet(self._sock)
+        return not is_receive_queue_empty(self._sock)
 
     def has_partial_request(self) -> bool:
         """Whether a part of a request has been read that has no response yet."""
--- a/sidecar/proxy/listener.py
+++ b/sidecar/proxy/listener.py
@@ -9,7 +9,7 @@
 import time
 
 from sidecar.proxy.addresses import Address
-from sidecar.proxy.sockets import has_ended
+from sidecar.proxy.sockets import has_peer_closed
 
 log = logging.getLogger(__name__)
 
@@ -84,7 +84,7 @@
     """
     sock = _accept(listener)
     try:
-        if has_ended(sock):  # its client gave up while it was in the queue
+        if has_peer_closed(sock):  # its client gave up while it was in the queue
             sock.close()
             return None
         sock.setblocking(False)
--- a/sidecar/proxy/server_connection.py
+++ b/sidecar/proxy/server_connection.py
@@ -21,7 +21,7 @@
     ResponseReader,
     TruncatedResponseError,
 )
-from sidecar.proxy.sockets import Reader, is_quiet
+from sidecar.proxy.sockets import SharedBufferProtocol, is_receive_queue_empty
 
 log = logging.getLogger(__name__)
 
@@ -33,7 +33,7 @@
         """Take the complete response, or None if there is none: the connection is closed then."""
 
 
-class Connection(Reader):
+class Connection(SharedBufferProtocol):
     """A connection to a server.
 
     Attributes:
@@ -78,7 +78,7 @@
         Guards against an end of the stream, or bytes, that the event loop has not read yet.
         """
         is_open = self._transport is not None and not self._transport.is_closing()
-        return is_open and self.reusable and self._on_response is None and is_quiet(self.sock)
+        return is_open and self.reusable and self._on_response is None and is_receive_queue_empty(self.sock)
 
     def request(
         self,
--- a/sidecar/proxy/sockets.py
+++ b/sidecar/proxy/sockets.py
@@ -14,7 +14,7 @@
 _READ_BUFFER = memoryview(bytearray(_READ_BUFFER_BYTES))
 
 
-class Reader(asyncio.BufferedProtocol):
+class SharedBufferProtocol(asyncio.BufferedProtocol):
     """Base of protocols that read through one shared buffer.
 
     By default each read of asyncio allocates 256 KiB anew, which fragments the heap.
@@ -44,7 +44,7 @@
     return socket.socket(family, socket.SOCK_STREAM)
 
 
-def is_quiet(sock: socket.socket) -> bool:
+def is_receive_queue_empty(sock: socket.socket) -> bool:
     """Return whether a connection has nothing unread: no byte, no end of the stream and no error."""
     try:
         sock.recv(1, socket.MSG_PEEK)
@@ -64,7 +64,7 @@
     return True
 
 
-def has_ended(sock: socket.socket) -> bool:
+def has_peer_closed(sock: socket.socket) -> bool:
     """Return whether the peer has closed a connection, even if data that it sent before is unread."""
     poller = select.poll()
     poller.register(sock, select.POLLRDHUP)
--- a/tests/proxy/test_response_races.py
+++ b/tests/proxy/test_response_races.py
@@ -26,7 +26,7 @@
 from sidecar.proxy.exchange import DeferredRequest, EncodedRequest, Exchange, classify_outcome
 from sidecar.proxy.http_messages import Response, message
 from sidecar.proxy.server_connection import Connection
-from sidecar.proxy.sockets import has_ended
+from sidecar.proxy.sockets import has_peer_closed
 
 
 def test_second_response_arrives_as_the_next_request_is_sent_where_connections_are_scarce() -> None:
@@ -138,7 +138,7 @@
         upstream.cancel(exchange)
         assert heard == [Outcome.CANCELLED]
         # The event loop has had no turn since.
-        assert has_ended(server.writers[0].get_extra_info("socket"))
+        assert has_peer_closed(server.writers[0].get_extra_info("socket"))
         server.stop()
 
     run_scenario(scenario())
