--- a/sidecar/__main__.py
+++ b/sidecar/__main__.py
@@ -40,12 +40,12 @@
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, stop.set)
     sidecar = Sidecar(config)
-    handler = ReloadSignalHandler(Reloader(config, sidecar.reconfigure), _read_again)
+    handler = ReloadSignalHandler(Reloader(config, sidecar.reconfigure), _reread_config)
     loop.add_signal_handler(signal.SIGHUP, handler.handle_signal)
     await sidecar.run(stop)
 
 
-def _read_again() -> Config:
+def _reread_config() -> Config:
     return read_config(os.environ, with_known_endpoints=False)
 
 
--- a/sidecar/configuration.py
+++ b/sidecar/configuration.py
@@ -60,15 +60,15 @@
         OSError: The file can't be read.
         ConfigurationError: What the file holds can't be used; the message names the key.
     """
-    given = _read_json_object(environ.get(_FILE_VARIABLE))
+    document = _read_json_object(environ.get(_FILE_VARIABLE))
     return Config(
-        listen=_listen_address(given, environ),
-        discovery=_discovery_address(given, environ),
-        seed=_seed(given.get("seed", _DEFAULT_SEED)),
-        sockets=_sockets(given.get("limits")),
-        settings=settings_from_wire(given.get("settings")),
-        cached_endpoints=_known_endpoints(given.get("known"), with_known_endpoints),
-        version=_version(given.get("version")),
+        listen=_listen_address(document, environ),
+        discovery=_discovery_address(document, environ),
+        seed=_seed(document.get("seed", _DEFAULT_SEED)),
+        sockets=_sockets(document.get("limits")),
+        settings=settings_from_wire(document.get("settings")),
+        cached_endpoints=_known_endpoints(document.get("known"), with_known_endpoints),
+        version=_version(document.get("version")),
     )
 
 
@@ -77,46 +77,46 @@
         raise NoConfigurationFileError
     with open(path, encoding="utf-8") as file:
         try:
-            given = json.load(file)
+            document = json.load(file)
         except (ValueError, RecursionError) as error:
             raise ConfigurationSyntaxError(error) from error
-    if not isinstance(given, dict):
-        raise InvalidSettingError("configuration", "an object", given)
-    return given
+    if not isinstance(document, dict):
+        raise InvalidSettingError("configuration", "an object", document)
+    return document
 
 
-def _listen_address(given: Mapping[str, object], environ: Mapping[str, str]) -> Address:
+def _listen_address(document: Mapping[str, object], environ: Mapping[str, str]) -> Address:
     from_environment = environ.get(_LISTEN_VARIABLE)
     if from_environment:
         return _address(from_environment, _LISTEN_VARIABLE)
-    return _address(given.get("listen"), "listen")
+    return _address(document.get("listen"), "listen")
 
 
-def _discovery_address(given: Mapping[str, object], environ: Mapping[str, str]) -> Address:
+def _discovery_address(document: Mapping[str, object], environ: Mapping[str, str]) -> Address:
     from_environment = environ.get(_DISCOVERY_VARIABLE)
-    if from_environment and not given.get("discovery"):
+    if from_environment and not document.get("discovery"):
         return _address(from_environment, _DISCOVERY_VARIABLE)
-    return _address(given.get("discovery"), "discovery")
+    return _address(document.get("discovery"), "discovery")
 
 
 def _address(value: object, key: str) -> Address:
-    needed = "an address host:port"
+    expected = "an address host:port"
     if not isinstance(value, str):
-        raise InvalidSettingError(key, needed, value)
+        raise InvalidSettingError(key, expected, value)
     try:
         return parse_address(value)
     except ValueError:
-        raise InvalidSettingError(key, needed, value) from None
+        raise InvalidSettingError(key, expected, value) from None
 
 
 def _seed(value: object) -> int:
-    needed = "a text of hex digits"
+    expected = "a text of hex digits"
     if not isinstance(value, str):
-        raise InvalidSettingError("seed", needed, value)
+        raise InvalidSettingError("seed", expected, value)
     try:
         return int(value, 16)
     except ValueError:
-        raise InvalidSettingError("seed", needed, value) from None
+        raise InvalidSettingError("seed", expected, value) from None
 
 
 def _known_endpoints(value: object, with_entries: bool) -> RegistryResponse:
--- a/sidecar/logs.py
+++ b/sidecar/logs.py
@@ -5,7 +5,7 @@
 import logging
 import sys
 
-_LINES_PER_SECOND = 50
+_MAX_LINES_PER_SECOND = 50
 
 
 class RateLimitFilter(logging.Filter):
@@ -22,21 +22,21 @@
         """
         super().__init__()
         self._lines_per_second = lines_per_second
-        self._second = 0
-        self._lines = 0
+        self._current_second = 0
+        self._lines_in_second = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
         """Return whether a line passes."""
         second = int(record.created)
-        if second != self._second:
-            self._second, self._lines = second, 0
-        self._lines += 1
-        return self._lines <= self._lines_per_second
+        if second != self._current_second:
+            self._current_second, self._lines_in_second = second, 0
+        self._lines_in_second += 1
+        return self._lines_in_second <= self._lines_per_second
 
 
 def configure_logging() -> None:
     """Log to standard error from now on, in lines with time and module."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(logging.Formatter("%(asctime)s %(name)s %(message)s"))
-    handler.addFilter(RateLimitFilter(_LINES_PER_SECOND))
+    handler.addFilter(RateLimitFilter(_MAX_LINES_PER_SECOND))
     logging.basicConfig(level=logging.INFO, handlers=[handler])
--- a/sidecar/reload.py
+++ b/sidecar/reload.py
@@ -20,7 +20,7 @@
 # Backoff before a file that could not be read is read again: of the 4 s until changes at a new address of
 # discovery count as notified, most are left to the call there.
 _RETRY_DELAYS_S = (0.1, 0.2, 0.4, 0.8)
-_RESTART_ONLY = ("listen", "seed", "sockets")  # fields of Config that are set at the start for good
+_RESTART_ONLY_FIELDS = ("listen", "seed", "sockets")  # fields of Config that are set at the start for good
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,29 +74,29 @@
         active: The configuration in force.
     """
 
-    def __init__(self, initial: Config, apply: Callable[[Config, Config], None]) -> None:
+    def __init__(self, initial: Config, apply_change: Callable[[Config, Config], None]) -> None:
         """Begin with the configuration of the start.
 
         Args:
             initial: The configuration that is in force.
-            apply: Applies the difference between two configurations, the present one first.
+            apply_change: Applies the difference between two configurations, the present one first.
         """
         self._initial = initial
-        self._apply = apply
+        self._apply_change = apply_change
         self.active = initial
 
-    def reload(self, read: Callable[[], Config]) -> ReloadResult:
+    def reload(self, read_config: Callable[[], Config]) -> ReloadResult:
         """Read a configuration and apply it; the log has one line about the result.
 
         Args:
-            read: Reads the new configuration; its OSError or ConfigurationError rejects it.
+            read_config: Reads the new configuration; its OSError or ConfigurationError rejects it.
 
         Returns:
             Whether it was applied.
         """
         started_s = time.monotonic()
         try:
-            result = self._replace(read(), started_s)
+            result = self._replace(read_config(), started_s)
         except OSError as error:
             result = Rejected(str(error), is_transient=True)
         except ConfigurationError as error:
@@ -108,14 +108,14 @@
         old = self.active
         if new == old:
             return Unchanged(new.version)
-        conflict = _version_conflict(old.version, new.version)
-        if conflict is not None:
-            return Rejected(conflict)
+        version_conflict = _version_conflict(old.version, new.version)
+        if version_conflict is not None:
+            return Rejected(version_conflict)
         try:
-            self._apply(old, new)
+            self._apply_change(old, new)
         except Exception as error:
             log.exception("version %s could not be put into force", _version_text(new.version))
-            self._apply(new, old)
+            self._apply_change(new, old)
             return Rejected(f"it could not be put into force: {error!r}")
         self.active = new
         return Applied(
@@ -126,7 +126,9 @@
         )
 
     def _fields_needing_restart(self, new: Config) -> tuple[str, ...]:
-        return tuple(name for name in _RESTART_ONLY if getattr(new, name) != getattr(self._initial, name))
+        return tuple(
+            name for name in _RESTART_ONLY_FIELDS if getattr(new, name) != getattr(self._initial, name)
+        )
 
 
 class ReloadSignalHandler:
@@ -137,29 +139,29 @@
     read again, as whoever completes it sends another signal.
     """
 
-    def __init__(self, reloader: Reloader, read: Callable[[], Config]) -> None:
+    def __init__(self, reloader: Reloader, read_config: Callable[[], Config]) -> None:
         """Make a handler.
 
         Args:
             reloader: Holds the configuration in force.
-            read: Reads the new configuration.
+            read_config: Reads the new configuration.
         """
         self._reloader = reloader
-        self._read = read
+        self._read_config = read_config
         self._retry: asyncio.TimerHandle | None = None
 
     def handle_signal(self) -> None:
         """Reload now, in place of a retry that is still pending; needs a running event loop."""
         if self._retry is not None:
             self._retry.cancel()
-        self._attempt(_RETRY_DELAYS_S)
+        self._try_reload(_RETRY_DELAYS_S)
 
-    def _attempt(self, retry_delays_s: Sequence[float]) -> None:
+    def _try_reload(self, retry_delays_s: Sequence[float]) -> None:
         self._retry = None
-        result = self._reloader.reload(self._read)
+        result = self._reloader.reload(self._read_config)
         if retry_delays_s and isinstance(result, Rejected) and result.is_transient:
             delay_s, *later_delays_s = retry_delays_s
-            self._retry = asyncio.get_running_loop().call_later(delay_s, self._attempt, later_delays_s)
+            self._retry = asyncio.get_running_loop().call_later(delay_s, self._try_reload, later_delays_s)
 
 
 def _version_conflict(active: int | None, new: int | None) -> str | None:
@@ -172,14 +174,14 @@
 
 
 def _changed_parts(old: Config, new: Config) -> tuple[str, ...]:
-    names = [
-        each.name
-        for each in fields(Settings)
-        if getattr(old.settings, each.name) != getattr(new.settings, each.name)
+    changed_parts = [
+        setting.name
+        for setting in fields(Settings)
+        if getattr(old.settings, setting.name) != getattr(new.settings, setting.name)
     ]
     if old.discovery != new.discovery:
-        names.append("address of discovery")
-    return tuple(names)
+        changed_parts.append("address of discovery")
+    return tuple(changed_parts)
 
 
 def _version_text(version: int | None) -> str:
