--- a/sidecar/proxy/attempts.py
+++ b/sidecar/proxy/attempts.py
@@ -14,7 +14,7 @@
 from sidecar.proxy.clock import Clock
 from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.exchange import DeferredRequest, Exchange
-from sidecar.proxy.http_messages import Response, message
+from sidecar.proxy.http_messages import Response, encode_message
 from sidecar.proxy.load_reports import parse_report
 from sidecar.proxy.request_lifecycle import RequestLifecycle
 from sidecar.settings import Settings
@@ -163,4 +163,4 @@
         headers.append((b"Host", b"sidecar"))  # HTTP/1.0 allows none, HTTP/1.1 needs one
     if request.body or request.method not in (b"GET", b"HEAD"):
         headers.append((b"Content-Length", str(len(request.body)).encode()))
-    return message(b"%b %b HTTP/1.1" % (request.method, request.target), headers, request.body)
+    return encode_message(b"%b %b HTTP/1.1" % (request.method, request.target), headers, request.body)
--- a/sidecar/proxy/client_connection.py
+++ b/sidecar/proxy/client_connection.py
@@ -19,7 +19,7 @@
 )
 from sidecar.proxy.connection_state import ConnectionState
 from sidecar.proxy.event_loop import NEGLIGIBLE_WAIT_S, arrived_after
-from sidecar.proxy.http_messages import Headers, message
+from sidecar.proxy.http_messages import Headers, encode_message
 from sidecar.proxy.request_errors import (
     BadRequestError,
     InternalError,
@@ -358,7 +358,7 @@
             body = b""
         status_line = b"HTTP/1.1 %d %b" % (status, _REASON_PHRASES.get(status, b""))
         self._reader.finish()
-        self._transport.write(message(status_line, headers, body))
+        self._transport.write(encode_message(status_line, headers, body))
         if close:
             self._end_writing()
         else:
--- a/sidecar/proxy/client_request.py
+++ b/sidecar/proxy/client_request.py
@@ -8,7 +8,7 @@
 
 import h11
 
-from sidecar.proxy.http_messages import Headers, end_to_end
+from sidecar.proxy.http_messages import Headers, forwardable_headers
 from sidecar.proxy.request_errors import (
     BudgetTooLongError,
     DuplicateHeaderError,
@@ -115,7 +115,7 @@
     request = ClientRequest(
         method=head.method,
         target=head.target,
-        headers=end_to_end(head.headers, *_NOT_FORWARDED),
+        headers=forwardable_headers(head.headers, *_NOT_FORWARDED),
         body=body,
         request_id=values[b"x-call-id"],
         service_class=_find_class(values[b"x-call-class"], settings),
--- a/sidecar/proxy/connection_dialer.py
+++ b/sidecar/proxy/connection_dialer.py
@@ -12,7 +12,7 @@
 from sidecar.proxy.dialing import LocalDialError, open_socket, retry_backoff
 from sidecar.proxy.exchange import Exchange
 from sidecar.proxy.pooled_servers import ServerTable
-from sidecar.proxy.server_connection import Connection, connect
+from sidecar.proxy.server_connection import ServerConnection, connect
 
 log = logging.getLogger(__name__)
 
@@ -32,7 +32,7 @@
         servers: ServerTable,
         dial_timeout_s: float,
         max_connections: int,
-        on_connected: Callable[[Exchange, Connection], None],
+        on_connected: Callable[[Exchange, ServerConnection], None],
     ) -> None:
         """Create a dialer without connections.
 
@@ -94,7 +94,7 @@
             self._on_connected(exchange, connection)
         return True
 
-    async def _connect(self, exchange: Exchange) -> Connection:
+    async def _connect(self, exchange: Exchange) -> ServerConnection:
         """Connect, with retries after local failures, until the timers of the exchange cancel this."""
         address = exchange.server.address
         backoff = retry_backoff()
--- a/sidecar/proxy/connection_pool.py
+++ b/sidecar/proxy/connection_pool.py
@@ -21,10 +21,10 @@
     RequestWriter,
     classify_outcome,
 )
-from sidecar.proxy.http_messages import Response, message
+from sidecar.proxy.http_messages import Response, encode_message
 from sidecar.proxy.idle_connections import IdleConnections
 from sidecar.proxy.pooled_servers import ServerTable
-from sidecar.proxy.server_connection import Connection
+from sidecar.proxy.server_connection import ServerConnection
 
 log = logging.getLogger(__name__)
 
@@ -124,7 +124,7 @@
         Raises:
             KeyError: There is no such server.
         """
-        request = message(b"GET %b HTTP/1.1" % target.encode(), [(b"Host", name.encode())])
+        request = encode_message(b"GET %b HTTP/1.1" % target.encode(), [(b"Host", name.encode())])
         timeout_s = _HEALTH_CHECK_DIAL_TIMEOUTS * self._dialer.dial_timeout_s
         deadline = asyncio.get_running_loop().time() + timeout_s
         return self.send(name, EncodedRequest(request), deadline, on_outcome)
@@ -157,7 +157,7 @@
             log.warning("connection limit reached, no connection to %s", exchange.server.name)
             exchange.end(Outcome.CONNECT_FAILED)
 
-    def _write(self, exchange: Exchange, connection: Connection) -> None:
+    def _write(self, exchange: Exchange, connection: ServerConnection) -> None:
         """Write the request of an exchange to its connection, if it is still wanted."""
         exchange.dial_task = None
         exchange.server.dialing.discard(exchange)
@@ -172,7 +172,9 @@
         on_response = partial(self._on_response, exchange, connection)
         connection.request(data, on_response, exchange.is_still_wanted)
 
-    def _on_response(self, exchange: Exchange, connection: Connection, response: Response | None) -> None:
+    def _on_response(
+        self, exchange: Exchange, connection: ServerConnection, response: Response | None
+    ) -> None:
         self._release(exchange, connection)
         outcome = classify_outcome(response, connection.request_written, connection.protocol_error)
         if outcome is Outcome.CONNECT_FAILED and connection.local_failure:
@@ -190,7 +192,7 @@
         broke = outcome is Outcome.RESET and elapsed_s < self._dialer.dial_timeout_s
         self._idle_connections.record_use(exchange.idle_s, broke)
 
-    def _release(self, exchange: Exchange, connection: Connection) -> None:
+    def _release(self, exchange: Exchange, connection: ServerConnection) -> None:
         """Keep a connection for the next request, or close it if it is of no use any more."""
         if not connection.reusable:
             return
@@ -199,7 +201,7 @@
         else:
             connection.abort()
 
-    def _release_unused(self, exchange: Exchange, connection: Connection) -> None:
+    def _release_unused(self, exchange: Exchange, connection: ServerConnection) -> None:
         """Keep a new connection that no request was written to; close one that had been idle before.
 
         The idle time of the latter goes on at its server, and must not start anew here.
--- a/sidecar/proxy/discovery_client.py
+++ b/sidecar/proxy/discovery_client.py
@@ -14,9 +14,9 @@
 from collections.abc import Callable
 
 from sidecar.proxy.addresses import Address
-from sidecar.proxy.http_messages import Response, message
+from sidecar.proxy.http_messages import Response, encode_message
 from sidecar.proxy.registry_messages import RegistryResponse, parse_registry_response
-from sidecar.proxy.server_connection import Connection, connect
+from sidecar.proxy.server_connection import ServerConnection, connect
 
 log = logging.getLogger(__name__)
 
@@ -65,7 +65,9 @@
         self._is_stopped = False
         self._watch: asyncio.Task[None] | None = None
         self._fetches: set[asyncio.Task[bool]] = set()  # as many as the balancer asks for
-        self._unanswered: Connection | None = None  # of a call that timed out, until the next one is sent
+        self._unanswered: ServerConnection | None = (
+            None  # of a call that timed out, until the next one is sent
+        )
 
     def start_watch(self) -> None:
         """Start the watch; one that is running goes on."""
@@ -195,7 +197,7 @@
             else:
                 connection.abort()
 
-    async def _exchange(self, connection: Connection, target: str) -> Response | None:
+    async def _exchange(self, connection: ServerConnection, target: str) -> Response | None:
         if not connection.is_idle():  # it broke as it opened, and would never report its end
             raise RegistryConnectionError
         received: asyncio.Future[Response | None] = asyncio.get_running_loop().create_future()
@@ -210,4 +212,6 @@
 
     def _encode_request(self, target: str) -> bytes:
         host = f"{self._address[0]}:{self._address[1]}".encode()
-        return message(b"GET %b HTTP/1.1" % target.encode(), [(b"Host", host), (b"Connection", b"close")])
+        return encode_message(
+            b"GET %b HTTP/1.1" % target.encode(), [(b"Host", host), (b"Connection", b"close")]
+        )
--- a/sidecar/proxy/exchange.py
+++ b/sidecar/proxy/exchange.py
@@ -11,7 +11,7 @@
 
 from sidecar.balancer.events import Outcome
 from sidecar.proxy.http_messages import Response
-from sidecar.proxy.server_connection import Connection
+from sidecar.proxy.server_connection import ServerConnection
 from sidecar.proxy.sockets import is_connected
 
 if TYPE_CHECKING:
@@ -100,7 +100,7 @@
         self.server = server
         self.generation = server.generation
         self.deadline = deadline
-        self.connection: Connection | None = None
+        self.connection: ServerConnection | None = None
         self.written_at = 0.0
         self.idle_s: float | None = None
         self.dial_task: asyncio.Task[bool] | None = None
--- a/sidecar/proxy/http_messages.py
+++ b/sidecar/proxy/http_messages.py
@@ -15,7 +15,7 @@
 _REJECTION_STATUSES = (503, 504)
 
 
-def end_to_end(headers: Iterable[tuple[bytes, bytes]], *dropped: bytes) -> Headers:
+def forwardable_headers(headers: Iterable[tuple[bytes, bytes]], *dropped: bytes) -> Headers:
     """Return the headers that may be forwarded.
 
     Args:
@@ -28,7 +28,7 @@
     return [(n, v) for n, v in headers if n not in _HOP_BY_HOP_HEADERS and n not in dropped]
 
 
-def message(first: bytes, headers: Headers, body: bytes = b"") -> bytes:
+def encode_message(start_line: bytes, headers: Headers, body: bytes = b"") -> bytes:
     """Encode a request or a response.
 
     Encoding is done here and not by h11, which only parses: at hundreds of requests a second its checks of
@@ -36,14 +36,14 @@
     can contain the end of a line.
 
     Args:
-        first: The request line or status line, without the end of the line.
+        start_line: The request line or status line, without the end of the line.
         headers: Names and values, in their order.
         body: The body; the caller provides the headers that frame it.
 
     Returns:
         The bytes to send.
     """
-    return b"\r\n".join([first, *[b"%b: %b" % header for header in headers], b"", body])
+    return b"\r\n".join([start_line, *[b"%b: %b" % header for header in headers], b"", body])
 
 
 @dataclass(slots=True)
--- a/sidecar/proxy/idle_connections.py
+++ b/sidecar/proxy/idle_connections.py
@@ -8,7 +8,7 @@
 
 from sidecar.proxy.idle_lifetimes import IdleLifetimeEstimator
 from sidecar.proxy.pooled_servers import IdleConnection, PooledServer
-from sidecar.proxy.server_connection import Connection
+from sidecar.proxy.server_connection import ServerConnection
 
 _REUSE_DELAY_FRACTION = 0.12  # of the dial timeout
 _CLOSE_MARGIN = 0.1  # of the servers' idle timeout: connections are closed that much earlier here
@@ -23,7 +23,7 @@
         idle_s: Seconds that it has been idle.
     """
 
-    connection: Connection
+    connection: ServerConnection
     idle_s: float
 
 
@@ -66,7 +66,7 @@
                 idle_since = idle.close_timer.when() - former_keep_s
                 idle.close_timer = self._schedule_close(server, idle.connection, idle_since)
 
-    def keep(self, server: PooledServer, connection: Connection) -> None:
+    def keep(self, server: PooledServer, connection: ServerConnection) -> None:
         """Keep a connection whose request has just ended."""
         now = asyncio.get_running_loop().time()
         timer = self._schedule_close(server, connection, idle_since=now)
@@ -106,12 +106,12 @@
         self._lifetimes.record(idle_s, broke)
 
     def _schedule_close(
-        self, server: PooledServer, connection: Connection, idle_since: float
+        self, server: PooledServer, connection: ServerConnection, idle_since: float
     ) -> asyncio.TimerHandle:
         close_at = idle_since + self._keep_s
         return asyncio.get_running_loop().call_at(close_at, self._on_idle_timeout, server, connection)
 
     @staticmethod
-    def _on_idle_timeout(server: PooledServer, connection: Connection) -> None:
+    def _on_idle_timeout(server: PooledServer, connection: ServerConnection) -> None:
         server.idle = [idle for idle in server.idle if idle.connection is not connection]
         connection.abort()
--- a/sidecar/proxy/pooled_servers.py
+++ b/sidecar/proxy/pooled_servers.py
@@ -9,7 +9,7 @@
 from sidecar.balancer.events import Outcome, ServerState
 from sidecar.proxy.addresses import Address
 from sidecar.proxy.exchange import Exchange
-from sidecar.proxy.server_connection import Connection
+from sidecar.proxy.server_connection import ServerConnection
 
 _UNKNOWN_ADDRESS: Address = ("127.0.0.1", 0)  # of a server that accepts nothing new anyway
 
@@ -23,7 +23,7 @@
         close_timer: Closes it when it has been idle for too long.
     """
 
-    connection: Connection
+    connection: ServerConnection
     close_timer: asyncio.TimerHandle
 
     def close(self) -> None:
--- a/sidecar/proxy/server_connection.py
+++ b/sidecar/proxy/server_connection.py
@@ -33,7 +33,7 @@
         """Take the complete response, or None if there is none: the connection is closed then."""
 
 
-class Connection(Reader):
+class ServerConnection(Reader):
     """A connection to a server.
 
     Attributes:
@@ -206,7 +206,7 @@
     max_body_bytes: int,
     response_timeout_s: float | None = None,
     sock: socket.socket | None = None,
-) -> Connection:
+) -> ServerConnection:
     """Connect to a server.
 
     Args:
@@ -223,7 +223,7 @@
         OSError: It failed for any other cause.
     """
     sock = sock or open_socket(partial(sockets.new_socket, address))
-    protocol_factory = partial(Connection, sock, max_body_bytes, response_timeout_s)
+    protocol_factory = partial(ServerConnection, sock, max_body_bytes, response_timeout_s)
     try:
         await connect_socket(sock, address)
         _, connection = await asyncio.get_running_loop().create_connection(protocol_factory, sock=sock)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,7 +10,7 @@
 
 from sidecar.proxy import discovery_client, server_connection
 from sidecar.proxy.addresses import Address
-from sidecar.proxy.server_connection import Connection
+from sidecar.proxy.server_connection import ServerConnection
 
 
 @pytest.fixture
@@ -19,7 +19,7 @@
     registries: list[RegistryStandIn] = []
     connect = server_connection.connect
 
-    async def dial(address: Address, body_most: int) -> Connection:
+    async def dial(address: Address, body_most: int) -> ServerConnection:
         if any(each.address == address and each.fault == "partitioned" for each in registries):
             await asyncio.Event().wait()
         return await connect(address, body_most)
--- a/tests/proxy/pool_requests.py
+++ b/tests/proxy/pool_requests.py
@@ -9,12 +9,12 @@
 from sidecar.balancer.events import Outcome
 from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.exchange import EncodedRequest
-from sidecar.proxy.http_messages import Response, message
+from sidecar.proxy.http_messages import Response, encode_message
 
 
 def encode_post(body: bytes = b"") -> bytes:
     """Encode a POST with a body."""
-    return message(b"POST / HTTP/1.1", [(b"Host", b"x"), (b"Content-Length", b"%d" % len(body))], body)
+    return encode_message(b"POST / HTTP/1.1", [(b"Host", b"x"), (b"Content-Length", b"%d" % len(body))], body)
 
 
 def post_request(body: bytes = b"") -> EncodedRequest:
--- a/tests/proxy/race_stage.py
+++ b/tests/proxy/race_stage.py
@@ -15,7 +15,7 @@
 )
 
 from sidecar.proxy.addresses import Address
-from sidecar.proxy.server_connection import Connection
+from sidecar.proxy.server_connection import ServerConnection
 
 LATER = time.monotonic() + 3600.0  # as the event loop counts
 _FIN_WAIT2 = 5  # as TCP_INFO tells it: the other side's kernel has the end
@@ -41,7 +41,7 @@
         self._sock.close()
 
 
-def connection_of(proxy: ProxyHarness, ident: str) -> Connection:
+def connection_of(proxy: ProxyHarness, ident: str) -> ServerConnection:
     """The connection that a request's attempt is out on."""
     (live,) = [each for each in proxy.sidecar._active if each.client_request.request_id == ident]
     (exchange,) = live.in_flight.values()
--- a/tests/proxy/test_client_disconnect_races.py
+++ b/tests/proxy/test_client_disconnect_races.py
@@ -28,8 +28,8 @@
 from sidecar.proxy.addresses import Address
 from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.exchange import DeferredRequest
-from sidecar.proxy.http_messages import message
-from sidecar.proxy.server_connection import Connection
+from sidecar.proxy.http_messages import encode_message
+from sidecar.proxy.server_connection import ServerConnection
 
 
 def test_client_disconnects_while_queued_or_unread() -> None:
@@ -57,7 +57,7 @@
     dialled, go_on = asyncio.Event(), asyncio.Event()
     connect = server_connection.connect
 
-    async def held_up(*given: object) -> Connection:
+    async def held_up(*given: object) -> ServerConnection:
         # It passes on whatever the code under test gives it.
         connection = await connect(*given)  # type: ignore[arg-type]
         dialled.set()
@@ -132,7 +132,7 @@
             listener.setblocking(False)
             servers = ConnectionPool(600.0, 600.0, 10)
             servers.update("s", listener.getsockname()[:2], None, ServerState.READY)
-            data = message(b"POST / HTTP/1.1", [(b"Content-Length", b"8000000")], bytes(8_000_000))
+            data = encode_message(b"POST / HTTP/1.1", [(b"Content-Length", b"8000000")], bytes(8_000_000))
             orders = [data, None if left else data]
             heard: list[Outcome] = []
             exchange = servers.send(
@@ -164,12 +164,12 @@
 def test_client_disconnects_as_its_request_waits_for_load_probes(
     leaves: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    made: list[Connection] = []
+    made: list[ServerConnection] = []
     connect = server_connection.connect
 
     async def noted(
         address: Address, body_most: int, stall_s: float | None = None, sock: socket.socket | None = None
-    ) -> Connection:
+    ) -> ServerConnection:
         made.append(await connect(address, body_most, stall_s, sock))
         return made[-1]
 
--- a/tests/proxy/test_dedup_window.py
+++ b/tests/proxy/test_dedup_window.py
@@ -22,7 +22,7 @@
 from sidecar.balancer.events import ServerState
 from sidecar.proxy import connection_dialer, server_connection
 from sidecar.proxy.addresses import Address
-from sidecar.proxy.server_connection import Connection
+from sidecar.proxy.server_connection import ServerConnection
 
 
 def other_than(proxy: ProxyHarness, first: FakeServer) -> str:
@@ -43,7 +43,7 @@
         max_body_bytes: int,
         response_timeout_s: float | None = None,
         sock: socket.socket | None = None,
-    ) -> Connection:
+    ) -> ServerConnection:
         dials.append(address)
         connection = await connect(address, max_body_bytes, response_timeout_s, sock)
         if len(dials) == 2:
--- a/tests/proxy/test_registry_faults.py
+++ b/tests/proxy/test_registry_faults.py
@@ -17,7 +17,7 @@
 from sidecar.proxy.addresses import Address
 from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.registry_messages import parse_registry_response
-from sidecar.proxy.server_connection import Connection
+from sidecar.proxy.server_connection import ServerConnection
 
 NOTIFIED_WITHIN_S = 6.0  # after discovery has a change and can be reached
 RULES = {"max_poll_interval_us": 60 * SECOND_US}
@@ -78,10 +78,10 @@
 def test_change_is_applied_in_time_though_the_watch_breaks(code: int, mode: str) -> None:
     async def scenario() -> None:
         registry = RegistryStandIn()
-        dialled: list[Connection] = []
+        dialled: list[ServerConnection] = []
         connect = server_connection.connect
 
-        async def dial(address: Address, body_most: int) -> Connection:
+        async def dial(address: Address, body_most: int) -> ServerConnection:
             dialled.append(await connect(address, body_most))
             return dialled[-1]
 
@@ -121,7 +121,7 @@
     async def scenario() -> None:
         registry = ResettingRegistry()
 
-        async def dial(address: Address, body_most: int) -> Connection:
+        async def dial(address: Address, body_most: int) -> ServerConnection:
             is_reset = registry.left > 0
             connection = await connect(address, body_most)
             if is_reset:
--- a/tests/proxy/test_remaining_time.py
+++ b/tests/proxy/test_remaining_time.py
@@ -24,7 +24,7 @@
 
 from sidecar.balancer.policy.hedging import HedgingPolicy
 from sidecar.proxy import connection_dialer, server_connection
-from sidecar.proxy.server_connection import Connection
+from sidecar.proxy.server_connection import ServerConnection
 
 _BUDGET_S = 5.0
 _HELD_S = 0.4
@@ -45,7 +45,7 @@
 def test_attempt_states_the_remaining_time_after_a_slow_dial(monkeypatch: pytest.MonkeyPatch) -> None:
     connect = server_connection.connect
 
-    async def slow(*given: Any) -> Connection:
+    async def slow(*given: Any) -> ServerConnection:
         connection = await connect(*given)
         await pass_time(_HELD_S)
         return connection
--- a/tests/proxy/test_request_crossings.py
+++ b/tests/proxy/test_request_crossings.py
@@ -29,7 +29,7 @@
 from sidecar.balancer.events import ServerState
 from sidecar.proxy import connection_dialer, server_connection
 from sidecar.proxy.addresses import Address
-from sidecar.proxy.server_connection import Connection
+from sidecar.proxy.server_connection import ServerConnection
 from sidecar.proxy.sockets import is_connected
 
 BAD_PEER_S = 3.0  # bad input is answered or its connection closed within this
@@ -60,7 +60,7 @@
 
     async def delayed(
         address: Address, body_most: int, stall_s: float | None = None, sock: socket.socket | None = None
-    ) -> Connection:
+    ) -> ServerConnection:
         connection = await connect(address, body_most, stall_s, sock)
         if address == victim:
             assert connection._transport is not None
--- a/tests/proxy/test_response_races.py
+++ b/tests/proxy/test_response_races.py
@@ -24,8 +24,8 @@
 from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.connection_state import STATE_TIME_LIMITS_S, ConnectionState
 from sidecar.proxy.exchange import DeferredRequest, EncodedRequest, Exchange, classify_outcome
-from sidecar.proxy.http_messages import Response, message
-from sidecar.proxy.server_connection import Connection
+from sidecar.proxy.http_messages import Response, encode_message
+from sidecar.proxy.server_connection import ServerConnection
 from sidecar.proxy.sockets import has_ended
 
 
@@ -88,13 +88,13 @@
     )  # a server may say so unasked
 
 
-async def written(server: FakeServer) -> tuple[ConnectionPool, Exchange, Connection, list[Outcome]]:
+async def written(server: FakeServer) -> tuple[ConnectionPool, Exchange, ServerConnection, list[Outcome]]:
     """An attempt that is written to a server which does not answer by itself, and what is heard of it."""
     await server.start()
     upstream = ConnectionPool(600.0, 600.0, 10)
     upstream.update("s", server.address, None, ServerState.READY)
     heard: list[Outcome] = []
-    get = message(b"GET /api/1 HTTP/1.1", [(b"Host", b"x")])
+    get = encode_message(b"GET /api/1 HTTP/1.1", [(b"Host", b"x")])
     exchange = upstream.send("s", EncodedRequest(get), LATER, lambda outcome, _: heard.append(outcome))
     await wait_until(lambda: server.requests)
     assert exchange.connection is not None
@@ -192,7 +192,7 @@
         heard: list[Outcome] = []
 
         def send(name: str) -> None:
-            get = message(b"GET / HTTP/1.1", [(b"Host", b"x")])
+            get = encode_message(b"GET / HTTP/1.1", [(b"Host", b"x")])
             servers.send(name, EncodedRequest(get), LATER, lambda outcome, _: heard.append(outcome))
 
         send("a")
--- a/tests/proxy/test_responses_without_length.py
+++ b/tests/proxy/test_responses_without_length.py
@@ -13,7 +13,7 @@
 from sidecar.proxy.connection_dialer import MAX_BODY_BYTES
 from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.exchange import EncodedRequest
-from sidecar.proxy.http_messages import Response, message
+from sidecar.proxy.http_messages import Response, encode_message
 
 _HEAD = b"HTTP/1.1 200 X\r\n\r\n"
 _HEADS = {
@@ -29,7 +29,7 @@
     """Send one short request to server s; give its outcome."""
     loop = asyncio.get_running_loop()
     ended: asyncio.Future[tuple[Outcome, Response | None]] = loop.create_future()
-    data = message(b"POST / HTTP/1.1", [(b"Host", b"x"), (b"Content-Length", b"0")])
+    data = encode_message(b"POST / HTTP/1.1", [(b"Host", b"x"), (b"Content-Length", b"0")])
     pool.send("s", EncodedRequest(data), loop.time() + TIMEOUT_S, lambda *end: ended.set_result(end))
     return await ended
 
--- a/tests/proxy/test_socket_errors.py
+++ b/tests/proxy/test_socket_errors.py
@@ -22,7 +22,7 @@
 from sidecar.balancer.events import Outcome, ServerState
 from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.exchange import EncodedRequest, Exchange
-from sidecar.proxy.http_messages import message
+from sidecar.proxy.http_messages import encode_message
 
 _BROKEN = (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH)
 _LONG = bytes(20_000)  # a request that is written in two parts, the last byte alone
@@ -111,7 +111,7 @@
         servers = ConnectionPool(TIMEOUT_S, 60.0, 10)
         servers.update("s", server.address, None, ServerState.READY)
         outcomes: list[Outcome] = []
-        data = message(b"GET / HTTP/1.1", [(b"Host", b"x")])
+        data = encode_message(b"GET / HTTP/1.1", [(b"Host", b"x")])
         until_at = asyncio.get_running_loop().time() + TIMEOUT_S
         exchange: Exchange = servers.send(
             "s", EncodedRequest(data), until_at, lambda end, _: outcomes.append(end)
