--- a/sidecar/__init__.py
+++ b/sidecar/__init__.py
@@ -1,4 +1,7 @@
-"""An HTTP/1.1 sidecar: a balancer by best-of-k with redraw, and the proxy around it."""
+"""An HTTP/1.1 load balancing sidecar.
+
+It consists of a best-of-k balancer, which draws new candidates for each attempt, and the proxy around it.
+"""
 
 from sidecar.balancer import Balancer
 from sidecar.settings import Settings
--- a/sidecar/__main__.py
+++ b/sidecar/__main__.py
@@ -1,7 +1,8 @@
-"""Starts one sidecar: serves by its configuration, and shuts down gracefully on SIGTERM.
+"""Runs one sidecar until SIGTERM or SIGINT, which shut it down gracefully.
 
-Run as `python -m sidecar`, with RELAY_CONFIG naming the configuration.  A bad one ends the start with one
-line on standard error and exit code 2.  SIGHUP reloads the configuration; a bad one changes nothing.
+Run as `python -m sidecar`, with the path of the configuration file in RELAY_CONFIG.  If the configuration is
+invalid, the process writes one line to standard error and exits with code 2.  SIGHUP reloads the
+configuration; an invalid one is rejected and changes nothing.
 """
 
 from __future__ import annotations
@@ -19,8 +20,9 @@
 from sidecar.proxy.event_loop import EventLoop
 from sidecar.reload import Reloader, ReloadSignalHandler
 
-# An asyncio transport refers to itself, so what a closed connection leaves is freed by full collections
-# alone.  They are cheap here, and by the defaults come once in a minute and 2 MB or so.
+# An asyncio transport is part of a reference cycle, so the memory of a closed connection is freed only by a
+# full collection.  Full collections are cheap here, and with the default thresholds they run only about once
+# per minute and 2 MB of garbage.
 GC_THRESHOLDS = (700, 5, 2)
 _EXIT_CANNOT_SERVE = 1
 _EXIT_BAD_CONFIGURATION = 2
@@ -30,10 +32,10 @@
     """Serve until SIGTERM or SIGINT; SIGHUP reloads the configuration.
 
     Args:
-        config: The configuration of the start.
+        config: The initial configuration.
 
     Raises:
-        OSError: The address to listen at can't be bound.
+        OSError: The listen address can't be bound.
     """
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -52,13 +54,13 @@
 def main() -> int:
     """Run the sidecar; return the exit code of the process."""
     configure_logging()
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is a configuration to replace
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is a configuration to reload
     try:
         config = read_config(os.environ)
     except READ_ERRORS as error:
         print(f"bad configuration: {error}".replace("\n", " "), file=sys.stderr)
         return _EXIT_BAD_CONFIGURATION
-    gc.freeze()  # what is loaded by now stays; collections look at requests alone
+    gc.freeze()  # objects loaded so far are permanent; later collections examine only those of requests
     gc.set_threshold(*GC_THRESHOLDS)
     try:
         with asyncio.Runner(loop_factory=EventLoop) as runner:
--- a/sidecar/config.py
+++ b/sidecar/config.py
@@ -1,4 +1,4 @@
-"""What a sidecar is started with: the configuration that the readers of its file and its parts share."""
+"""The configuration of a sidecar, shared by the reader of the configuration file and the running sidecar."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a sidecar is started with, named as in its file.
+    """The configuration of a sidecar, with the names that the configuration file has.
 
     Attributes:
-        listen: Address that the application connects to.
+        listen: Address at which the sidecar accepts connections of the application.
         discovery: Address of the registry.
         seed: Seed of the balancer's random choices.
-        sockets: Most file descriptors that it may hold.
+        sockets: Maximum number of file descriptors that the sidecar may have open.
         settings: Settings of the balancer.
-        cached_endpoints: Endpoint list as held before the start, which alone needs it.
-        version: Version of the configuration; None: it has none.
+        cached_endpoints: Last known endpoint list, used only at the start; reloads ignore it.
+        version: Version of the configuration; None if it has none.
     """
 
     listen: Address
--- a/sidecar/configuration.py
+++ b/sidecar/configuration.py
@@ -1,4 +1,8 @@
-"""Reads the configuration of one sidecar: a JSON file, and the environment where the file is silent."""
+"""Reads the configuration of a sidecar from a JSON file and environment variables.
+
+RELAY_CONFIG is the path of the file.  RELAY_LISTEN overrides the `listen` of the file.  RELAY_DISCOVERY is
+used only if the file has no `discovery`.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
 from sidecar.settings.wire_names import settings_from_wire
 
 READ_ERRORS = (OSError, ConfigurationError)
-"""What `read_config` raises: the file can't be read, or what it holds can't be used."""
+"""The exceptions of `read_config`: the file can't be read, or its contents are invalid."""
 
 _FILE_VARIABLE = "RELAY_CONFIG"
 _LISTEN_VARIABLE = "RELAY_LISTEN"
@@ -22,10 +26,9 @@
 
 
 class NoConfigurationFileError(ConfigurationError):
-    """The environment names no configuration file."""
+    """The environment doesn't name a configuration file."""
 
     def __init__(self) -> None:
-        """Make the error."""
         super().__init__(f"{_FILE_VARIABLE} names no file")
 
 
@@ -33,15 +36,15 @@
     """The configuration file isn't JSON."""
 
     def __init__(self, reason: Exception) -> None:
-        """Make the error from what the JSON reader raised."""
+        """Create the error from the exception of the JSON parser."""
         super().__init__(f"not JSON: {reason}")
 
 
 class InvalidEndpointListError(ConfigurationError):
-    """The last known endpoint list has another form than that of service discovery."""
+    """The last known endpoint list isn't in the format of the registry's responses."""
 
     def __init__(self, key: str, reason: Exception) -> None:
-        """Make the error from what the reader of the list at `key` raised."""
+        """Create the error from the exception that parsing the list at `key` raised."""
         super().__init__(f"{key}: {reason}")
 
 
@@ -50,15 +53,15 @@
 
     Args:
         environ: Environment variables.
-        with_known_endpoints: Whether to read the entries of the last known endpoint list.  The start alone
-            needs them, and while the sidecar serves, its requests would wait for thousands to be read.
+        with_known_endpoints: Whether to read the entries of the last known endpoint list.  Only the start
+            needs them; on a reload, parsing thousands of entries would delay the requests being served.
 
     Returns:
         The configuration.
 
     Raises:
         OSError: The file can't be read.
-        ConfigurationError: What the file holds can't be used; the message names the key.
+        ConfigurationError: The contents of the file are invalid; the message names the key.
     """
     document = _read_json_object(environ.get(_FILE_VARIABLE))
     return Config(
@@ -110,7 +113,7 @@
 
 
 def _seed(value: object) -> int:
-    expected = "a text of hex digits"
+    expected = "a string of hex digits"
     if not isinstance(value, str):
         raise InvalidSettingError("seed", expected, value)
     try:
@@ -142,7 +145,7 @@
 
 
 def _integer(value: object, key: str, low: int) -> int:
-    """Check a whole number strictly: unlike in the settings, neither 2.0 nor null will do."""
+    """Return a whole number; unlike in the settings, neither 2.0 nor null is accepted."""
     if type(value) is not int or value < low:
         raise InvalidSettingError(key, f"a whole number from {low}", value)
     return value
--- a/sidecar/logs.py
+++ b/sidecar/logs.py
@@ -1,4 +1,4 @@
-"""The log of the process: lines on standard error, at a limited rate."""
+"""Logging of the process: lines on standard error, at a limited rate."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class RateLimitFilter(logging.Filter):
-    """Drops log lines beyond a number in each second.
+    """Drops log lines beyond a maximum number per second.
 
-    Guards against junk from outside that would fill the log.
+    It keeps a flood of malformed input from filling the log.
     """
 
     def __init__(self, lines_per_second: int) -> None:
-        """Make a filter.
+        """Create a filter.
 
         Args:
-            lines_per_second: How many lines at most pass in each second of the wall clock.
+            lines_per_second: Maximum number of lines that pass in each second of the wall clock.
         """
         super().__init__()
         self._lines_per_second = lines_per_second
@@ -26,7 +26,7 @@
         self._lines_in_second = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether a line passes."""
+        """Return whether a line is written to the log."""
         second = int(record.created)
         if second != self._current_second:
             self._current_second, self._lines_in_second = second, 0
@@ -35,7 +35,7 @@
 
 
 def configure_logging() -> None:
-    """Log to standard error from now on, in lines with time and module."""
+    """Configure logging to standard error, in lines with the time and the name of the logger."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(logging.Formatter("%(asctime)s %(name)s %(message)s"))
     handler.addFilter(RateLimitFilter(_MAX_LINES_PER_SECOND))
--- a/sidecar/reload.py
+++ b/sidecar/reload.py
@@ -1,7 +1,7 @@
-"""Reloads: a configuration that was read again is applied while the sidecar runs, or rejected.
+"""Reloads the configuration while the sidecar runs: a new configuration is applied, or rejected as a whole.
 
-Settings and the address of discovery take effect at once.  What is fixed at the start (`listen`, `seed` and
-`limits.sockets`) needs a restart: a change of it is named in the log and otherwise ignored.
+Settings and the discovery address take effect immediately.  Fields that are fixed at the start (`listen`,
+`seed` and `limits.sockets`) need a restart: a change to one of them is logged and otherwise ignored.
 """
 
 from __future__ import annotations
@@ -17,21 +17,22 @@
 
 log = logging.getLogger(__name__)
 
-# Backoff before a file that could not be read is read again: of the 4 s until changes at a new address of
-# discovery count as notified, most are left to the call there.
+# Backoff between attempts to read a file that could not be read.  The sidecar must know the changes at a new
+# discovery address 4 s after SIGHUP.  The delays add up to 1.5 s and leave the rest for the first request to
+# that address.
 _RETRY_DELAYS_S = (0.1, 0.2, 0.4, 0.8)
-_RESTART_ONLY_FIELDS = ("listen", "seed", "sockets")  # fields of Config that are set at the start for good
+_RESTART_ONLY_FIELDS = ("listen", "seed", "sockets")  # fields of Config that are fixed at the start
 
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """A new configuration is in force.
+    """The new configuration has been applied.
 
     Attributes:
-        version: Its version, if it has one.
-        changed: Parts of the settings, and the address of discovery, that differ from what was in force.
-        needs_restart: Fields that differ from those of the start and take effect at the next one.
-        duration_s: How long reading and applying it took, in seconds.
+        version: Version of the configuration, if it has one.
+        changed: Names of the changed settings, and "discovery address" if that changed.
+        needs_restart: Fields that differ from the initial configuration and take effect at the next start.
+        duration_s: Time that reading and applying the configuration took, in seconds.
     """
 
     version: int | None
@@ -42,10 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Unchanged:
-    """The configuration is the same as the one in force.
+    """The new configuration equals the active one.
 
     Attributes:
-        version: Its version, if it has one.
+        version: Version of the configuration, if it has one.
     """
 
     version: int | None
@@ -53,11 +54,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The new configuration is not applied; the one in force stays.
+    """The new configuration has not been applied; the previous one stays active.
 
     Attributes:
-        reason: What is wrong with the new one.
-        is_transient: Whether the system failed to read the file, which may work a moment later.
+        reason: Why it was rejected.
+        is_transient: Whether the file could not be read, so that a retry may succeed.
     """
 
     reason: str
@@ -68,31 +69,32 @@
 
 
 class Reloader:
-    """Holds the configuration in force and replaces it.
+    """Holds the active configuration and replaces it on a reload.
 
     Attributes:
-        active: The configuration in force.
+        active: The active configuration.
     """
 
     def __init__(self, initial: Config, apply_change: Callable[[Config, Config], None]) -> None:
-        """Begin with the configuration of the start.
+        """Create a reloader with the initial configuration active.
 
         Args:
-            initial: The configuration that is in force.
-            apply_change: Applies the difference between two configurations, the present one first.
+            initial: The configuration that the sidecar was started with.
+            apply_change: Applies the differences between two configurations, the old and the new one.
         """
         self._initial = initial
         self._apply_change = apply_change
         self.active = initial
 
     def reload(self, read_config: Callable[[], Config]) -> ReloadResult:
-        """Read a configuration and apply it; the log has one line about the result.
+        """Read a configuration, apply it and log the result.
 
         Args:
-            read_config: Reads the new configuration; its OSError or ConfigurationError rejects it.
+            read_config: Reads the new configuration; if it raises OSError or ConfigurationError, the
+                reload is rejected.
 
         Returns:
-            Whether it was applied.
+            Whether and how the configuration was replaced.
         """
         started_s = time.monotonic()
         try:
@@ -114,9 +116,9 @@
         try:
             self._apply_change(old, new)
         except Exception as error:
-            log.exception("version %s could not be put into force", _version_text(new.version))
+            log.exception("configuration version %s could not be applied", _version_text(new.version))
             self._apply_change(new, old)
-            return Rejected(f"it could not be put into force: {error!r}")
+            return Rejected(f"it could not be applied: {error!r}")
         self.active = new
         return Applied(
             version=new.version,
@@ -132,18 +134,19 @@
 
 
 class ReloadSignalHandler:
-    """Reloads whenever a signal asks for it, with retries where the file could not be read.
+    """Reloads on each signal, with retries if the file can't be read.
 
-    The retries guard against a moment without file descriptors or a fault of the disk: nobody signals again,
-    and the old address of discovery may notify of no more changes.  A file that was read and is bad is not
-    read again, as whoever completes it sends another signal.
+    A read may fail temporarily because the process is out of file descriptors or the disk has an error.
+    Without a retry the reload would be lost, as no second signal follows, and the old discovery address may
+    no longer report changes.  An invalid file is not read again, because whoever corrects it sends another
+    signal.
     """
 
     def __init__(self, reloader: Reloader, read_config: Callable[[], Config]) -> None:
-        """Make a handler.
+        """Create a handler.
 
         Args:
-            reloader: Holds the configuration in force.
+            reloader: Holds the active configuration.
             read_config: Reads the new configuration.
         """
         self._reloader = reloader
@@ -151,7 +154,7 @@
         self._retry: asyncio.TimerHandle | None = None
 
     def handle_signal(self) -> None:
-        """Reload now, in place of a retry that is still pending; needs a running event loop."""
+        """Reload now and cancel a pending retry; requires a running event loop."""
         if self._retry is not None:
             self._retry.cancel()
         self._try_reload(_RETRY_DELAYS_S)
@@ -165,12 +168,15 @@
 
 
 def _version_conflict(active: int | None, new: int | None) -> str | None:
-    """Say why a version may not follow the active one: a file that comes late must not undo a newer one."""
+    """Return why a version may not replace the active one, or None if it may.
+
+    Versions must increase, so that a file that arrives late does not undo a newer one.
+    """
     if active is None or new is None or new > active:
         return None
     if new == active:
-        return f"version {new} is in force with other contents"
-    return f"version {new} is older than version {active}, which is in force"
+        return f"version {new} is already active with different contents"
+    return f"version {new} is older than version {active}, which is active"
 
 
 def _changed_parts(old: Config, new: Config) -> tuple[str, ...]:
@@ -180,12 +186,12 @@
         if getattr(old.settings, setting.name) != getattr(new.settings, setting.name)
     ]
     if old.discovery != new.discovery:
-        changed_parts.append("address of discovery")
+        changed_parts.append("discovery address")
     return tuple(changed_parts)
 
 
 def _version_text(version: int | None) -> str:
-    return "without a number" if version is None else str(version)
+    return "(none)" if version is None else str(version)
 
 
 def _log_result(result: ReloadResult) -> None:
@@ -193,9 +199,11 @@
         case Applied():
             _log_applied(result)
         case Unchanged():
-            log.info("configuration version %s in force already", _version_text(result.version))
+            log.info("configuration version %s is already active", _version_text(result.version))
         case Rejected():
-            log.error("the configuration stays as it was: %s", result.reason.replace("\n", " "))
+            log.error(
+                "reload rejected; keeping the active configuration: %s", result.reason.replace("\n", " ")
+            )
 
 
 def _log_applied(result: Applied) -> None:
@@ -203,7 +211,7 @@
     if result.needs_restart:
         changed += f"; needs a restart: {', '.join(result.needs_restart)}"
     log.info(
-        "configuration version %s in force after %.1f ms; changed: %s",
+        "configuration version %s applied in %.1f ms; changed: %s",
         _version_text(result.version),
         result.duration_s * 1000,
         changed,
--- a/tests/configuration/test_reload.py
+++ b/tests/configuration/test_reload.py
@@ -43,13 +43,13 @@
     new = replace(INITIAL, version=5, settings=OTHER, discovery=("127.0.0.1", 3), seed=8, sockets=512)
     result = reloader.reload(read_from(new))
     assert isinstance(result, Applied)
-    assert (result.version, result.changed) == (5, ("classes", "address of discovery"))
+    assert (result.version, result.changed) == (5, ("classes", "discovery address"))
     assert result.needs_restart == ("seed", "sockets")
     assert reloader.active is new
     assert apply.calls == [(INITIAL, new)]
     [line] = [each.getMessage() for each in caplog.records]
-    assert line.startswith("configuration version 5 in force after ")
-    assert line.endswith("changed: classes, address of discovery; needs a restart: seed, sockets")
+    assert line.startswith("configuration version 5 applied in ")
+    assert line.endswith("changed: classes, discovery address; needs a restart: seed, sockets")
 
 
 def test_fields_that_need_a_restart_are_compared_with_the_start_not_with_the_last_reload() -> None:
@@ -81,7 +81,7 @@
     assert f"version {version}" in result.reason
     assert reloader.active is INITIAL
     assert apply.calls == []
-    assert caplog.messages == [f"the configuration stays as it was: {result.reason}"]
+    assert caplog.messages == [f"reload rejected; keeping the active configuration: {result.reason}"]
 
 
 def test_a_file_without_a_version_is_always_applied_and_any_version_after_it() -> None:
--- a/tests/proxy/test_process_lifecycle.py
+++ b/tests/proxy/test_process_lifecycle.py
@@ -247,7 +247,7 @@
             for junk in ("not json", json.dumps(config(discovery="nowhere"))):
                 path.write_text(junk, encoding="utf-8")
                 process.send_signal(signal.SIGHUP)
-                assert b"the configuration stays as it was" in await next_line(process.stderr)
+                assert b"reload rejected; keeping the active configuration" in await next_line(process.stderr)
             for number, now in enumerate((first, second), start=1):
                 path.write_text(replaced(now), encoding="utf-8")
                 process.send_signal(signal.SIGHUP)
--- a/tests/scale/test_demo.py
+++ b/tests/scale/test_demo.py
@@ -106,7 +106,7 @@
     with ReservedAddress() as listen, ProcessGroup() as group:
         address = listen.address
         sidecar = start_sidecar(group, sample_config(address, address) | {"seed": 7}, tmp_path)
-        with pytest.raises(SidecarError, match="seed: a text of hex digits is needed, not 7"):
+        with pytest.raises(SidecarError, match="seed: a string of hex digits is needed, not 7"):
             await_ready(sidecar, address, tmp_path)
 
 
