--- a/scale/control/stub_sidecar.py
+++ b/scale/control/stub_sidecar.py
@@ -61,21 +61,21 @@
         if response is None:
             self._handle(RegistryUpdated(RegistryUpdateKind.FAILED))
             return
-        is_update = response.complete or response.version > self.applied.version()
+        is_update = response.is_complete or response.version > self.applied.version()
         self._apply(response)
         if is_update:
             self.applied.add(response.version, time.monotonic())
 
     def _apply(self, response: RegistryResponse) -> None:
         """Apply an update in the order of `Sidecar`: addresses first, then the balancer."""
-        if response.complete:
+        if response.is_complete:
             self._pool.retain({resolved.endpoint.name for resolved in response.endpoints})
         for resolved in response.endpoints:
             endpoint = resolved.endpoint
             self._pool.update(endpoint.name, resolved.address, endpoint.started_at, endpoint.state)
         servers = [resolved.endpoint for resolved in response.endpoints]
         servers += [Endpoint(name, state=ServerState.REMOVED) for name in self._pool.remove_superseded()]
-        kind = RegistryUpdateKind.SNAPSHOT if response.complete else RegistryUpdateKind.DELTA
+        kind = RegistryUpdateKind.SNAPSHOT if response.is_complete else RegistryUpdateKind.DELTA
         self._handle(RegistryUpdated(kind, servers, response.version))
 
     def _handle(self, event: RegistryUpdated | TimerFired) -> None:
--- a/sidecar/proxy/attempts.py
+++ b/sidecar/proxy/attempts.py
@@ -15,11 +15,12 @@
 from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.exchange import DeferredRequest, Exchange
 from sidecar.proxy.http_messages import Response, encode_message
-from sidecar.proxy.load_reports import parse_report
+from sidecar.proxy.load_reports import parse_load_report
 from sidecar.proxy.request_lifecycle import RequestLifecycle
 from sidecar.settings import Settings
 
-_FORWARDED_HEADERS = (b"content-type", b"content-encoding")  # of a server's headers, these go to the client
+# The headers of a server's response that are forwarded to the client.
+_FORWARDED_RESPONSE_HEADERS = (b"content-type", b"content-encoding")
 _LOAD_REPORT_HEADER = b"x-load-report"
 
 
@@ -87,20 +88,20 @@
 
     def _start(self, attempt: Attempt, deadline_us: int) -> None:
         deadline = self._clock.to_loop_time(deadline_us)
-        ended = partial(self._on_ended, attempt)
-        order = DeferredRequest(partial(self._encode_if_wanted, attempt))
+        on_outcome = partial(self._on_ended, attempt)
+        encoder = DeferredRequest(partial(self._encode_if_wanted, attempt))
         try:
-            exchange = self._pool.send(attempt.server, order, deadline, ended)
+            exchange = self._pool.send(attempt.server, encoder, deadline, on_outcome)
         except Exception:
-            ended(Outcome.RESET, None)  # a defect: it is not known how much was sent
+            on_outcome(Outcome.RESET, None)  # a defect: it is not known how much was sent
             raise
         if attempt.number in attempt.request.in_flight:
             attempt.request.in_flight[attempt.number] = exchange
-            self._bound_write(attempt, exchange)
+            self._schedule_write_deadline(attempt, exchange)
 
-    def _bound_write(self, attempt: Attempt, exchange: Exchange) -> None:
+    def _schedule_write_deadline(self, attempt: Attempt, exchange: Exchange) -> None:
         """Set the timer that ends an attempt which is not written completely in time."""
-        if attempt.write_by_us is None or exchange.is_written():
+        if attempt.write_by_us is None or exchange.is_request_written():
             return
         due = self._clock.to_loop_time(attempt.write_by_us)
         timer = asyncio.get_running_loop().call_at(due, self._end_unwritten, attempt)
@@ -110,7 +111,7 @@
         """End a retry that is not written completely: servers begin to forget its idempotency key."""
         exchange = attempt.request.in_flight.get(attempt.number)
         if exchange is not None and attempt.request.has_other_started(attempt.number):
-            self._pool.abandon_unwritten(exchange)
+            self._pool.abandon_if_unwritten(exchange)
 
     def _encode_if_wanted(self, attempt: Attempt, remaining_s: float) -> bytes | None:
         """Return what an attempt sends, or None where it may not be sent any more.
@@ -139,7 +140,7 @@
             return
         del request.in_flight[number]
         if outcome is Outcome.SUCCEEDED and response is not None:
-            headers = [header for header in response.headers if header[0] in _FORWARDED_HEADERS]
+            headers = [header for header in response.headers if header[0] in _FORWARDED_RESPONSE_HEADERS]
             self._requests.answer(request, 200, headers, response.body)
         elapsed_us = self._clock.now() - attempt.sent_at_us
         report = self._load_report(response)
@@ -153,7 +154,7 @@
         if response is None:
             return None
         text = response.header(_LOAD_REPORT_HEADER)
-        return parse_report(text, self.settings.report_columns)
+        return parse_load_report(text, self.settings.report_columns)
 
 
 def encode_request(request: ClientRequest, remaining_s: float) -> bytes:
--- a/sidecar/proxy/connection_dialer.py
+++ b/sidecar/proxy/connection_dialer.py
@@ -16,7 +16,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_BODY_BYTES = 64 * 1024  # of a response, as the protocol has it
+MAX_RESPONSE_BODY_BYTES = 64 * 1024  # as the protocol between clients and servers limits it
 
 
 class ConnectionDialer:
@@ -61,18 +61,18 @@
         if self.is_at_limit() and not self._close_one_idle():
             return False
         self.open_connections += 1
-        exchange.server.dialing.add(exchange)
+        exchange.server.dialing_exchanges.add(exchange)
         exchange.dial_task = asyncio.get_running_loop().create_task(self._dial(exchange))
         exchange.dial_task.add_done_callback(self._on_dial_done)
         return True
 
     def _close_one_idle(self) -> bool:
         """Close the longest idle connection of the server with the most; return whether there was one."""
-        while servers := [server for server in self._servers.values() if server.idle]:
-            fullest = max(servers, key=lambda server: len(server.idle))
-            idle = fullest.idle.pop(0)
+        while servers := [server for server in self._servers.values() if server.idle_connections]:
+            fullest = max(servers, key=lambda server: len(server.idle_connections))
+            idle = fullest.idle_connections.pop(0)
             idle.close_timer.cancel()
-            if idle.connection.reusable:  # otherwise it has ended already and is not counted any more
+            if idle.connection.is_reusable:  # otherwise it has ended already and is not counted any more
                 idle.connection.abort()
                 return True
         return False
@@ -103,10 +103,10 @@
                 sock = open_socket(partial(sockets.new_socket, address))
                 exchange.connecting_socket = sock
                 # A response that has begun may take as long as a dial.
-                return await connect(address, MAX_BODY_BYTES, self.dial_timeout_s, sock)
+                return await connect(address, MAX_RESPONSE_BODY_BYTES, self.dial_timeout_s, sock)
             except LocalDialError as error:
                 log.debug("dial of %s failed locally and is retried: %r", exchange.server.name, error)
-                exchange.local_failure = True
+                exchange.has_local_failure = True
                 exchange.connecting_socket = None
                 await asyncio.sleep(next(backoff))
 
--- a/sidecar/proxy/connection_pool.py
+++ b/sidecar/proxy/connection_pool.py
@@ -18,7 +18,7 @@
     EncodedRequest,
     Exchange,
     OutcomeCallback,
-    RequestWriter,
+    RequestEncoder,
     classify_outcome,
 )
 from sidecar.proxy.http_messages import Response, encode_message
@@ -83,13 +83,13 @@
     # -- Exchanges ------------------------------------------------------------------------------------
 
     def send(
-        self, name: str, writer: RequestWriter, deadline: float, on_outcome: OutcomeCallback
+        self, name: str, encoder: RequestEncoder, deadline: float, on_outcome: OutcomeCallback
     ) -> Exchange:
         """Start an attempt.
 
         Args:
             name: Name of the server, which the endpoint list must hold.
-            writer: Encodes the request.
+            encoder: Encodes the request.
             deadline: Event loop time at which the attempt ends in any case.
             on_outcome: Is called exactly once with the outcome, maybe before this returns.
 
@@ -101,7 +101,7 @@
         """
         server = self.servers[name]
         loop = asyncio.get_running_loop()
-        exchange = Exchange(server, writer, deadline, on_outcome)
+        exchange = Exchange(server, encoder, deadline, on_outcome)
         if deadline <= loop.time() or server.state is not ServerState.READY:
             # Not ready: the balancer is about to be notified of that.
             exchange.end(Outcome.NOT_SENT)
@@ -133,17 +133,17 @@
         """End an exchange, whatever its progress."""
         exchange.end(Outcome.CANCELLED)
 
-    def abandon_unwritten(self, exchange: Exchange) -> None:
+    def abandon_if_unwritten(self, exchange: Exchange) -> None:
         """End an exchange whose request has not been written completely, so that it never will be."""
-        if not exchange.is_written():
+        if not exchange.is_request_written():
             exchange.end(Outcome.NOT_SENT)
 
     async def close(self) -> None:
         """Close idle connections, end the dials in progress and wait for them."""
-        dialing = [exchange for server in self.servers.values() for exchange in server.dialing]
+        dialing = [exchange for server in self.servers.values() for exchange in server.dialing_exchanges]
         dials = [exchange.dial_task for exchange in dialing if exchange.dial_task is not None]
         for server in list(self.servers.values()):
-            server.end_unwritten()
+            server.close_idle_and_end_dials()
         await asyncio.gather(*dials, return_exceptions=True)
 
     def _start(self, exchange: Exchange) -> None:
@@ -160,7 +160,7 @@
     def _write(self, exchange: Exchange, connection: ServerConnection) -> None:
         """Write the request of an exchange to its connection, if it is still wanted."""
         exchange.dial_task = None
-        exchange.server.dialing.discard(exchange)
+        exchange.server.dialing_exchanges.discard(exchange)
         now = asyncio.get_running_loop().time()
         data = exchange.encode_request(now)
         if data is None:
@@ -168,33 +168,33 @@
             exchange.end(Outcome.NOT_SENT)
             return
         exchange.connection = connection
-        exchange.written_at = now
+        exchange.write_started_at = now
         on_response = partial(self._on_response, exchange, connection)
-        connection.request(data, on_response, exchange.is_still_wanted)
+        connection.request(data, on_response, exchange.check_still_wanted)
 
     def _on_response(
         self, exchange: Exchange, connection: ServerConnection, response: Response | None
     ) -> None:
         self._release(exchange, connection)
-        outcome = classify_outcome(response, connection.request_written, connection.protocol_error)
-        if outcome is Outcome.CONNECT_FAILED and connection.local_failure:
+        outcome = classify_outcome(response, connection.request_written, connection.has_protocol_error)
+        if outcome is Outcome.CONNECT_FAILED and connection.has_local_failure:
             outcome = Outcome.NOT_SENT  # the server has no part in it
         if not exchange.is_over():  # otherwise the connection was closed here
-            self._record_use(exchange, outcome)
+            self._record_request(exchange, outcome)
         exchange.end(outcome, response)
 
-    def _record_use(self, exchange: Exchange, outcome: Outcome) -> None:
+    def _record_request(self, exchange: Exchange, outcome: Outcome) -> None:
         """Count whether the connection broke because it had been idle.
 
         One that was forgotten while it was idle breaks at once; later it is the server that fails.
         """
-        elapsed_s = asyncio.get_running_loop().time() - exchange.written_at
-        broke = outcome is Outcome.RESET and elapsed_s < self._dialer.dial_timeout_s
-        self._idle_connections.record_use(exchange.idle_s, broke)
+        elapsed_s = asyncio.get_running_loop().time() - exchange.write_started_at
+        has_failed = outcome is Outcome.RESET and elapsed_s < self._dialer.dial_timeout_s
+        self._idle_connections.record_request(exchange.idle_s, has_failed)
 
     def _release(self, exchange: Exchange, connection: ServerConnection) -> None:
         """Keep a connection for the next request, or close it if it is of no use any more."""
-        if not connection.reusable:
+        if not connection.is_reusable:
             return
         if exchange.server.may_reuse(exchange.generation):
             self._idle_connections.keep(exchange.server, connection)
--- a/sidecar/proxy/discovery_client.py
+++ b/sidecar/proxy/discovery_client.py
@@ -65,9 +65,8 @@
         self._is_stopped = False
         self._watch: asyncio.Task[None] | None = None
         self._fetches: set[asyncio.Task[bool]] = set()  # as many as the balancer asks for
-        self._unanswered: ServerConnection | None = (
-            None  # of a call that timed out, until the next one is sent
-        )
+        # The connection of a call that timed out; it stays open until the next call is sent.
+        self._timed_out_connection: ServerConnection | None = None
 
     def start_watch(self) -> None:
         """Start the watch; one that is running goes on."""
@@ -79,7 +78,7 @@
         if self._watch is not None:
             self._watch.cancel()
             self._watch = None
-        self._abort_unanswered()
+        self._abort_timed_out_connection()
 
     def fetch(self) -> None:
         """Fetch the complete list once."""
@@ -104,8 +103,8 @@
         self._is_stopped = True
         self.stop_watch()
 
-    def _abort_unanswered(self) -> None:
-        connection, self._unanswered = self._unanswered, None
+    def _abort_timed_out_connection(self) -> None:
+        connection, self._timed_out_connection = self._timed_out_connection, None
         if connection is not None:
             connection.abort()
 
@@ -116,10 +115,10 @@
         """
         loop = asyncio.get_running_loop()
         while True:
-            began, version = loop.time(), self._version
+            started_at, version = loop.time(), self._version
             if not await self._poll(*self._next_call()):
                 return
-            if self._version == version and loop.time() < began + _EMPTY_RESPONSE_PAUSE_S:
+            if self._version == version and loop.time() < started_at + _EMPTY_RESPONSE_PAUSE_S:
                 # Guards against spinning on a registry that does not hold watches.
                 await asyncio.sleep(_EMPTY_RESPONSE_PAUSE_S)
 
@@ -147,8 +146,8 @@
                     self._has_last_call_failed = False
                     return True
                 self._version = response.version
-        except (OSError, ValueError) as fault:  # TimeoutError is an OSError
-            log.warning("registry at %s:%d: %s failed: %r", *self._address, target, fault)
+        except (OSError, ValueError) as error:  # TimeoutError is an OSError
+            log.warning("registry at %s:%d: %s failed: %r", *self._address, target, error)
         except Exception:  # a defect or junk: the watch is opened anew
             log.exception("registry at %s:%d: %s could not be handled", *self._address, target)
         has_succeeded = response is not None and self._apply(response)
@@ -182,22 +181,22 @@
             raise RegistryStatusError(response.status)
         return parse_registry_response(json.loads(response.body))
 
-    async def _call(self, target: str, time_limit: asyncio.Timeout) -> Response | None:
+    async def _call(self, target: str, call_timeout: asyncio.Timeout) -> Response | None:
         """Make a call within a time limit; return its response, or None where the connection broke."""
         async with asyncio.timeout(_CONNECT_TIMEOUT_S):
             connection = await connect(self._address, _MAX_RESPONSE_BYTES)
         try:
-            return await self._exchange(connection, target)
+            return await self._send_request(connection, target)
         finally:
-            if time_limit.expired():
+            if call_timeout.expired():
                 # A sidecar with no call in flight counts as notified of all that is older than the longest
                 # interval between calls: this one stays open until the next is sent.
-                self._abort_unanswered()
-                self._unanswered = connection
+                self._abort_timed_out_connection()
+                self._timed_out_connection = connection
             else:
                 connection.abort()
 
-    async def _exchange(self, connection: ServerConnection, target: str) -> Response | None:
+    async def _send_request(self, connection: ServerConnection, target: str) -> Response | None:
         if not connection.is_idle():  # it broke as it opened, and would never report its end
             raise RegistryConnectionError
         received: asyncio.Future[Response | None] = asyncio.get_running_loop().create_future()
@@ -207,7 +206,7 @@
                 received.set_result(response)
 
         connection.request(self._encode_request(target), on_response)
-        self._abort_unanswered()
+        self._abort_timed_out_connection()
         return await received
 
     def _encode_request(self, target: str) -> bytes:
--- a/sidecar/proxy/endpoint_list.py
+++ b/sidecar/proxy/endpoint_list.py
@@ -61,7 +61,7 @@
     def on_response(self, response: RegistryResponse | None) -> None:
         """Apply a response of the registry; None: a call failed."""
         if response is not None:
-            kind = RegistryUpdateKind.SNAPSHOT if response.complete else RegistryUpdateKind.DELTA
+            kind = RegistryUpdateKind.SNAPSHOT if response.is_complete else RegistryUpdateKind.DELTA
             self.apply(kind, response)
             return
         self._handle(RegistryUpdated(RegistryUpdateKind.FAILED))
--- a/sidecar/proxy/exchange.py
+++ b/sidecar/proxy/exchange.py
@@ -21,7 +21,7 @@
 _ABORTING_OUTCOMES = (Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
-class RequestWriter(Protocol):
+class RequestEncoder(Protocol):
     """Encodes a request at the moment when it is written, as it states the remaining time."""
 
     def encode(self, remaining_s: float, /) -> bytes | None:
@@ -64,7 +64,7 @@
     """A request that a function encodes when it is written.
 
     Attributes:
-        encode: Encodes the request, as `RequestWriter.encode` does.
+        encode: Encodes the request, as `RequestEncoder.encode` does.
     """
 
     encode: Callable[[float], bytes | None]
@@ -78,22 +78,22 @@
         generation: The generation of the server's process at its start.
         deadline: Event loop time at which it ends in any case.
         connection: What its request is written to; None until then.
-        written_at: Event loop time at which writing its request began.
+        write_started_at: Event loop time at which writing its request began.
         idle_s: Seconds that its connection had been idle; None: it is new.
         dial_task: Its dial while that is in progress.
         connecting_socket: What its dial is connecting.
-        local_failure: Whether its dial has failed for a cause on this machine, and is retried.
+        has_local_failure: Whether its dial has failed for a cause on this machine, and is retried.
         timers: Are cancelled when it ends.
     """
 
     def __init__(
-        self, server: PooledServer, writer: RequestWriter, deadline: float, on_outcome: OutcomeCallback
+        self, server: PooledServer, encoder: RequestEncoder, deadline: float, on_outcome: OutcomeCallback
     ) -> None:
         """Create an exchange; nothing is dialed or written yet.
 
         Args:
             server: Where it goes to.
-            writer: Encodes its request.
+            encoder: Encodes its request.
             deadline: Event loop time at which it ends in any case.
             on_outcome: Is called exactly once when it ends.
         """
@@ -101,28 +101,28 @@
         self.generation = server.generation
         self.deadline = deadline
         self.connection: ServerConnection | None = None
-        self.written_at = 0.0
+        self.write_started_at = 0.0
         self.idle_s: float | None = None
         self.dial_task: asyncio.Task[bool] | None = None
         self.connecting_socket: socket.socket | None = None
-        self.local_failure = False
+        self.has_local_failure = False
         self.timers: list[asyncio.TimerHandle] = []
-        self._writer = writer
+        self._encoder = encoder
         self._on_outcome: OutcomeCallback | None = on_outcome
 
     def is_over(self) -> bool:
         """Return whether it has ended."""
         return self._on_outcome is None
 
-    def is_written(self) -> bool:
+    def is_request_written(self) -> bool:
         """Return whether the last byte of its request has been handed to the kernel."""
         return self.connection is not None and self.connection.request_written
 
     def encode_request(self, now: float) -> bytes | None:
         """Encode its request at an event loop time; return None if it is not wanted any more."""
-        return self._writer.encode(max(self.deadline - now, 0.0))
+        return self._encoder.encode(max(self.deadline - now, 0.0))
 
-    def is_still_wanted(self) -> bool:
+    def check_still_wanted(self) -> bool:
         """Return whether a long request may be written to its end; end the exchange if not."""
         if self.encode_request(asyncio.get_running_loop().time()) is None:
             self.end(Outcome.NOT_SENT)
@@ -130,7 +130,7 @@
 
     def on_deadline(self) -> None:
         """End it, whatever its progress."""
-        self.end(Outcome.TIMED_OUT if self.is_written() else self._unwritten_outcome())
+        self.end(Outcome.TIMED_OUT if self.is_request_written() else self._unwritten_outcome())
 
     def on_dial_timeout(self) -> None:
         """End it if its dial has not succeeded.
@@ -150,7 +150,7 @@
             return
         for timer in self.timers:
             timer.cancel()
-        self.server.dialing.discard(self)
+        self.server.dialing_exchanges.discard(self)
         if outcome in _ABORTING_OUTCOMES:
             self._abort()
         on_outcome(outcome, response)
@@ -163,26 +163,26 @@
 
     def _unwritten_outcome(self) -> Outcome:
         """Return what it proves that the request was not written in time."""
-        if self.connection is None and self.local_failure:
+        if self.connection is None and self.has_local_failure:
             return Outcome.NOT_SENT
         return Outcome.CONNECT_FAILED
 
 
-def classify_outcome(response: Response | None, written: bool, protocol_error: bool) -> Outcome:
+def classify_outcome(response: Response | None, request_written: bool, has_protocol_error: bool) -> Outcome:
     """Return what the end of an exchange proves; that the request never ran only if that is certain.
 
     Args:
         response: The complete response; None: there is none.
-        written: Whether the last byte of the request has been handed to the kernel.  A server begins a
-            request with its last byte: what came before belongs to another request.
-        protocol_error: Whether the response is malformed, or more than one came.  A rejection that more bytes
-            follow proves nothing, as one of the two may answer the request before.
+        request_written: Whether the last byte of the request has been handed to the kernel.  A server starts
+            to process a request when it has the last byte: an earlier response belongs to another request.
+        has_protocol_error: Whether the response is malformed, or more than one was received.  A rejection
+            followed by more bytes proves nothing, as one of the two may answer the previous request.
     """
-    if response is not None and response.is_rejection() and not protocol_error:
+    if response is not None and response.is_rejection() and not has_protocol_error:
         return Outcome.REJECTED
-    if not written:
+    if not request_written:
         return Outcome.CONNECT_FAILED
     if response is None:
         # A server that sends malformed responses is reachable all the same.
-        return Outcome.ERROR if protocol_error else Outcome.RESET
+        return Outcome.ERROR if has_protocol_error else Outcome.RESET
     return Outcome.SUCCEEDED if response.status == HTTPStatus.OK else Outcome.ERROR
--- a/sidecar/proxy/health_checks.py
+++ b/sidecar/proxy/health_checks.py
@@ -10,7 +10,7 @@
 from sidecar.proxy.clock import Clock
 from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.http_messages import Response
-from sidecar.proxy.load_reports import parse_health_check
+from sidecar.proxy.load_reports import parse_health_check_response
 from sidecar.settings import ReportSource, Settings
 
 _HEALTH_PATH = "/health/live"
@@ -36,12 +36,12 @@
         """Start a health check."""
         has_reports = self.settings.report_source is not ReportSource.NONE
         path = _LOAD_PATH if has_reports else _HEALTH_PATH
-        ended = partial(self._on_ended, action.server, self._clock.now())
-        self._pool.check_health(action.server, path, ended)
+        on_outcome = partial(self._on_ended, action.server, self._clock.now())
+        self._pool.check_health(action.server, path, on_outcome)
 
     def _on_ended(self, server: str, sent_at_us: int, outcome: Outcome, response: Response | None) -> None:
         report = None
         if response is not None and outcome is Outcome.SUCCEEDED:
-            report = parse_health_check(response.body, self.settings.report_columns)
+            report = parse_health_check_response(response.body, self.settings.report_columns)
         elapsed_us = self._clock.now() - sent_at_us
         self._handle(HealthCheckEnded(server, outcome, elapsed_us, report))
--- a/sidecar/proxy/idle_connections.py
+++ b/sidecar/proxy/idle_connections.py
@@ -44,7 +44,7 @@
             idle_timeout_s: Seconds after which servers close an idle connection.
         """
         self._lifetimes = IdleLifetimeEstimator(idle_timeout_s)
-        self._keep_s = (1.0 - _CLOSE_MARGIN) * idle_timeout_s
+        self._max_idle_s = (1.0 - _CLOSE_MARGIN) * idle_timeout_s
         self.reuse_delay_s = _REUSE_DELAY_FRACTION * dial_timeout_s
 
     def set_timeouts(
@@ -54,23 +54,23 @@
 
         For those the time counts from when they became idle, as it does at their servers.
         """
-        former_keep_s = self._keep_s
-        self._keep_s = (1.0 - _CLOSE_MARGIN) * idle_timeout_s
+        former_max_idle_s = self._max_idle_s
+        self._max_idle_s = (1.0 - _CLOSE_MARGIN) * idle_timeout_s
         self.reuse_delay_s = _REUSE_DELAY_FRACTION * dial_timeout_s
         self._lifetimes.set_time_constant(idle_timeout_s)
-        if self._keep_s == former_keep_s:
+        if self._max_idle_s == former_max_idle_s:
             return
         for server in servers:
-            for idle in server.idle:
+            for idle in server.idle_connections:
                 idle.close_timer.cancel()
-                idle_since = idle.close_timer.when() - former_keep_s
+                idle_since = idle.close_timer.when() - former_max_idle_s
                 idle.close_timer = self._schedule_close(server, idle.connection, idle_since)
 
     def keep(self, server: PooledServer, connection: ServerConnection) -> None:
         """Keep a connection whose request has just ended."""
         now = asyncio.get_running_loop().time()
         timer = self._schedule_close(server, connection, idle_since=now)
-        server.idle.append(IdleConnection(connection, timer))
+        server.idle_connections.append(IdleConnection(connection, timer))
 
     def take(self, server: PooledServer, *, accept_untrusted: bool) -> ReusedConnection | None:
         """Take the most recently used connection that may be reused; close those that may not.
@@ -84,34 +84,36 @@
             The connection, or None if there is none.
         """
         now = asyncio.get_running_loop().time()
-        for index in reversed(range(len(server.idle))):
-            idle = server.idle[index]
-            idle_s = now + self._keep_s - idle.close_timer.when()
+        for index in reversed(range(len(server.idle_connections))):
+            idle = server.idle_connections[index]
+            idle_s = now + self._max_idle_s - idle.close_timer.when()
             if idle_s < self.reuse_delay_s:
                 continue
-            del server.idle[index]
+            del server.idle_connections[index]
             idle.close_timer.cancel()
             if idle.connection.is_idle() and (accept_untrusted or self._lifetimes.is_trusted(idle_s, now)):
                 return ReusedConnection(idle.connection, idle_s)
             idle.connection.abort()
         return None
 
-    def record_use(self, idle_s: float | None, broke: bool) -> None:
+    def record_request(self, idle_s: float | None, has_failed: bool) -> None:
         """Learn from a request.
 
         Args:
             idle_s: Seconds that its connection had been idle; None: it was new.
-            broke: Whether the connection broke on the request.
+            has_failed: Whether the connection broke on the request.
         """
-        self._lifetimes.record(idle_s, broke)
+        self._lifetimes.record(idle_s, has_failed)
 
     def _schedule_close(
         self, server: PooledServer, connection: ServerConnection, idle_since: float
     ) -> asyncio.TimerHandle:
-        close_at = idle_since + self._keep_s
+        close_at = idle_since + self._max_idle_s
         return asyncio.get_running_loop().call_at(close_at, self._on_idle_timeout, server, connection)
 
     @staticmethod
     def _on_idle_timeout(server: PooledServer, connection: ServerConnection) -> None:
-        server.idle = [idle for idle in server.idle if idle.connection is not connection]
+        server.idle_connections = [
+            idle for idle in server.idle_connections if idle.connection is not connection
+        ]
         connection.abort()
--- a/sidecar/proxy/idle_lifetimes.py
+++ b/sidecar/proxy/idle_lifetimes.py
@@ -5,31 +5,31 @@
 import math
 from dataclasses import dataclass
 
-_TOLERATED_EXCESS = 0.1  # of the broken fraction, over that of new connections
-_PRIOR_USES = 20.0  # counted as unbroken beforehand: a few broken ones of a few uses are chance
+_MAX_EXCESS_FAILURE_RATE = 0.1  # of the broken fraction, over that of new connections
+_PRIOR_REQUESTS = 20.0  # counted as unbroken beforehand: a few broken ones of a few uses are chance
 _MIN_BUCKET = -6  # idle times up to two to this power of a second, a sixty-fourth, share a bucket
 
 
 @dataclass(slots=True)
-class BreakageCounter:
+class FailureCounter:
     """Counts requests on connections of similar idle time, and those that the connection broke on.
 
     Attributes:
-        uses: Requests, with exponential decay.
-        breaks: Those of them whose connection broke, with the same decay.
+        requests: Requests, with exponential decay.
+        failures: Those of them whose connection broke, with the same decay.
     """
 
-    uses: float = 0.0
-    breaks: float = 0.0
+    requests: float = 0.0
+    failures: float = 0.0
 
-    def broken_fraction(self) -> float:
+    def failure_rate(self) -> float:
         """Return the fraction of broken requests, drawn towards zero while there are few."""
-        return self.breaks / (self.uses + _PRIOR_USES)
+        return self.failures / (self.requests + _PRIOR_REQUESTS)
 
     def decay(self, factor: float) -> None:
         """Multiply both counts by a factor from 0 to 1."""
-        self.uses *= factor
-        self.breaks *= factor
+        self.requests *= factor
+        self.failures *= factor
 
 
 class IdleLifetimeEstimator:
@@ -48,25 +48,26 @@
         """
         self._time_constant_s = time_constant_s
         self._decayed_at = 0.0
-        self._new_connections = BreakageCounter()
-        self._by_bucket: dict[int, BreakageCounter] = {}  # each up to twice the idle time of the one before
+        self._new_connections = FailureCounter()
+        # Each bucket extends to twice the idle time of the one before.
+        self._counters_by_bucket: dict[int, FailureCounter] = {}
         self._first_stale_bucket: float = math.inf
 
     def set_time_constant(self, time_constant_s: float) -> None:
         """Let counts decay with another time constant, in seconds, from now on."""
         self._time_constant_s = time_constant_s
 
-    def record(self, idle_s: float | None, broke: bool) -> None:
+    def record(self, idle_s: float | None, has_failed: bool) -> None:
         """Count a request.
 
         Args:
             idle_s: Seconds that its connection had been idle; None: it was new.
-            broke: Whether the connection broke on the request.
+            has_failed: Whether the connection broke on the request.
         """
-        counter = self._counter(idle_s)
-        counter.uses += 1.0
-        if broke:
-            counter.breaks += 1.0
+        counter = self._counter_for(idle_s)
+        counter.requests += 1.0
+        if has_failed:
+            counter.failures += 1.0
             self._update_threshold()
 
     def is_trusted(self, idle_s: float, now: float) -> bool:
@@ -82,21 +83,25 @@
             self._decay(now)
         return self._bucket(idle_s) < self._first_stale_bucket
 
-    def _counter(self, idle_s: float | None) -> BreakageCounter:
+    def _counter_for(self, idle_s: float | None) -> FailureCounter:
         if idle_s is None:
             return self._new_connections
-        return self._by_bucket.setdefault(self._bucket(idle_s), BreakageCounter())
+        return self._counters_by_bucket.setdefault(self._bucket(idle_s), FailureCounter())
 
     def _decay(self, now: float) -> None:
         factor = math.exp((self._decayed_at - now) / self._time_constant_s)
         self._decayed_at = now
-        for counter in (self._new_connections, *self._by_bucket.values()):
+        for counter in (self._new_connections, *self._counters_by_bucket.values()):
             counter.decay(factor)
         self._update_threshold()
 
     def _update_threshold(self) -> None:
-        tolerated = self._new_connections.broken_fraction() + _TOLERATED_EXCESS
-        stale = (bucket for bucket, each in self._by_bucket.items() if each.broken_fraction() > tolerated)
+        max_failure_rate = self._new_connections.failure_rate() + _MAX_EXCESS_FAILURE_RATE
+        stale = (
+            bucket
+            for bucket, counter in self._counters_by_bucket.items()
+            if counter.failure_rate() > max_failure_rate
+        )
         self._first_stale_bucket = min(stale, default=math.inf)
 
     @staticmethod
--- a/sidecar/proxy/load_reports.py
+++ b/sidecar/proxy/load_reports.py
@@ -13,7 +13,7 @@
 _METRIC_VALUE = re.compile(r"[0-9]{1,9}(\.[0-9]{1,18})?", re.ASCII)  # a count or a fraction; else malformed
 
 
-def parse_report(text: str | None, columns: Collection[str]) -> dict[str, float] | None:
+def parse_load_report(text: str | None, columns: Collection[str]) -> dict[str, float] | None:
     """Parse a load report in its text format, ``TEXT name=value, ...``.
 
     Args:
@@ -39,7 +39,7 @@
     return report or None
 
 
-def parse_health_check(body: bytes, columns: Collection[str]) -> dict[str, float] | None:
+def parse_health_check_response(body: bytes, columns: Collection[str]) -> dict[str, float] | None:
     """Parse the load report in the response to a health check: a JSON object, or the text format.
 
     Args:
@@ -51,7 +51,7 @@
     """
     text = body.decode("utf-8", "replace").strip()
     if not text.startswith("{"):
-        return parse_report(text, columns)
+        return parse_load_report(text, columns)
     try:
         metrics = json.loads(text)
     except (ValueError, RecursionError):
@@ -59,4 +59,4 @@
         return None
     # Both formats then share the checks of the text format.
     as_text = ",".join(f"{name}={value}" for name, value in metrics.items())
-    return parse_report(f"{_TEXT_FORMAT} {as_text}", columns)
+    return parse_load_report(f"{_TEXT_FORMAT} {as_text}", columns)
--- a/sidecar/proxy/pooled_servers.py
+++ b/sidecar/proxy/pooled_servers.py
@@ -42,8 +42,8 @@
         started_at: When its process started, as discovery tells it; None: long ago.
         state: As of the endpoint list.
         generation: Counts its processes and addresses; connections of an older one are not reused.
-        idle: Its idle connections, the longest idle first; bounded together with all connections.
-        dialing: The exchanges that are waiting for a new connection to it.
+        idle_connections: Its idle connections, the longest idle first; bounded together with all connections.
+        dialing_exchanges: The exchanges that are waiting for a new connection to it.
     """
 
     name: str
@@ -51,8 +51,8 @@
     started_at: int | None
     state: ServerState
     generation: int = 0
-    idle: list[IdleConnection] = field(default_factory=list)
-    dialing: set[Exchange] = field(default_factory=set)
+    idle_connections: list[IdleConnection] = field(default_factory=list)
+    dialing_exchanges: set[Exchange] = field(default_factory=set)
 
     def may_reuse(self, generation: int) -> bool:
         """Return whether a connection of a generation may carry another request."""
@@ -60,10 +60,10 @@
 
     def close_idle(self) -> None:
         """Close its idle connections."""
-        while self.idle:
-            self.idle.pop().close()
+        while self.idle_connections:
+            self.idle_connections.pop().close()
 
-    def end_unwritten(self, outcome: Outcome = Outcome.CONNECT_FAILED) -> None:
+    def close_idle_and_end_dials(self, outcome: Outcome = Outcome.CONNECT_FAILED) -> None:
         """Close its idle connections and end the exchanges that wait for a new one.
 
         Guards against a slow dial that would write its request after a draining server has stopped.
@@ -72,10 +72,10 @@
             outcome: What these exchanges end with.
         """
         self.close_idle()
-        for exchange in list(self.dialing):
+        for exchange in list(self.dialing_exchanges):
             exchange.end(outcome)
 
-    def move(self, address: Address, started_at: int | None) -> None:
+    def replace_process(self, address: Address, started_at: int | None) -> None:
         """Adopt the address and start time of a new process; older connections are of no use any more."""
         has_new_address = self.address != address
         self.address = address
@@ -83,7 +83,8 @@
         self.generation += 1
         self.close_idle()
         if has_new_address:
-            self.end_unwritten(Outcome.NOT_SENT)  # any other server may listen at the old address now
+            # Another server may listen at the old address now.
+            self.close_idle_and_end_dials(Outcome.NOT_SENT)
 
 
 class ServerTable(Mapping[str, PooledServer]):
@@ -118,10 +119,10 @@
             return
         address = address or server.address
         if (server.address, server.started_at) != (address, started_at):
-            server.move(address, started_at)
+            server.replace_process(address, started_at)
         server.state = state
         if state is not ServerState.READY:
-            server.end_unwritten()
+            server.close_idle_and_end_dials()
         if state is ServerState.REMOVED:
             del self._servers[name]
 
--- a/sidecar/proxy/registry_messages.py
+++ b/sidecar/proxy/registry_messages.py
@@ -13,7 +13,11 @@
 
 log = logging.getLogger(__name__)
 
-_STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.REMOVED}
+_STATES_BY_STATUS = {
+    "active": ServerState.READY,
+    "leaving": ServerState.DRAINING,
+    "left": ServerState.REMOVED,
+}
 _UNKNOWN_STATE = ServerState.DRAINING  # of any other status: such a server gets no new requests
 
 
@@ -50,12 +54,12 @@
 
     Attributes:
         version: Version of the list.
-        complete: Whether it holds all endpoints; else it holds those that have changed.
+        is_complete: Whether it holds all endpoints; else it holds those that have changed.
         endpoints: Its entries.
     """
 
     version: int
-    complete: bool
+    is_complete: bool
     endpoints: list[ResolvedEndpoint]
 
 
@@ -76,8 +80,8 @@
     for entry in entries:
         try:
             endpoints.append(_parse_endpoint(entry))
-        except InvalidEndpointError as invalid:
-            log.warning("registry: entry skipped: %s: %.120r", invalid, entry)
+        except InvalidEndpointError as error:
+            log.warning("registry: entry skipped: %s: %.120r", error, entry)
     return RegistryResponse(version, value.get("snapshot") is True, endpoints)
 
 
@@ -142,7 +146,7 @@
 def _parse_state(entry: Mapping[str, Any]) -> ServerState:
     if "status" not in entry or isinstance(entry["status"], list | dict):
         raise InvalidEndpointError("status", "a text")
-    return _STATES.get(entry["status"], _UNKNOWN_STATE)
+    return _STATES_BY_STATUS.get(entry["status"], _UNKNOWN_STATE)
 
 
 def _parse_address(entry: Mapping[str, Any], state: ServerState) -> Address | None:
@@ -152,7 +156,7 @@
     """
     try:
         return parse_address(str(entry.get("address")))
-    except ValueError as invalid:
+    except ValueError as error:
         if state is ServerState.READY:
-            raise InvalidEndpointError("address", "host:port") from invalid
+            raise InvalidEndpointError("address", "host:port") from error
         return None
--- a/sidecar/proxy/request_lifecycle.py
+++ b/sidecar/proxy/request_lifecycle.py
@@ -96,5 +96,5 @@
         if request.deadline_timer is not None:
             request.deadline_timer.cancel()
         for exchange in request.exchanges_in_flight():
-            self._pool.abandon_unwritten(exchange)  # nothing is sent for a request that is over
+            self._pool.abandon_if_unwritten(exchange)  # nothing is sent for a request that is over
         self.active.remove_if_finished(request)
--- a/sidecar/proxy/response_reader.py
+++ b/sidecar/proxy/response_reader.py
@@ -119,14 +119,14 @@
 
     def _on_head(self, head: h11.Response) -> ReceivedResponse | None:
         self._head = head
-        announced = next((value for name, value in head.headers if name == _CONTENT_LENGTH), b"0")
-        if int(announced) > self._max_body_bytes:
+        content_length = next((value for name, value in head.headers if name == _CONTENT_LENGTH), b"0")
+        if int(content_length) > self._max_body_bytes:
             raise ResponseTooLargeError(self._max_body_bytes)
         body = self._unparsed()
         if not _is_complete_body(head, body):
             return None
         # Spares h11 two events: most bodies come together with their head.
-        return ReceivedResponse(_response(head, body), keep_alive=self._parser.our_state is h11.DONE)
+        return ReceivedResponse(_build_response(head, body), keep_alive=self._parser.our_state is h11.DONE)
 
     def _on_body_part(self, data: bytes) -> None:
         self._body += data
@@ -138,7 +138,7 @@
         assert self._head is not None  # h11 gives it first
         is_done = self._parser.our_state is h11.DONE and self._parser.their_state is h11.DONE
         has_excess_data = bool(self._unparsed())
-        response = _response(self._head, bytes(self._body))
+        response = _build_response(self._head, bytes(self._body))
         return ReceivedResponse(response, is_done and not has_excess_data, has_excess_data)
 
     def _unparsed(self) -> bytes:
@@ -156,5 +156,5 @@
     return int(framing[_CONTENT_LENGTH]) == len(data)
 
 
-def _response(head: h11.Response, body: bytes) -> Response:
+def _build_response(head: h11.Response, body: bytes) -> Response:
     return Response(head.status_code, list(head.headers), body)
--- a/sidecar/proxy/server_connection.py
+++ b/sidecar/proxy/server_connection.py
@@ -39,8 +39,8 @@
     Attributes:
         sock: The connected socket.
         reusable: Whether it may carry a further request; False for good once it has been False.
-        protocol_error: Whether it has received a malformed response, or more than one response.
-        local_failure: Whether it broke for a cause on this machine.
+        has_protocol_error: Whether it has received a malformed response, or more than one response.
+        has_local_failure: Whether it broke for a cause on this machine.
         on_lost: Is called once when it is closed.
     """
 
@@ -55,9 +55,9 @@
             response_timeout_s: Seconds that a response may take from its first byte on; None: unlimited.
         """
         self.sock = sock
-        self.reusable = True
-        self.protocol_error = False
-        self.local_failure = False
+        self.is_reusable = True
+        self.has_protocol_error = False
+        self.has_local_failure = False
         self.on_lost: Callable[[], None] = lambda: None
         self._max_body_bytes = max_body_bytes
         self._response_timeout_s = response_timeout_s
@@ -78,7 +78,9 @@
         Guards against an end of the stream, or bytes, that the event loop has not read yet.
         """
         is_open = self._transport is not None and not self._transport.is_closing()
-        return is_open and self.reusable and self._on_response is None and is_receive_queue_empty(self.sock)
+        return (
+            is_open and self.is_reusable and self._on_response is None and is_receive_queue_empty(self.sock)
+        )
 
     def request(
         self,
@@ -101,7 +103,7 @@
 
     def abort(self) -> None:
         """Close at once; what has not been written yet never will be."""
-        self.reusable = False
+        self.is_reusable = False
         if self._transport is not None:
             self._transport.abort()
 
@@ -138,15 +140,15 @@
 
     def eof_received(self) -> bool:
         """Complete a response that announces no length; the transport then closes."""
-        self.reusable = False
+        self.is_reusable = False
         if self._on_response is not None:
             self._parse(b"")
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Report the end of the connection, and of the request that is in flight on it."""
-        self.reusable = False
-        self.local_failure = isinstance(exc, OSError) and exc.errno in LOCAL_ERRNOS
+        self.is_reusable = False
+        self.has_local_failure = isinstance(exc, OSError) and exc.errno in LOCAL_ERRNOS
         self._cancel_response_timer()
         self._notify(None)
         self.on_lost()
@@ -166,19 +168,19 @@
                 self._accept_response(received)
 
     def _accept_response(self, received: ReceivedResponse) -> None:
-        self.protocol_error = received.has_excess_data
-        self._finish(received.response, reusable=received.keep_alive)
+        self.has_protocol_error = received.has_excess_data
+        self._finish(received.response, is_reusable=received.keep_alive)
 
     def _reject_response(self, reason: str) -> None:
         """Give up on a malformed response: the request ran, and the connection is of no further use."""
         log.debug("malformed response: %s", reason)
-        self.protocol_error = True
+        self.has_protocol_error = True
         self._finish(None)
 
-    def _finish(self, response: Response | None, *, reusable: bool = False) -> None:
+    def _finish(self, response: Response | None, *, is_reusable: bool = False) -> None:
         self._response_reader = None
         self._cancel_response_timer()
-        if not reusable or not self.request_written:
+        if not is_reusable or not self.request_written:
             self.abort()
         self._notify(response)
 
--- a/tests/configuration/test_reload_while_serving.py
+++ b/tests/configuration/test_reload_while_serving.py
@@ -185,10 +185,10 @@
         async with reloading(limits=LIMITS | {"idle_close_us": 600_000_000}) as r:
             [server] = r.proxy.servers
             assert await r.status("look") == 200
-            [idle] = r.proxy.sidecar._pool.servers[server.name].idle
+            [idle] = r.proxy.sidecar._pool.servers[server.name].idle_connections
             idle_since = idle.close_timer.when() - 0.9 * 600.0
             r.reload(settings=changed(limits=LIMITS | {"idle_close_us": 400_000_000}))
-            [idle] = r.proxy.sidecar._pool.servers[server.name].idle
+            [idle] = r.proxy.sidecar._pool.servers[server.name].idle_connections
             assert idle.close_timer.when() == pytest.approx(idle_since + 0.9 * 400.0)
             r.reload(settings=changed(limits=LIMITS | {"idle_close_us": 1}))
             await wait_until(lambda: server.closed == 1)
--- a/tests/proxy/test_attempt_outcomes.py
+++ b/tests/proxy/test_attempt_outcomes.py
@@ -189,7 +189,7 @@
         other.close()  # with bytes unread: a reset
         assert await asyncio.wait_for(ended, TIMEOUT_S) is None
         assert (
-            classify_outcome(None, connection.request_written, connection.protocol_error)
+            classify_outcome(None, connection.request_written, connection.has_protocol_error)
             is Outcome.CONNECT_FAILED
         )
         listener.close()
@@ -212,7 +212,9 @@
         await wait_until(lambda: connection.request_written)
         reset(writer)
         assert await asyncio.wait_for(ended, TIMEOUT_S) is None
-        assert classify_outcome(None, connection.request_written, connection.protocol_error) is Outcome.RESET
+        assert (
+            classify_outcome(None, connection.request_written, connection.has_protocol_error) is Outcome.RESET
+        )
         listener.close()
 
     run_scenario(scenario())
--- a/tests/proxy/test_client_disconnect_races.py
+++ b/tests/proxy/test_client_disconnect_races.py
@@ -75,7 +75,9 @@
             assert (await proxy.send_request(kind="pay", body=b"next", X_Call_Id="next"))[0] == 200
             assert [body for _, _, body in proxy.sent()] == [b"next"]
             # The connection was kept for others, and is counted once.
-            assert proxy.sidecar._pool.open_connections == len(proxy.sidecar._pool.servers["s-0"].idle)
+            assert proxy.sidecar._pool.open_connections == len(
+                proxy.sidecar._pool.servers["s-0"].idle_connections
+            )
             client.close()
 
     run_scenario(scenario())
@@ -141,7 +143,7 @@
             accepted, _ = await loop.sock_accept(listener)
             with accepted:
                 await wait_until(lambda: exchange.connection is not None)
-                assert not exchange.is_written()
+                assert not exchange.is_request_written()
                 assert len(orders) == 1
                 got = 0
                 while got < len(data) - left:
--- a/tests/proxy/test_connection_reuse.py
+++ b/tests/proxy/test_connection_reuse.py
@@ -46,7 +46,7 @@
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
             assert (await proxy.send_request(kind="pay", body=b"x"))[0] == 200
-            connection = proxy.sidecar._pool.servers["s-0"].idle[0].connection
+            connection = proxy.sidecar._pool.servers["s-0"].idle_connections[0].connection
             writer = proxy.servers[0].writers[0]
             if how == "end":
                 raw = writer.get_extra_info("socket")
@@ -118,7 +118,7 @@
         async with running_proxy(respond_ok, limits=limits) as proxy:
             assert (await proxy.send_request())[0] == 200
             loop = asyncio.get_running_loop()
-            timer = proxy.sidecar._pool.servers["s-0"].idle[0].close_timer
+            timer = proxy.sidecar._pool.servers["s-0"].idle_connections[0].close_timer
             assert timer.when() - loop.time() < 0.95
             await wait_until(lambda: proxy.servers[0].closed == 1)
 
--- a/tests/proxy/test_dedup_window.py
+++ b/tests/proxy/test_dedup_window.py
@@ -68,7 +68,7 @@
             if late:
                 assert (status, body) == (500, b"")
                 assert len(proxy.sent()) == 1
-                (kept,) = proxy.sidecar._pool.servers[other_than(proxy, first)].idle
+                (kept,) = proxy.sidecar._pool.servers[other_than(proxy, first)].idle_connections
                 assert kept.connection.is_idle()  # the connection serves others
             else:
                 assert (status, body) == (200, b"served")
@@ -100,7 +100,7 @@
                 (live,) = proxy.sidecar._active
                 exchange = live.in_flight[1]
                 assert exchange is not None
-                assert not exchange.is_written()
+                assert not exchange.is_request_written()
                 # asyncio's types leave out the callback of a timer.
                 bound = proxy.sidecar._attempts._end_unwritten
                 # Only the private attribute of a handle tells its callback.
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -184,7 +184,7 @@
     )
     assert [each.endpoint.name for each in response.endpoints] == ["s-1"]
     line = response.endpoints[0]
-    assert (response.version, response.complete, line.address) == (5, True, ("127.0.0.1", 9))
+    assert (response.version, response.is_complete, line.address) == (5, True, ("127.0.0.1", 9))
     assert (line.endpoint.started_at, line.endpoint.cell, line.endpoint.zone) == (2000, 3, "a")
     assert (
         parse_registry_response({"index": 5, "endpoints": [entry()]}).endpoints[0].endpoint.started_at is None
--- a/tests/proxy/test_endpoint_list_races.py
+++ b/tests/proxy/test_endpoint_list_races.py
@@ -85,7 +85,7 @@
                 proxy.sidecar._endpoint_list.on_response(
                     parse_registry_response({"index": 42, "endpoints": [entry]})
                 )
-                dialling = proxy.sidecar._pool.servers["s-0"].dialing
+                dialling = proxy.sidecar._pool.servers["s-0"].dialing_exchanges
                 assert not dialling
                 assert {(await each)[0] for each in outs} == {503}
 
--- a/tests/proxy/test_load_report_parsing.py
+++ b/tests/proxy/test_load_report_parsing.py
@@ -4,16 +4,16 @@
 
 from proxy_harness import encode_response, run_scenario, running_proxy
 
-from sidecar.proxy.load_reports import parse_report
+from sidecar.proxy.load_reports import parse_load_report
 
 
 def test_malformed_load_reports_are_skipped() -> None:
     columns = ("util", "qps")
-    assert parse_report("TEXT util=0.5, qps=7, other=1", columns) == {"util": 0.5, "qps": 7.0}
+    assert parse_load_report("TEXT util=0.5, qps=7, other=1", columns) == {"util": 0.5, "qps": 7.0}
     for junk in ("TEXT util=nan", "TEXT util", "BIN xyz", "", "TEXT "):
-        assert parse_report(junk, columns) is None
-    assert parse_report("TEXT util=inf, qps=3", columns) == {"qps": 3.0}
-    assert parse_report("TEXT util=0.5", ()) is None
+        assert parse_load_report(junk, columns) is None
+    assert parse_load_report("TEXT util=inf, qps=3", columns) == {"qps": 3.0}
+    assert parse_load_report("TEXT util=0.5", ()) is None
 
     async def scenario() -> None:
         report = {"source": "answers", "columns": ["util"]}
--- a/tests/proxy/test_response_races.py
+++ b/tests/proxy/test_response_races.py
@@ -80,11 +80,11 @@
 
 def test_response_before_its_request_is_written_does_not_count_as_one() -> None:
     early = Response(200, [], b"again to the one before")
-    assert classify_outcome(early, written=False, protocol_error=False) is Outcome.CONNECT_FAILED
-    assert classify_outcome(early, written=True, protocol_error=False) is Outcome.SUCCEEDED
+    assert classify_outcome(early, request_written=False, has_protocol_error=False) is Outcome.CONNECT_FAILED
+    assert classify_outcome(early, request_written=True, has_protocol_error=False) is Outcome.SUCCEEDED
     away = Response(503, [(b"x-rejected", b"1")], b"")
     assert (
-        classify_outcome(away, written=False, protocol_error=False) is Outcome.REJECTED
+        classify_outcome(away, request_written=False, has_protocol_error=False) is Outcome.REJECTED
     )  # a server may say so unasked
 
 
@@ -150,7 +150,7 @@
         upstream, _, connection, heard = await written(server)
         await wait_until(lambda: heard)
         upstream._idle_connections.reuse_delay_s = 0.0
-        timer = upstream.servers["s"].idle[0].close_timer
+        timer = upstream.servers["s"].idle_connections[0].close_timer
         server.script = never_respond
         upstream.send(
             "s", EncodedRequest(b"GET / HTTP/1.1\r\n\r\n"), LATER, lambda outcome, _: heard.append(outcome)
@@ -174,7 +174,7 @@
         upstream._idle_connections.reuse_delay_s = 0.0
         upstream.send("s", DeferredRequest(lambda _: None), LATER, lambda outcome, _: heard.append(outcome))
         assert heard == [Outcome.SUCCEEDED, Outcome.NOT_SENT]
-        assert not upstream.servers["s"].idle
+        assert not upstream.servers["s"].idle_connections
         assert not connection.is_idle()
         await wait_until(lambda: upstream.open_connections == 0)
         server.stop()
--- a/tests/proxy/test_responses_without_length.py
+++ b/tests/proxy/test_responses_without_length.py
@@ -10,7 +10,7 @@
 from proxy_harness import TIMEOUT_S, FakeServer, never_respond, reset, run_scenario, running_proxy, wait_until
 
 from sidecar.balancer.events import Outcome, ServerState
-from sidecar.proxy.connection_dialer import MAX_BODY_BYTES
+from sidecar.proxy.connection_dialer import MAX_RESPONSE_BODY_BYTES
 from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.exchange import EncodedRequest
 from sidecar.proxy.http_messages import Response, encode_message
@@ -22,7 +22,7 @@
     "HTTP/1.0": b"HTTP/1.0 200 X\r\n\r\n",
     "HTTP/1.0 that would keep it": b"HTTP/1.0 200 X\r\nConnection: keep-alive\r\n\r\n",
 }
-_BODIES = {"empty": b"", "short": b"served", "the longest": bytes(MAX_BODY_BYTES)}
+_BODIES = {"empty": b"", "short": b"served", "the longest": bytes(MAX_RESPONSE_BODY_BYTES)}
 
 
 async def send_one(pool: ConnectionPool) -> tuple[Outcome, Response | None]:
@@ -69,14 +69,14 @@
         assert outcome is Outcome.SUCCEEDED
         assert response is not None
         assert response.body == b"served"
-        assert not pool.servers["s"].idle
+        assert not pool.servers["s"].idle_connections
         await wait_until(lambda: pool.open_connections == 0)
         server.stop()
 
     run_scenario(scenario())
 
 
-@pytest.mark.parametrize("body", [b"", b"part of it or all", bytes(MAX_BODY_BYTES)], ids=_BODIES)
+@pytest.mark.parametrize("body", [b"", b"part of it or all", bytes(MAX_RESPONSE_BODY_BYTES)], ids=_BODIES)
 def test_reset_truncates_a_response_however_much_of_it_was_received(body: bytes) -> None:
     # Read by the sidecar or not: the reset is in its kernel behind the bytes, or comes after they were read.
     async def scenario(is_read_before: bool) -> None:
@@ -141,7 +141,7 @@
             asking = asyncio.create_task(proxy.send_request(kind="pay", body=b"x"))
             await wait_until(proxy.sent)
             (writer,) = proxy.servers[0].writers
-            writer.write(_HEAD + bytes(MAX_BODY_BYTES + 1))
+            writer.write(_HEAD + bytes(MAX_RESPONSE_BODY_BYTES + 1))
             if ends:
                 writer.close()
             assert (await asking)[0] == 500
