--- a/sidecar/proxy/addresses.py
+++ b/sidecar/proxy/addresses.py
@@ -9,19 +9,21 @@
 
 
 class InvalidAddressError(ValueError):
-    """A text is not an address of the form ``host:port``."""
+    """A string is not an address of the form ``host:port``."""
 
     def __init__(self, text: str) -> None:
         """Create the error.
 
         Args:
-            text: What was given in place of an address.
+            text: The string that is not an address.
         """
-        super().__init__(f"an address host:port is needed, not {text!r:.{_MAX_QUOTED_CHARACTERS}}")
+        super().__init__(
+            f"an address of the form host:port is needed, not {text!r:.{_MAX_QUOTED_CHARACTERS}}"
+        )
 
 
 def parse_address(text: str) -> Address:
-    """Parse an address of the form ``host:port``; an IPv6 host may stand in brackets.
+    """Parse an address of the form ``host:port``; an IPv6 host may be enclosed in brackets.
 
     Args:
         text: The address as it is configured or as discovery sent it.
--- a/sidecar/proxy/attempts.py
+++ b/sidecar/proxy/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: sends requests on to servers, and reports to the balancer how each attempt ended."""
+"""Attempts: forwards requests to servers, and reports to the balancer how each attempt ended."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
     """One attempt of a request.
 
     Attributes:
-        request: The request that it is for.
-        number: Its number among the request's attempts.
-        server: Name of the server that it goes to.
+        request: The request that it belongs to.
+        number: Its number within the request.
+        server: Name of the server that it is sent to.
         sent_at_us: Clock time at which it was started.
-        write_by_us: Clock time by which it has to be written completely if another attempt has been started;
-            None: it may be written at any time.
+        write_by_us: Clock time by which the request has to be written completely if another attempt has been
+            started; None: it may be written at any time.
     """
 
     request: ActiveRequest
@@ -48,7 +48,7 @@
     """Sends and cancels attempts as the balancer decides.
 
     Attributes:
-        settings: In force for the attempts that end from now on; may be replaced at any time.
+        settings: The settings for attempts that end from now on; may be replaced at any time.
     """
 
     def __init__(
@@ -93,7 +93,7 @@
         try:
             exchange = self._pool.send(attempt.server, encoder, deadline, on_outcome)
         except Exception:
-            on_outcome(Outcome.RESET, None)  # a defect: it is not known how much was sent
+            on_outcome(Outcome.RESET, None)  # a defect: how much was sent is unknown
             raise
         if attempt.number in attempt.request.in_flight:
             attempt.request.in_flight[attempt.number] = exchange
@@ -108,16 +108,17 @@
         exchange.timers.append(timer)
 
     def _end_unwritten(self, attempt: Attempt) -> None:
-        """End a retry that is not written completely: servers begin to forget its idempotency key."""
+        """End a retry that is not written completely, as servers begin to forget its idempotency key now."""
         exchange = attempt.request.in_flight.get(attempt.number)
         if exchange is not None and attempt.request.has_other_started(attempt.number):
             self._pool.abandon_if_unwritten(exchange)
 
     def _encode_if_wanted(self, attempt: Attempt, remaining_s: float) -> bytes | None:
-        """Return what an attempt sends, or None where it may not be sent any more.
+        """Return the encoded request of an attempt, or None if it must not be sent any more.
 
-        Guards servers against work for nobody: a close by the client counts before its event is read.
-        Guards what runs once, too: as a connection comes up, servers may have forgotten another attempt.
+        A client that has closed its connection counts as disconnected even before the event loop has read the
+        close, as servers would otherwise do work for nobody.  A request that must run only once is not sent
+        late either: while the connection was being opened, servers may have forgotten another attempt.
         """
         request = attempt.request
         if request.client_request.responder.is_disconnected():
@@ -129,7 +130,7 @@
         return encode_request(request.client_request, remaining_s)
 
     def _is_past_dedup_window(self, attempt: Attempt) -> bool:
-        """Return whether servers may have forgotten another attempt, and would run this one a second time."""
+        """Return whether servers may have forgotten another attempt, so that the request might run twice."""
         if attempt.write_by_us is None or not attempt.request.has_other_started(attempt.number):
             return False
         return self._clock.now() >= attempt.write_by_us
@@ -158,10 +159,10 @@
 
 
 def encode_request(request: ClientRequest, remaining_s: float) -> bytes:
-    """Return an attempt's request: the application's, with the seconds that remain for it."""
+    """Return the encoded request of an attempt: the client's, with the remaining seconds in X-Budget."""
     headers = [*request.headers, (b"X-Budget", b"%.6f" % remaining_s)]
     if not any(name == b"host" for name, _ in headers):
-        headers.append((b"Host", b"sidecar"))  # HTTP/1.0 allows none, HTTP/1.1 needs one
+        headers.append((b"Host", b"sidecar"))  # optional in HTTP/1.0, required in HTTP/1.1
     if request.body or request.method not in (b"GET", b"HEAD"):
         headers.append((b"Content-Length", str(len(request.body)).encode()))
     return encode_message(b"%b %b HTTP/1.1" % (request.method, request.target), headers, request.body)
--- a/sidecar/proxy/connection_dialer.py
+++ b/sidecar/proxy/connection_dialer.py
@@ -37,10 +37,10 @@
         """Create a dialer without connections.
 
         Args:
-            servers: Their idle connections are closed where the limit is reached.
+            servers: The servers, whose idle connections may be closed when the limit is reached.
             dial_timeout_s: Seconds that a dial may take, retries included.
             max_connections: Limit on the number of connections and of dials in progress.
-            on_connected: Is called with an exchange that has not ended, and its new connection.
+            on_connected: Called with an exchange that has not ended, and its new connection.
         """
         self.dial_timeout_s = dial_timeout_s
         self.open_connections = 0
@@ -49,7 +49,7 @@
         self._on_connected = on_connected
 
     def is_at_limit(self) -> bool:
-        """Return whether a further connection needs another one to be closed."""
+        """Return whether another connection can be opened only after one has been closed."""
         return self.open_connections >= self._max_connections
 
     def start(self, exchange: Exchange) -> bool:
@@ -67,12 +67,16 @@
         return True
 
     def _close_one_idle(self) -> bool:
-        """Close the longest idle connection of the server with the most; return whether there was one."""
+        """Close the longest idle connection of the server that has the most idle connections.
+
+        Returns:
+            False if no server has an idle connection.
+        """
         while servers := [server for server in self._servers.values() if server.idle_connections]:
             fullest = max(servers, key=lambda server: len(server.idle_connections))
             idle = fullest.idle_connections.pop(0)
             idle.close_timer.cancel()
-            if idle.connection.is_reusable:  # otherwise it has ended already and is not counted any more
+            if idle.connection.is_reusable:  # otherwise it is closed already and no longer counted
                 idle.connection.abort()
                 return True
         return False
@@ -83,7 +87,7 @@
         exchange.timers.append(loop.call_later(self.dial_timeout_s, exchange.on_dial_timeout))
         try:
             connection = await self._connect(exchange)
-        except (OSError, UnicodeError) as error:  # the latter for an invalid host name
+        except (OSError, UnicodeError) as error:  # UnicodeError: the host name is invalid
             log.debug("dial of %s failed: %r", exchange.server.name, error)
             exchange.end(Outcome.CONNECT_FAILED)
             return False
@@ -95,17 +99,17 @@
         return True
 
     async def _connect(self, exchange: Exchange) -> ServerConnection:
-        """Connect, with retries after local failures, until the timers of the exchange cancel this."""
+        """Connect, with retries after local failures, until a timer of the exchange cancels the dial."""
         address = exchange.server.address
         backoff = retry_backoff()
         while True:
             try:
                 sock = open_socket(partial(sockets.new_socket, address))
                 exchange.connecting_socket = sock
-                # A response that has begun may take as long as a dial.
+                # From its first byte on, a response may take as long as a dial.
                 return await connect(address, MAX_RESPONSE_BODY_BYTES, self.dial_timeout_s, sock)
             except LocalDialError as error:
-                log.debug("dial of %s failed locally and is retried: %r", exchange.server.name, error)
+                log.debug("dial of %s failed on this machine and is retried: %r", exchange.server.name, error)
                 exchange.has_local_failure = True
                 exchange.connecting_socket = None
                 await asyncio.sleep(next(backoff))
--- a/sidecar/proxy/connection_pool.py
+++ b/sidecar/proxy/connection_pool.py
@@ -1,7 +1,7 @@
 """Connections to servers: sends attempts and health checks over pooled connections.
 
-Every byte and connection is under this package's control: nothing is resent silently, and it is known whether
-the last byte of a request was written.  Only then may the server have begun it.
+The package controls every connection and every byte itself: nothing is resent silently, and it is known
+whether the last byte of a request has been written.  Only then can the server have started the request.
 """
 
 from __future__ import annotations
@@ -71,7 +71,7 @@
         self.servers.retain(names)
 
     def remove_superseded(self) -> list[str]:
-        """Remove, and name, the servers whose address another one has taken over since."""
+        """Remove the servers whose address another one has taken over since; return their names."""
         return self.servers.remove_superseded()
 
     def close_idle(self, name: str) -> None:
@@ -91,7 +91,7 @@
             name: Name of the server, which the endpoint list must hold.
             encoder: Encodes the request.
             deadline: Event loop time at which the attempt ends in any case.
-            on_outcome: Is called exactly once with the outcome, maybe before this returns.
+            on_outcome: Called exactly once with the outcome, possibly before this method returns.
 
         Returns:
             The attempt.
@@ -116,7 +116,7 @@
         Args:
             name: Name of the server, which the endpoint list must hold.
             target: Path of the request.
-            on_outcome: Is called exactly once with the outcome, maybe before this returns.
+            on_outcome: Called exactly once with the outcome, possibly before this method returns.
 
         Returns:
             The health check.
@@ -134,7 +134,7 @@
         exchange.end(Outcome.CANCELLED)
 
     def abandon_if_unwritten(self, exchange: Exchange) -> None:
-        """End an exchange whose request has not been written completely, so that it never will be."""
+        """End an exchange if its request has not been written completely; the rest is never written."""
         if not exchange.is_request_written():
             exchange.end(Outcome.NOT_SENT)
 
@@ -148,7 +148,7 @@
 
     def _start(self, exchange: Exchange) -> None:
         """Write the request to an idle connection, or dial."""
-        # At the limit on connections any idle one is better than none.
+        # At the connection limit, any idle connection is better than none.
         reused = self._idle_connections.take(exchange.server, accept_untrusted=self._dialer.is_at_limit())
         if reused is not None:
             exchange.idle_s = reused.idle_s
@@ -178,22 +178,23 @@
         self._release(exchange, connection)
         outcome = classify_outcome(response, connection.request_written, connection.has_protocol_error)
         if outcome is Outcome.CONNECT_FAILED and connection.has_local_failure:
-            outcome = Outcome.NOT_SENT  # the server has no part in it
-        if not exchange.is_over():  # otherwise the connection was closed here
+            outcome = Outcome.NOT_SENT  # the server did not cause the failure
+        if not exchange.is_over():  # otherwise this side closed the connection
             self._record_request(exchange, outcome)
         exchange.end(outcome, response)
 
     def _record_request(self, exchange: Exchange, outcome: Outcome) -> None:
-        """Count whether the connection broke because it had been idle.
+        """Record whether the connection failed because it had been idle.
 
-        One that was forgotten while it was idle breaks at once; later it is the server that fails.
+        A connection that the peer or the network dropped while it was idle fails at once.  If it fails later,
+        the server has failed.
         """
         elapsed_s = asyncio.get_running_loop().time() - exchange.write_started_at
         has_failed = outcome is Outcome.RESET and elapsed_s < self._dialer.dial_timeout_s
         self._idle_connections.record_request(exchange.idle_s, has_failed)
 
     def _release(self, exchange: Exchange, connection: ServerConnection) -> None:
-        """Keep a connection for the next request, or close it if it is of no use any more."""
+        """Keep a connection for the next request, or close it if it can't be reused."""
         if not connection.is_reusable:
             return
         if exchange.server.may_reuse(exchange.generation):
@@ -204,7 +205,7 @@
     def _release_unused(self, exchange: Exchange, connection: ServerConnection) -> None:
         """Keep a new connection that no request was written to; close one that had been idle before.
 
-        The idle time of the latter goes on at its server, and must not start anew here.
+        The server continues to count the idle time of the latter, so the count must not restart here.
         """
         if exchange.idle_s is None:
             self._release(exchange, connection)
--- a/sidecar/proxy/dialing.py
+++ b/sidecar/proxy/dialing.py
@@ -1,7 +1,7 @@
-"""Dialing: connects sockets, and tells failures of this machine from failures of the server.
+"""Dialing: connects sockets, and distinguishes failures of this machine from failures of the server.
 
 A failure of this machine (no descriptor, no port, no memory, no route) is transient and says nothing about
-the server: the dial is retried with backoff, and the server must not be blamed.
+the server: the dial is retried with backoff, and does not count as a failure of the server.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 INITIAL_BACKOFF_S = 0.01
 BACKOFF_MULTIPLIER = 2.0
-MAX_BACKOFF_S = 0.16  # bounds how late the end of a shortage is noticed
+MAX_BACKOFF_S = 0.16  # bounds the delay until the end of a shortage is noticed
 
-# ECONNREFUSED, ECONNRESET, ETIMEDOUT and EHOSTUNREACH (nobody answers at the address on the last link) are
-# failures of the server.  ENETUNREACH is not: this machine, or a router on the way, has no route, which
-# happens for a moment while routes change, and to all servers behind that route at once.
+# ECONNREFUSED, ECONNRESET, ETIMEDOUT and EHOSTUNREACH (no host answers for the address on the last link) are
+# failures of the server.  ENETUNREACH is not: this machine or a router on the path has no route.  This is
+# usual for a moment while routes change, and affects all servers behind the route at once.
 LOCAL_ERRNOS = frozenset(
     (
         errno.EACCES,  # a local firewall
@@ -34,7 +34,7 @@
         errno.ENFILE,
         errno.ENOBUFS,
         errno.ENOMEM,
-        errno.ENOSPC,  # no more descriptors can be watched
+        errno.ENOSPC,  # epoll can't watch any more descriptors
         errno.EPERM,  # a local firewall, or its connection table is full
     )
 )
@@ -45,12 +45,12 @@
 
     @classmethod
     def from_error(cls, error: OSError) -> LocalDialError:
-        """Create one with the number and the message of another error."""
+        """Create an error with the number and the message of another one."""
         return cls(error.errno, error.strerror)
 
 
 def retry_backoff() -> Iterator[float]:
-    """Yield the seconds to wait before each retry of one dial, without end."""
+    """Yield the seconds to wait before each retry of a dial, endlessly."""
     backoff_s = INITIAL_BACKOFF_S
     while True:
         yield backoff_s
@@ -102,8 +102,8 @@
 def _check_connected(sock: socket.socket) -> None:
     """Raise the pending error of a socket that is not connected.
 
-    After connect() has failed with EAGAIN the event loop waits for the socket to become writable, which one
-    that was never connected is at once.
+    After connect() has failed with EAGAIN, the event loop waits until the socket is writable.  A socket that
+    was never connected is writable at once.
     """
     try:
         sock.getpeername()
--- a/sidecar/proxy/discovery_client.py
+++ b/sidecar/proxy/discovery_client.py
@@ -1,8 +1,9 @@
-"""The client of the registry: watches the endpoint list and fetches it.  When to do so is decided elsewhere.
+"""The client of the registry: watches and fetches the endpoint list.  Its callers decide when.
 
-The terms: whatever a call came to, a sidecar counts as notified of a change 6 s after the registry has it and
-can be reached.  Within that a watch that fell silent and the next call have to fit; so have a connect, a wait
-of the balancer and a call.
+The timeouts follow from the time that a change may take to arrive.  Whatever the result of its calls, a
+sidecar counts as notified of a change 6 s after the registry has the change and is reachable.  A watch that
+gets no response and the next call have to fit into that time, and so do a connect, a wait of the balancer and
+a call.
 """
 
 from __future__ import annotations
@@ -21,12 +22,15 @@
 log = logging.getLogger(__name__)
 
 _PATH = "/registry/instances"
-# How long the registry may hold a watch: drawn anew each time, so that instances silenced at once spread out.
+# How long the registry may hold a watch.  Each watch draws a random time from this range, so that sidecars
+# whose watches got no response at the same moment do not all call again at the same moment.
 _WATCH_WAIT_MS = (3_200, 4_000)
-_WATCH_MARGIN_S = 0.5  # and how much longer the call may take
-_POLL_TIMEOUT_S = 2.5  # for a call that the registry may not hold: a busy one lets calls wait for 2 s
-_CONNECT_TIMEOUT_S = 1.5  # longer than the first retransmission of a lost SYN
-_EMPTY_RESPONSE_PAUSE_S = 0.1  # after a watch that ends at once with nothing: within the 200 ms of one watch
+_WATCH_MARGIN_S = 0.5  # how much longer the call of a watch may take
+_POLL_TIMEOUT_S = 2.5  # for a call that the registry must not hold; a busy registry lets calls wait for 2 s
+_CONNECT_TIMEOUT_S = 1.5  # leaves time for the first retransmission of a lost SYN
+# Pause after a watch that ends at once without a change.  It is shorter than the 200 ms after which the next
+# call would be a new watch.
+_EMPTY_RESPONSE_PAUSE_S = 0.1
 _MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 _OK = 200
 
@@ -35,27 +39,27 @@
     """The connection to the registry broke before its response was complete."""
 
     def __init__(self) -> None:
-        super().__init__("the connection broke")
+        super().__init__("connection closed before the response was complete")
 
 
 class RegistryStatusError(ConnectionRefusedError):
-    """The registry responded with another status than 200."""
+    """The registry responded with a status other than 200."""
 
     def __init__(self, status: int) -> None:
-        super().__init__(f"status {status}")
+        super().__init__(f"unexpected status {status}")
 
 
 class DiscoveryClient:
-    """Watches the endpoint list while that is wanted; each call has a connection of its own."""
+    """Watches and fetches the endpoint list; each call has a connection of its own."""
 
     def __init__(
         self, address: Address, version: int, on_response: Callable[[RegistryResponse | None], None]
     ) -> None:
-        """Make a client that is idle.
+        """Create an idle client.
 
         Args:
             address: Where the registry listens.
-            version: Version of the endpoint list that is cached.
+            version: Version of the cached endpoint list.
             on_response: Called with each response of the registry, and with None for each call that failed.
         """
         self._address = address
@@ -64,12 +68,12 @@
         self._on_response = on_response
         self._is_stopped = False
         self._watch: asyncio.Task[None] | None = None
-        self._fetches: set[asyncio.Task[bool]] = set()  # as many as the balancer asks for
+        self._fetches: set[asyncio.Task[bool]] = set()  # one for each fetch in progress
         # The connection of a call that timed out; it stays open until the next call is sent.
         self._timed_out_connection: ServerConnection | None = None
 
     def start_watch(self) -> None:
-        """Start the watch; one that is running goes on."""
+        """Start the watch, unless it is running."""
         if not self._is_stopped and (self._watch is None or self._watch.done()):
             self._watch = asyncio.get_running_loop().create_task(self._watch_until_failure())
 
@@ -89,7 +93,7 @@
     def migrate(self, address: Address) -> None:
         """Migrate to another address of the registry, and fetch the complete list there at once.
 
-        What was received from the former one may be behind, or ahead.
+        The list from the former address may be older or newer than the one at the new address.
         """
         self._address = address
         self._version = None
@@ -99,7 +103,7 @@
         self.start_watch()
 
     def stop(self) -> None:
-        """Stop for good."""
+        """Stop the watch permanently."""
         self._is_stopped = True
         self.stop_watch()
 
@@ -109,9 +113,11 @@
             connection.abort()
 
     async def _watch_until_failure(self) -> None:
-        """Call again as soon as a call is answered: later than 200 ms it would be a new watch.
+        """Make the calls of the watch one after the other, until one fails.
 
-        A watch that fell silent is opened anew as soon: a registry with many such clients takes them in turn.
+        Each call follows the previous response at once: after more than 200 ms it would be a new watch.  A
+        call that timed out is followed at once, too: a registry with many such clients serves
+        them in turn.
         """
         loop = asyncio.get_running_loop()
         while True:
@@ -119,13 +125,14 @@
             if not await self._poll(*self._next_call()):
                 return
             if self._version == version and loop.time() < started_at + _EMPTY_RESPONSE_PAUSE_S:
-                # Guards against spinning on a registry that does not hold watches.
+                # Prevents a busy loop if the registry does not hold watches.
                 await asyncio.sleep(_EMPTY_RESPONSE_PAUSE_S)
 
     def _next_call(self) -> tuple[str, float]:
         """Return the target of the watch's next call, and its time limit in seconds.
 
-        After a failure the registry may not hold the next call, so that another failure is noticed soon.
+        After a failure the registry is asked not to hold the next call, so that another failure is noticed
+        soon.
         """
         if self._version is None:
             return _PATH, _POLL_TIMEOUT_S
@@ -135,7 +142,7 @@
         return f"{_PATH}?after={self._version}&wait_ms={wait_ms}", wait_ms / 1000 + _WATCH_MARGIN_S
 
     async def _poll(self, target: str, timeout_s: float) -> bool:
-        """Make a call and notify of its result; return whether the next may be made at once."""
+        """Make a call and report its result; return whether the next call may be made at once."""
         response: RegistryResponse | None = None
         version = self._version
         timeout = asyncio.timeout(timeout_s)
@@ -148,8 +155,10 @@
                 self._version = response.version
         except (OSError, ValueError) as error:  # TimeoutError is an OSError
             log.warning("registry at %s:%d: %s failed: %r", *self._address, target, error)
-        except Exception:  # a defect or junk: the watch is opened anew
-            log.exception("registry at %s:%d: %s could not be handled", *self._address, target)
+        except Exception:  # a defect or an invalid response: the call counts as failed
+            log.exception(
+                "registry at %s:%d: the response to %s could not be handled", *self._address, target
+            )
         has_succeeded = response is not None and self._apply(response)
         if not has_succeeded:
             self._on_response(None)
@@ -157,19 +166,23 @@
         return has_succeeded or timeout.expired()
 
     def _is_superseded(self, response: RegistryResponse, version: int | None) -> bool:
-        """Return whether another call has brought a newer version since this one began at a version.
+        """Return whether another call has received a newer version since this call was made.
 
-        Guards against undoing what the other one brought.
+        Applying the older response would undo the newer one.
+
+        Args:
+            response: The response to this call.
+            version: The version that was known when this call was made, if any.
         """
         return self._version not in (None, version) and response.version < self._version
 
     def _apply(self, response: RegistryResponse) -> bool:
-        """Notify of a response; return whether it could be put into force."""
+        """Pass on a response; return whether it could be applied."""
         try:
             self._on_response(response)
         except Exception:
-            log.exception("registry: version %d could not be put into force", response.version)
-            self._version = None  # a part of it may be missing: the complete list is needed
+            log.exception("registry: version %d could not be applied", response.version)
+            self._version = None  # it may be applied in part: the complete list is needed
             return False
         return True
 
@@ -182,22 +195,22 @@
         return parse_registry_response(json.loads(response.body))
 
     async def _call(self, target: str, call_timeout: asyncio.Timeout) -> Response | None:
-        """Make a call within a time limit; return its response, or None where the connection broke."""
+        """Make a call within a time limit; return its response, or None if the connection broke."""
         async with asyncio.timeout(_CONNECT_TIMEOUT_S):
             connection = await connect(self._address, _MAX_RESPONSE_BYTES)
         try:
             return await self._send_request(connection, target)
         finally:
             if call_timeout.expired():
-                # A sidecar with no call in flight counts as notified of all that is older than the longest
-                # interval between calls: this one stays open until the next is sent.
+                # A sidecar with no call in flight counts as notified of all changes that are older than the
+                # longest interval between calls.  Therefore this call stays open until the next is sent.
                 self._abort_timed_out_connection()
                 self._timed_out_connection = connection
             else:
                 connection.abort()
 
     async def _send_request(self, connection: ServerConnection, target: str) -> Response | None:
-        if not connection.is_idle():  # it broke as it opened, and would never report its end
+        if not connection.is_idle():  # it broke while it was opened, and would never report that
             raise RegistryConnectionError
         received: asyncio.Future[Response | None] = asyncio.get_running_loop().create_future()
 
--- a/sidecar/proxy/endpoint_list.py
+++ b/sidecar/proxy/endpoint_list.py
@@ -13,13 +13,13 @@
 from sidecar.proxy.registry_messages import RegistryResponse
 from sidecar.settings import Discovery as DiscoveryMode
 
-_PUSHED_RETRY_S = 0.5  # before a failed call to the agent that holds pushed lists is made again
+_PUSHED_RETRY_DELAY_S = 0.5  # before a failed call to the agent that serves pushed lists is repeated
 
 
 class EndpointList:
     """Keeps the connection pools and the balancer up to date with the registry's endpoint list.
 
-    In pushed mode it watches by itself; else the balancer decides when to watch and to fetch.
+    In pushed mode it starts the watch itself; otherwise the balancer decides when to watch and to fetch.
 
     Attributes:
         client: The client of the registry.
@@ -66,10 +66,10 @@
             return
         self._handle(RegistryUpdated(RegistryUpdateKind.FAILED))
         if self._mode is DiscoveryMode.PUSHED:
-            asyncio.get_running_loop().call_later(_PUSHED_RETRY_S, self.client.start_watch)
+            asyncio.get_running_loop().call_later(_PUSHED_RETRY_DELAY_S, self.client.start_watch)
 
     def apply(self, kind: RegistryUpdateKind, response: RegistryResponse) -> None:
-        """Apply a list: addresses first, as the balancer may send to a server once it knows of it."""
+        """Apply a list, addresses first: the balancer may send to a server as soon as it knows the server."""
         if kind is not RegistryUpdateKind.DELTA:
             self._pool.retain({resolved.endpoint.name for resolved in response.endpoints})
         for resolved in response.endpoints:
@@ -81,7 +81,7 @@
         self._handle(RegistryUpdated(kind, endpoints, response.version))
 
     def _remove_superseded(self) -> list[Endpoint]:
-        """Remove the servers whose address another one has taken over; return them as removed."""
+        """Remove the servers whose address another one has taken over; return their entries as removed."""
         return [Endpoint(name, state=ServerState.REMOVED) for name in self._pool.remove_superseded()]
 
     def _watch_if_pushed(self) -> None:
--- a/sidecar/proxy/exchange.py
+++ b/sidecar/proxy/exchange.py
@@ -17,12 +17,12 @@
 if TYPE_CHECKING:
     from sidecar.proxy.pooled_servers import PooledServer
 
-# With these the response is not awaited any more, and what has not been written must never be.
+# With these outcomes the response is no longer awaited, and what has not been written is never written.
 _ABORTING_OUTCOMES = (Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class RequestEncoder(Protocol):
-    """Encodes a request at the moment when it is written, as it states the remaining time."""
+    """Encodes a request at the moment when it is written, because it states the remaining time."""
 
     def encode(self, remaining_s: float, /) -> bytes | None:
         """Encode the request.
@@ -38,10 +38,10 @@
 
 
 class OutcomeCallback(Protocol):
-    """Is called exactly once when an exchange ends."""
+    """A callback that is called exactly once, when an exchange ends."""
 
     def __call__(self, outcome: Outcome, response: Response | None, /) -> None:
-        """Take the outcome, and the complete response if there is one."""
+        """Handle the outcome, and the complete response if there is one."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,16 +74,16 @@
     """One attempt or health check, from its dial to its outcome.
 
     Attributes:
-        server: Where it goes to.
-        generation: The generation of the server's process at its start.
+        server: The server that it is sent to.
+        generation: The generation of the server when the exchange was created.
         deadline: Event loop time at which it ends in any case.
-        connection: What its request is written to; None until then.
+        connection: The connection that its request is written to; None until then.
         write_started_at: Event loop time at which writing its request began.
-        idle_s: Seconds that its connection had been idle; None: it is new.
+        idle_s: Seconds that its connection had been idle; None: the connection is new.
         dial_task: Its dial while that is in progress.
-        connecting_socket: What its dial is connecting.
+        connecting_socket: The socket that its dial is connecting.
         has_local_failure: Whether its dial has failed for a cause on this machine, and is retried.
-        timers: Are cancelled when it ends.
+        timers: Timers that are cancelled when it ends.
     """
 
     def __init__(
@@ -92,10 +92,10 @@
         """Create an exchange; nothing is dialed or written yet.
 
         Args:
-            server: Where it goes to.
+            server: The server that it is sent to.
             encoder: Encodes its request.
             deadline: Event loop time at which it ends in any case.
-            on_outcome: Is called exactly once when it ends.
+            on_outcome: Called exactly once when it ends.
         """
         self.server = server
         self.generation = server.generation
@@ -135,8 +135,8 @@
     def on_dial_timeout(self) -> None:
         """End it if its dial has not succeeded.
 
-        Guards a busy sidecar against taking its own lag for dead servers: a dial has succeeded if the kernel
-        says so, even if the event loop has not seen it.  The deadline bounds the exchange still.
+        A dial has succeeded if the kernel says so, even if the event loop has not processed it yet: a busy
+        sidecar must not take its own lag for unreachable servers.  The deadline still bounds the exchange.
         """
         if self.connection is not None:
             return
@@ -144,7 +144,7 @@
             self.end(self._unwritten_outcome())
 
     def end(self, outcome: Outcome, response: Response | None = None) -> None:
-        """Report the outcome; only the first call has an effect."""
+        """End the exchange and report its outcome; only the first call has an effect."""
         on_outcome, self._on_outcome = self._on_outcome, None
         if on_outcome is None:
             return
@@ -162,14 +162,14 @@
             self.dial_task.cancel()
 
     def _unwritten_outcome(self) -> Outcome:
-        """Return what it proves that the request was not written in time."""
+        """Return the outcome if the request was not written in time."""
         if self.connection is None and self.has_local_failure:
             return Outcome.NOT_SENT
         return Outcome.CONNECT_FAILED
 
 
 def classify_outcome(response: Response | None, request_written: bool, has_protocol_error: bool) -> Outcome:
-    """Return what the end of an exchange proves; that the request never ran only if that is certain.
+    """Return the outcome of an exchange; one that says the request never ran only if that is certain.
 
     Args:
         response: The complete response; None: there is none.
@@ -183,6 +183,6 @@
     if not request_written:
         return Outcome.CONNECT_FAILED
     if response is None:
-        # A server that sends malformed responses is reachable all the same.
+        # The server is reachable, even though its response is malformed.
         return Outcome.ERROR if has_protocol_error else Outcome.RESET
     return Outcome.SUCCEEDED if response.status == HTTPStatus.OK else Outcome.ERROR
--- a/sidecar/proxy/health_checks.py
+++ b/sidecar/proxy/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: calls a server's health or load endpoint, and reports to the balancer what came of it."""
+"""Health checks: calls a server's health or load endpoint, and reports the outcome to the balancer."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     """Checks the health of servers as the balancer decides.
 
     Attributes:
-        settings: In force for the checks from now on; may be replaced at any time.
+        settings: The settings for checks from now on; may be replaced at any time.
     """
 
     def __init__(
--- a/sidecar/proxy/http_messages.py
+++ b/sidecar/proxy/http_messages.py
@@ -25,18 +25,20 @@
     Returns:
         The headers that are neither hop-by-hop nor dropped, in their order.
     """
-    return [(n, v) for n, v in headers if n not in _HOP_BY_HOP_HEADERS and n not in dropped]
+    return [
+        (name, value) for name, value in headers if name not in _HOP_BY_HOP_HEADERS and name not in dropped
+    ]
 
 
 def encode_message(start_line: bytes, headers: Headers, body: bytes = b"") -> bytes:
     """Encode a request or a response.
 
-    Encoding is done here and not by h11, which only parses: at hundreds of requests a second its checks of
-    outgoing messages take a good part of the CPU.  All parts are our own or were parsed by h11, so that none
-    can contain the end of a line.
+    h11 is used for parsing only: at hundreds of requests a second, its checks of outgoing messages would take
+    a considerable part of the CPU time.  All parts of a message come from this program or were parsed by h11,
+    so that none can contain a line break.
 
     Args:
-        start_line: The request line or status line, without the end of the line.
+        start_line: The request line or status line, without the line break.
         headers: Names and values, in their order.
         body: The body; the caller provides the headers that frame it.
 
@@ -66,9 +68,9 @@
         Args:
             name: The header's name in lower case.
         """
-        return next((v.decode("latin-1") for n, v in self.headers if n == name), None)
+        return next((value.decode("latin-1") for key, value in self.headers if key == name), None)
 
     def is_rejection(self) -> bool:
-        """Return whether the server says, without contradiction, that it has not begun the request."""
-        values = [v for n, v in self.headers if n == _REJECTION_HEADER]
+        """Return whether the server states without contradiction that it has not started the request."""
+        values = [value for name, value in self.headers if name == _REJECTION_HEADER]
         return self.status in _REJECTION_STATUSES and values == _REJECTION_VALUES
--- a/sidecar/proxy/idle_connections.py
+++ b/sidecar/proxy/idle_connections.py
@@ -1,4 +1,4 @@
-"""Reuse of connections: which idle one carries the next request, and how long they are kept."""
+"""Reuse of connections: which idle one carries the next request, and how long idle ones are kept."""
 
 from __future__ import annotations
 
@@ -31,9 +31,10 @@
     """Keeps idle connections and picks the ones that are reused.
 
     Attributes:
-        reuse_delay_s: Seconds that a connection is not reused for after a response.  What a server does to it
-            after the response (close it, or send more bytes) is in flight for that long.  A request that is
-            written meanwhile may run and be lost, or get the response to another.
+        reuse_delay_s: Seconds after a response during which its connection is not reused.  A close or further
+            bytes that the server sends after the response may be in flight for that long.  A request that is
+            written in the meantime may run and its response be lost, or it may get the response to another
+            request.
     """
 
     def __init__(self, dial_timeout_s: float, idle_timeout_s: float) -> None:
@@ -50,9 +51,9 @@
     def set_timeouts(
         self, servers: Iterable[PooledServer], dial_timeout_s: float, idle_timeout_s: float
     ) -> None:
-        """Put other timeouts into force, also for connections that are idle now.
+        """Change the timeouts, also for connections that are idle now.
 
-        For those the time counts from when they became idle, as it does at their servers.
+        Their idle time still counts from when they became idle, as it does at their servers.
         """
         former_max_idle_s = self._max_idle_s
         self._max_idle_s = (1.0 - _CLOSE_MARGIN) * idle_timeout_s
@@ -76,9 +77,9 @@
         """Take the most recently used connection that may be reused; close those that may not.
 
         Args:
-            server: Whose connections to look at.
-            accept_untrusted: Whether one may be taken although it has been idle for longer than such
-                connections last.
+            server: The server whose connections are examined.
+            accept_untrusted: Whether to take a connection even if it has been idle for longer than idle
+                connections are expected to last.
 
         Returns:
             The connection, or None if there is none.
@@ -97,7 +98,7 @@
         return None
 
     def record_request(self, idle_s: float | None, has_failed: bool) -> None:
-        """Learn from a request.
+        """Update the estimate of idle lifetimes with the result of a request.
 
         Args:
             idle_s: Seconds that its connection had been idle; None: it was new.
--- a/sidecar/proxy/idle_lifetimes.py
+++ b/sidecar/proxy/idle_lifetimes.py
@@ -5,25 +5,25 @@
 import math
 from dataclasses import dataclass
 
-_MAX_EXCESS_FAILURE_RATE = 0.1  # of the broken fraction, over that of new connections
-_PRIOR_REQUESTS = 20.0  # counted as unbroken beforehand: a few broken ones of a few uses are chance
-_MIN_BUCKET = -6  # idle times up to two to this power of a second, a sixty-fourth, share a bucket
+_MAX_EXCESS_FAILURE_RATE = 0.1  # above the failure rate of new connections
+_PRIOR_REQUESTS = 20.0  # successes assumed in advance, as a few failures of a few requests may be chance
+_MIN_BUCKET = -6  # idle times below 2 ** -6 s, a sixty-fourth of a second, share a bucket
 
 
 @dataclass(slots=True)
 class FailureCounter:
-    """Counts requests on connections of similar idle time, and those that the connection broke on.
+    """Counts requests on connections of similar idle time, and those whose connection broke.
 
     Attributes:
-        requests: Requests, with exponential decay.
-        failures: Those of them whose connection broke, with the same decay.
+        requests: Count of requests, with exponential decay.
+        failures: Count of the requests whose connection broke, with the same decay.
     """
 
     requests: float = 0.0
     failures: float = 0.0
 
     def failure_rate(self) -> float:
-        """Return the fraction of broken requests, drawn towards zero while there are few."""
+        """Return the fraction of failed requests, biased towards zero while there are few requests."""
         return self.failures / (self.requests + _PRIOR_REQUESTS)
 
     def decay(self, factor: float) -> None:
@@ -35,8 +35,8 @@
 class IdleLifetimeEstimator:
     """Decides how long a connection may have been idle and still be trusted with a request.
 
-    Guards against servers and middleboxes that forget an idle connection long before the configured time, and
-    show it only when the next request fails.  Failures that new connections suffer too are not counted
+    Guards against servers and middleboxes that drop an idle connection long before the configured time, which
+    shows only when the next request fails.  Failures that new connections suffer too are not counted
     against idle ones.  Counts decay over a few time constants, so that connections are trusted again.
     """
 
@@ -73,11 +73,11 @@
     def is_trusted(self, idle_s: float, now: float) -> bool:
         """Return whether a connection is as reliable as a new one.
 
-        Connections idle for longer than a time that is not trusted are not trusted either.
+        If connections of some idle time are not trusted, neither are those that have been idle for longer.
 
         Args:
             idle_s: Seconds that the connection has been idle.
-            now: The event loop's time.
+            now: Event loop time, in seconds.
         """
         if now >= self._decayed_at + self._time_constant_s:
             self._decay(now)
--- a/sidecar/proxy/load_reports.py
+++ b/sidecar/proxy/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports: the metrics that servers give of themselves, in responses and to health checks."""
+"""Load reports: the metrics that servers report in responses to requests and to health checks."""
 
 from __future__ import annotations
 
@@ -10,7 +10,9 @@
 log = logging.getLogger(__name__)
 
 _TEXT_FORMAT = "TEXT"
-_METRIC_VALUE = re.compile(r"[0-9]{1,9}(\.[0-9]{1,18})?", re.ASCII)  # a count or a fraction; else malformed
+_METRIC_VALUE = re.compile(
+    r"[0-9]{1,9}(\.[0-9]{1,18})?", re.ASCII
+)  # a count or a fraction; anything else is malformed
 
 
 def parse_load_report(text: str | None, columns: Collection[str]) -> dict[str, float] | None:
@@ -27,13 +29,13 @@
         return None
     report_format, _, metrics = text.strip().partition(" ")
     if report_format.upper() != _TEXT_FORMAT:
-        log.debug("load report skipped: %.80r", text)
+        log.debug("load report in an unknown format skipped: %.80r", text)
         return None
     report = {}
     for metric in metrics.split(","):
         name, _, value = metric.partition("=")
         if not _METRIC_VALUE.fullmatch(value.strip()):
-            log.debug("load metric skipped: %.80r", metric)
+            log.debug("malformed load metric skipped: %.80r", metric)
         elif name.strip() in columns:
             report[name.strip()] = float(value)
     return report or None
@@ -55,8 +57,8 @@
     try:
         metrics = json.loads(text)
     except (ValueError, RecursionError):
-        log.debug("load report skipped: %.80r", text)
+        log.debug("malformed load report skipped: %.80r", text)
         return None
-    # Both formats then share the checks of the text format.
+    # The checks of the text format apply to JSON, too.
     as_text = ",".join(f"{name}={value}" for name, value in metrics.items())
     return parse_load_report(f"{_TEXT_FORMAT} {as_text}", columns)
--- a/sidecar/proxy/pooled_servers.py
+++ b/sidecar/proxy/pooled_servers.py
@@ -11,7 +11,7 @@
 from sidecar.proxy.exchange import Exchange
 from sidecar.proxy.server_connection import ServerConnection
 
-_UNKNOWN_ADDRESS: Address = ("127.0.0.1", 0)  # of a server that accepts nothing new anyway
+_UNKNOWN_ADDRESS: Address = ("127.0.0.1", 0)  # of a server that gets no new requests anyway
 
 
 @dataclass(slots=True, eq=False)
@@ -34,15 +34,17 @@
 
 @dataclass(slots=True, eq=False)
 class PooledServer:
-    """A server, and what the pool holds for it.
+    """A server with its idle connections and its dials in progress.
 
     Attributes:
         name: Name of the server.
         address: Where it listens.
-        started_at: When its process started, as discovery tells it; None: long ago.
-        state: As of the endpoint list.
-        generation: Counts its processes and addresses; connections of an older one are not reused.
-        idle_connections: Its idle connections, the longest idle first; bounded together with all connections.
+        started_at: When its process started, according to discovery, in microseconds of Unix time; None: long
+            ago.
+        state: Its state in the endpoint list.
+        generation: Counts changes of its process and address; connections of an older one are not reused.
+        idle_connections: Its idle connections, the longest idle first; the limit on all connections bounds
+            them.
         dialing_exchanges: The exchanges that are waiting for a new connection to it.
     """
 
@@ -69,14 +71,14 @@
         Guards against a slow dial that would write its request after a draining server has stopped.
 
         Args:
-            outcome: What these exchanges end with.
+            outcome: The outcome of these exchanges.
         """
         self.close_idle()
         for exchange in list(self.dialing_exchanges):
             exchange.end(outcome)
 
     def replace_process(self, address: Address, started_at: int | None) -> None:
-        """Adopt the address and start time of a new process; older connections are of no use any more."""
+        """Adopt the address and start time of a new process; older connections are not reused."""
         has_new_address = self.address != address
         self.address = address
         self.started_at = started_at
@@ -108,9 +110,9 @@
 
         Args:
             name: Name of the server.
-            address: Where it listens; None: where it did so far.
-            started_at: When its process started; None: long ago.
-            state: Its state; a removed server is dropped, and its exchanges in flight go on.
+            address: The address that it listens on; None: unchanged.
+            started_at: When its process started, in microseconds of Unix time; None: long ago.
+            state: Its state; a removed server is deleted, and requests already written to it stay in flight.
         """
         server = self._servers.get(name)
         if server is None:
@@ -132,7 +134,7 @@
             self._remove(name)
 
     def remove_superseded(self) -> list[str]:
-        """Remove the servers at whose address the process of another one listens now, which started later.
+        """Remove each server whose address is now that of another server, with a process that started later.
 
         Returns:
             The names of the servers that were removed.
--- a/sidecar/proxy/registry_messages.py
+++ b/sidecar/proxy/registry_messages.py
@@ -1,4 +1,4 @@
-"""The registry's messages: its endpoint list, complete or as the changes since a version."""
+"""The registry's messages: its endpoint list, either complete or only the changes since a version."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 class InvalidEndpointError(ValueError):
-    """An entry of the endpoint list is not of the registry's form."""
+    """An entry of the endpoint list is invalid."""
 
     def __init__(self, key: str, expected: str) -> None:
         super().__init__(f"{key}: {expected} is needed")
 
 
 class InvalidRegistryResponseError(ValueError):
-    """A response of the registry is no endpoint list."""
+    """A response of the registry is not an endpoint list."""
 
     def __init__(self, key: str, expected: str) -> None:
         super().__init__(f"{key}: {expected} is needed")
@@ -40,8 +40,9 @@
     """An entry of the endpoint list.
 
     Attributes:
-        endpoint: What the balancer is told of it.
-        address: Where it listens, as seen from this sidecar; None where it takes nothing new.
+        endpoint: The entry as the balancer gets it.
+        address: Address that the server listens on, as seen from this sidecar; None if the server gets no new
+            requests and its entry has no valid address.
     """
 
     endpoint: Endpoint
@@ -54,7 +55,7 @@
 
     Attributes:
         version: Version of the list.
-        is_complete: Whether it holds all endpoints; else it holds those that have changed.
+        is_complete: Whether it holds all endpoints; otherwise it holds those that have changed.
         endpoints: Its entries.
     """
 
@@ -64,10 +65,13 @@
 
 
 def parse_registry_response(value: object) -> RegistryResponse:
-    """Parse an endpoint list, from JSON; an invalid entry is logged and skipped.
+    """Parse an endpoint list; an invalid entry is logged and skipped.
+
+    Args:
+        value: The decoded JSON.
 
     Raises:
-        InvalidRegistryResponseError: It is no endpoint list.
+        InvalidRegistryResponseError: It is not an endpoint list.
     """
     if not isinstance(value, Mapping):
         raise InvalidRegistryResponseError("response", "an object")
@@ -75,13 +79,13 @@
     if not isinstance(entries, list):
         raise InvalidRegistryResponseError("endpoints", "a list")
     if type(version) is not int:
-        raise InvalidRegistryResponseError("index", "a whole number")
+        raise InvalidRegistryResponseError("index", "an integer")
     endpoints = []
     for entry in entries:
         try:
             endpoints.append(_parse_endpoint(entry))
         except InvalidEndpointError as error:
-            log.warning("registry: entry skipped: %s: %.120r", error, entry)
+            log.warning("registry: invalid entry skipped: %s: %.120r", error, entry)
     return RegistryResponse(version, value.get("snapshot") is True, endpoints)
 
 
@@ -104,21 +108,21 @@
 def _parse_name(entry: Mapping[str, Any]) -> str:
     name = _parse_text(entry, "name")
     if not name:
-        raise InvalidEndpointError("name", "a text that is not empty")
+        raise InvalidEndpointError("name", "a non-empty string")
     return name
 
 
 def _parse_text(entry: Mapping[str, Any], key: str) -> str:
     value = entry.get(key, "")
     if not isinstance(value, str):
-        raise InvalidEndpointError(key, "a text")
+        raise InvalidEndpointError(key, "a string")
     return value
 
 
 def _parse_integer(entry: Mapping[str, Any], key: str) -> int:
     value = entry.get(key, 0)
     if type(value) is not int:
-        raise InvalidEndpointError(key, "a whole number")
+        raise InvalidEndpointError(key, "an integer")
     return value
 
 
@@ -139,20 +143,21 @@
     """Return when the server's process started, in microseconds of Unix time; None: long ago."""
     since_ms = _parse_integer(entry, "since_ms")
     if since_ms < 0:
-        raise InvalidEndpointError("since_ms", "a number of milliseconds from 0")
+        raise InvalidEndpointError("since_ms", "a non-negative number of milliseconds")
     return since_ms * 1000 or None
 
 
 def _parse_state(entry: Mapping[str, Any]) -> ServerState:
     if "status" not in entry or isinstance(entry["status"], list | dict):
-        raise InvalidEndpointError("status", "a text")
+        raise InvalidEndpointError("status", "a string")
     return _STATES_BY_STATUS.get(entry["status"], _UNKNOWN_STATE)
 
 
 def _parse_address(entry: Mapping[str, Any], state: ServerState) -> Address | None:
-    """Return where the server listens.
+    """Return the address that the server listens on.
 
-    One that gets no new requests needs no address: skipped for the lack of one, it would stay in use.
+    A server that gets no new requests needs no address: if its entry were skipped for the lack of one, the
+    server would stay in use.
     """
     try:
         return parse_address(str(entry.get("address")))
--- a/sidecar/proxy/request_transmission.py
+++ b/sidecar/proxy/request_transmission.py
@@ -5,15 +5,16 @@
 import asyncio
 from collections.abc import Callable
 
-# The kernel takes a shorter request at once, as nothing else is being sent on its connection.
+# The kernel accepts a request of up to this size at once, as nothing else is being sent on its connection.
 _MAX_ATOMIC_WRITE_BYTES = 16 * 1024
 
 
 class RequestTransmission:
     """The transmission of one request.
 
-    A server begins a request with its last byte.  That of a long one is held back until all before it has
-    gone to the kernel, and is written only if the request is still wanted then.
+    A server starts to process a request when it has the last byte.  The last byte of a long request is held
+    back until the kernel has accepted all bytes before it, and is written only if the request is still wanted
+    then.
 
     Attributes:
         is_complete: Whether the last byte has been handed to the kernel.
@@ -23,7 +24,8 @@
         """Prepare a transmission; nothing is written yet.
 
         Args:
-            transport: Of the connection, which must report when its write buffer is empty.
+            transport: Transport of the connection, which must call `on_buffer_empty` when its write buffer is
+                empty.
             is_wanted: Returns whether a long request may be written to its end.
         """
         self.is_complete = False
@@ -38,7 +40,7 @@
         self._write(request)
 
     def on_buffer_empty(self) -> None:
-        """Write the byte that is held back, if any; all before it has gone to the kernel."""
+        """Write the byte that is held back, if any: the kernel has accepted all bytes before it."""
         last_byte, self._last_byte = self._last_byte, b""
         if not last_byte:
             self.is_complete = True
@@ -47,6 +49,6 @@
 
     def _write(self, data: bytes) -> None:
         self._transport.write(data)
-        # A failed write closes the transport and empties its buffer, although nothing of it was sent.
+        # A failed write closes the transport and empties its buffer, although the data was not sent.
         if not self._transport.is_closing() and not self._transport.get_write_buffer_size():
             self.on_buffer_empty()
--- a/sidecar/proxy/response_reader.py
+++ b/sidecar/proxy/response_reader.py
@@ -19,21 +19,21 @@
 
 
 class MalformedResponseError(Exception):
-    """What a server has sent is not a response, or exceeds a limit."""
+    """The bytes that a server has sent are not a response, or exceed a limit."""
 
 
 class TooManyInformationalResponsesError(MalformedResponseError):
-    """More 1xx responses came than are accepted ahead of the final one."""
+    """The server sent more 1xx responses ahead of the final one than are accepted."""
 
     def __init__(self) -> None:
         super().__init__(f"more than {_MAX_INFORMATIONAL_RESPONSES} informational responses")
 
 
 class ResponseTooLargeError(MalformedResponseError):
-    """The body of a response is, or is announced to be, longer than is accepted."""
+    """The actual or declared body of a response is longer than accepted."""
 
     def __init__(self, max_body_bytes: int) -> None:
-        super().__init__(f"its body is longer than {max_body_bytes} bytes")
+        super().__init__(f"body longer than {max_body_bytes} bytes")
 
 
 class TruncatedResponseError(Exception):
@@ -42,13 +42,13 @@
 
 @dataclass(slots=True)
 class ReceivedResponse:
-    """A complete response, and what its receipt tells about the connection.
+    """A complete response, and whether its connection can be reused.
 
     Attributes:
         response: The response.
         keep_alive: Whether HTTP allows another request on the connection.
-        has_excess_data: Whether more bytes came than belong to the response, so that it may answer another
-            request.
+        has_excess_data: Whether more bytes were received than belong to the response, so that it may answer
+            another request.
     """
 
     response: Response
@@ -73,11 +73,11 @@
         return self._head is not None or bool(self._unparsed())
 
     def feed(self, data: bytes) -> ReceivedResponse | None:
-        """Parse what has been received.
+        """Parse received bytes.
 
         Args:
-            data: The bytes; none of them at the end of the connection, which completes a response that
-                announces no length.
+            data: The bytes; empty at the end of the connection, which completes a response that declares no
+                length.
 
         Returns:
             The response, or None while it is incomplete.
@@ -125,7 +125,7 @@
         body = self._unparsed()
         if not _is_complete_body(head, body):
             return None
-        # Spares h11 two events: most bodies come together with their head.
+        # Skips two events of h11: most bodies arrive together with their head.
         return ReceivedResponse(_build_response(head, body), keep_alive=self._parser.our_state is h11.DONE)
 
     def _on_body_part(self, data: bytes) -> None:
@@ -134,8 +134,8 @@
             raise ResponseTooLargeError(self._max_body_bytes)
 
     def _on_end(self) -> ReceivedResponse:
-        """Return the response, complete by its length or by an orderly end of its connection."""
-        assert self._head is not None  # h11 gives it first
+        """Return the response, complete by its length or by an orderly close of its connection."""
+        assert self._head is not None  # h11 emits it first
         is_done = self._parser.our_state is h11.DONE and self._parser.their_state is h11.DONE
         has_excess_data = bool(self._unparsed())
         response = _build_response(self._head, bytes(self._body))
@@ -147,7 +147,7 @@
 
 
 def _is_complete_body(head: h11.Response, data: bytes) -> bool:
-    """Return whether the bytes behind a head are exactly the body that it announces."""
+    """Return whether the bytes after a head are exactly the body that it declares."""
     if head.status_code in _BODILESS_STATUSES:
         return False
     framing = {name: value for name, value in head.headers if name in _FRAMING_HEADERS}
--- a/sidecar/proxy/server_connection.py
+++ b/sidecar/proxy/server_connection.py
@@ -27,10 +27,10 @@
 
 
 class ResponseCallback(Protocol):
-    """Is called once when a request on a connection is over."""
+    """A callback that is called once, when a request on a connection is over."""
 
     def __call__(self, response: Response | None, /) -> None:
-        """Take the complete response, or None if there is none: the connection is closed then."""
+        """Handle the complete response; None: there is none, and the connection is closed."""
 
 
 class ServerConnection(SharedBufferProtocol):
@@ -38,10 +38,10 @@
 
     Attributes:
         sock: The connected socket.
-        reusable: Whether it may carry a further request; False for good once it has been False.
+        is_reusable: Whether it may carry another request; once False, it stays False.
         has_protocol_error: Whether it has received a malformed response, or more than one response.
         has_local_failure: Whether it broke for a cause on this machine.
-        on_lost: Is called once when it is closed.
+        on_lost: Called once when it is closed.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
     def is_idle(self) -> bool:
         """Return whether it may carry another request now.
 
-        Guards against an end of the stream, or bytes, that the event loop has not read yet.
+        It may not if the kernel holds an end of the stream or bytes that the event loop has not read yet.
         """
         is_open = self._transport is not None and not self._transport.is_closing()
         return (
@@ -92,7 +92,7 @@
 
         Args:
             data: The encoded request.
-            on_response: Is called once when the request is over.
+            on_response: Called once when the request is over.
             is_wanted: Returns whether the last byte of a long request may still be written.
         """
         assert self._transport is not None
@@ -108,30 +108,30 @@
             self._transport.abort()
 
     def shutdown_and_abort(self) -> None:
-        """Close, and end the sending before this returns: the transport closes in the loop's next turn only.
+        """Close, and stop sending before this returns: the transport closes in the next loop iteration only.
 
-        Guards the rule that one copy of a request is in flight at a time: another may be written before that
-        turn.
+        Guards the rule that one copy of a request is in flight at a time: another copy may be written before
+        that iteration.
         """
-        with contextlib.suppress(OSError):  # it has broken already
+        with contextlib.suppress(OSError):  # the connection has broken already
             self.sock.shutdown(socket.SHUT_WR)
         self.abort()
 
     # -- Called by the transport ----------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, and let it report every time that its write buffer is empty."""
+        """Store the transport, and make it report whenever its write buffer is empty."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         transport.set_write_buffer_limits(high=0)
 
     def resume_writing(self) -> None:
-        """Go on with a long request: the transport's write buffer is empty."""
+        """Continue with a long request: the transport's write buffer is empty."""
         if self._on_response is not None and self._transmission is not None:
             self._transmission.on_buffer_empty()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come; bytes that no request has asked for close the connection."""
+        """Parse received bytes; bytes without a request in flight close the connection."""
         if self._on_response is None:
             self.abort()
             return
@@ -172,7 +172,7 @@
         self._finish(received.response, is_reusable=received.keep_alive)
 
     def _reject_response(self, reason: str) -> None:
-        """Give up on a malformed response: the request ran, and the connection is of no further use."""
+        """Discard a malformed response: the request ran, and the connection can't be reused."""
         log.debug("malformed response: %s", reason)
         self.has_protocol_error = True
         self._finish(None)
@@ -195,7 +195,9 @@
         if self._response_reader is None or not self._response_reader.has_begun():
             return
         loop = asyncio.get_running_loop()
-        self._response_timer = loop.call_later(self._response_timeout_s, self._reject_response, "timed out")
+        self._response_timer = loop.call_later(
+            self._response_timeout_s, self._reject_response, "incomplete after the response timeout"
+        )
 
     def _cancel_response_timer(self) -> None:
         if self._response_timer is not None:
@@ -212,13 +214,13 @@
     """Connect to a server.
 
     Args:
-        address: Where it listens.
+        address: Address that it listens on.
         max_body_bytes: Longer responses count as malformed.
         response_timeout_s: Seconds that a response may take from its first byte on; None: unlimited.
         sock: A socket that is ready for a non-blocking connect; None: a new one.
 
     Returns:
-        The connection, which is up.
+        The established connection.
 
     Raises:
         LocalDialError: It failed for a cause on this machine.
