--- a/sidecar/proxy/active_requests.py
+++ b/sidecar/proxy/active_requests.py
@@ -23,7 +23,7 @@
         answered: Whether its client has its answer or has disconnected.
         attempts_sent: Count of its attempts so far, which are numbered from 0.
         in_flight: The attempts that have not ended, by number; None while one is being started.
-        started: Numbers of the attempts of which a first byte was written.
+        started_attempts: Numbers of the attempts of which a first byte was written.
         deadline_timer: Fails the request at its deadline.
     """
 
@@ -33,16 +33,16 @@
     answered: bool = False
     attempts_sent: int = 0
     in_flight: dict[int, Exchange | None] = field(default_factory=dict)
-    started: set[int] = field(default_factory=set)
+    started_attempts: set[int] = field(default_factory=set)
     deadline_timer: asyncio.TimerHandle | None = None
 
     def exchanges_in_flight(self) -> list[Exchange]:
         """Return the exchanges of its attempts in flight, as a copy."""
         return [exchange for exchange in self.in_flight.values() if exchange is not None]
 
-    def has_other_started(self, attempt: int) -> bool:
+    def has_other_attempt_started(self, attempt: int) -> bool:
         """Return whether a first byte of another attempt than this one was written."""
-        return bool(self.started - {attempt})
+        return bool(self.started_attempts - {attempt})
 
 
 class ActiveRequests:
@@ -97,8 +97,8 @@
         """
         service_class = request.client_request.service_class
         request_id = request.client_request.request_id
-        if request.started and service_class.idempotency is not Idempotency.SAFE:
-            patience_s = service_class.deadline_us / 1e6
-            asyncio.get_running_loop().call_later(patience_s, self._ids_in_use.discard, request_id)
+        if request.started_attempts and service_class.idempotency is not Idempotency.SAFE:
+            client_timeout_s = service_class.deadline_us / 1e6
+            asyncio.get_running_loop().call_later(client_timeout_s, self._ids_in_use.discard, request_id)
         else:
             self._ids_in_use.discard(request_id)
--- a/sidecar/proxy/attempts.py
+++ b/sidecar/proxy/attempts.py
@@ -109,7 +109,7 @@
     def _end_unwritten(self, attempt: Attempt) -> None:
         """End a retry that is not written completely: servers begin to forget its idempotency key."""
         exchange = attempt.request.in_flight.get(attempt.number)
-        if exchange is not None and attempt.request.has_other_started(attempt.number):
+        if exchange is not None and attempt.request.has_other_attempt_started(attempt.number):
             self._pool.abandon_unwritten(exchange)
 
     def _encode_if_wanted(self, attempt: Attempt, remaining_s: float) -> bytes | None:
@@ -124,12 +124,12 @@
             return None
         if self._is_past_dedup_window(attempt):
             return None
-        request.started.add(attempt.number)
+        request.started_attempts.add(attempt.number)
         return encode_request(request.client_request, remaining_s)
 
     def _is_past_dedup_window(self, attempt: Attempt) -> bool:
         """Return whether servers may have forgotten another attempt, and would run this one a second time."""
-        if attempt.write_by_us is None or not attempt.request.has_other_started(attempt.number):
+        if attempt.write_by_us is None or not attempt.request.has_other_attempt_started(attempt.number):
             return False
         return self._clock.now() >= attempt.write_by_us
 
--- a/sidecar/proxy/client_connection.py
+++ b/sidecar/proxy/client_connection.py
@@ -18,7 +18,7 @@
     retry_after_header,
 )
 from sidecar.proxy.connection_state import ConnectionState
-from sidecar.proxy.event_loop import NEGLIGIBLE_WAIT_S, arrived_after
+from sidecar.proxy.event_loop import NEGLIGIBLE_WAIT_S, earliest_arrival
 from sidecar.proxy.http_messages import Headers, message
 from sidecar.proxy.request_errors import (
     BadRequestError,
@@ -93,7 +93,7 @@
         self._owner = owner
         self._sock = sock
         self._shed_load = shed_load
-        self._arrived_after = connected_after  # the data read next arrived after this time
+        self._earliest_arrival = connected_after  # the data read next arrived after this time
         self._was_queued_with_data = False  # the data read first waited in the accept queue
         self._reader = RequestReader(self._write)
         self._transport: asyncio.Transport | None = None
@@ -147,9 +147,9 @@
         """Go on, as the response is written."""
         self._write_blocked = False
         if self._request is None and self._discarded_bytes is None:
-            self._next_request()
+            self._read_next_request()
         elif self._request is None:
-            self._end_writing()
+            self._half_close()
 
     # -- Responder ------------------------------------------------------------------------------------
 
@@ -191,7 +191,7 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def state_expired(self) -> None:
+    def on_state_timeout(self) -> None:
         """End it, unless data that has just arrived is about to change its state."""
         if self.state is ConnectionState.CLOSING:
             self.abort()
@@ -209,12 +209,12 @@
         if (self._request is not None or self._write_blocked) and self._reader.unread:
             return
         if not self._was_queued_with_data:
-            self._arrived_after = arrived_after()
+            self._earliest_arrival = earliest_arrival()
         self._was_queued_with_data = False
 
     def _waited_us(self) -> int:
         """How long the request may have waited to be read, while its client's time ran."""
-        waited_s = asyncio.get_running_loop().time() - self._arrived_after
+        waited_s = asyncio.get_running_loop().time() - self._earliest_arrival
         return int(waited_s * 1e6) if waited_s > NEGLIGIBLE_WAIT_S else 0
 
     def _read(self) -> None:
@@ -237,7 +237,7 @@
         if self._reader.has_head:
             self._reject(InternalError())
         else:
-            self._end_writing()  # it has its response, maybe not yet to the last byte
+            self._half_close()  # it has its response, maybe not yet to the last byte
 
     def _look_ahead(self) -> None:
         """Examine the data pipelined behind the request in flight."""
@@ -260,8 +260,8 @@
         if len(self._reader.unread) > MAX_BODY_BYTES:
             self._discarded_bytes = 0
 
-    def _discard(self, count: int) -> None:
-        self._discarded_bytes = (self._discarded_bytes or 0) + count
+    def _discard(self, byte_count: int) -> None:
+        self._discarded_bytes = (self._discarded_bytes or 0) + byte_count
         if self._discarded_bytes <= _MAX_DISCARDED_BYTES:
             return
         if self._request is not None:
@@ -269,7 +269,7 @@
         elif self._transport is not None:
             self._transport.pause_reading()
 
-    def _next_request(self) -> None:
+    def _read_next_request(self) -> None:
         """Turn to the data pipelined behind the request that has its response."""
         if self._transport is None or self._transport.is_closing():
             return
@@ -298,7 +298,7 @@
         else:
             request = parse_request(received.head, received.body, self._owner.settings, self)
             self._check_request_id(request.request_id)
-            self._hand_over(request)
+            self._dispatch(request)
 
     def _respond_readiness(self) -> None:
         is_ready = self._owner.handler.is_ready()
@@ -311,7 +311,7 @@
         wait_us = limits.max_retry_after_us if limits.retry_after else 0
         self._respond(HTTPStatus.SERVICE_UNAVAILABLE, retry_after_header(wait_us), b"", close=True)
 
-    def _hand_over(self, request: ClientRequest) -> None:
+    def _dispatch(self, request: ClientRequest) -> None:
         """Hand a request to the handler, unless its budget was used up before it was read."""
         waited_us = self._waited_us()
         if waited_us and request.budget_us <= waited_us:
@@ -357,10 +357,10 @@
         if self._reader.is_head_request:
             body = b""
         status_line = b"HTTP/1.1 %d %b" % (status, _REASON_PHRASES.get(status, b""))
-        self._reader.finish()
+        self._reader.discard_request()
         self._transport.write(message(status_line, headers, body))
         if close:
-            self._end_writing()
+            self._half_close()
         else:
             self._keep_alive()
 
@@ -378,9 +378,9 @@
             return
         self._become_idle()
         if self._reader.unread:
-            asyncio.get_running_loop().call_soon(self._next_request)
+            asyncio.get_running_loop().call_soon(self._read_next_request)
 
-    def _end_writing(self) -> None:
+    def _half_close(self) -> None:
         """End this side and discard what still arrives: a close over unread data would reset the response."""
         if self._transport is None or self._transport.is_closing():
             return
--- a/sidecar/proxy/client_request.py
+++ b/sidecar/proxy/client_request.py
@@ -24,7 +24,7 @@
 API_PATH = b"/api"
 _MAX_REQUEST_ID_LENGTH = 256  # characters
 _BUDGET_TOLERANCE = 1.1  # a budget may exceed its class's deadline by rounding, no more
-_SINGLE_VALUED = frozenset(  # given twice, these may mean one thing here and another to a server
+_SINGLE_VALUED_HEADERS = frozenset(  # given twice, these may mean one thing here and another to a server
     (
         b"x-call-id",
         b"x-call-class",
@@ -35,9 +35,9 @@
         b"idempotency-key",
     )
 )
-_REQUIRED = (b"x-call-id", b"x-call-class", b"x-budget")
-_NOT_FORWARDED = (b"content-length", b"x-budget", b"expect")  # beside the hop-by-hop headers
-_NUMBER = re.compile(r"[0-9]{1,10}(\.[0-9]{1,9})?", re.ASCII)
+_REQUIRED_HEADERS = (b"x-call-id", b"x-call-class", b"x-budget")
+_UNFORWARDED_HEADERS = (b"content-length", b"x-budget", b"expect")  # beside the hop-by-hop headers
+_NUMBER_PATTERN = re.compile(r"[0-9]{1,10}(\.[0-9]{1,9})?", re.ASCII)
 
 
 class Responder(Protocol):
@@ -110,15 +110,15 @@
     Raises:
         BadRequestError: The request is malformed or not allowed.
     """
-    values = _read_headers(head)
+    values = _parse_headers(head)
     cost = values.get(b"x-call-cost")
     request = ClientRequest(
         method=head.method,
         target=head.target,
-        headers=end_to_end(head.headers, *_NOT_FORWARDED),
+        headers=end_to_end(head.headers, *_UNFORWARDED_HEADERS),
         body=body,
         request_id=values[b"x-call-id"],
-        service_class=_find_class(values[b"x-call-class"], settings),
+        service_class=_find_service_class(values[b"x-call-class"], settings),
         tenant=values.get(b"x-caller") or None,
         key=_parse_key(head.target),
         budget_us=int(_parse_number(values[b"x-budget"], "x-budget") * 1e6),
@@ -126,18 +126,18 @@
         is_retry=values.get(b"x-again") == "1",
         responder=responder,
     )
-    _check_class(request, has_idempotency_key=bool(values.get(b"idempotency-key")))
+    _check_service_class(request, has_idempotency_key=bool(values.get(b"idempotency-key")))
     _check_tenant(request, settings)
     return request
 
 
-def _read_headers(head: h11.Request) -> dict[bytes, str]:
+def _parse_headers(head: h11.Request) -> dict[bytes, str]:
     values: dict[bytes, str] = {}
     for name, value in head.headers:
-        if name in _SINGLE_VALUED and name in values:
+        if name in _SINGLE_VALUED_HEADERS and name in values:
             raise DuplicateHeaderError(name.decode())
         values[name] = value.decode("latin-1").strip()
-    for name in _REQUIRED:
+    for name in _REQUIRED_HEADERS:
         if not values.get(name):
             raise MissingHeaderError(name.decode())
     if len(values[b"x-call-id"]) > _MAX_REQUEST_ID_LENGTH:
@@ -145,14 +145,14 @@
     return values
 
 
-def _find_class(name: str, settings: Settings) -> ServiceClass:
+def _find_service_class(name: str, settings: Settings) -> ServiceClass:
     for service_class in settings.classes:
         if service_class.name == name:
             return service_class
     raise UnknownNameError("x-call-class")
 
 
-def _check_class(request: ClientRequest, *, has_idempotency_key: bool) -> None:
+def _check_service_class(request: ClientRequest, *, has_idempotency_key: bool) -> None:
     """Check the method, the body, the idempotency key and the budget against the service class."""
     service_class = request.service_class
     is_safe = service_class.idempotency is Idempotency.SAFE
@@ -175,7 +175,7 @@
 
 
 def _parse_number(text: str, name: str) -> float:
-    if not _NUMBER.fullmatch(text):
+    if not _NUMBER_PATTERN.fullmatch(text):
         raise NotANumberError(name)
     return float(text)
 
--- a/sidecar/proxy/connection_table.py
+++ b/sidecar/proxy/connection_table.py
@@ -12,7 +12,7 @@
 from sidecar.proxy.overload import OverloadDetector
 
 _SWEEP_INTERVAL_S = 0.1
-_YOUNG_S = 0.1  # the request of a connection this new may be on its way: others are closed first
+_NEW_CONNECTION_AGE_S = 0.1  # the request of a younger connection may be in transit: others are closed first
 _MAX_EVICTION_CANDIDATES = 4  # connections of one state that are examined for one to close
 
 
@@ -82,7 +82,7 @@
     def _limit_idle(self) -> None:
         if len(self._by_state[ConnectionState.IDLE]) <= self._max_idle:
             return
-        oldest = self._find_quiet(ConnectionState.IDLE)
+        oldest = self._find_without_unread_data(ConnectionState.IDLE)
         if oldest is not None and oldest.is_idle():
             self.remove(oldest)
             oldest.close()
@@ -96,17 +96,17 @@
 
     def _sweep(self) -> None:
         for state, limit_s in STATE_TIME_LIMITS_S.items():
-            self._expire(state, limit_s)
+            self._enforce_time_limit(state, limit_s)
         self._overload.record_lag(asyncio.get_running_loop().time() - self._sweep_due)
         self._silent = self._find_silent() if self._overload.is_limiting() else set()
         self.schedule_sweep()
 
-    def _expire(self, state: ConnectionState, limit_s: float) -> None:
+    def _enforce_time_limit(self, state: ConnectionState, limit_s: float) -> None:
         loop = asyncio.get_running_loop()
         for connection, since in list(self._by_state[state].items()):
             if since + limit_s > loop.time():
                 return  # those behind it came later
-            connection.state_expired()
+            connection.on_state_timeout()
 
     # -- Capacity -------------------------------------------------------------------------------------
 
@@ -135,19 +135,21 @@
         return True
 
     def _choose_eviction(self) -> ClientConnection | None:
-        young_since = asyncio.get_running_loop().time() - _YOUNG_S
+        new_since = asyncio.get_running_loop().time() - _NEW_CONNECTION_AGE_S
         closing = self._by_state[ConnectionState.CLOSING]
         return (
             next((connection for connection in closing if connection.can_close_safely()), None)
-            or self._find_quiet(ConnectionState.READING, young_since)
-            or self._find_quiet(ConnectionState.IDLE)
-            or self._find_quiet(ConnectionState.READING)
+            or self._find_without_unread_data(ConnectionState.READING, new_since)
+            or self._find_without_unread_data(ConnectionState.IDLE)
+            or self._find_without_unread_data(ConnectionState.READING)
         )
 
-    def _find_quiet(self, state: ConnectionState, before: float = math.inf) -> ClientConnection | None:
+    def _find_without_unread_data(
+        self, state: ConnectionState, entered_before: float = math.inf
+    ) -> ClientConnection | None:
         """The longest in a state, and since before a time, without unread data."""
         for connection, since in islice(self._by_state[state].items(), _MAX_EVICTION_CANDIDATES):
-            if since < before and not connection.has_unread_data():
+            if since < entered_before and not connection.has_unread_data():
                 return connection
         return None
 
@@ -156,10 +158,10 @@
 
         The event loop reads sockets before it runs timers, so these have no unread data either.
         """
-        young_since = asyncio.get_running_loop().time() - _YOUNG_S
+        new_since = asyncio.get_running_loop().time() - _NEW_CONNECTION_AGE_S
         reading = self._by_state[ConnectionState.READING].items()
         return {
             connection
             for connection, since in reading
-            if since < young_since and not connection.has_partial_request()
+            if since < new_since and not connection.has_partial_request()
         }
--- a/sidecar/proxy/driver.py
+++ b/sidecar/proxy/driver.py
@@ -115,16 +115,16 @@
         """Return whether it is ready for requests."""
         return self._lag_monitor.has_settled and not self.frontend.draining
 
-    def reconfigure(self, former: Config, given: Config) -> None:
+    def reconfigure(self, old: Config, new: Config) -> None:
         """Put the difference between two configurations into force.
 
         Raises:
             Exception: What the balancer raises on the settings; then nothing has changed.
         """
-        if given.settings != former.settings:
-            self.apply_settings(given.settings)
-        if given.discovery != former.discovery:
-            self.migrate_discovery(given.discovery)
+        if new.settings != old.settings:
+            self.apply_settings(new.settings)
+        if new.discovery != old.discovery:
+            self.migrate_discovery(new.discovery)
 
     def apply_settings(self, settings: Settings) -> None:
         """Put other settings into force.
@@ -198,7 +198,7 @@
             case SetTimer():
                 self._set_timer(action)
             case RejectRequest() | FailRequest():
-                self._requests.finish(action)
+                self._requests.reject_or_fail(action)
             case CancelAttempt():
                 self._attempts.cancel(action)
             case CheckHealth():
--- a/sidecar/proxy/event_loop.py
+++ b/sidecar/proxy/event_loop.py
@@ -20,31 +20,31 @@
     goes unnoticed.
 
     Attributes:
-        arrived_after: The events of the last poll occurred after this time, in seconds of the clock.
+        earliest_arrival: The events of the last poll occurred after this time, in seconds of the clock.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
         super().__init__()
         self._clock = clock
-        self._polled_at = clock()  # when the last poll returned
-        self.arrived_after = self._polled_at
+        self._poll_ended_at = clock()  # when the last poll returned
+        self.earliest_arrival = self._poll_ended_at
 
     def select(self, timeout: float | None = None) -> _ReadyEvents:
         """Poll for at most `timeout` seconds; None: until an event comes."""
         started_at = self._clock()
-        if started_at - self._polled_at > NEGLIGIBLE_WAIT_S:
+        if started_at - self._poll_ended_at > NEGLIGIBLE_WAIT_S:
             ready = super().select(0)  # tells events that waited from those during the poll
             if ready or timeout == 0:
-                self._record_poll(self._polled_at)
+                self._record_poll(self._poll_ended_at)
                 return ready
         ready = super().select(timeout)
         overran = timeout is not None and self._clock() > started_at + timeout + NEGLIGIBLE_WAIT_S
         self._record_poll(started_at if overran else self._clock())
         return ready
 
-    def _record_poll(self, arrived_after: float) -> None:
-        self.arrived_after = arrived_after
-        self._polled_at = self._clock()
+    def _record_poll(self, earliest_arrival: float) -> None:
+        self.earliest_arrival = earliest_arrival
+        self._poll_ended_at = self._clock()
 
 
 class EventLoop(asyncio.SelectorEventLoop):
@@ -60,15 +60,15 @@
         return self._poll_clock()
 
     @property
-    def arrived_after(self) -> float:
+    def earliest_arrival(self) -> float:
         """The time after which the data arrived that this iteration is the first to read."""
-        return self._poll_timing.arrived_after
+        return self._poll_timing.earliest_arrival
 
 
-def arrived_after() -> float:
+def earliest_arrival() -> float:
     """The time after which the data arrived that this iteration of the running loop is the first to read.
 
     On an event loop of another kind this is the present: nothing counts as having waited.
     """
     loop = asyncio.get_running_loop()
-    return loop.arrived_after if isinstance(loop, EventLoop) else loop.time()
+    return loop.earliest_arrival if isinstance(loop, EventLoop) else loop.time()
--- a/sidecar/proxy/frontend.py
+++ b/sidecar/proxy/frontend.py
@@ -11,13 +11,13 @@
 from sidecar.proxy.client_request import RequestHandler
 from sidecar.proxy.connection_state import ConnectionState
 from sidecar.proxy.connection_table import ConnectionTable
-from sidecar.proxy.event_loop import arrived_after
+from sidecar.proxy.event_loop import earliest_arrival
 from sidecar.proxy.listener import BACKLOG, accept_connection, has_pending_connection, open_listener
 from sidecar.settings import Settings
 
 log = logging.getLogger(__name__)
 
-_ACCEPT_BATCH = 64  # connections accepted in one go, before the event loop turns to others
+_ACCEPT_BATCH_SIZE = 64  # connections accepted in one go, before the event loop turns to others
 _ACCEPT_BACKOFF_S = 0.05  # after a failed accept, e.g. for lack of descriptors: no busy loop
 
 
@@ -67,17 +67,17 @@
         """Leave new connections in the kernel's queue for now."""
         self._accepting = False
         if self._queue_empty_at is None:
-            self._queue_empty_at = arrived_after()
+            self._queue_empty_at = earliest_arrival()
         asyncio.get_running_loop().remove_reader(self._sock)
 
     def _back_off(self) -> None:
         self._pause_accepting()
         asyncio.get_running_loop().call_later(_ACCEPT_BACKOFF_S, self._resume_accepting)
 
-    def _accept(self, max_accepted: int = _ACCEPT_BATCH) -> bool:
+    def _accept(self, max_accepted: int = _ACCEPT_BATCH_SIZE) -> bool:
         """Accept the connections in the kernel's queue; return whether none is left there."""
         if self._queue_empty_at is None:
-            self._queue_empty_at = arrived_after()
+            self._queue_empty_at = earliest_arrival()
         is_queue_empty = self._accept_batch(max_accepted, self._queue_empty_at)
         if is_queue_empty:
             self._queue_empty_at = None if self._accepting else asyncio.get_running_loop().time()
@@ -154,19 +154,19 @@
         A request that crosses the close of its connection is sent again on a new one.
         """
         self.draining = True
-        self.close_idle(used=True)
+        self.close_idle(only_used=True)
 
-    def close_idle(self, *, used: bool) -> None:
+    def close_idle(self, *, only_used: bool) -> None:
         """Close idle connections.
 
         Args:
-            used: Spare those that have carried no request yet, as their first may be on its way.
+            only_used: Spare those that have carried no request yet, as their first may be on its way.
         """
         for connection in self.connections:
-            if connection.is_idle() and (connection.state is ConnectionState.IDLE or not used):
+            if connection.is_idle() and (connection.state is ConnectionState.IDLE or not only_used):
                 connection.close()
 
-    def stop(self) -> bool:
+    def close_listener(self) -> bool:
         """Accept the connections in the queue, then close the listener.
 
         Returns:
@@ -178,6 +178,6 @@
             self._sock.close()
         return self._sock.fileno() < 0
 
-    def is_empty(self) -> bool:
+    def has_no_connections(self) -> bool:
         """Whether there is no connection, not even one being set up."""
         return not self.table.count()
--- a/sidecar/proxy/loop_lag.py
+++ b/sidecar/proxy/loop_lag.py
@@ -26,20 +26,20 @@
 
     def __init__(self) -> None:
         self.has_settled = False
-        self._checks: asyncio.Task[None] | None = None
+        self._check_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
         """Start the checks, and the time after which the event loop counts as on time."""
         loop = asyncio.get_running_loop()
-        self._checks = loop.create_task(self._check_forever())
-        loop.call_later(SETTLED_AFTER_S, self.settle)
+        self._check_task = loop.create_task(self._check_forever())
+        loop.call_later(SETTLED_AFTER_S, self.mark_settled)
 
     def stop(self) -> None:
         """Stop the checks."""
-        if self._checks is not None:
-            self._checks.cancel()
+        if self._check_task is not None:
+            self._check_task.cancel()
 
-    def settle(self) -> None:
+    def mark_settled(self) -> None:
         """Let the event loop count as on time from now on."""
         self.has_settled = True
 
@@ -48,12 +48,12 @@
         while True:
             due = loop.time() + _CHECK_INTERVAL_S
             await asyncio.sleep(_CHECK_INTERVAL_S)
-            self._note_lag(loop.time() - due)
+            self._record_lag(loop.time() - due)
 
-    def _note_lag(self, lag_s: float) -> None:
+    def _record_lag(self, lag_s: float) -> None:
         if lag_s > _LAG_WARNING_S:
             log.warning(
                 "the event loop was %.0f ms late; warned from %.0f ms on", lag_s * 1000, _LAG_WARNING_S * 1000
             )
         else:
-            self.settle()
+            self.mark_settled()
--- a/sidecar/proxy/request_lifecycle.py
+++ b/sidecar/proxy/request_lifecycle.py
@@ -53,7 +53,7 @@
             self._mark_answered(request)
             self._handle(ClientDisconnected(request.number))
 
-    def finish(self, action: RejectRequest | FailRequest) -> None:
+    def reject_or_fail(self, action: RejectRequest | FailRequest) -> None:
         """Answer a request as rejected (503) or failed (500)."""
         request = self.active.get(action.request)
         if request is None:
--- a/sidecar/proxy/request_reader.py
+++ b/sidecar/proxy/request_reader.py
@@ -101,7 +101,7 @@
         assert self._head is not None
         return ReceivedRequest(self._head, bytes(self._body))
 
-    def finish(self) -> None:
+    def discard_request(self) -> None:
         """Forget the request, which has its response."""
         self._head, self._body = None, bytearray()
 
@@ -133,8 +133,8 @@
         if int(framing.get(b"content-length", b"0")) > MAX_BODY_BYTES:
             raise BodyTooLargeError
         if self._h11.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            self._write(self._h11.send(go_on) or b"")
+            continue_response = h11.InformationalResponse(status_code=100, headers=[])
+            self._write(self._h11.send(continue_response) or b"")
 
     def _add_body(self, data: bytes | bytearray) -> None:
         self._body += data
--- a/sidecar/proxy/shutdown.py
+++ b/sidecar/proxy/shutdown.py
@@ -19,11 +19,12 @@
 log = logging.getLogger(__name__)
 
 # Counted from SIGTERM.
-_ACCEPT_S = 0.45  # how long connections are accepted: they come for 0.4 s
-_UNUSED_S = 0.55  # how long one that has carried nothing stays open for a request on its way
+_ACCEPT_DURATION_S = 0.45  # how long connections are accepted: they come for 0.4 s
+# How long a connection that has carried no request stays open for one that may be in transit.
+_UNUSED_CONNECTION_GRACE_S = 0.55
 # Counted from the longest deadline after SIGTERM.
 # When all requests that are left are failed: of the 0.7 s, less the two delays and a poll interval.
-_FAIL_ALL_S = 0.38
+_FAIL_ALL_AFTER_S = 0.38
 _LINGER_S = 0.65  # when the last connections end, so that their clients have read the responses
 _MAX_DEADLINE_S = 3.0  # the platform waits for no longer deadline
 _POLL_INTERVAL_S = 0.02
@@ -39,11 +40,11 @@
         self._active = active
         self._requests = requests
         self._longest_deadline_s = self._find_longest_deadline_s(settings)
-        self._began = 0.0
+        self._started_at = 0.0
 
     async def run(self) -> None:
         """Shut down; return once nothing is left or time is up."""
-        self._began = asyncio.get_running_loop().time()
+        self._started_at = asyncio.get_running_loop().time()
         unanswered = len(self._active.unanswered())
         log.info("draining: %d requests in flight, deadline %.3f s", unanswered, self._longest_deadline_s)
         self._frontend.drain()
@@ -54,16 +55,16 @@
 
     async def _accept(self) -> None:
         """Go on accepting connections; close those that have carried requests as they become idle."""
-        while self._elapsed_s() < _ACCEPT_S:
+        while self._elapsed_s() < _ACCEPT_DURATION_S:
             await asyncio.sleep(_POLL_INTERVAL_S)
-            self._frontend.close_idle(used=True)
+            self._frontend.close_idle(only_used=True)
 
     async def _finish_requests(self) -> None:
         """Stop accepting connections, and wait for the requests in flight."""
-        until_s = max(self._longest_deadline_s + _FAIL_ALL_S, _ACCEPT_S)
+        until_s = max(self._longest_deadline_s + _FAIL_ALL_AFTER_S, _ACCEPT_DURATION_S)
         while not self._is_drained() and self._elapsed_s() < until_s:
             await asyncio.sleep(_POLL_INTERVAL_S)
-            self._frontend.close_idle(used=self._elapsed_s() < _UNUSED_S)
+            self._frontend.close_idle(only_used=self._elapsed_s() < _UNUSED_CONNECTION_GRACE_S)
 
     async def _fail_rest(self) -> int:
         """Fail the requests that are left, and those that were in the kernel; return how many."""
@@ -78,8 +79,8 @@
         failed = self._requests.fail_all()
         for connection in self._frontend.connections:
             if connection.state is ConnectionState.READING:
-                connection.state_expired()
-        self._frontend.close_idle(used=False)
+                connection.on_state_timeout()
+        self._frontend.close_idle(only_used=False)
         return failed
 
     def _is_drained(self) -> bool:
@@ -88,10 +89,10 @@
         A connection that waits to be accepted is owed its answer too: where there is no capacity for it,
         connections that end make some.
         """
-        return self._frontend.stop() and self._frontend.is_empty()
+        return self._frontend.close_listener() and self._frontend.has_no_connections()
 
     def _elapsed_s(self) -> float:
-        return asyncio.get_running_loop().time() - self._began
+        return asyncio.get_running_loop().time() - self._started_at
 
     def _find_longest_deadline_s(self, settings: Settings) -> float:
         """Return the longest deadline in force or of a request, which may be of earlier settings."""
--- a/tests/configuration/test_reload_while_serving.py
+++ b/tests/configuration/test_reload_while_serving.py
@@ -175,7 +175,7 @@
             assert isinstance(r.reload(settings=changed(classes=[brief])), Applied)
             server.writers[0].write(encode_response(200, b"served"))
             assert (await pending)[::2] == (200, b"served")
-            await wait_until(sidecar.frontend.is_empty)
+            await wait_until(sidecar.frontend.has_no_connections)
 
     run_scenario(scenario())
 
--- a/tests/proxy/test_accept_faults.py
+++ b/tests/proxy/test_accept_faults.py
@@ -165,7 +165,9 @@
             reader, writer = await asyncio.open_connection(sock=client)
             assert await asyncio.wait_for(reader.read(), 20.0) == b""
             writer.close()
-            await wait_until(lambda: proxy.sidecar.frontend.is_empty() and count_descriptors() == before)
+            await wait_until(
+                lambda: proxy.sidecar.frontend.has_no_connections() and count_descriptors() == before
+            )
             assert not faults
             assert (await proxy.send_request())[0] == 200
 
--- a/tests/proxy/test_dedup_window.py
+++ b/tests/proxy/test_dedup_window.py
@@ -96,7 +96,9 @@
                 asked = asyncio.create_task(
                     proxy.send_request(kind="amend", body=bytes(60_000), budget="500")
                 )
-                await wait_until(lambda: any(each.started == {0, 1} for each in proxy.sidecar._active))
+                await wait_until(
+                    lambda: any(each.started_attempts == {0, 1} for each in proxy.sidecar._active)
+                )
                 (live,) = proxy.sidecar._active
                 exchange = live.in_flight[1]
                 assert exchange is not None
--- a/tests/proxy/test_descriptor_shortage.py
+++ b/tests/proxy/test_descriptor_shortage.py
@@ -58,7 +58,7 @@
         frontend.start()
         assert (await send_request(frontend.address, request()))[2] == b"taken"
         frontend._sock = real
-        frontend.stop()
-        await wait_until(frontend.is_empty)
+        frontend.close_listener()
+        await wait_until(frontend.has_no_connections)
 
     run_scenario(scenario())
--- a/tests/proxy/test_drain_races.py
+++ b/tests/proxy/test_drain_races.py
@@ -19,7 +19,7 @@
 
 
 def test_drain_stops_listening_while_a_connection_waits_for_capacity(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(shutdown, "_ACCEPT_S", 0.0)
+    monkeypatch.setattr(shutdown, "_ACCEPT_DURATION_S", 0.0)
     monkeypatch.setattr(shutdown, "_MAX_DEADLINE_S", 600.0)
 
     async def scenario() -> None:
--- a/tests/proxy/test_new_connection_responses.py
+++ b/tests/proxy/test_new_connection_responses.py
@@ -19,7 +19,7 @@
 
 from sidecar.proxy.connection_state import ConnectionState
 from sidecar.proxy.connection_table import ConnectionTable
-from sidecar.proxy.shutdown import _ACCEPT_S
+from sidecar.proxy.shutdown import _ACCEPT_DURATION_S
 
 SIZES = {"small": request("pay", body=b"new"), "large": request("pay", body=bytes(64 * 1024))}
 
@@ -49,7 +49,7 @@
 
 
 # New connections come for 0.4 s after SIGTERM; the listener stays open for longer.
-@pytest.mark.parametrize("after_s", [0.0, 0.1, 0.3, 0.4, _ACCEPT_S - 0.01])
+@pytest.mark.parametrize("after_s", [0.0, 0.1, 0.3, 0.4, _ACCEPT_DURATION_S - 0.01])
 @pytest.mark.parametrize("later_s", [0.0, 0.005, 0.1], ids=["at once", "a moment later", "later"])
 def test_request_on_a_new_connection_while_draining_gets_a_response(after_s: float, later_s: float) -> None:
     async def scenario() -> None:
@@ -76,7 +76,9 @@
             client = socket.create_connection(frontend.address)
             client.sendall(SIZES["small"])
             frontend.drain()
-            assert frontend.stop()  # within one step of the event loop: nothing has been accepted before
+            assert (
+                frontend.close_listener()
+            )  # within one step of the event loop: nothing has been accepted before
             client.setblocking(False)
             reader, writer = await asyncio.open_connection(sock=client)
             status, headers, _ = await read_response(reader)
--- a/tests/proxy/test_process_lifecycle.py
+++ b/tests/proxy/test_process_lifecycle.py
@@ -196,7 +196,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards the 0.4 s in which connections still come; made long, so that a slow machine can't miss them.
-    monkeypatch.setattr(shutdown, "_ACCEPT_S", 600.0)
+    monkeypatch.setattr(shutdown, "_ACCEPT_DURATION_S", 600.0)
 
     async def scenario() -> None:
         async with running_proxy(lambda *_: encode_response(200, b"served")) as proxy:
--- a/tests/proxy/test_registry_races.py
+++ b/tests/proxy/test_registry_races.py
@@ -111,7 +111,8 @@
 def test_drain_notified_after_sigterm_and_a_reload_keeps_late_requests_from_its_server(
     reload_first: bool, make_registry: Callable[[], RegistryStandIn], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(shutdown, "_ACCEPT_S", 600.0)  # connections are taken for as long as the test needs
+    # Connections are taken for as long as the test needs.
+    monkeypatch.setattr(shutdown, "_ACCEPT_DURATION_S", 600.0)
 
     async def scenario() -> None:
         former, latter = make_registry(), make_registry()
--- a/tests/proxy/test_request_crossings.py
+++ b/tests/proxy/test_request_crossings.py
@@ -298,7 +298,7 @@
                 assert how == "idle" or after_s > 0.5
             else:
                 assert (status, headers["connection"], body) == (200, "close", b"served")
-            await wait_until(lambda: proxy.sidecar.frontend.is_empty())
+            await wait_until(lambda: proxy.sidecar.frontend.has_no_connections())
             writer.close()
 
     run_in_virtual_time(scenario())
@@ -318,7 +318,7 @@
             status, headers, body = await read_response(reader)
             assert (status, headers["connection"], body) == (200, "close", b"served")
             assert await wait_for_eof(reader)
-            await wait_until(lambda: proxy.sidecar.frontend.is_empty())
+            await wait_until(lambda: proxy.sidecar.frontend.has_no_connections())
             assert [head["x-call-id"] for _, head, _ in proxy.sent()] == ["first"]
             writer.close()
 
@@ -340,7 +340,7 @@
             status, headers, body = await read_response(reader)
             assert (status, headers["connection"], body) == (200, "close", b"served")
             assert await wait_for_eof(reader)
-            await wait_until(lambda: proxy.sidecar.frontend.is_empty())
+            await wait_until(lambda: proxy.sidecar.frontend.has_no_connections())
             assert [head["x-call-id"] for _, head, _ in proxy.sent()] == ["first", "crossing"]
             writer.close()
 
--- a/tests/proxy/test_request_wait.py
+++ b/tests/proxy/test_request_wait.py
@@ -230,4 +230,4 @@
         writing.send(b"x")
         clock.now += busy_s
         assert selector.select(timeout_s)
-        assert clock.now - selector.arrived_after == pytest.approx(waited_s)
+        assert clock.now - selector.earliest_arrival == pytest.approx(waited_s)
--- a/tests/proxy/test_stalled_clients.py
+++ b/tests/proxy/test_stalled_clients.py
@@ -52,7 +52,7 @@
             assert now_s() < began + BAD_PEER_S
             assert b"HTTP/1.1 408 " in got
             assert (b"HTTP/1.1 100 " in got) is (b"Expect" in stop and b"\r\n\r\n" in stop)
-            await wait_until(proxy.sidecar.frontend.is_empty)
+            await wait_until(proxy.sidecar.frontend.has_no_connections)
             assert len(proxy.sent()) == earlier
             writer.close()
 
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -237,7 +237,7 @@
     running = asyncio.create_task(proxy.sidecar.run(proxy.stop))
     await wait_until(lambda: proxy.sidecar._balancer._has_started)
     if settled:
-        proxy.sidecar._lag_monitor.settle()
+        proxy.sidecar._lag_monitor.mark_settled()
     try:
         yield proxy
     finally:
