--- a/sidecar/proxy/endpoint_list.py
+++ b/sidecar/proxy/endpoint_list.py
@@ -61,7 +61,7 @@
     def on_response(self, response: RegistryResponse | None) -> None:
         """Apply a response of the registry; None: a call failed."""
         if response is not None:
-            kind = RegistryUpdateKind.SNAPSHOT if response.complete else RegistryUpdateKind.DELTA
+            kind = RegistryUpdateKind.SNAPSHOT if response.is_complete else RegistryUpdateKind.DELTA
             self.apply(kind, response)
             return
         self._handle(RegistryUpdated(RegistryUpdateKind.FAILED))
@@ -71,10 +71,10 @@
     def apply(self, kind: RegistryUpdateKind, response: RegistryResponse) -> None:
         """Apply a list: addresses first, as the balancer may send to a server once it knows of it."""
         if kind is not RegistryUpdateKind.DELTA:
-            self._pool.retain({resolved.endpoint.server for resolved in response.endpoints})
+            self._pool.retain({resolved.endpoint.name for resolved in response.endpoints})
         for resolved in response.endpoints:
             endpoint = resolved.endpoint
-            self._pool.update(endpoint.server, resolved.address, endpoint.started_at, endpoint.state)
+            self._pool.update(endpoint.name, resolved.address, endpoint.started_at, endpoint.state)
         endpoints = [resolved.endpoint for resolved in response.endpoints]
         if endpoints:
             endpoints += self._remove_superseded()
