--- a/sidecar/proxy/attempts.py
+++ b/sidecar/proxy/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: sends requests on to servers, and reports to the balancer how each attempt ended."""
+"""Attempts: forwards requests to servers, and reports to the balancer how each attempt ended."""
 
 from __future__ import annotations
 
@@ -15,11 +15,12 @@
 from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.exchange import DeferredRequest, Exchange
 from sidecar.proxy.http_messages import Response, encode_message
-from sidecar.proxy.load_reports import parse_report
+from sidecar.proxy.load_reports import parse_load_report
 from sidecar.proxy.request_lifecycle import RequestLifecycle
 from sidecar.settings import Settings
 
-_FORWARDED_HEADERS = (b"content-type", b"content-encoding")  # of a server's headers, these go to the client
+# The headers of a server's response that are forwarded to the client.
+_FORWARDED_RESPONSE_HEADERS = (b"content-type", b"content-encoding")
 _LOAD_REPORT_HEADER = b"x-load-report"
 
 
@@ -28,12 +29,12 @@
     """One attempt of a request.
 
     Attributes:
-        request: The request that it is for.
-        number: Its number among the request's attempts.
-        server: Name of the server that it goes to.
+        request: The request that it belongs to.
+        number: Its number within the request.
+        server: Name of the server that it is sent to.
         sent_at_us: Clock time at which it was started.
-        write_by_us: Clock time by which it has to be written completely if another attempt has been started;
-            None: it may be written at any time.
+        write_by_us: Clock time by which the request has to be written completely if another attempt has been
+            started; None: it may be written at any time.
     """
 
     request: ActiveRequest
@@ -47,7 +48,7 @@
     """Sends and cancels attempts as the balancer decides.
 
     Attributes:
-        settings: In force for the attempts that end from now on; may be replaced at any time.
+        settings: The settings for attempts that end from now on; may be replaced at any time.
     """
 
     def __init__(
@@ -87,36 +88,37 @@
 
     def _start(self, attempt: Attempt, deadline_us: int) -> None:
         deadline = self._clock.to_loop_time(deadline_us)
-        ended = partial(self._on_ended, attempt)
-        order = DeferredRequest(partial(self._encode_if_wanted, attempt))
+        on_outcome = partial(self._on_ended, attempt)
+        encoder = DeferredRequest(partial(self._encode_if_wanted, attempt))
         try:
-            exchange = self._pool.send(attempt.server, order, deadline, ended)
+            exchange = self._pool.send(attempt.server, encoder, deadline, on_outcome)
         except Exception:
-            ended(Outcome.RESET, None)  # a defect: it is not known how much was sent
+            on_outcome(Outcome.RESET, None)  # a defect: how much was sent is unknown
             raise
         if attempt.number in attempt.request.in_flight:
             attempt.request.in_flight[attempt.number] = exchange
-            self._bound_write(attempt, exchange)
+            self._schedule_write_deadline(attempt, exchange)
 
-    def _bound_write(self, attempt: Attempt, exchange: Exchange) -> None:
+    def _schedule_write_deadline(self, attempt: Attempt, exchange: Exchange) -> None:
         """Set the timer that ends an attempt which is not written completely in time."""
-        if attempt.write_by_us is None or exchange.is_written():
+        if attempt.write_by_us is None or exchange.is_request_written():
             return
         due = self._clock.to_loop_time(attempt.write_by_us)
         timer = asyncio.get_running_loop().call_at(due, self._end_unwritten, attempt)
         exchange.timers.append(timer)
 
     def _end_unwritten(self, attempt: Attempt) -> None:
-        """End a retry that is not written completely: servers begin to forget its idempotency key."""
+        """End a retry that is not written completely, as servers begin to forget its idempotency key now."""
         exchange = attempt.request.in_flight.get(attempt.number)
-        if exchange is not None and attempt.request.has_other_started(attempt.number):
-            self._pool.abandon_unwritten(exchange)
+        if exchange is not None and attempt.request.has_other_attempt_started(attempt.number):
+            self._pool.abandon_if_unwritten(exchange)
 
     def _encode_if_wanted(self, attempt: Attempt, remaining_s: float) -> bytes | None:
-        """Return what an attempt sends, or None where it may not be sent any more.
+        """Return the encoded request of an attempt, or None if it must not be sent any more.
 
-        Guards servers against work for nobody: a close by the client counts before its event is read.
-        Guards what runs once, too: as a connection comes up, servers may have forgotten another attempt.
+        A client that has closed its connection counts as disconnected even before the event loop has read the
+        close, as servers would otherwise do work for nobody.  A request that must run only once is not sent
+        late either: while the connection was being opened, servers may have forgotten another attempt.
         """
         request = attempt.request
         if request.client_request.responder.is_disconnected():
@@ -124,12 +126,12 @@
             return None
         if self._is_past_dedup_window(attempt):
             return None
-        request.started.add(attempt.number)
+        request.started_attempts.add(attempt.number)
         return encode_request(request.client_request, remaining_s)
 
     def _is_past_dedup_window(self, attempt: Attempt) -> bool:
-        """Return whether servers may have forgotten another attempt, and would run this one a second time."""
-        if attempt.write_by_us is None or not attempt.request.has_other_started(attempt.number):
+        """Return whether servers may have forgotten another attempt, so that the request might run twice."""
+        if attempt.write_by_us is None or not attempt.request.has_other_attempt_started(attempt.number):
             return False
         return self._clock.now() >= attempt.write_by_us
 
@@ -139,7 +141,7 @@
             return
         del request.in_flight[number]
         if outcome is Outcome.SUCCEEDED and response is not None:
-            headers = [header for header in response.headers if header[0] in _FORWARDED_HEADERS]
+            headers = [header for header in response.headers if header[0] in _FORWARDED_RESPONSE_HEADERS]
             self._requests.answer(request, 200, headers, response.body)
         elapsed_us = self._clock.now() - attempt.sent_at_us
         report = self._load_report(response)
@@ -153,14 +155,14 @@
         if response is None:
             return None
         text = response.header(_LOAD_REPORT_HEADER)
-        return parse_report(text, self.settings.report_columns)
+        return parse_load_report(text, self.settings.report_columns)
 
 
 def encode_request(request: ClientRequest, remaining_s: float) -> bytes:
-    """Return an attempt's request: the application's, with the seconds that remain for it."""
+    """Return the encoded request of an attempt: the client's, with the remaining seconds in X-Budget."""
     headers = [*request.headers, (b"X-Budget", b"%.6f" % remaining_s)]
     if not any(name == b"host" for name, _ in headers):
-        headers.append((b"Host", b"sidecar"))  # HTTP/1.0 allows none, HTTP/1.1 needs one
+        headers.append((b"Host", b"sidecar"))  # optional in HTTP/1.0, required in HTTP/1.1
     if request.body or request.method not in (b"GET", b"HEAD"):
         headers.append((b"Content-Length", str(len(request.body)).encode()))
     return encode_message(b"%b %b HTTP/1.1" % (request.method, request.target), headers, request.body)
