--- a/sidecar/proxy/request_lifecycle.py
+++ b/sidecar/proxy/request_lifecycle.py
@@ -53,7 +53,7 @@
             self._mark_answered(request)
             self._handle(ClientDisconnected(request.number))
 
-    def finish(self, action: RejectRequest | FailRequest) -> None:
+    def reject_or_fail(self, action: RejectRequest | FailRequest) -> None:
         """Answer a request as rejected (503) or failed (500)."""
         request = self.active.get(action.request)
         if request is None:
@@ -96,5 +96,5 @@
         if request.deadline_timer is not None:
             request.deadline_timer.cancel()
         for exchange in request.exchanges_in_flight():
-            self._pool.abandon_unwritten(exchange)  # nothing is sent for a request that is over
+            self._pool.abandon_if_unwritten(exchange)  # nothing is sent for a request that is over
         self.active.remove_if_finished(request)
--- a/tests/proxy/test_process_lifecycle.py
+++ b/tests/proxy/test_process_lifecycle.py
@@ -196,7 +196,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards the 0.4 s in which connections still come; made long, so that a slow machine can't miss them.
-    monkeypatch.setattr(shutdown, "_ACCEPT_S", 600.0)
+    monkeypatch.setattr(shutdown, "_ACCEPT_DURATION_S", 600.0)
 
     async def scenario() -> None:
         async with running_proxy(lambda *_: encode_response(200, b"served")) as proxy:
@@ -247,7 +247,7 @@
             for junk in ("not json", json.dumps(config(discovery="nowhere"))):
                 path.write_text(junk, encoding="utf-8")
                 process.send_signal(signal.SIGHUP)
-                assert b"the configuration stays as it was" in await next_line(process.stderr)
+                assert b"reload rejected; keeping the active configuration" in await next_line(process.stderr)
             for number, now in enumerate((first, second), start=1):
                 path.write_text(replaced(now), encoding="utf-8")
                 process.send_signal(signal.SIGHUP)
--- a/tests/proxy/test_response_races.py
+++ b/tests/proxy/test_response_races.py
@@ -24,9 +24,9 @@
 from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.connection_state import STATE_TIME_LIMITS_S, ConnectionState
 from sidecar.proxy.exchange import DeferredRequest, EncodedRequest, Exchange, classify_outcome
-from sidecar.proxy.http_messages import Response, message
-from sidecar.proxy.server_connection import Connection
-from sidecar.proxy.sockets import has_ended
+from sidecar.proxy.http_messages import Response, encode_message
+from sidecar.proxy.server_connection import ServerConnection
+from sidecar.proxy.sockets import has_peer_closed
 
 
 def test_second_response_arrives_as_the_next_request_is_sent_where_connections_are_scarce() -> None:
@@ -80,21 +80,21 @@
 
 def test_response_before_its_request_is_written_does_not_count_as_one() -> None:
     early = Response(200, [], b"again to the one before")
-    assert classify_outcome(early, written=False, protocol_error=False) is Outcome.CONNECT_FAILED
-    assert classify_outcome(early, written=True, protocol_error=False) is Outcome.SUCCEEDED
+    assert classify_outcome(early, request_written=False, has_protocol_error=False) is Outcome.CONNECT_FAILED
+    assert classify_outcome(early, request_written=True, has_protocol_error=False) is Outcome.SUCCEEDED
     away = Response(503, [(b"x-rejected", b"1")], b"")
     assert (
-        classify_outcome(away, written=False, protocol_error=False) is Outcome.REJECTED
+        classify_outcome(away, request_written=False, has_protocol_error=False) is Outcome.REJECTED
     )  # a server may say so unasked
 
 
-async def written(server: FakeServer) -> tuple[ConnectionPool, Exchange, Connection, list[Outcome]]:
+async def written(server: FakeServer) -> tuple[ConnectionPool, Exchange, ServerConnection, list[Outcome]]:
     """An attempt that is written to a server which does not answer by itself, and what is heard of it."""
     await server.start()
     upstream = ConnectionPool(600.0, 600.0, 10)
     upstream.update("s", server.address, None, ServerState.READY)
     heard: list[Outcome] = []
-    get = message(b"GET /api/1 HTTP/1.1", [(b"Host", b"x")])
+    get = encode_message(b"GET /api/1 HTTP/1.1", [(b"Host", b"x")])
     exchange = upstream.send("s", EncodedRequest(get), LATER, lambda outcome, _: heard.append(outcome))
     await wait_until(lambda: server.requests)
     assert exchange.connection is not None
@@ -138,7 +138,7 @@
         upstream.cancel(exchange)
         assert heard == [Outcome.CANCELLED]
         # The event loop has had no turn since.
-        assert has_ended(server.writers[0].get_extra_info("socket"))
+        assert has_peer_closed(server.writers[0].get_extra_info("socket"))
         server.stop()
 
     run_scenario(scenario())
@@ -150,7 +150,7 @@
         upstream, _, connection, heard = await written(server)
         await wait_until(lambda: heard)
         upstream._idle_connections.reuse_delay_s = 0.0
-        timer = upstream.servers["s"].idle[0].close_timer
+        timer = upstream.servers["s"].idle_connections[0].close_timer
         server.script = never_respond
         upstream.send(
             "s", EncodedRequest(b"GET / HTTP/1.1\r\n\r\n"), LATER, lambda outcome, _: heard.append(outcome)
@@ -174,7 +174,7 @@
         upstream._idle_connections.reuse_delay_s = 0.0
         upstream.send("s", DeferredRequest(lambda _: None), LATER, lambda outcome, _: heard.append(outcome))
         assert heard == [Outcome.SUCCEEDED, Outcome.NOT_SENT]
-        assert not upstream.servers["s"].idle
+        assert not upstream.servers["s"].idle_connections
         assert not connection.is_idle()
         await wait_until(lambda: upstream.open_connections == 0)
         server.stop()
@@ -192,7 +192,7 @@
         heard: list[Outcome] = []
 
         def send(name: str) -> None:
-            get = message(b"GET / HTTP/1.1", [(b"Host", b"x")])
+            get = encode_message(b"GET / HTTP/1.1", [(b"Host", b"x")])
             servers.send(name, EncodedRequest(get), LATER, lambda outcome, _: heard.append(outcome))
 
         send("a")
