--- a/sidecar/balancer/policy/__init__.py
+++ b/sidecar/balancer/policy/__init__.py
@@ -1,20 +1,20 @@
-"""The decisions of the balancer, one responsibility a module; deterministic, with no sockets and no clock.
+"""The decisions of the balancer, one responsibility per module; deterministic, with no sockets and no clock.
 
 Where a request is sent:
     selection: the best of k candidates, with `subsetting`, `weighted_sampling` and `zone_preference`.
-    health_checks, load_comparison, latency_by_load: candidates compared by the load they report.
-    key_order: requests with the same key, one at a time.
+    health_checks, load_comparison, latency_by_load: candidates are compared by the load that they report.
+    key_order: requests with the same key are sent one at a time.
 
 How many requests are admitted:
     admission: load shedding, with `priority`, `low_traffic_shedding` and `stale_requests`.
-    concurrency_limit: the adaptive limit, sized by `latency_ratio` and `cpu_utilization`.
+    concurrency_limit: the adaptive limit, adjusted by `latency_ratio` and `cpu_utilization`.
 
 Faults:
-    outliers, backoff: ejection of servers, and backoff from those at capacity.
-    hedging, retries: further attempts, and the retry budget.
+    outliers, backoff: ejection of servers, and backoff from servers at capacity.
+    hedging, retries: further attempts and the retry budget.
 
 Servers:
     slow_start, server_capacity, start_times: the budget of servers that are warming up.
-    latency, low_traffic: the usual latency, and corrections where there are few samples.
-    connections, registry_polling: idle connections, and the registry's endpoint list.
+    latency, low_traffic: the usual latency, and corrections for few samples.
+    connections, registry_polling: idle connections and the endpoint list of the registry.
 """
--- a/sidecar/balancer/policy/admission.py
+++ b/sidecar/balancer/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: under overload, new requests are shed early, those of the lowest priority first."""
+"""Admission control: under overload, new requests are shed early, lowest priority first."""
 
 import math
 
@@ -10,22 +10,23 @@
 from sidecar.balancer.policy.stale_requests import StaleRequestDetector
 from sidecar.balancer.state import Context, DecayingRate, Request, Traffic
 
-LOW_TRAFFIC_LOAD = (
-    FULL_CONFIDENCE_LOAD / 2
-)  # attempts in flight; with fewer, shedding goes by counts of responses
-FULL_LIMIT_SHED_EXPONENT = 4.0  # at a full limit, one in fifty requests of median priority is admitted (e^-4)
-LOWEST_PRIORITY_FACTOR = 2.0  # the exponent of the lowest priority; the highest feels almost none
+# Attempts in flight.  Below this, shedding depends on counts of responses in place of the limit.
+LOW_TRAFFIC_LOAD = FULL_CONFIDENCE_LOAD / 2
+# At a full limit, one in fifty requests of median priority is admitted (e^-4).
+FULL_LIMIT_SHED_EXPONENT = 4.0
+# Multiplies shedding at the lowest priority; the factor is 1 at the median and 0 at the highest priority.
+LOWEST_PRIORITY_FACTOR = 2.0
 
 
 class AdmissionControl:
-    """Decides of each new request whether to reject it, before anything is sent.
+    """Decides whether to reject each new request before any attempt is sent.
 
-    Without it, a fleet in overload answers every request too late, and clients retry what failed.  As the
-    utilization of the concurrency limit rises, the share admitted falls exponentially, faster for lower
-    priority.
+    Without admission control, an overloaded fleet responds to every request too late, and clients retry the
+    failed requests.  As the utilization of the concurrency limit rises, the share of admitted requests falls
+    exponentially, and faster for lower priorities.
 
     Attributes:
-        checks_load_before_sending: Whether health checks predict overload, in place of the limit.
+        checks_load_before_sending: Whether overload is predicted by health checks in place of the limit.
     """
 
     def __init__(self, context: Context, limit: ConcurrencyLimit, arrivals: DecayingRate) -> None:
@@ -43,14 +44,14 @@
         self._priorities = TrafficPriorities(context)
         self._low_traffic_shedder = LowTrafficShedder(context)
         self._stale_requests = StaleRequestDetector(context)
-        self._sample_due_at = 0  # us; then a request is admitted as a sample, even at a full limit
-        self._last_response_was_fast = False  # and nothing was sent since
+        self._sample_due_at = 0  # us; from then on a request is admitted as a sample, even at a full limit
+        self._last_response_was_fast = False  # reset when an attempt is sent
 
     def observe_latency(self, latency_ratio: float) -> None:
-        """Observe a response, or an attempt that is late without one.
+        """Observe a response, or an attempt that is late and has no response.
 
         Args:
-            latency_ratio: Its latency over the latency target.
+            latency_ratio: Its latency divided by the latency target.
         """
         if latency_ratio <= ALLOWED_LATENCY_RATIO:
             self._last_response_was_fast = True
@@ -65,7 +66,7 @@
         self._low_traffic_shedder.count_late()
 
     def attempt_sent(self, latency_target_us: int) -> None:
-        """Note an attempt that was sent: it is the latest sample until it is answered or late."""
+        """Record that an attempt was sent; no further sample is due until its latency target has passed."""
         self._sample_due_at = self._context.now + latency_target_us
         self._last_response_was_fast = False
 
@@ -73,8 +74,8 @@
         """Whether to reject a new request.
 
         Args:
-            request: The request; its priority is set where it is needed later.
-            remaining_us: The time left until its client gives up.
+            request: The request.  Its priority is set where health checks predict overload, as they need it.
+            remaining_us: The time left until its client gives up, in us.
         """
         return self._should_shed(request) or self._stale_requests.is_stale(request, remaining_us)
 
--- a/sidecar/balancer/policy/backoff.py
+++ b/sidecar/balancer/policy/backoff.py
@@ -1,22 +1,23 @@
-"""Exponential backoff with jitter, from servers that are ejected or rejected a request at capacity."""
+"""Exponential backoff with jitter from servers that are ejected or that rejected a request at capacity."""
 
 from sidecar.balancer.policy.retries import may_retry
 from sidecar.balancer.state import Backoff, Context, Request, Server
 
-INITIAL_BACKOFF_TARGETS = 2.0  # the first backoff, in longest latency targets; each further one doubles it
-MAX_BACKOFF_TARGETS = 16.0  # the longest backoff: a server that has recovered is found again
-MAX_REPEATS = 8  # beyond this the count has no effect; bounds the power of two
-MIN_JITTER = 0.75  # a backoff is multiplied by a random factor from this ...
-JITTER_RANGE = 0.5  # ... to this much more
+INITIAL_BACKOFF_TARGETS = 2.0  # first backoff, in longest latency targets; it doubles with each repeat
+MAX_BACKOFF_TARGETS = 16.0  # longest backoff, so that a server that has recovered is used again
+MAX_REPEATS = 8  # further repeats are not counted; bounds the power of two
+# A backoff is multiplied by a random factor from MIN_JITTER to MIN_JITTER + JITTER_RANGE.
+MIN_JITTER = 0.75
+JITTER_RANGE = 0.5
 
 
 def next_backoff(context: Context, repeats: int, min_targets: float = 0.0) -> Backoff:
-    """Compute the backoff that follows a number of others in a row.
+    """Compute the next backoff in a row of backoffs.
 
     Args:
         context: The shared state of the balancer.
         repeats: The number of backoffs in a row so far.
-        min_targets: The least backoff before jitter, in longest latency targets.
+        min_targets: The minimum backoff before jitter, in longest latency targets.
 
     Returns:
         The backoff that begins now.
@@ -29,9 +30,9 @@
 
 
 def back_off_after_rejection(context: Context, request: Request, server: Server) -> None:
-    """Keep requests of the same class and tenant away from a server that was at capacity.
+    """Start a backoff of requests of the same class and tenant from a server that was at capacity.
 
-    Where the request can't be retried, each further trial would fail a client, so the backoff is the longest.
+    If the request can't be retried, each further rejection fails a client, so the longest backoff is used.
 
     Args:
         context: The shared state of the balancer.
@@ -46,6 +47,6 @@
 
 
 def is_backed_off(server: Server, request: Request, now: int) -> bool:
-    """Whether requests of this class and tenant are kept away from a server at clock time `now`, in us."""
+    """Whether a server is in backoff for requests of this class and tenant at clock time `now`, in us."""
     backoff = server.rejection_backoffs.get(request.traffic_key)
     return backoff is not None and backoff.until > now
--- a/sidecar/balancer/policy/concurrency_limit.py
+++ b/sidecar/balancer/policy/concurrency_limit.py
@@ -1,7 +1,7 @@
-"""Adaptive concurrency limit: how many attempts may be in flight while responses come in time.
+"""Adaptive concurrency limit: how many attempts may be in flight while responses arrive in time.
 
-Much as with AIMD, the limit shrinks while responses are too slow and grows while they are fast.  Attempts in
-flight are limited rather than arrivals, so that a surge meets the limit at once.
+As with AIMD, the limit shrinks while responses are too slow and grows while they are fast.  It applies to
+attempts in flight rather than to arrivals, so that a surge reaches the limit at once.
 """
 
 import math
@@ -11,27 +11,34 @@
 from sidecar.balancer.policy.low_traffic import FULL_CONFIDENCE_LOAD, low_traffic_factor
 from sidecar.balancer.state import Context, DecayingRate
 
-MIN_LIMIT = 0.1  # attempts in flight; a trickle is always admitted, so that relief is seen
-UNRESTRICTED_UTILIZATION = 0.5  # up to this share of the limit all are admitted, and the limit does not grow
-INITIAL_RESIZE_DELAY_TARGETS = 2.0  # the limit is first sized this many longest targets after a response
-MOSTLY_LATE_SHARE = 10 * ALLOWED_LATE_SHARE  # so many late responses are overload, however new the balancer
-TIME_CONSTANT_TARGETS = 0.5  # at twice the allowed ratio, longest targets in which the limit shrinks e-fold
-MAX_ELAPSED_TARGETS = 0.25  # longest targets that count at most as elapsed between two adjustments
+MIN_LIMIT = 0.1  # attempts in flight; some are always admitted, so that the end of overload is detected
+# Up to this share of the limit, all requests are admitted and the limit does not grow.
+UNRESTRICTED_UTILIZATION = 0.5
+# Time from the first response to the first resize, in longest latency targets.
+INITIAL_RESIZE_DELAY_TARGETS = 2.0
+# This share of late responses indicates overload even while the balancer is starting.
+MOSTLY_LATE_SHARE = 10 * ALLOWED_LATE_SHARE
+# Time constant of adjustments, in longest latency targets: at twice the allowed ratio, the limit shrinks by a
+# factor of e in this time.
+TIME_CONSTANT_TARGETS = 0.5
+# Longest time that counts as elapsed between two adjustments, in longest latency targets; it is stretched by
+# the low traffic factor.
+MAX_ELAPSED_TARGETS = 0.25
 
 
 class ConcurrencyLimit:
-    """A limit on attempts in flight that follows the latency of responses and the reported load.
+    """A limit on attempts in flight, adjusted by the latency of responses and the reported utilization.
 
     Attributes:
-        limit: The attempts that may be in flight; infinite until it is first sized.
+        limit: The number of attempts that may be in flight; infinite until it is first resized.
         latency: The latency ratios of responses.
         cpu: The utilization that servers report.
-        has_rejected: Whether a request was rejected for the limit since it was last sized.
-        resized_at: When the limit was last sized, in us.
+        has_rejected: Whether a request was rejected because of the limit since it was last adjusted.
+        resized_at: When the limit was last compared with the load, in us.
     """
 
     def __init__(self, context: Context) -> None:
-        """Create a limit that is infinite until there are enough responses.
+        """Create a limit that is infinite until it is first resized.
 
         Args:
             context: The shared state of the balancer.
@@ -42,11 +49,12 @@
         self.has_rejected = False
         self.resized_at = 0
         self._context = context
-        self._resizes_from = 0  # us
-        self._served_target_us = DecayingRate(context.longest_target_us)  # latency targets of successes
+        self._earliest_resize_at = 0  # us; the limit is not resized before
+        # Counts the latency target of each success, in us.
+        self._served_target_us = DecayingRate(context.longest_target_us)
 
     def rescale(self, factor: float) -> None:
-        """Adapt to latency targets that are this many times as long, with as much more served in one."""
+        """Adapt to latency targets that are longer by this factor; the load within one grows alike."""
         self.limit = max(self.limit * factor, MIN_LIMIT)
         self.latency.rescale(factor)
 
@@ -55,14 +63,14 @@
         self._served_target_us.add(self._context.now, latency_target_us)
 
     def observe(self, latency_ratio: float) -> None:
-        """Observe a response, or an attempt that is late without one, and size the limit.
+        """Observe a response, or an attempt that is late and has no response, and resize the limit.
 
         Args:
-            latency_ratio: Its latency over the latency target.
+            latency_ratio: Its latency divided by the latency target.
         """
         if not self.latency.has_samples():
             delay_us = int(INITIAL_RESIZE_DELAY_TARGETS * self._context.longest_target_us)
-            self._resizes_from = self._context.now + delay_us
+            self._earliest_resize_at = self._context.now + delay_us
         factor = low_traffic_factor(self._context.load)
         in_flight = self._context.load.total()
         is_loaded = in_flight > UNRESTRICTED_UTILIZATION * self.limit
@@ -73,25 +81,25 @@
     def utilization(self) -> float:
         """The share of the limit that is in use.
 
-        For a small limit the mean load counts, as two attempts at the same time may be chance.
+        The smaller the limit, the more the mean load counts, as two concurrent attempts may be chance.
         """
         load = self._context.load
         confidence = min(self.limit / FULL_CONFIDENCE_LOAD, 1.0)
         return (load.mean + confidence * (load.total() - load.mean)) / self.limit
 
     def _is_starting(self) -> bool:
-        """Whether every connection is new and rates still build up, so late responses may be chance."""
-        return self._context.now < self._resizes_from and self.latency.late_share < MOSTLY_LATE_SHARE
+        """Whether late responses may be due to new connections and to rates that are still building up."""
+        return self._context.now < self._earliest_resize_at and self.latency.late_share < MOSTLY_LATE_SHARE
 
     def _resize(self, in_flight: int, low_traffic_factor: float) -> None:
-        """Shrink or grow the limit by how far the median response is from the allowed one."""
+        """Shrink or grow the limit by how far the median latency ratio is from the allowed one."""
         adjustment_span_us = low_traffic_factor * self._context.longest_target_us
         elapsed_us = min(self._context.now - self.resized_at, adjustment_span_us * MAX_ELAPSED_TARGETS)
         self.resized_at = self._context.now
         allowed_median = self.latency.allowed_median(low_traffic_factor)
         excess = self._excess(low_traffic_factor, allowed_median)
         if excess > 0.0 and not self._is_overloaded():
-            return  # slower than usual, but in time
+            return  # responses are slower than usual, but in time
         if excess > 0.0:
             self.limit = min(self.limit, max(in_flight, self._context.load.mean / UNRESTRICTED_UTILIZATION))
         elif not self.has_rejected:
@@ -102,9 +110,9 @@
         self.limit = max(self.limit * change, min(needed, self.limit), MIN_LIMIT)
 
     def _needed_limit(self, allowed_median: float, span_us: float) -> float:
-        """The limit that the current throughput needs; below that, late information would shut it.
+        """The limit that the current throughput needs, as delayed feedback would otherwise shrink it too far.
 
-        By Little's law, the attempts in flight are the rate of successes times their latency.
+        By Little's law, the number of attempts in flight is the rate of successes times their latency.
         """
         self._served_target_us.set_span(span_us)
         in_flight = allowed_median * self._served_target_us.per_us(self._context.now)
@@ -114,11 +122,11 @@
         return self.latency.late_share >= ALLOWED_LATE_SHARE or self.cpu.is_saturated()
 
     def _excess(self, low_traffic_factor: float, allowed_median: float) -> float:
-        """How far the load is beyond the allowed one, from -1 to 1.
+        """How far the load exceeds the allowed one, from -1 to 1.
 
-        Late responses from servers with idle cores come of a few slow servers, broken connections or this
-        process's own lag, not of overload.  A busy balancer goes by responses all the same: they come sooner
-        than reports.
+        Late responses from servers with idle cores are caused by a few slow servers, broken connections or
+        this process's own lag, not by overload.  Unless the reports show spare capacity, a busy balancer
+        relies on responses alone, as they arrive sooner than reports.
         """
         excess = self.latency.excess(allowed_median)
         cpu_excess = self.cpu.excess()
--- a/sidecar/balancer/policy/connections.py
+++ b/sidecar/balancer/policy/connections.py
@@ -1,24 +1,24 @@
-"""Idle connections: where they have a price, those are closed that cost more than opening new ones."""
+"""Idle connections: where they have a price, they are closed once they cost more than opening new ones."""
 
 from sidecar.balancer.actions import CloseIdleConnections
 from sidecar.balancer.policy.latency_by_load import LatencyByLoad
 from sidecar.balancer.state import Context, DecayingRate, Server
 from sidecar.balancer.state.timers import IdleCloseDue
 
-CONNECTIONS_PER_PRICE_UNIT = 100.0  # the price of connections is for so many of them at a server
+CONNECTIONS_PER_PRICE_UNIT = 100.0  # the price of connections is for this many at a server
 MIN_REQUEST_RATE_PER_US = 1e-9  # avoids a division by zero
 
 
 class IdleConnections:
-    """This balancer's own estimate of its idle connections to each server."""
+    """Estimates the idle connections of this balancer to each server, and closes those that cost too much."""
 
     def __init__(self, context: Context, arrivals: DecayingRate, latency_by_load: LatencyByLoad) -> None:
-        """Create an estimate without connections.
+        """Create an estimate of no connections.
 
         Args:
             context: The shared state of the balancer.
             arrivals: The rate of requests that arrive at this balancer.
-            latency_by_load: The latency ratio of responses by the load that servers reported.
+            latency_by_load: Relates the latency ratio of responses to the load that servers reported.
         """
         self._context = context
         self._arrivals = arrivals
@@ -30,9 +30,9 @@
         return server.idle_connections > 0 and idle_us < self._context.settings.limits.idle_close_us
 
     def add(self, server: Server) -> None:
-        """Count a connection that became idle; have it closed once it cost as much as opening one.
+        """Count a connection that became idle, and schedule closing it once it costs more than a new one.
 
-        Many small balancers would otherwise each hold a few connections that are hardly used, which reduce
+        Otherwise many small balancers would each hold a few connections that are rarely used, which reduces
         the server's capacity.
 
         Args:
@@ -60,18 +60,18 @@
         self._context.actions.append(CloseIdleConnections(server.name))
 
     def _break_even_us(self) -> float:
-        """How long holding a connection costs as much as the handshake of a new one.
+        """The time after which holding a connection has cost as much as the handshake of a new one, in us.
 
-        The price of a connection is charged for each request that its server gets meanwhile.
+        The price of a connection is charged for each request that its server receives during that time.
         """
         prices = self._context.settings.prices
         requests = CONNECTIONS_PER_PRICE_UNIT * prices.handshake / prices.connection
         return requests / max(self._server_request_rate(), MIN_REQUEST_RATE_PER_US)
 
     def _server_request_rate(self) -> float:
-        """The requests per us that a server gets from all balancers."""
+        """The requests per us that a server receives from all balancers."""
         load_per_latency_ratio = self._latency_by_load.load_per_latency_ratio()
-        if load_per_latency_ratio is not None:  # by Little's law, the rate is the load over the latency
+        if load_per_latency_ratio is not None:  # by Little's law, the rate is the load divided by the latency
             return load_per_latency_ratio / self._context.longest_target_us
         all_arrivals = self._arrivals.per_us(self._context.now) * self._context.settings.sidecar_count
         return all_arrivals / max(len(self._context.registry.ready), 1)
--- a/sidecar/balancer/policy/health_checks.py
+++ b/sidecar/balancer/policy/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: where they cost next to nothing, candidates report their load before a request is sent."""
+"""Health checks: where they are cheap, candidates report their load before a request is sent."""
 
 from collections.abc import Iterator
 
@@ -9,18 +9,17 @@
 from sidecar.balancer.state.timers import HealthChecksDue
 from sidecar.settings import ReportSource, Settings
 
-LOAD_FIELD = "inflight"  # of load reports: the requests in flight at the server
-MAX_COST_SHARE = 0.01  # of the value of a request, which its health checks may cost
+LOAD_FIELD = "inflight"  # name in load reports: the requests in flight at the server
+MAX_COST_SHARE = 0.01  # share of the value of a request that its health checks may cost
 MIN_PRICE = 1e-9  # avoids a division by zero where health checks are free
-MAX_WAIT_CHECK_DURATIONS = 3.0  # a request waits so many usual health check times for its candidates ...
+# A request waits for its candidates up to this many usual durations of a health check ...
+MAX_WAIT_CHECK_DURATIONS = 3.0
 MAX_WAIT_TARGETS = 0.05  # ... and at most this share of its latency target
-CHECK_DURATION_SMOOTHING_FACTOR = (
-    0.1  # weight of each health check in the usual time: the last ten or so count
-)
+CHECK_DURATION_SMOOTHING_FACTOR = 0.1  # weight of each health check; about the last ten count
 
 
 def health_checks_per_request(settings: Settings) -> int:
-    """How many candidates are checked before a request is sent; with 1 or less, none are."""
+    """The number of candidates to check before a request is sent; 1 or less disables the checks."""
     if settings.report_source is not ReportSource.PROBES or not settings.limits.allow_probes:
         return 0
     if LOAD_FIELD not in settings.report_columns:
@@ -39,15 +38,15 @@
             context: The shared state of the balancer.
         """
         self._context = context
-        self._waiting: dict[int, Request] = {}  # by their ids
+        self._waiting: dict[int, Request] = {}  # by request id
         self._usual_duration_us: float | None = None  # of a health check
 
     def start(self, request: Request, candidates: list[Server]) -> None:
-        """Check candidates and hold the request; those that are slower than usual are passed over.
+        """Check candidates and hold the request; candidates that respond too slowly are skipped.
 
         Args:
             request: The request to be sent.
-            candidates: The servers to check; one check serves all requests that wait for it.
+            candidates: The servers to check.  One check serves all requests that wait for it.
         """
         request.health_checked = candidates
         request.health_checks_due = self._context.now + self._max_wait_us(request)
@@ -59,13 +58,13 @@
         self._context.timers.add(request.health_checks_due, HealthChecksDue(request.id))
 
     def check_ended(self, event: HealthCheckEnded) -> Iterator[Request]:
-        """Take in the result of a health check.
+        """Record the result of a health check.
 
         Args:
-            event: The result.
+            event: The end of the health check.
 
         Yields:
-            The requests that wait for no other health check.
+            The waiting requests whose health checks have all ended.
         """
         server = self._context.registry.servers.get(event.server)
         if server is None:
@@ -81,7 +80,7 @@
                 yield request
 
     def release(self, request: Request) -> list[Server]:
-        """End the wait of a request; give the candidates that were checked for it."""
+        """End the wait of a request and return the candidates that were checked for it."""
         self._waiting.pop(request.id, None)
         candidates = request.health_checked
         request.health_checked = []
--- a/sidecar/balancer/policy/hedging.py
+++ b/sidecar/balancer/policy/hedging.py
@@ -1,6 +1,7 @@
-"""Hedging: detects attempts at servers that hang, long before they would time out.
+"""Hedging: detects attempts at servers that hang, long before the attempts time out.
 
-The request of such an attempt is sent to another server as well, or instead where hedging is not allowed.
+The request of such an attempt is also sent to another server; where hedging is not allowed, the attempt is
+cancelled and the request is retried there.
 """
 
 from dataclasses import dataclass
@@ -13,11 +14,14 @@
 from sidecar.balancer.state import Attempt, Context, Request, Server
 from sidecar.balancer.state.timers import AttemptOverdue
 
-OVERDUE_LATENCY_FACTOR = 2.5  # an attempt is overdue after so many usual latencies of its server ...
-MIN_OVERDUE_TARGETS = 0.1  # ... but not before this share of the latency target: shorter times are jitter
-UNRESPONSIVE_OVERDUE_FACTOR = 2.0  # a server is unresponsive after so many times that, without a response ...
+# An attempt is overdue after this many usual latencies of its server ...
+OVERDUE_LATENCY_FACTOR = 2.5
+MIN_OVERDUE_TARGETS = 0.1  # ... but not before this share of the latency target: shorter delays are jitter
+# A server that does not respond is unresponsive after this many times the time to overdue ...
+UNRESPONSIVE_OVERDUE_FACTOR = 2.0
 MIN_UNRESPONSIVE_TARGETS = 0.5  # ... but not before this share of the latency target
-MIN_PEER_SUCCESSES = 4  # successes elsewhere meanwhile that show that only this server hangs
+# This many successes at other servers in the meantime show that only this server hangs.
+MIN_PEER_SUCCESSES = 4
 
 
 @dataclass(slots=True, eq=False)
@@ -39,14 +43,14 @@
     limit: ConcurrencyLimit
 
     def monitor(self, request: Request, attempt: Attempt) -> None:
-        """Schedule the examination of an attempt that was just sent."""
+        """Schedule the first examination of an attempt that was just sent."""
         self._examine_after(self._overdue_after_us(request, attempt.server), request, attempt)
 
     def is_hedge_due(self, request: Request, attempt: Attempt) -> bool:
-        """Examine an overdue attempt, and schedule the next examination if there is to be one.
+        """Examine an overdue attempt: eject its server if it hangs, and schedule any further examination.
 
-        A server that responded to anything since is slow, not unresponsive; if others don't respond either,
-        there is overload.
+        A server that has responded to any request since the attempt was sent is slow, not unresponsive.  If
+        other servers don't respond either, the cause is overload.
 
         Args:
             request: The request of the attempt.
@@ -55,7 +59,7 @@
         Returns:
             Whether its server is unresponsive and ejected, so that no response is expected.
         """
-        if self.context.stalls.is_catching_up():  # its response may be among the events that waited
+        if self.context.stalls.is_catching_up():  # its response may be among the delayed events
             next_at = self.context.stalls.caught_up_at + self.context.settings.tick_us
             self._examine_after(next_at - self.context.now, request, attempt)
             return False
@@ -84,7 +88,7 @@
         return max(UNRESPONSIVE_OVERDUE_FACTOR * self._overdue_after_us(request, server), min_us)
 
     def _waited_us(self, attempt: Attempt) -> int:
-        """How long the attempt has been pending, not counting stalls of this process."""
+        """How long the attempt has been pending, excluding stalls of this process, in us."""
         stalled_us = self.context.stalls.stalled_us - attempt.stalled_before_us
         return self.context.now - attempt.sent_at - stalled_us
 
@@ -92,7 +96,7 @@
         self.context.timers.add(self.context.now + wait_us, AttemptOverdue(request.id, attempt.index))
 
     def _examine_at_latency_target(self, request: Request, attempt: Attempt, waited_us: int) -> None:
-        """Leave the attempt out of the load if its target has passed, else examine it again by then."""
+        """Exclude the attempt from the load if its target has passed; otherwise examine it again then."""
         target_us = request.service_class.latency_target_us
         if waited_us < target_us:
             self._examine_after(target_us - waited_us, request, attempt)
@@ -102,13 +106,13 @@
     def _eject_if_peers_respond(self, attempt: Attempt) -> None:
         peer_successes = self.outliers.successes - attempt.successes_before
         if attempt.server.ejected_until is None and peer_successes >= MIN_PEER_SUCCESSES:
-            self.outliers.eject(attempt.server, "silent", MAX_EJECTED_SHARE_UNRESPONSIVE)
+            self.outliers.eject(attempt.server, "unresponsive", MAX_EJECTED_SHARE_UNRESPONSIVE)
 
     def _count_as_late(self, attempt: Attempt, is_unresponsive: bool) -> None:
-        """Count an attempt as late before it ends: waiting for its response would miss the start of a surge.
+        """Count an attempt as late before it ends, as waiting for the end would miss the start of a surge.
 
-        An attempt at an ejected server says nothing of overload.  Nor does one that later attempts to its
-        server overtook, which was lost on the way.
+        An attempt at an ejected server is no sign of overload.  Neither is one that a later attempt at the
+        same server has overtaken: it was lost in transit.
         """
         server = attempt.server
         was_overtaken = server.last_success_sent_at > attempt.sent_at
--- a/sidecar/balancer/policy/key_order.py
+++ b/sidecar/balancer/policy/key_order.py
@@ -1,4 +1,4 @@
-"""Ordering by key: where a class asks for it, requests with the same key run one at a time, in order."""
+"""Ordering by key: if the class requires it, requests with the same key run one at a time, in order."""
 
 from collections import deque
 
@@ -6,29 +6,26 @@
 from sidecar.balancer.state import Context, KeyQueue, Request
 from sidecar.balancer.state.timers import KeyCooldownOver
 
-POSSIBLY_RUNNING_OUTCOMES = (
-    Outcome.TIMED_OUT,
-    Outcome.RESET,
-    Outcome.CANCELLED,
-)  # the key has a cooldown after these
+# After these, the server may still be running the attempt, so the key has a cooldown.
+POSSIBLY_RUNNING_OUTCOMES = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)
 
 
 class KeyOrder:
-    """A queue for each key in use; it is dropped once it is empty and its cooldown is over.
+    """Keeps a queue for each key in use, until it is empty and the key's cooldown is over.
 
     Attributes:
         queues: The queues by key.
     """
 
     def __init__(self, context: Context) -> None:
-        """Create an order without queues.
+        """Create a key order with no queues.
 
         Args:
             context: The shared state of the balancer.
         """
         self.queues: dict[int, KeyQueue] = {}
         self._context = context
-        self._changed: deque[KeyQueue] = deque()  # queues whose head may have become ready
+        self._changed: deque[KeyQueue] = deque()  # queues whose head may be ready to be sent
 
     def enqueue(self, request: Request, key: int) -> None:
         """Add a new request to the queue of its key."""
@@ -37,13 +34,13 @@
         self.mark_changed(key)
 
     def attempt_ended(self, request: Request, outcome: Outcome) -> None:
-        """Begin a cooldown of the request's key after an attempt that may still be running."""
+        """Start the cooldown of the request's key if the attempt may still be running on its server."""
         if request.ordering_key is not None and outcome in POSSIBLY_RUNNING_OUTCOMES:
             cooldown_us = self._context.settings.rules.key_cooldown_us
             self.queues[request.ordering_key].cooldown_until = self._context.now + cooldown_us
 
     def mark_changed(self, key: int | None) -> None:
-        """Note that the head of a key's queue may have changed, or its cooldown may be over."""
+        """Record that the head of a key's queue may have changed, or that its cooldown may be over."""
         if key is not None:
             self._changed.append(self.queues[key])
 
@@ -53,7 +50,7 @@
         return queue.cooldown_until if queue is not None else None
 
     def next_request(self) -> Request | None:
-        """A request that has come to the head of its queue and may be sent now, if there is one."""
+        """Return a request at the head of its queue that may be sent now; None if there is none."""
         while self._changed:
             queue = self._changed.popleft()
             head = queue.head()
@@ -62,7 +59,7 @@
             elif head is None:
                 self.queues.pop(queue.key, None)
             elif not (head.attempts or head.answered or head.health_checked):
-                return head  # if it is completed at once, its queue is marked as changed again
+                return head  # if it completes at once, its queue is marked as changed again
         return None
 
     def allows(self, request: Request) -> bool:
--- a/sidecar/balancer/policy/latency.py
+++ b/sidecar/balancer/policy/latency.py
@@ -1,22 +1,21 @@
-"""Usual latency and cost of requests by class, and the latency of each server relative to them."""
+"""The usual latency and cost of requests by class, and the relative latency of each server."""
 
 from sidecar.balancer.policy.low_traffic import low_traffic_factor
 from sidecar.balancer.state import Context, Request, Server
 from sidecar.settings import ServiceClass
 
-LATENCY_WEIGHT_SMOOTHING_FACTOR = (
-    0.1  # weight of each response in a server's average: the last ten or so count
-)
-MAX_RELATIVE_LATENCY = 4.0  # one response counts at most as so many usual ones; it may be of a costly request
-CLASS_AVERAGE_SMOOTHING_FACTOR = (
-    0.02  # weight of each response in the averages of a class: the last fifty or so count
-)
+# Weight of each response in the average of its server; about the last ten count.
+LATENCY_WEIGHT_SMOOTHING_FACTOR = 0.1
+# A response counts as at most this many usual latencies, as its request may be an expensive one.
+MAX_RELATIVE_LATENCY = 4.0
+# Weight of each response in the averages of its class; about the last fifty count.
+CLASS_AVERAGE_SMOOTHING_FACTOR = 0.02
 INITIAL_USUAL_LATENCY_TARGETS = 0.3  # the usual latency before any response, in latency targets
 MIN_USUAL_LATENCY_US = 1.0  # avoids a division by zero
 
 
 class LatencyTracker:
-    """Exponentially weighted moving averages (EWMA) over all servers, and of each server against them."""
+    """Exponentially weighted moving averages (EWMA) of all servers, and of each server relative to them."""
 
     def __init__(self, context: Context) -> None:
         """Create a tracker that has observed no response.
@@ -31,11 +30,11 @@
         self._mean_cost_us: dict[str, float] = context.settings_bound.new_table(context.catalog.has_class)
 
     def relative_cost(self, service_class: ServiceClass, cost_us: int | None) -> float:
-        """The cost of a new request relative to the mean of its class, which follows it.
+        """The cost of a new request relative to the mean cost of its class; the mean is updated.
 
         Args:
             service_class: The class of the request.
-            cost_us: The cost that its client stated, in us of work, if it did.
+            cost_us: The processing time that the client estimates, in us, if it does.
 
         Returns:
             The relative cost; 1.0 where it is unknown.
@@ -50,10 +49,10 @@
 
     @staticmethod
     def initialize_weights(servers: list[Server]) -> None:
-        """Take servers without observations for as fast as their declared capacity.
+        """Initialize the latency weight of servers without observations by their declared capacity.
 
         Args:
-            servers: The ready servers; a latency weight of zero marks those without observations.
+            servers: The ready servers.  A latency weight of zero marks those without observations.
         """
         mean_capacity = sum(server.declared_capacity for server in servers) / max(len(servers), 1)
         without_observations = [server for server in servers if server.latency_weight <= 0.0]
@@ -74,24 +73,24 @@
         Args:
             request: The request of the attempt.
             server: The server of the attempt.
-            elapsed_us: How long the attempt took.
+            elapsed_us: How long the attempt took, in us.
         """
         usual_latency_us = max(self.usual_latency_us(request), MIN_USUAL_LATENCY_US)
-        ratio = min(elapsed_us / usual_latency_us, MAX_RELATIVE_LATENCY)
+        relative_latency = min(elapsed_us / usual_latency_us, MAX_RELATIVE_LATENCY)
         step = LATENCY_WEIGHT_SMOOTHING_FACTOR * low_traffic_factor(self._context.load)
-        server.latency_weight += step * (ratio - server.latency_weight)
+        server.latency_weight += step * (relative_latency - server.latency_weight)
 
     def observe_error(self, request: Request, server: Server) -> None:
-        """Count an error as the slowest response there is, so that fast errors don't attract requests."""
+        """Count an error as the slowest possible response, so that fast errors don't attract requests."""
         self.observe_latency(request, server, int(MAX_RELATIVE_LATENCY * self.usual_latency_us(request)))
 
     def observe_success(self, request: Request, server: Server, elapsed_us: int) -> None:
-        """Learn from a successful attempt; the first of its class and cost is the usual one.
+        """Observe a successful attempt; the first one of a class and cost sets the usual latency.
 
         Args:
             request: The request of the attempt.
             server: The server of the attempt.
-            elapsed_us: How long the attempt took.
+            elapsed_us: How long the attempt took, in us.
         """
         key = _latency_key(request)
         usual_latency_us = self._usual_latency_us.setdefault(key, float(elapsed_us))
--- a/sidecar/balancer/policy/latency_ratio.py
+++ b/sidecar/balancer/policy/latency_ratio.py
@@ -1,45 +1,46 @@
-"""Overload signal from responses: the median of the latency ratio, and the share of late responses.
+"""Overload signal from responses: the median latency ratio and the share of late responses.
 
-The latency ratio of a response is its latency over the latency target of its class.
+The latency ratio of a response is its latency divided by the latency target of its class.
 """
 
 from sidecar.balancer.policy.low_traffic import MAX_LOW_TRAFFIC_FACTOR
 
-ALLOWED_LATENCY_RATIO = 0.3  # a median beyond this is overload
+ALLOWED_LATENCY_RATIO = 0.3  # a median above this indicates overload
 ALLOWED_LATENCY_RATIO_LOW_TRAFFIC = 0.4  # the same at low traffic, where much of the median is chance
-MAX_ALLOWED_LATENCY_RATIO = 0.5  # bounds what the baseline allows, or overload would become the baseline
+# Upper bound of what the baseline allows; otherwise lasting overload would become the baseline.
+MAX_ALLOWED_LATENCY_RATIO = 0.5
 BASELINE_HEADROOM_FACTOR = 1.2  # a median up to this many times the baseline is allowed
-BASELINE_STEP_SHARE = 0.02  # of the median's step, by which the baseline may rise with each response
+BASELINE_STEP_SHARE = 0.02  # share of MEDIAN_STEP by which the baseline may rise with each response
 BASELINE_STEP_SHARE_UNDER_LOAD = 0.002  # the same while the limit is utilized
-MEDIAN_STEP = 0.04  # of the running median: it reverses within some 25 responses
-ALLOWED_LATE_SHARE = 0.05  # while all but this share is in time, there is no overload
-LATE_SHARE_SMOOTHING_FACTOR = 0.02  # weight of each response in the late share: the last fifty or so count
+MEDIAN_STEP = 0.04  # change of the running median with each response; it crosses its range in 25 responses
+ALLOWED_LATE_SHARE = 0.05  # with a smaller share of late responses there is no overload
+LATE_SHARE_SMOOTHING_FACTOR = 0.02  # weight of each response in the late share; about the last fifty count
 UNANSWERED_LATENCY_RATIO = 2.0  # assumed for an attempt without a response, which would have been very late
-MAX_MEDIAN = 1.0  # the median isn't followed past the target, as it has to find back from there
+MAX_MEDIAN = 1.0  # bounds the median at the latency target, so that it recovers soon after overload
 
 
 class LatencyRatioTracker:
-    """Running estimates over the latency ratios of responses.
+    """Running estimates of the median latency ratio and of the share of late responses.
 
-    The median is used, as a few slow servers or expensive requests are no overload.
+    The median is used because a few slow servers or expensive requests do not mean overload.
 
     Attributes:
         median: The running median.
-        late_share: The share of responses after their latency target, as a moving average.
+        late_share: The moving average of the share of responses after their latency target.
     """
 
     def __init__(self) -> None:
         """Create a tracker that has observed no response."""
         self.median = 0.0
         self.late_share = 0.0
-        self._baseline: float | None = None  # the least the median has been of late
+        self._baseline: float | None = None  # lowest recent value of the median
 
     def has_samples(self) -> bool:
         """Whether a response was observed."""
         return self._baseline is not None
 
     def rescale(self, factor: float) -> None:
-        """Adapt to latency targets that are this many times as long."""
+        """Adapt to latency targets that are longer by this factor."""
         self.median = min(self.median / factor, MAX_MEDIAN)
         if self._baseline is not None:
             self._baseline = min(self._baseline / factor, MAX_MEDIAN)
@@ -49,8 +50,8 @@
 
         Args:
             latency_ratio: Its latency ratio.
-            low_traffic_factor: By how much steps are enlarged, as there are few samples.
-            is_loaded: Whether the concurrency limit is utilized; then the baseline hardly rises.
+            low_traffic_factor: The factor by which steps are enlarged where there are few samples.
+            is_loaded: Whether the concurrency limit is utilized; if so, the baseline rises more slowly.
         """
         if self._baseline is None:
             self.median = min(latency_ratio, ALLOWED_LATENCY_RATIO)
@@ -69,9 +70,9 @@
         self.median = max(0.0, min(self.median + step, MAX_MEDIAN))
 
     def allowed_median(self, low_traffic_factor: float) -> float:
-        """The median beyond which there is overload.
+        """The median above which there is overload.
 
-        The fewer responses there are, the more of the median is chance, and the more is allowed.
+        The fewer responses there are, the more of the median is chance, so the more is allowed.
 
         Args:
             low_traffic_factor: The factor of `low_traffic`.
@@ -84,5 +85,5 @@
         return max(min(allowed_by_baseline, MAX_ALLOWED_LATENCY_RATIO), allowed_by_chance)
 
     def excess(self, allowed_median: float) -> float:
-        """How far the median is beyond the allowed one, relative to it; negative if it is below."""
+        """How far the median exceeds the allowed one, relative to the latter; negative if it is below."""
         return (self.median - allowed_median) / allowed_median
--- a/sidecar/balancer/policy/load_comparison.py
+++ b/sidecar/balancer/policy/load_comparison.py
@@ -1,4 +1,4 @@
-"""Comparison of candidates by the load that they reported in health checks."""
+"""Comparison of candidates by the load that they report in health checks."""
 
 from dataclasses import dataclass
 
@@ -9,29 +9,30 @@
 from sidecar.balancer.state import Context, Request, Server
 from sidecar.settings import Settings
 
-LATENCY_TARGETS_PER_PRICE_POINT = (
-    2.0  # latency saved, in targets, for each point of price of a remote zone or a handshake
-)
-MIN_LOCAL_FIRST_COST = 0.1  # latency targets; if crossing costs less, zones are balanced by weights
-MAX_PREDICTED_RATIO = 0.7  # latency ratio up to which requests of the highest priority are admitted ...
-PREDICTED_RATIO_RANGE = 0.5  # ... and so much less for the lowest
-SAMPLE_SHARE = 0.01  # of the requests is admitted despite predicted overload, to verify the prediction
+# Latency to be saved, in latency targets, for each point of the price of crossing zones or of a handshake.
+LATENCY_TARGETS_PER_PRICE_POINT = 2.0
+# If crossing zones costs less than this, in latency targets, zones are balanced by weights instead.
+MIN_LOCAL_FIRST_COST = 0.1
+MAX_PREDICTED_RATIO = 0.7  # predicted latency ratio up to which the highest priority is admitted ...
+PREDICTED_RATIO_RANGE = 0.5  # ... and how much lower that bound is for the lowest priority
+# Share of the requests that is admitted despite predicted overload, to verify the prediction.
+SAMPLE_SHARE = 0.01
 
 
 def cross_zone_cost(settings: Settings) -> float:
-    """The latency that a request to another zone has to save, in latency targets."""
+    """The latency that sending a request to another zone has to save, in latency targets."""
     return LATENCY_TARGETS_PER_PRICE_POINT * settings.prices.cross_zone
 
 
 @dataclass(slots=True, eq=False)
 class LoadComparison:
-    """Picks the least loaded candidate, and tells whether even that is overloaded.
+    """Picks the least loaded candidate, and predicts whether even that one is overloaded.
 
     Attributes:
         context: The shared state of the balancer.
         slow_start: Limits servers that are warming up.
-        selector: Tells which servers are eligible.
-        connections: Tells to which servers there is an idle connection.
+        selector: Determines which servers are eligible.
+        connections: Estimates which servers have an idle connection.
         latency_by_load: Predicts the latency at a load.
     """
 
@@ -42,7 +43,7 @@
     latency_by_load: LatencyByLoad
 
     def least_loaded(self, request: Request, candidates: list[Server]) -> Server | None:
-        """The best of the eligible candidates that answered their health checks, if there is one.
+        """The best of the eligible candidates that responded to their health checks, if there is one.
 
         Args:
             request: The request to be sent.
@@ -58,7 +59,7 @@
         return min(comparable, key=self._rank, default=None)
 
     def should_cross_zones(self, best: Server | None) -> bool:
-        """Whether a server in another zone is expected to save more than the price of getting there.
+        """Whether a server in another zone is expected to save more latency than crossing zones costs.
 
         Args:
             best: The best server of the local zone, if there is one.
@@ -72,10 +73,10 @@
         return local_ratio - idle_ratio > cross_zone_cost(self.context.settings)
 
     def predicts_overload(self, request: Request, best: Server) -> bool:
-        """Whether to reject a new request, as even the best server is expected to take too long.
+        """Whether to reject a new request because even the best server is expected to respond too late.
 
         Args:
-            request: The request; one that was attempted already is not rejected.
+            request: The request.  It is not rejected if it has been attempted already.
             best: The best server for it.
         """
         if best.reported_load is None or request.attempts:
@@ -87,15 +88,15 @@
         return False
 
     def _rank(self, server: Server) -> tuple[int, float, float]:
-        """Sort key: this balancer's own attempts, then the expected latency with its price, then the load."""
+        """Sort key: this balancer's own attempts, then expected latency plus access cost, then load."""
         load_with_request = ((server.reported_load or 0.0) + 1.0) * server.latency_weight
-        # Servers that are warming up report little load as they get few requests.
+        # Servers that are warming up report little load, as they receive few requests.
         load = load_with_request / self.slow_start.capacity_share(server)
         expected_ratio = self.latency_by_load.predict(load) or 0.0
         return self.context.load.at(server), expected_ratio + self._access_cost(server), load
 
     def _access_cost(self, server: Server) -> float:
-        """The price of getting to a server, in latency targets."""
+        """The price of crossing zones and of a new connection to a server, in latency targets."""
         cost = 0.0 if server.is_local else cross_zone_cost(self.context.settings)
         if not self.connections.has_idle_connection(server):
             cost += LATENCY_TARGETS_PER_PRICE_POINT * self.context.settings.prices.handshake
--- a/sidecar/balancer/policy/outliers.py
+++ b/sidecar/balancer/policy/outliers.py
@@ -1,7 +1,7 @@
-"""Outlier ejection: servers that fail or hang get no requests until a half-open attempt succeeds.
+"""Outlier ejection: servers that fail or hang receive no requests until a half-open attempt succeeds.
 
-This is a circuit breaker for each server: ejection opens it, and after a backoff a single attempt at a time
-is let through (half-open), which closes it again if it succeeds.
+Each server has a circuit breaker: ejection opens it.  After a backoff, one attempt at a time is admitted
+(half-open), which closes the breaker if it succeeds.
 """
 
 from sidecar.balancer.actions import Log
@@ -13,9 +13,13 @@
 from sidecar.balancer.state import Attempt, Context, Request, Server
 from sidecar.settings import Idempotency
 
-FAILURES_TO_EJECT = 3  # consecutive failures that eject a server: networks fail a few attempts by chance
-MAX_EJECTED_SHARE = 0.6  # of the servers in use; were more ejected, the rest would be overloaded
-MAX_EJECTED_SHARE_UNRESPONSIVE = 0.34  # the same for missing responses alone: more indicate overload
+# Consecutive failures that eject a server; fewer may be chance failures of the network.
+FAILURES_TO_EJECT = 3
+# Largest share of the servers in use that may be ejected; with more, the rest would be overloaded.
+MAX_EJECTED_SHARE = 0.6
+# The same for servers that are only unresponsive; a larger share indicates overload.
+MAX_EJECTED_SHARE_UNRESPONSIVE = 0.34
+# A stall of this process can cause these outcomes by itself.
 TIMEOUT_OUTCOMES = (Outcome.TIMED_OUT, Outcome.CONNECT_FAILED)
 
 
@@ -32,7 +36,7 @@
 
         Args:
             context: The shared state of the balancer.
-            slow_start: Is started for servers that were unreachable, as they may have restarted.
+            slow_start: The slow start of servers, begun for unreachable ones, as they may have restarted.
         """
         self.ejected: list[Server] = []
         self.successes = 0
@@ -40,7 +44,7 @@
         self._context = context
 
     def attempt_ended(self, request: Request, attempt: Attempt, outcome: Outcome) -> None:
-        """Learn of a server's health from the end of an attempt.
+        """Update the health of a server after an attempt ended.
 
         Args:
             request: The request of the attempt.
@@ -56,15 +60,15 @@
         elif outcome in FAILURE_OUTCOMES:
             self._failed(attempt, outcome, is_half_open)
         elif is_half_open and outcome is not Outcome.NOT_SENT:
-            self.eject(server, outcome.value)  # at capacity, or cancelled as overdue: it has not recovered
+            self.eject(server, outcome.value)  # rejected or cancelled: the server has not recovered
 
     def eject(self, server: Server, reason: str, max_share: float = MAX_EJECTED_SHARE) -> None:
-        """Eject a server, or extend its ejection; no effect if too many are ejected already.
+        """Eject a server, or extend its ejection; has no effect if too many servers are ejected already.
 
         Args:
             server: The server.
             reason: The reason to log.
-            max_share: The share of the servers in use that may be ejected.
+            max_share: The largest share of the servers in use that may be ejected.
         """
         if server.state is ServerState.REMOVED:
             return
@@ -79,7 +83,7 @@
         server.consecutive_ejections = backoff.repeats
 
     def readmit(self, server: Server) -> None:
-        """Send requests to an ejected server again; one ejected as unreachable starts slowly."""
+        """End the ejection of a healthy server; one that was unreachable begins slow start."""
         self.end_ejection(server)
         server.consecutive_ejections = 0
         server.consecutive_failures = 0
@@ -88,7 +92,7 @@
         self._context.actions.append(Log(f"readmitted {server.name}"))
 
     def end_ejection(self, server: Server) -> None:
-        """Stop counting a server as ejected, as it would otherwise keep others from being ejected."""
+        """Stop counting a server as ejected, so that it does not keep others from being ejected."""
         if server.ejected_until is None:
             return
         server.ejected_until = None
@@ -96,15 +100,15 @@
         self._context.load.at_ejected -= server.in_flight_within_target
 
     def half_open_candidate(self, request: Request) -> Server | None:
-        """An ejected server that may get this request as its half-open attempt.
+        """Find an ejected server that may receive this request as its half-open attempt.
 
-        Only first attempts of safe requests are used: they can be retried elsewhere if this one fails.
+        Only first attempts of safe requests are used, as these can be retried elsewhere if the attempt fails.
 
         Args:
             request: The request to be sent.
 
         Returns:
-            The server, or None if no server is due or the request is not suitable.
+            The server; None if no server is half-open or the request is not suitable.
         """
         if request.service_class.idempotency is not Idempotency.SAFE or request.attempts:
             return None
@@ -114,7 +118,7 @@
         return None
 
     def _is_half_open(self, server: Server) -> bool:
-        """Whether an ejected server has waited out its backoff and has no attempt under way."""
+        """Whether the backoff of an ejected server is over and it has no half-open attempt in progress."""
         has_waited = server.ejected_until is not None and self._context.now >= server.ejected_until
         return has_waited and server.state is ServerState.READY and server.half_open_attempt is None
 
@@ -148,12 +152,12 @@
         self.eject(server, outcome.value)
         required_connect_failures = 1 if is_half_open else FAILURES_TO_EJECT
         if server.consecutive_connect_failures >= required_connect_failures:
-            # It may have restarted, and the registry may say so later; dropped connections don't indicate it.
+            # It may have restarted, which the registry may report later; resets are no sign of a restart.
             self._slow_start.start(server, self._context.now)
 
     def _is_inconclusive(self, attempt: Attempt, outcome: Outcome, is_half_open: bool) -> bool:
-        """Whether a failure says nothing of the server's health."""
+        """Whether a failure says nothing about the server's health."""
         if outcome is Outcome.TIMED_OUT and attempt.server.last_success_at > attempt.sent_at:
-            return True  # the server is slow, but responded to others meanwhile
-        # After a stall of this process, the time that passed was its own delay.
+            return True  # the server is slow, but it has responded to another attempt since
+        # After a stall of this process, the elapsed time includes its own delay.
         return outcome in TIMEOUT_OUTCOMES and self._context.stalls.is_catching_up() and not is_half_open
--- a/sidecar/balancer/policy/priority.py
+++ b/sidecar/balancer/policy/priority.py
@@ -1,9 +1,9 @@
-"""Priority of requests by the weight of their class and the quota of their tenant."""
+"""Priority of requests, by the weight of their class and the quota of their tenant."""
 
 from sidecar.balancer.state import Context, DecayingRate, Request, Traffic, TrafficKey
 
-RATE_SPAN_TARGETS = 4.0  # rates are averaged over this many of the longest latency target
-MEDIAN_PRIORITY = 0.5  # where no traffic is known yet
+RATE_SPAN_TARGETS = 4.0  # span over which rates are averaged, in longest latency targets
+MEDIAN_PRIORITY = 0.5  # used while no traffic is known
 
 
 def rate_span_us(context: Context) -> float:
@@ -39,14 +39,14 @@
             rate = DecayingRate(rate_span_us(self._context))
             traffic = Traffic(request.service_class, request.traffic_key.tenant, rate)
             self._traffic[request.traffic_key] = traffic
-        traffic.service_class = request.service_class  # settings may have changed
+        traffic.service_class = request.service_class  # the settings may have changed
         traffic.rate.add(self._context.now)
         return traffic
 
     def priority(self, traffic: Traffic) -> float:
-        """The share of all traffic that has a lower weight, counting half of what has the same.
+        """The share of all traffic that has a lower weight, plus half of the share with the same weight.
 
-        Only proportions of the traffic are compared with quotas, as each balancer sees a part of it.
+        Each balancer sees only a part of the traffic, so quotas are compared with proportions of it.
 
         Args:
             traffic: The traffic of one class and tenant.
@@ -73,7 +73,7 @@
         return [self._weight(traffic, tenant_rates[traffic.tenant], total_rate) for traffic in all_traffic]
 
     def _weight(self, traffic: Traffic, tenant_rate: float, total_rate: float) -> float:
-        """The weight of the class, reduced for the part of the tenant's traffic beyond its quota."""
+        """The weight of the class, reduced for the share of the tenant's traffic that exceeds its quota."""
         class_weight = traffic.service_class.priority_weight
         quota = self._context.catalog.tenant_shares.get(traffic.tenant or "")
         if quota is None or tenant_rate <= 0.0:
--- a/sidecar/balancer/policy/registry_polling.py
+++ b/sidecar/balancer/policy/registry_polling.py
@@ -1,24 +1,27 @@
-"""Registry polling: when to poll, with exponential backoff and jitter after failures."""
+"""Registry polling: the time of the next poll, with exponential backoff and jitter after failures."""
 
 from sidecar.balancer.actions import WatchRegistry
 from sidecar.balancer.state import Context
 from sidecar.balancer.state.timers import RegistryPoll
 from sidecar.settings import Discovery
 
-MAX_STALENESS_US = 6_000_000  # after a failed poll a change is known so soon, whatever the settings allow
-INITIAL_BACKOFF_SHARE = 0.05  # of the permitted staleness; the backoff doubles with each failure
+# Upper bound of the permitted staleness, whatever the settings allow, so that a change is noticed soon after
+# a failed poll.
+MAX_STALENESS_US = 6_000_000
+INITIAL_BACKOFF_SHARE = 0.05  # share of the permitted staleness; the backoff doubles with each failure
 MAX_BACKOFF_SHARE = 0.25  # three failed polls in a row still fit into the permitted staleness
-MAX_COUNTED_FAILURES = 8  # more have no effect; bounds the power of two
-MIN_JITTER = 0.5  # a backoff is multiplied by a random factor from this ...
-JITTER_RANGE = 0.5  # ... to this much more
+MAX_COUNTED_FAILURES = 8  # further failures are not counted; bounds the power of two
+# A backoff is multiplied by a random factor from MIN_JITTER to MIN_JITTER + JITTER_RANGE.
+MIN_JITTER = 0.5
+JITTER_RANGE = 0.5
 
 
 class RegistryPoller:
-    """Keeps a watch of the registry established, where changes are not pushed.
+    """Keeps a watch on the registry established if changes are not pushed.
 
     Attributes:
-        due: When the registry is polled next, in us; None while the watch is established.
-        consecutive_failures: The number of failures in a row.
+        due: The time of the next poll, in us; None while the watch is established.
+        consecutive_failures: The number of polls that failed since the last response.
     """
 
     def __init__(self, context: Context) -> None:
@@ -32,25 +35,25 @@
         self._context = context
 
     def poll(self) -> None:
-        """Poll the registry, and again later if there is no response; no effect if changes are pushed."""
+        """Poll the registry, and again later if there is no response; has no effect if changes are pushed."""
         if self._context.settings.discovery is Discovery.ON_REQUEST:
             self._context.actions.append(WatchRegistry(True))
             self._schedule(MAX_BACKOFF_SHARE)
 
     def succeeded(self) -> None:
-        """Note a response: no further poll is needed, as the watch is established."""
+        """Record a response: the watch is established, so that no further poll is needed."""
         self.consecutive_failures = 0
         self.due = None
 
     def failed(self) -> None:
-        """Back off after a failed poll, with jitter so that balancers don't poll at the same time."""
+        """Back off after a failed poll, with jitter to prevent balancers from polling at the same time."""
         backoff_share = min(INITIAL_BACKOFF_SHARE * 2**self.consecutive_failures, MAX_BACKOFF_SHARE)
         self.consecutive_failures = min(self.consecutive_failures + 1, MAX_COUNTED_FAILURES)
         jitter_factor = MIN_JITTER + JITTER_RANGE * self._context.rng.random()
         self._schedule(backoff_share * jitter_factor)
 
     def _schedule(self, share: float) -> None:
-        """Poll after this share of the permitted staleness, in place of any poll scheduled before."""
+        """Schedule the next poll after this share of the permitted staleness, in place of any earlier one."""
         max_staleness_us = min(self._context.settings.rules.max_poll_interval_us, MAX_STALENESS_US)
         self.due = self._context.now + int(share * max_staleness_us)
         self._context.timers.add(self.due, RegistryPoll())
--- a/sidecar/balancer/policy/retries.py
+++ b/sidecar/balancer/policy/retries.py
@@ -1,15 +1,15 @@
-"""Retries: which requests may be attempted again, at which servers, and the retry budget."""
+"""Retries: which requests may be attempted again and at which servers, and the retry budget."""
 
 from sidecar.balancer.events import Outcome
 from sidecar.balancer.state import Attempt, Request, Server
 from sidecar.settings import DedupScope, Idempotency, Settings
 
-TOKENS_PER_SUCCESS = 0.2  # tokens earned by each successful attempt; bounds retries to a share of the load
-TOKENS_LOST_PER_FAILURE = 0.3  # so that none are left while more than two attempts in five fail
-MAX_RETRY_TOKENS = 2.0  # tokens; saved retries multiply from hop to hop when a fault begins
-INITIAL_RETRY_TOKENS = 4.0  # tokens until the first success, as first connections fail by chance
+TOKENS_PER_SUCCESS = 0.2  # earned by each successful attempt; limits retries to a share of the load
+TOKENS_LOST_PER_FAILURE = 0.3  # no tokens are left while more than two in five attempts fail
+MAX_RETRY_TOKENS = 2.0  # capacity of the bucket; saved tokens multiply from hop to hop when a fault begins
+INITIAL_RETRY_TOKENS = 4.0  # tokens before the first success, as first connections may fail by chance
 FAILURE_OUTCOMES = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.ERROR)
-# These prove that an attempt did not run; a rejection does so only where servers reject before they begin.
+# Proof that an attempt did not run.  A rejection is one only if servers reject requests before they begin.
 NON_EXECUTION_OUTCOMES = frozenset((Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
 NON_EXECUTION_OUTCOMES_WITH_REJECTED = NON_EXECUTION_OUTCOMES | {Outcome.REJECTED}
 
@@ -17,15 +17,15 @@
 class RetryBudget:
     """A token bucket for retries after failures, filled by successful attempts only.
 
-    Were failures to earn tokens, retries would multiply with the depth of the call graph (a retry storm).
+    If failures earned tokens, retries would multiply with the depth of the call graph (a retry storm).
     """
 
     def __init__(self) -> None:
-        """Create a budget with `INITIAL_RETRY_TOKENS`."""
+        """Create a budget of `INITIAL_RETRY_TOKENS`."""
         self._tokens = INITIAL_RETRY_TOKENS
 
     def attempt_ended(self, outcome: Outcome) -> None:
-        """Earn tokens by a success, or lose some by a failure; other outcomes have no effect."""
+        """Add tokens after a success, or remove tokens after a failure; other outcomes have no effect."""
         if outcome is Outcome.SUCCEEDED:
             self._tokens = min(self._tokens + TOKENS_PER_SUCCESS, MAX_RETRY_TOKENS)
         elif outcome in FAILURE_OUTCOMES:
@@ -36,7 +36,7 @@
         return self._tokens >= 1.0
 
     def try_acquire(self) -> bool:
-        """Take the token for one retry; say whether there was one."""
+        """Take the token for one retry; return whether there was one."""
         if not self.has_tokens():
             return False
         self._tokens -= 1.0
@@ -44,17 +44,17 @@
 
 
 def is_retry_safe(request: Request) -> bool:
-    """Whether a retry has no further effect, at any time and server."""
+    """Whether a retry, at any time and on any server, can't make the request take effect twice."""
     return request.service_class.idempotency is Idempotency.SAFE or not request.may_have_run()
 
 
 def may_retry(request: Request, now: int, tick_us: int) -> bool:
-    """Whether the request's class permits another attempt.
+    """Whether the class of the request permits another attempt now.
 
     Args:
         request: The request.
-        now: The clock time in us.
-        tick_us: The resolution of the clock in us.
+        now: The clock time, in us.
+        tick_us: The resolution of the clock, in us.
     """
     if is_retry_safe(request):
         return True
@@ -62,20 +62,20 @@
 
 
 def has_idempotency_key(request: Request) -> bool:
-    """Whether servers deduplicate the request by its idempotency key."""
+    """Whether the request has an idempotency key, by which servers deduplicate it."""
     return request.service_class.idempotency is Idempotency.KEYED
 
 
 def retry_deadline(request: Request, now: int, tick_us: int) -> int:
-    """When servers may begin to forget the idempotency key of a request.
+    """The time at which servers may begin to forget the idempotency key of a request.
 
     Args:
         request: A request with an idempotency key.
-        now: The clock time in us.
-        tick_us: The resolution of the clock in us; it is subtracted, as clock time may be late by that much.
+        now: The clock time, in us.
+        tick_us: The resolution of the clock, in us.  It is subtracted, as the clock may lag by as much.
 
     Returns:
-        The clock time in us.
+        The clock time, in us.
     """
     first_attempt = _first_attempt_that_may_have_run(request)
     since = first_attempt.sent_at if first_attempt is not None else now
@@ -83,11 +83,11 @@
 
 
 def is_deduplicated_at(request: Request, server: Server) -> bool:
-    """Whether a server would drop a retry of a request that ran already.
+    """Whether a server would deduplicate a retry of a request that has run already.
 
     Args:
-        request: The request; only one with an idempotency key that may have run is restricted.
-        server: The server that would get the retry.
+        request: The request.  Only one that has an idempotency key and may have run is restricted.
+        server: The server that would receive the retry.
     """
     scope = request.service_class.dedup_scope
     if not has_idempotency_key(request) or scope is DedupScope.ALL:
@@ -101,7 +101,7 @@
 
 
 def is_client_retry_safe(request: Request) -> bool:
-    """Whether a client may safely send the request again, whatever became of its attempts."""
+    """Whether a client may safely send the request again, regardless of the outcome of its attempts."""
     is_deduplicated = has_idempotency_key(request) and request.service_class.dedup_scope is DedupScope.ALL
     return is_retry_safe(request) or is_deduplicated
 
--- a/sidecar/balancer/policy/selection.py
+++ b/sidecar/balancer/policy/selection.py
@@ -1,7 +1,7 @@
 """Server selection: the best of k candidates, drawn by weight from a subset of the eligible servers.
 
-This is the power of two choices with more choices: a random draw keeps balancers from all picking the same
-server, and comparing the drawn ones by load keeps queues short.
+This is the power of two choices, generalized to k choices: the random draw keeps balancers from all picking
+the same server, and the comparison by load keeps queues short.
 """
 
 import math
@@ -16,10 +16,11 @@
 from sidecar.balancer.policy.zone_preference import ZonePreference
 from sidecar.balancer.state import Context, Request, Server
 
-CANDIDATE_COUNT = 4  # k; loads are mostly small here, so that two candidates would often be tied
-MIN_LOCAL_SERVERS = 2  # with fewer eligible ones in the local zone there is no choice
-MAX_LATENCY_EXPONENT = 3.0  # exponent of the latency weight, for requests of four times the mean cost or more
-MIN_LATENCY_WEIGHT = 1.0 / MAX_RELATIVE_LATENCY  # a faster server than this is not drawn more
+CANDIDATE_COUNT = 4  # k; loads are mostly small, so that two candidates would often be tied
+MIN_LOCAL_SERVERS = 2  # with fewer eligible local servers there is no choice, so all zones are used
+# Exponent of the latency weight for requests of four times the mean cost or more.
+MAX_LATENCY_EXPONENT = 3.0
+MIN_LATENCY_WEIGHT = 1.0 / MAX_RELATIVE_LATENCY  # servers faster than this are not drawn more often
 
 
 @dataclass(slots=True, eq=False)
@@ -29,7 +30,7 @@
     Attributes:
         context: The shared state of the balancer.
         slow_start: Limits servers that are warming up.
-        zone_preference: Weighs servers of other zones.
+        zone_preference: Determines the weight of servers in other zones.
     """
 
     context: Context
@@ -40,7 +41,7 @@
         """Draw the candidates for the next attempt of a request, twice as many after each rejection.
 
         Args:
-            request: The request; its candidates may be widened to all zones.
+            request: The request.  Its candidates may be extended to all zones.
 
         Returns:
             Distinct eligible servers in random order; empty if there are none.
@@ -54,13 +55,13 @@
         return sample_by_weight(self.context.rng, subset, weights, CANDIDATE_COUNT << request.rejections)
 
     def least_loaded(self, candidates: list[Server]) -> Server:
-        """The candidate with the fewest attempts of this balancer, by latency weight among equals."""
+        """The candidate with the fewest attempts of this balancer; the lower latency weight breaks ties."""
         return min(candidates, key=lambda server: (self.context.load.at(server), server.latency_weight))
 
     def is_eligible(self, server: Server, request: Request) -> bool:
-        """Whether a ready server may get the next attempt of a request.
+        """Whether a ready server may receive the next attempt of a request.
 
-        Retries and hedged requests go to other servers than the attempts before them.
+        Retries and hedged requests are sent to other servers than the attempts before them.
 
         Args:
             server: A server that is ready.
@@ -81,7 +82,7 @@
         return self.slow_start.has_capacity(server, request.relative_cost)
 
     def _candidate_subset(self, request: Request) -> list[Server]:
-        """The subset of the local zone, or that of all zones where the request may leave its zone."""
+        """The subset of the local zone, or that of all zones if the request may leave its zone."""
         if self.context.stalls.has_just_resumed():
             request.all_zones = True
         if not request.all_zones:
@@ -92,7 +93,7 @@
         return self._subset(self.context.registry.ready, request)
 
     def _subset(self, servers: list[Server], request: Request) -> list[Server]:
-        """The first eligible servers in this balancer's own order; those in backoff only to fill up."""
+        """The first eligible servers in this balancer's own order; those in backoff only fill up the rest."""
         size = subset_size(self.context.load)
         preferred: list[Server] = []
         backed_off: list[Server] = []
@@ -110,9 +111,9 @@
         return preferred + backed_off[: size - len(preferred)]
 
     def _weight(self, server: Server, exponent: float, remote_weight: float) -> float:
-        """The weight of a server in the draw, lower for slower servers.
+        """The weight of a server in the draw, which is lower for slower servers.
 
-        The draw decides most ties, so expensive requests raise the latency to a higher power.
+        The draw breaks most ties, so for expensive requests the latency is raised to a higher power.
         """
         latency_factor = math.pow(max(server.latency_weight, MIN_LATENCY_WEIGHT), exponent)
         weight = self.slow_start.capacity_share(server) / latency_factor
--- a/sidecar/balancer/policy/server_capacity.py
+++ b/sidecar/balancer/policy/server_capacity.py
@@ -1,4 +1,4 @@
-"""Estimate of what one warm server serves for this balancer, the reference for servers in slow start."""
+"""Estimate of the capacity of a warm server for this balancer, the reference for servers in slow start."""
 
 import math
 from dataclasses import dataclass
@@ -6,8 +6,9 @@
 from sidecar.balancer.policy.subsetting import subset_size
 from sidecar.balancer.state import Context, DecayingRate, Server
 
-MIN_ARRIVALS_SHARE = 0.25  # of the arrivals, counted while all are warming up even if warm ones served less
-RATE_SPAN_WINDOWS = 2.0  # rates are averaged over this many overload windows
+# While all servers are warming up, at least this share of the arrivals counts as capacity.
+MIN_ARRIVALS_SHARE = 0.25
+RATE_SPAN_WINDOWS = 2.0  # span over which rates are averaged, in overload windows
 
 
 def rate_span_us(context: Context) -> float:
@@ -17,15 +18,15 @@
 
 @dataclass(slots=True)
 class ReferenceServers:
-    """The ready servers that serve as a reference: the warm ones, or all if none is warm.
+    """The ready servers from which capacity is estimated: the warm ones, or all if none is warm.
 
     Attributes:
         ready: The list of ready servers that this was computed for.
         slow_start_us: The duration of slow start that this was computed for.
-        are_warm: Whether the reference servers are warm servers.
+        are_warm: Whether the reference servers are warm.
         count: The number of reference servers.
         mean_declared_capacity: The mean of their declared capacities.
-        valid_until: The time in us at which the next server ends slow start.
+        valid_until: The time at which the next server ends slow start, in us.
     """
 
     ready: list[Server]
@@ -37,7 +38,7 @@
 
 
 class ServerCapacityEstimate:
-    """Estimates capacity by the cost that warm servers served, shared among the servers in use."""
+    """Estimates capacity from the cost that warm servers served, divided by the number of servers in use."""
 
     def __init__(self, context: Context, arrivals: DecayingRate) -> None:
         """Create an estimate without observations.
@@ -51,27 +52,27 @@
         self._warm_service_rate = context.settings_bound.new_rate(lambda: rate_span_us(context))
         self._capacity = 0.0  # requests of mean cost per us, as of _capacity_at
         self._capacity_at = -1
-        self._last_warm_capacity = math.inf  # the estimate when any server was last warm
-        self._last_warm_servers_used = 1  # how many servers shared the traffic then
+        self._last_warm_capacity = math.inf  # the last estimate while any server was warm
+        self._last_warm_servers_used = 1  # how many servers shared the traffic at that time
         self._mean_declared_capacity = 1.0  # as of _capacity_at
-        self._reference: ReferenceServers | None = None  # None: to be computed anew
+        self._reference: ReferenceServers | None = None  # None: to be recomputed
 
     def count_served(self, cost: float) -> None:
-        """Count what a warm server served, in requests of mean cost.
+        """Count the cost that a warm server served, in requests of mean cost.
 
-        It is counted by cost, as overload control admits mostly cheap requests.
+        Costs are counted rather than requests, as admission control admits mostly cheap requests in overload.
         """
         self._warm_service_rate.add(self._context.now, cost)
 
     def invalidate_reference(self) -> None:
-        """Compute the reference servers anew, as a server began slow start."""
+        """Recompute the reference servers at the next use, as a server began slow start."""
         self._reference = None
 
     def of_server(self, server: Server) -> float:
         """The capacity of a server once it is warm, in requests of mean cost per us.
 
         Args:
-            server: The server; one declared larger than the mean is taken for a server of mean size.
+            server: The server.  One whose declared capacity is above the mean is treated as a mean one.
         """
         capacity = self.of_warm_server()
         if self._mean_declared_capacity > 0.0:
@@ -79,9 +80,9 @@
         return capacity
 
     def of_warm_server(self) -> float:
-        """The capacity of a warm server of mean size, in requests of mean cost per us.
+        """The capacity of a warm server of mean declared capacity, in requests of mean cost per us.
 
-        It is computed once for each instant.
+        It is computed once for each clock time.
         """
         if self._capacity_at != self._context.now:
             self._capacity_at = self._context.now
@@ -99,10 +100,10 @@
         return self._last_warm_capacity
 
     def _estimate_without_warm_servers(self, servers_used: int) -> float:
-        """The share of the arrivals for each server, at most what a warm one served last.
+        """The arrivals per server, limited by the last rate at which a warm server served requests.
 
-        Warm servers that were idle say little of their capacity: by that rate alone, all requests would be
-        rejected.
+        That rate says little about the capacity of warm servers that were idle.  By itself it could cause
+        all requests to be rejected, so the limit is at least a share of the arrivals.
         """
         arrivals_per_us = self._arrivals.per_us(self._context.now)
         servers_sharing = max(servers_used, self._last_warm_servers_used)
@@ -133,7 +134,7 @@
                 valid_until = min(valid_until, since + slow_start_us)
             else:
                 warm.append(server)
-        reference_servers = warm or ready  # ejected ones included, as they served part of what was counted
+        reference_servers = warm or ready  # including ejected ones, which served part of what was counted
         mean_declared_capacity = sum(server.declared_capacity for server in reference_servers) / max(
             len(reference_servers), 1
         )
--- a/sidecar/balancer/policy/slow_start.py
+++ b/sidecar/balancer/policy/slow_start.py
@@ -1,22 +1,24 @@
-"""Slow start: a server that is warming up gets no more than a budget, which grows with its age."""
+"""Slow start: a server that is warming up receives requests up to a budget, which grows with its age."""
 
 from sidecar.balancer.policy.server_capacity import ServerCapacityEstimate, rate_span_us
 from sidecar.balancer.state import Context, Server
 
-BUDGET_REFILL_SHARE = 0.15  # of the rate that overloads a server; cautious, as its capacity is an estimate
-BUDGET_BURST_SHARE = 0.18  # of what overloads a server in one window; this much may be sent at once
+# Refill rate as a share of the rate that overloads a server; low, as the capacity is only an estimate.
+BUDGET_REFILL_SHARE = 0.15
+# Bucket size, which may be sent at once, as a share of what overloads a server within one overload window.
+BUDGET_BURST_SHARE = 0.18
 
 
 class SlowStart:
-    """Limits servers that are warming up by a token bucket for each, filled by their share of capacity.
+    """Limits each server that is warming up by a token bucket, which fills by its share of full capacity.
 
     Attributes:
         arrivals: The rate of requests that arrive at this balancer.
-        capacity_estimate: What a warm server serves for this balancer.
+        capacity_estimate: The estimated capacity of a warm server for this balancer.
     """
 
     def __init__(self, context: Context) -> None:
-        """Create the policy; servers warm up once `start` is called for them.
+        """Create the policy; a server is limited once `start` is called for it.
 
         Args:
             context: The shared state of the balancer.
@@ -30,7 +32,7 @@
 
         Args:
             server: The server.
-            since: When it started, in us of the balancer's clock.
+            since: When it started, in us on this balancer's clock.
         """
         self.capacity_estimate.invalidate_reference()
         server.slow_start_since = since
@@ -42,7 +44,7 @@
         return server.is_warming_up(self._context.now, self._context.settings.rules.slow_start_us)
 
     def capacity_share(self, server: Server) -> float:
-        """The share of its full capacity that the server has by now, from 0 to 1."""
+        """The share of its full capacity that the server has now, from 0 to 1."""
         if server.slow_start_since is None or not self.is_warming_up(server):
             return 1.0
         rules = self._context.settings.rules
@@ -50,12 +52,12 @@
         return rules.slow_start_from + (1.0 - rules.slow_start_from) * age_us / rules.slow_start_us
 
     def count_success(self, server: Server, cost: float) -> None:
-        """Count a successful attempt, of this cost in requests of mean cost, for the capacity estimate."""
+        """Count the cost of a successful attempt, in requests of mean cost, for the capacity estimate."""
         if not self.is_warming_up(server):
             self.capacity_estimate.count_served(cost)
 
     def has_capacity(self, server: Server, cost: float) -> bool:
-        """Whether the server may get a request, by its budget if it is warming up.
+        """Whether the server may receive a request; one that is warming up needs enough budget.
 
         Args:
             server: The server.
@@ -70,7 +72,7 @@
         return server.slow_start_budget >= min(cost, max_budget)
 
     def _refill_budget(self, server: Server) -> float:
-        """Refill the token bucket of a server for the time that passed; give the size of the bucket."""
+        """Refill the token bucket of a server for the elapsed time and return the size of the bucket."""
         rules = self._context.settings.rules
         capacity = self.capacity_estimate.of_server(server)
         overload_rate = rules.overload_multiple * self.capacity_share(server) * capacity
--- a/sidecar/balancer/policy/stale_requests.py
+++ b/sidecar/balancer/policy/stale_requests.py
@@ -6,25 +6,25 @@
 class StaleRequestDetector:
     """Finds requests that arrive with much less time left than others of their class.
 
-    Requests of a class start with about the same time left, so what is missing was spent waiting.
+    Requests of a class start with about the same time left, so the difference was spent waiting.
     """
 
     def __init__(self, context: Context) -> None:
-        """Create a detector that has seen no request.
+        """Create a detector that has observed no request.
 
         Args:
             context: The shared state of the balancer.
         """
         self._context = context
-        # Forgotten with any change of the settings, as deadlines may change.
+        # Cleared on any change of the settings, as deadlines may change.
         self._longest_remaining_us: dict[str, int] = context.settings_bound.new_table(lambda _: False)
 
     def is_stale(self, request: Request, remaining_us: int) -> bool:
-        """Whether a late response to the request would be worthless, and it can't be in time any more.
+        """Whether the response can no longer be in time, and a late response would have no value.
 
         Args:
             request: A request that has just arrived.
-            remaining_us: The time left until its client gives up.
+            remaining_us: The time left until its client gives up, in us.
         """
         service_class = request.service_class
         longest_us = max(self._longest_remaining_us.get(service_class.name, 0), remaining_us)
--- a/sidecar/balancer/policy/start_times.py
+++ b/sidecar/balancer/policy/start_times.py
@@ -1,8 +1,8 @@
-"""Start times of servers by this balancer's own clock.
+"""Start times of servers on this balancer's own clock.
 
-The registry states a start time by some machine's wall clock.  That clock, or the one that this process was
-anchored to at its own start, may have been stepped: a server that has just started then seems to have started
-in the future, or long ago.  Slow start must neither last longer for that nor be skipped.
+The registry states a start time on some machine's wall clock.  That clock, or the one that this process was
+anchored to at its own start, may have been stepped, so that a server that has just started seems to have
+started in the future or long ago.  This must neither prolong slow start nor skip it.
 """
 
 from dataclasses import replace
@@ -12,16 +12,16 @@
 from sidecar.balancer.state import Context
 from sidecar.settings import Discovery
 
-RETAINED_REMOVED_SERVERS = 500  # whose start times are kept, as they may be listed again
-EVICTION_THRESHOLD = 2 * RETAINED_REMOVED_SERVERS  # so many extra entries start a clean-up
+RETAINED_REMOVED_SERVERS = 500  # removed servers whose start times are kept, as they may be listed again
+EVICTION_THRESHOLD = 2 * RETAINED_REMOVED_SERVERS  # entries beyond the known servers that trigger eviction
 
 
 class StartTime(NamedTuple):
     """The start time of a server's process, in us.
 
     Attributes:
-        listed: As the registry states it.
-        local: By this balancer's own clock.
+        listed: The time that the registry states.
+        local: The time on this balancer's own clock.
     """
 
     listed: int
@@ -29,11 +29,11 @@
 
 
 class StartTimes:
-    """Replaces a start time that can't be right by the time at which it was first received.
+    """Replaces an implausible start time by the time at which it was first received.
 
-    That is the latest it can be, and the safe side: when in doubt a server has one slow start.  Counting from
-    the previous update instead would skip slow start for a server that started at the end of an outage of the
-    registry, or of its watch, that lasted longer than slow start.
+    This is the latest possible start time and thus the safe choice: in case of doubt, a server has one slow
+    start.  Using the time of the previous update instead would skip slow start for a server that started at
+    the end of an outage of the registry, or of its watch, that lasted longer than slow start.
     """
 
     def __init__(self, context: Context) -> None:
@@ -47,10 +47,10 @@
         self._last_response_at: int | None = None  # when the registry last responded, in us
 
     def registry_responded(self, update: RegistryUpdated) -> None:
-        """Note that the registry responded with all that it knows by now.
+        """Record that the registry responded with its current state.
 
-        A cached list is no response.  Nor is an empty watch event where discovery is pushed: the pushing side
-        may send one while the registry itself is down.
+        A cached list is no response.  With pushed discovery, neither is an empty watch event: the pushing
+        side may send one while the registry itself is down.
 
         Args:
             update: The update that was received.
@@ -63,13 +63,13 @@
         self._last_response_at = self._context.now
 
     def to_local_clock(self, update: RegistryUpdated) -> RegistryUpdated:
-        """Convert the start times of an update.
+        """Convert the start times of an update to this balancer's clock.
 
         Args:
-            update: An update with start times as listed.
+            update: An update with the start times that the registry states.
 
         Returns:
-            The same update with start times by this balancer's own clock.
+            The same update with start times on this balancer's own clock.
         """
         endpoints = [self._to_local_clock(endpoint) for endpoint in update.servers]
         self._evict_oldest()
@@ -92,10 +92,10 @@
         return start_time
 
     def _is_implausible(self, listed: int) -> bool:
-        """Whether a process that is listed for the first time can't have started then.
+        """Whether a process that is listed for the first time can't have started at the listed time.
 
-        Lists may be late, so a start before the registry's last response is plausible: but if the server had
-        been warm by that response, it would have been listed in it.
+        Lists may be delayed, so a start before the registry's last response is plausible.  However, if the
+        server had finished slow start before that response, the response would have listed it.
         """
         if listed > self._context.now:
             return True
@@ -103,7 +103,7 @@
         return self._last_response_at is not None and listed + slow_start_us < self._last_response_at
 
     def _evict_oldest(self) -> None:
-        """Forget removed servers except for the latest; not at each update, as it visits all."""
+        """Evict the oldest removed servers; not at each update, as eviction visits all entries."""
         servers = self._context.registry.servers
         if len(self._start_times) <= len(servers) + EVICTION_THRESHOLD:
             return
--- a/sidecar/balancer/policy/subsetting.py
+++ b/sidecar/balancer/policy/subsetting.py
@@ -1,15 +1,15 @@
-"""Subsetting: how many of the ready servers a balancer uses, given its own traffic."""
+"""Subsetting: the number of ready servers that a balancer uses, by its own traffic."""
 
 from sidecar.balancer.state import ActiveLoad
 
-MIN_SUBSET_SIZE = 4.0  # servers used while idle: enough for a choice, few enough to have samples of each
+MIN_SUBSET_SIZE = 4.0  # servers used while idle: enough for a choice, few enough to get samples from each
 
 
 def subset_size(load: ActiveLoad) -> int:
-    """The number of servers to use: one more for each attempt in flight on average.
+    """The number of servers to use, which grows by one for each mean attempt in flight.
 
-    Without subsetting, each of many small balancers would hold a connection to each of many servers and have
-    hardly any samples of any of them.
+    Without subsetting, each of many small balancers would hold a connection to each of many servers and get
+    few samples from any of them.
 
     Args:
         load: The attempts in flight of this balancer.
--- a/sidecar/balancer/policy/weighted_sampling.py
+++ b/sidecar/balancer/policy/weighted_sampling.py
@@ -10,13 +10,13 @@
 ) -> list[Server]:
     """Draw distinct servers with probabilities proportional to their weights.
 
-    The order of the result is random as well, so taking the first of equals favors none of them.
+    The order of the result is random as well, so picking the first of several equal servers is unbiased.
 
     Args:
         rng: The source of random numbers; one is drawn for each server of the result.
         servers: The servers to draw from.
         weights: Their relative weights, in the same order.
-        count: How many to draw; all are drawn where there are fewer.
+        count: How many to draw; if there are fewer, all of them are drawn.
 
     Returns:
         The servers drawn, in the order of drawing.
--- a/sidecar/balancer/policy/zone_preference.py
+++ b/sidecar/balancer/policy/zone_preference.py
@@ -1,18 +1,24 @@
-"""Zone-aware routing: how much less than local servers those of other zones are drawn."""
+"""Zone-aware routing: the weight of servers in other zones relative to local ones."""
 
 from sidecar.balancer.policy.concurrency_limit import UNRESTRICTED_UTILIZATION, ConcurrencyLimit
 from sidecar.balancer.policy.latency_ratio import ALLOWED_LATE_SHARE
 from sidecar.balancer.state import Context, Server
 
 MIN_REMOTE_WEIGHT = 0.25  # weight factor of a remote server while the local zone is as fast as the others
-LATENCY_EXCESS_FOR_EQUAL_WEIGHT = 0.3  # share by which local latency exceeds remote once all are drawn alike
-SERVERS_AVERAGED_PER_INSTANT = 200  # on average; bounds the cost of each decision in long endpoint lists
+# Excess of the local over the remote latency, as a share of the latter, from which all zones weigh the same.
+LATENCY_EXCESS_FOR_EQUAL_WEIGHT = 0.3
+# Servers averaged per clock time in the long run; limits the cost of a decision in long endpoint lists.
+SERVERS_AVERAGED_PER_INSTANT = 200
 
 
 class ZonePreference:
-    """The weight of servers in other zones, where traffic between zones has a price.
+    """Reduces the weight of servers in other zones if traffic between zones has a price.
 
-    As the local zone falls behind in latency, or responses are late in any zone, the weights even out.
+    The weights become equal as the local zone gets slower than the others, or when there is overload.
+
+    Attributes:
+        is_local_first: Whether remote servers are candidates only while the local ones are so loaded that
+            crossing zones is worth its price.
     """
 
     def __init__(self, context: Context, limit: ConcurrencyLimit) -> None:
@@ -20,19 +26,19 @@
 
         Args:
             context: The shared state of the balancer.
-            limit: Tells whether there is overload; then capacity counts more than the zone.
+            limit: Indicates overload, during which capacity matters more than the zone.
         """
-        self.is_local_first = False  # remote servers are candidates only while the local ones are crowded
+        self.is_local_first = False
         self._context = context
         self._limit = limit
-        self._remote_weight = 1.0  # as of _remote_weight_at
+        self._remote_weight = 1.0  # computed at _remote_weight_at
         self._remote_weight_at = -1  # us
-        self._weight_by_latency = 1.0  # cached, for the list in _averaged_servers
+        self._weight_by_latency = 1.0  # cached; computed for the list in _averaged_servers
         self._averaged_servers: list[Server] | None = None
-        self._remaining_cache_uses = 0  # how many further instants may use the cached weight
+        self._remaining_cache_uses = 0  # at how many further clock times the cached weight may be used
 
     def remote_weight(self) -> float:
-        """The weight factor of servers in other zones, computed once for each instant."""
+        """The weight factor of servers in other zones, computed once for each clock time."""
         if self._remote_weight_at != self._context.now:
             self._remote_weight_at = self._context.now
             self._remote_weight = self._current_remote_weight()
@@ -42,7 +48,7 @@
         if self.is_local_first or self._context.settings.prices.cross_zone <= 0.0:
             return 1.0
         if self._is_overloaded():
-            return 1.0  # capacity in any zone is worth more than the price of crossing
+            return 1.0  # capacity in any zone is worth more than the price of crossing zones
         return self._cached_weight_by_latency()
 
     def _is_overloaded(self) -> bool:
@@ -51,7 +57,7 @@
         return self._limit.utilization() > UNRESTRICTED_UTILIZATION
 
     def _cached_weight_by_latency(self) -> float:
-        """The weight by latency; the longer the list, the more instants it is reused for."""
+        """The weight by latency; the longer the list, the longer the cached weight is used."""
         ready = self._context.registry.ready
         if self._averaged_servers is not ready or self._remaining_cache_uses <= 0:
             self._weight_by_latency = self.weight_by_latency(ready)
@@ -62,7 +68,7 @@
 
     @staticmethod
     def weight_by_latency(ready: list[Server]) -> float:
-        """The weight factor of remote servers by how far the local ones are behind in latency.
+        """The weight factor of remote servers, by how much slower the local ones are.
 
         Args:
             ready: The ready servers of all zones.
