--- a/scale/callgraph/policies.py
+++ b/scale/callgraph/policies.py
@@ -67,7 +67,7 @@
     def _update(self, event: RegistryUpdated) -> None:
         if event.kind is RegistryUpdateKind.SNAPSHOT:
             self._in_flight.clear()
-        for endpoint in event.servers:
+        for endpoint in event.endpoints:
             if endpoint.state is ServerState.READY:
                 self._in_flight.setdefault(endpoint.name, 0)
 
--- a/scale/control/stub_sidecar.py
+++ b/scale/control/stub_sidecar.py
@@ -87,7 +87,7 @@
                     loop = asyncio.get_running_loop()
                     loop.call_later(action.delay_us / 1e6, self._handle, TimerFired(action.token))
                 case WatchRegistry():
-                    self._set_watching(action.wanted)
+                    self._set_watching(action.enabled)
                 case FetchRegistry():
                     self._discovery.fetch()
 
--- a/sidecar/balancer/actions.py
+++ b/sidecar/balancer/actions.py
@@ -117,10 +117,10 @@
     """Subscribe to changes of the endpoint list, or end the subscription.
 
     Attributes:
-        wanted: Whether to subscribe.
+        enabled: Whether to subscribe.
     """
 
-    wanted: bool = True
+    enabled: bool = True
 
 
 @dataclass(slots=True)
--- a/sidecar/balancer/balancer.py
+++ b/sidecar/balancer/balancer.py
@@ -37,7 +37,7 @@
 from sidecar.balancer.state.timers import RequestDeadline
 from sidecar.settings import Idempotency, Settings
 
-STALL_CHECK_TARGETS = 0.1  # the interval of stall checks while attempts are active, in shortest targets
+STALL_CHECK_INTERVAL_TARGETS = 0.1  # of the shortest latency target; checks run while attempts are active
 RETRY_AFTER_TARGETS = 0.1  # after about this part of its latency target a rejected client should retry
 
 
@@ -52,7 +52,7 @@
             seed: The seed of all random decisions.
         """
         self._has_started = False
-        self._context = Context(settings, random.Random(seed), STALL_CHECK_TARGETS)
+        self._context = Context(settings, random.Random(seed), STALL_CHECK_INTERVAL_TARGETS)
         self._create_policies()
         self._create_lifecycle()
         self._create_event_handlers()
@@ -137,12 +137,12 @@
     def _configure_health_checks(self) -> None:
         settings = self._context.settings
         checks_per_request = health_checks_per_request(settings)
-        checks_load = checks_per_request > 1
+        uses_health_checks = checks_per_request > 1
         cross_zone_cost = load_comparison.cross_zone_cost(settings)
         self._placer.checks_per_request = checks_per_request
-        self._admission.checks_load_before_sending = checks_load
+        self._admission.checks_load_before_sending = uses_health_checks
         is_crossing_costly = cross_zone_cost >= load_comparison.MIN_CROSS_ZONE_COST
-        self._zone_preference.local_first = checks_load and is_crossing_costly
+        self._zone_preference.local_first = uses_health_checks and is_crossing_costly
 
     def handle(self, now: int, event: Event) -> list[Action]:
         """Handle one event; events have to come in the order in which they happened.
@@ -156,39 +156,39 @@
         """
         context = self._context
         time_passed = now > context.now
-        context.begin(now, event)
+        context.begin_event(now, event)
         if time_passed:
             span_us = low_traffic_factor(context.load) * context.longest_target_us
             context.load.update_mean(self._limit.limit, span_us)
         if not self._has_started:
             self._has_started = True
             self._registry_poller.poll()
-        self._route(event)
-        self._place_next_of_keys()
-        return context.end(self._timer_dispatcher.wanted_at)
+        self._dispatch(event)
+        self._place_ordered_requests()
+        return context.end_event(self._timer_dispatcher.current_due_time)
 
-    def _route(self, event: Event) -> None:
+    def _dispatch(self, event: Event) -> None:
         match event:
             case events.AttemptEnded():
-                self._attempt_ended(event)
+                self._on_attempt_ended(event)
             case events.RequestArrived():
-                self._request_arrived(event)
+                self._on_request_arrived(event)
             case events.TimerFired():
                 self._timer_dispatcher.fire_due()
             case events.RegistryUpdated():
                 self._registry_updater.update(event)
             case events.SettingsChanged():
-                self._settings_changed(event.settings)
+                self._on_settings_changed(event.settings)
             case events.ClientDisconnected():
-                self._client_disconnected(event)
+                self._on_client_disconnected(event)
             case events.ResponseStarted():
-                self._response_started(event)
+                self._on_response_started(event)
             case events.HealthCheckEnded():
-                self._health_check_ended(event)
+                self._on_health_check_ended(event)
             case events.MessageReceived():
                 pass  # balancers send no messages
 
-    def _place_next_of_keys(self) -> None:
+    def _place_ordered_requests(self) -> None:
         """Place the requests that have come to the head of the queue of their key."""
         while True:
             request = self._key_order.next_request()
@@ -196,7 +196,7 @@
                 return
             self._placer.place(request)
 
-    def _request_arrived(self, event: events.RequestArrived) -> None:
+    def _on_request_arrived(self, event: events.RequestArrived) -> None:
         self._slow_start.arrivals.add(self._context.now)
         request = self._request_factory.create(event)
         self._requests.add(request)
@@ -208,7 +208,7 @@
         else:
             self._placer.place(request)
 
-    def _attempt_ended(self, event: events.AttemptEnded) -> None:
+    def _on_attempt_ended(self, event: events.AttemptEnded) -> None:
         request = self._requests.get(event.request)
         if request is None:
             return
@@ -223,29 +223,29 @@
         self._retry_budget.attempt_ended(event.outcome)
         self._requests.forget_if_complete(request)
 
-    def _response_started(self, event: events.ResponseStarted) -> None:
+    def _on_response_started(self, event: events.ResponseStarted) -> None:
         request = self._requests.get(event.request)
         if request is not None:
             request.mark_response_started(event.attempt)
 
-    def _client_disconnected(self, event: events.ClientDisconnected) -> None:
+    def _on_client_disconnected(self, event: events.ClientDisconnected) -> None:
         request = self._requests.unanswered(event.request)
         if request is not None:
             self._requests.close(request)
 
-    def _health_check_ended(self, event: events.HealthCheckEnded) -> None:
+    def _on_health_check_ended(self, event: events.HealthCheckEnded) -> None:
         for request in self._health_checks.check_ended(event):
             self._placer.place_checked(request)
 
-    def _settings_changed(self, settings: Settings) -> None:
+    def _on_settings_changed(self, settings: Settings) -> None:
         """Put other settings into force; requests in progress keep their class and stricter limits."""
-        former_discovery = self._context.settings.discovery
-        former_target_us = self._context.longest_target_us
-        self._context.adopt(settings)
+        previous_discovery = self._context.settings.discovery
+        previous_target_us = self._context.longest_target_us
+        self._context.apply_settings(settings)
         self._configure_health_checks()
-        self._limit.rescale(self._context.longest_target_us / former_target_us)
+        self._limit.rescale(self._context.longest_target_us / previous_target_us)
         self._requests.restrict()
-        if settings.discovery is not former_discovery:
+        if settings.discovery is not previous_discovery:
             self._registry_poller.poll()
 
     def _send(self, request: Request, server: Server) -> bool:
--- a/sidecar/balancer/events.py
+++ b/sidecar/balancer/events.py
@@ -90,17 +90,17 @@
 
     Attributes:
         kind: How to read the endpoint list.
-        servers: The endpoint list.
+        endpoints: The endpoint list.
         version: The registry's version of the list; decisions don't depend on it.
     """
 
     kind: RegistryUpdateKind
-    servers: Sequence[Endpoint] = ()
+    endpoints: Sequence[Endpoint] = ()
     version: int = 0
 
     def is_empty(self) -> bool:
         """Whether the update says that nothing has changed."""
-        return self.kind is RegistryUpdateKind.DELTA and not self.servers
+        return self.kind is RegistryUpdateKind.DELTA and not self.endpoints
 
 
 @dataclass(slots=True)
@@ -127,8 +127,8 @@
         key: The key by which its class may order requests.
         remaining_us: How long the client still waits, in microseconds.
         cost_us: The client's estimate of the processing time, in microseconds, if it gave one.
-        client_retry: Whether the client says that this is a retry; decisions don't depend on it.
-        write: Whether the client says that this is a write; decisions don't depend on it.
+        is_client_retry: Whether the client says that this is a retry; decisions don't depend on it.
+        is_write: Whether the client says that this is a write; decisions don't depend on it.
     """
 
     request: int
@@ -137,8 +137,8 @@
     key: int | None
     remaining_us: int
     cost_us: int | None = None
-    client_retry: bool = False
-    write: bool = False
+    is_client_retry: bool = False
+    is_write: bool = False
 
 
 @dataclass(slots=True)
--- a/sidecar/balancer/lifecycle/attempt_feedback.py
+++ b/sidecar/balancer/lifecycle/attempt_feedback.py
@@ -15,7 +15,7 @@
 from sidecar.balancer.policy.outliers import OutlierDetector
 from sidecar.balancer.state import Attempt, Context, Request
 
-CONNECTION_KEPT = (Outcome.SUCCEEDED, Outcome.ERROR, Outcome.REJECTED)  # it is idle after these
+CONNECTION_KEPT_OUTCOMES = (Outcome.SUCCEEDED, Outcome.ERROR, Outcome.REJECTED)  # it is idle after these
 
 
 @dataclass(slots=True, eq=False)
@@ -48,31 +48,31 @@
         attempt.may_have_run = event.outcome not in request.non_execution_outcomes
         self.key_order.attempt_ended(request, event.outcome)
         self.context.load.change(attempt.server, -1, attempt.within_target)
-        if event.outcome in CONNECTION_KEPT:
+        if event.outcome in CONNECTION_KEPT_OUTCOMES:
             self.connections.add(attempt.server)
         self.outliers.attempt_ended(request, attempt, event.outcome)
         self.limit.cpu.observe(event.report)
         match event.outcome:
             case Outcome.TIMED_OUT | Outcome.CANCELLED:
-                self._abandoned(request, attempt, event)
+                self._on_abandoned(request, attempt, event)
             case Outcome.ERROR:
                 self.latency.observe_error(request, attempt.server)
             case Outcome.SUCCEEDED:
-                self._succeeded(request, attempt, event.elapsed_us)
+                self._on_succeeded(request, attempt, event.elapsed_us)
             case Outcome.REJECTED:
-                self._rejected(request, attempt, event)
+                self._on_rejected(request, attempt, event)
 
-    def _abandoned(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
+    def _on_abandoned(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
         """Learn from an attempt without a response, which the server may still be processing."""
         if not (attempt.counted_as_late or request.answered or event.answered):
             self.admission.count_late_attempt()
         counted_until = self.context.now + event.elapsed_us  # for as long as it was waited for
-        self.context.load.abandon(attempt.server, counted_until, attempt.within_target)
+        self.context.load.add_abandoned(attempt.server, counted_until, attempt.within_target)
         usual_us = self.latency.usual_us(request) * attempt.server.latency_weight
         if event.elapsed_us > usual_us and not self.context.stalls.is_catching_up():
             self.latency.observe_latency(request, attempt.server, event.elapsed_us)
 
-    def _succeeded(self, request: Request, attempt: Attempt, elapsed_us: int) -> None:
+    def _on_succeeded(self, request: Request, attempt: Attempt, elapsed_us: int) -> None:
         target_us = request.service_class.latency_target_us
         self.limit.count_success(target_us)
         if self.context.stalls.is_catching_up():
@@ -83,7 +83,7 @@
             self.admission.observe_latency(elapsed_us / target_us)
         attempt.server.rejection_backoffs.pop(request.traffic_key, None)
 
-    def _rejected(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
+    def _on_rejected(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
         back_off_after_rejection(self.context, request, attempt.server)
         # Servers that reject requests with idle cores tell of no overload: there is room for more.
         if event.report is None or event.report.get("util", 1.0) >= BUSY_CPU_UTILIZATION:
--- a/sidecar/balancer/lifecycle/gates.py
+++ b/sidecar/balancer/lifecycle/callbacks.py
@@ -4,8 +4,8 @@
 
 from sidecar.balancer.state import Request, Server
 
-SendGate = Callable[[Request, Server], bool]
+SendCallback = Callable[[Request, Server], bool]
 """Sends an attempt of the request to the server if the rules allow it; returns whether it was sent."""
 
-FinishGate = Callable[[Request], None]
+FinishCallback = Callable[[Request], None]
 """Gives the client the balancer's own final response, unless the request has one."""
--- a/sidecar/balancer/lifecycle/placement.py
+++ b/sidecar/balancer/lifecycle/placement.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from sidecar.balancer.lifecycle.gates import FinishGate, SendGate
+from sidecar.balancer.lifecycle.callbacks import FinishCallback, SendCallback
 from sidecar.balancer.policy.health_checks import HealthChecks
 from sidecar.balancer.policy.load_comparison import LoadComparison
 from sidecar.balancer.policy.outliers import OutlierDetector
@@ -30,8 +30,8 @@
     selector: Selector
     health_checks: HealthChecks
     load_comparison: LoadComparison
-    send: SendGate
-    finish: FinishGate
+    send: SendCallback
+    finish: FinishCallback
     checks_per_request: int = 0
 
     def place(self, request: Request) -> None:
@@ -44,7 +44,7 @@
         if not candidates:
             self._finish_unless_active(request)
         elif self._should_check():
-            by_load = sorted(candidates, key=self.context.load.at)
+            by_load = sorted(candidates, key=self.context.load.attempts_at)
             self.health_checks.start(request, by_load[: self.checks_per_request])
         else:
             self._send_or_finish(request, self.selector.least_loaded(candidates))
@@ -59,8 +59,8 @@
         if request.answered:
             return
         server = self.load_comparison.least_loaded(request, checked)
-        if not request.all_zones and self.load_comparison.should_cross_zones(server):
-            request.all_zones = True
+        if not request.may_cross_zones and self.load_comparison.should_cross_zones(server):
+            request.may_cross_zones = True
             self.place(request)
             return
         if server is None:
--- a/sidecar/balancer/lifecycle/request_factory.py
+++ b/sidecar/balancer/lifecycle/request_factory.py
@@ -9,7 +9,7 @@
 from sidecar.balancer.policy.zone_preference import ZonePreference
 from sidecar.balancer.state import Context, Request, TrafficKey
 
-EARLY_RESPONSE_TICKS = 2  # a final response leaves this many ticks before the client's time is up
+RESPONSE_MARGIN_TICKS = 2  # a final response leaves this many ticks before the client's time is up
 MIN_COST_CLASS = -3  # costs below an eighth of the mean are one class
 MAX_COST_CLASS = 4  # and so are those of eight times the mean or more
 
@@ -39,14 +39,14 @@
         settings = self.context.settings
         service_class = self.context.catalog.class_named(event.service_class, event.remaining_us)
         relative_cost = self.latency.relative_cost(service_class, event.cost_us)
-        early_us = EARLY_RESPONSE_TICKS * settings.tick_us
+        margin_us = RESPONSE_MARGIN_TICKS * settings.tick_us
         return Request(
             id=event.request,
             service_class=service_class,
-            deadline=self.context.now + event.remaining_us - early_us,
+            deadline=self.context.now + event.remaining_us - margin_us,
             relative_cost=relative_cost,
             traffic_key=TrafficKey(service_class.name, event.tenant),
-            all_zones=not self.zone_preference.local_first,
+            may_cross_zones=not self.zone_preference.local_first,
             cost_class=cost_class(relative_cost),
             limits=settings.limits,
             non_execution_outcomes=retries.non_execution_outcomes(settings),
--- a/sidecar/balancer/lifecycle/retrying.py
+++ b/sidecar/balancer/lifecycle/retrying.py
@@ -4,7 +4,7 @@
 
 from sidecar.balancer.actions import CancelAttempt
 from sidecar.balancer.events import Outcome
-from sidecar.balancer.lifecycle.gates import FinishGate
+from sidecar.balancer.lifecycle.callbacks import FinishCallback
 from sidecar.balancer.lifecycle.placement import RequestPlacer
 from sidecar.balancer.policy import retries
 from sidecar.balancer.policy.concurrency_limit import UNRESTRICTED_UTILIZATION, ConcurrencyLimit
@@ -31,7 +31,7 @@
     limit: ConcurrencyLimit
     hedging: HedgingPolicy
     placer: RequestPlacer
-    finish: FinishGate
+    finish: FinishCallback
 
     def retry(self, request: Request, failed: Server, outcome: Outcome) -> None:
         """Retry a request after an attempt without a response, or finish it.
--- a/sidecar/balancer/lifecycle/timer_dispatch.py
+++ b/sidecar/balancer/lifecycle/timer_dispatch.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from sidecar.balancer.lifecycle.gates import FinishGate
+from sidecar.balancer.lifecycle.callbacks import FinishCallback
 from sidecar.balancer.lifecycle.placement import RequestPlacer
 from sidecar.balancer.lifecycle.request_table import RequestTable
 from sidecar.balancer.lifecycle.retrying import RequestRetrier
@@ -48,9 +48,9 @@
     registry_poller: RegistryPoller
     placer: RequestPlacer
     retrier: RequestRetrier
-    finish: FinishGate
+    finish: FinishCallback
 
-    def wanted_at(self, due: int, timer: Timer) -> int | None:
+    def current_due_time(self, due: int, timer: Timer) -> int | None:
         """When a timer is still wanted.
 
         Args:
@@ -62,7 +62,7 @@
         """
         match timer:
             case RequestDeadline() | AttemptOverdue() | HealthChecksDue():
-                return self._request_wants_at(due, timer)
+                return self._request_due_time(due, timer)
             case StallCheck():
                 return self.context.stalls.check_due
             case KeyCooldownOver():
@@ -72,7 +72,7 @@
             case RegistryPoll():
                 return self.registry_poller.due
 
-    def _request_wants_at(self, due: int, timer: RequestTimer) -> int | None:
+    def _request_due_time(self, due: int, timer: RequestTimer) -> int | None:
         request = self.requests.unanswered(timer.request)
         if request is None:
             return None
@@ -82,14 +82,14 @@
             case AttemptOverdue():
                 return due if request.attempts[timer.attempt].pending else None
             case HealthChecksDue():
-                return request.health_checks_due if request.health_checked else None
+                return request.health_checks_due if request.health_check_candidates else None
 
     def fire_due(self) -> None:
         """Fire all timers that are due and still wanted."""
         now = self.context.now
-        for due, timer in self.context.timers.take_due(now):
-            wanted_at = self.wanted_at(due, timer)
-            if wanted_at is not None and wanted_at <= now:
+        for due, timer in self.context.timers.pop_due(now):
+            current_due_time = self.current_due_time(due, timer)
+            if current_due_time is not None and current_due_time <= now:
                 self._fire(timer)
 
     def _fire(self, timer: Timer) -> None:
--- a/sidecar/balancer/policy/connections.py
+++ b/sidecar/balancer/policy/connections.py
@@ -50,7 +50,7 @@
 
     def close_due(self, server: Server) -> int | None:
         """When the idle connections to a server should be closed, in us; None if there are none."""
-        if server.idle_connections <= 0 or not self._context.registry.knows(server):
+        if server.idle_connections <= 0 or not self._context.registry.contains(server):
             return None
         return server.idle_close_due
 
--- a/sidecar/balancer/policy/health_checks.py
+++ b/sidecar/balancer/policy/health_checks.py
@@ -47,7 +47,7 @@
             request: The request to be sent.
             candidates: The servers to check; one check serves all requests that wait for it.
         """
-        request.health_checked = candidates
+        request.health_check_candidates = candidates
         request.health_checks_due = self._context.now + self._max_wait_us(request)
         self._waiting[request.id] = request
         for server in candidates:
@@ -75,14 +75,14 @@
             if event.report is not None:
                 server.reported_load = event.report.get(LOAD_FIELD)
         for request in list(self._waiting.values()):
-            if all(candidate.health_check_sent_at is None for candidate in request.health_checked):
+            if all(candidate.health_check_sent_at is None for candidate in request.health_check_candidates):
                 yield request
 
     def release(self, request: Request) -> list[Server]:
         """End the wait of a request; give the candidates that were checked for it."""
         self._waiting.pop(request.id, None)
-        candidates = request.health_checked
-        request.health_checked = []
+        candidates = request.health_check_candidates
+        request.health_check_candidates = []
         return candidates
 
     def _max_wait_us(self, request: Request) -> int:
--- a/sidecar/balancer/policy/hedging.py
+++ b/sidecar/balancer/policy/hedging.py
@@ -95,7 +95,7 @@
         if waited_us < target_us:
             self._examine_after(target_us - waited_us, request, attempt)
         else:
-            self.context.load.pass_target(attempt)
+            self.context.load.mark_target_passed(attempt)
 
     def _eject_if_peers_respond(self, attempt: Attempt) -> None:
         peer_successes = self.outliers.successes - attempt.successes_before
--- a/sidecar/balancer/policy/key_order.py
+++ b/sidecar/balancer/policy/key_order.py
@@ -57,7 +57,7 @@
                 self._context.timers.add(queue.cooldown_until, KeyCooldownOver(queue.key))
             elif head is None:
                 self.queues.pop(queue.key, None)
-            elif not (head.attempts or head.answered or head.health_checked):
+            elif not (head.attempts or head.answered or head.health_check_candidates):
                 return head  # if it is completed at once, its queue is marked as changed again
         return None
 
--- a/sidecar/balancer/policy/load_comparison.py
+++ b/sidecar/balancer/policy/load_comparison.py
@@ -90,7 +90,7 @@
         # Servers that are warming up report little load as they get few requests.
         load = load_with_request / self.slow_start.capacity_share(server)
         expected_ratio = self.latency_by_load.predict(load) or 0.0
-        return self.context.load.at(server), expected_ratio + self._access_cost(server), load
+        return self.context.load.attempts_at(server), expected_ratio + self._access_cost(server), load
 
     def _access_cost(self, server: Server) -> float:
         """The price of getting to a server, in latency targets."""
--- a/sidecar/balancer/policy/outliers.py
+++ b/sidecar/balancer/policy/outliers.py
@@ -72,7 +72,7 @@
             if not self._may_eject_another(max_share):
                 return
             self.ejected.append(server)
-            self._context.load.at_ejected += server.in_flight_within_target
+            self._context.load.within_target_at_ejected += server.in_flight_within_target
             self._context.actions.append(Log(f"ejected {server.name}: {reason}"))
         backoff = next_backoff(self._context, server.consecutive_ejections)
         server.ejected_until = backoff.until
@@ -93,7 +93,7 @@
             return
         server.ejected_until = None
         self.ejected.remove(server)
-        self._context.load.at_ejected -= server.in_flight_within_target
+        self._context.load.within_target_at_ejected -= server.in_flight_within_target
 
     def half_open_candidate(self, request: Request) -> Server | None:
         """An ejected server that may get this request as its half-open attempt.
--- a/sidecar/balancer/policy/priority.py
+++ b/sidecar/balancer/policy/priority.py
@@ -78,6 +78,6 @@
         quota = self._context.catalog.tenant_shares.get(traffic.tenant or "")
         if quota is None or tenant_rate <= 0.0:
             return class_weight
-        share_within_quota = min(1.0, total_rate * quota / self._context.catalog.all_shares / tenant_rate)
+        share_within_quota = min(1.0, total_rate * quota / self._context.catalog.total_share / tenant_rate)
         over_quota_weight = self._context.settings.over_share_weight
         return class_weight * (share_within_quota + (1.0 - share_within_quota) * over_quota_weight)
--- a/sidecar/balancer/policy/selection.py
+++ b/sidecar/balancer/policy/selection.py
@@ -55,7 +55,9 @@
 
     def least_loaded(self, candidates: list[Server]) -> Server:
         """The candidate with the fewest attempts of this balancer, by latency weight among equals."""
-        return min(candidates, key=lambda server: (self.context.load.at(server), server.latency_weight))
+        return min(
+            candidates, key=lambda server: (self.context.load.attempts_at(server), server.latency_weight)
+        )
 
     def is_eligible(self, server: Server, request: Request) -> bool:
         """Whether a ready server may get the next attempt of a request.
@@ -83,12 +85,12 @@
     def _candidate_subset(self, request: Request) -> list[Server]:
         """The subset of the local zone, or that of all zones where the request may leave its zone."""
         if self.context.stalls.has_just_resumed():
-            request.all_zones = True
-        if not request.all_zones:
+            request.may_cross_zones = True
+        if not request.may_cross_zones:
             local_subset = self._subset(self.context.registry.ready_local, request)
             if len(local_subset) >= MIN_LOCAL_SERVERS:
                 return local_subset
-            request.all_zones = True
+            request.may_cross_zones = True
         return self._subset(self.context.registry.ready, request)
 
     def _subset(self, servers: list[Server], request: Request) -> list[Server]:
--- a/sidecar/balancer/policy/start_times.py
+++ b/sidecar/balancer/policy/start_times.py
@@ -71,9 +71,9 @@
         Returns:
             The same update with start times by this balancer's own clock.
         """
-        endpoints = [self._to_local_clock(endpoint) for endpoint in update.servers]
+        endpoints = [self._to_local_clock(endpoint) for endpoint in update.endpoints]
         self._forget_oldest()
-        return replace(update, servers=endpoints)
+        return replace(update, endpoints=endpoints)
 
     def _to_local_clock(self, endpoint: Endpoint) -> Endpoint:
         if endpoint.started_at is None:
--- a/sidecar/balancer/registry_updates.py
+++ b/sidecar/balancer/registry_updates.py
@@ -47,17 +47,17 @@
         # Determined before the change, as all servers that are warm may be removed by it.
         self.slow_start.capacity_estimate.of_warm_server()
         for server in self.context.registry.apply(update):
-            self._restarted(server)
+            self._on_restarted(server)
         for server in self.context.registry.removed():
-            self._removed(server)
+            self._on_removed(server)
         self.latency.initialize_weights(self.context.registry.ready)
 
-    def _restarted(self, server: Server) -> None:
+    def _on_restarted(self, server: Server) -> None:
         self.slow_start.start(server, server.started_at or 0)
         if server.ejected_until is not None and server.state is ServerState.READY:
             self.outliers.readmit(server)  # the failures were those of its former process
 
-    def _removed(self, server: Server) -> None:
+    def _on_removed(self, server: Server) -> None:
         self.outliers.end_ejection(server)
-        if not self.context.load.at(server) and server.health_check_sent_at is None:
+        if not self.context.load.attempts_at(server) and server.health_check_sent_at is None:
             self.context.registry.forget(server)
--- a/sidecar/balancer/state/context.py
+++ b/sidecar/balancer/state/context.py
@@ -31,19 +31,19 @@
         actions: The actions that the event has led to so far, in the order to carry them out.
     """
 
-    def __init__(self, settings: Settings, rng: random.Random, stall_check_targets: float) -> None:
+    def __init__(self, settings: Settings, rng: random.Random, stall_check_interval_targets: float) -> None:
         """Create the state of a new balancer.
 
         Args:
             settings: The settings in force at first.
             rng: The source of every random decision.
-            stall_check_targets: The interval of the stall checks, in shortest latency targets.
+            stall_check_interval_targets: The interval of the stall checks, in shortest latency targets.
         """
         self.settings = settings
         self.catalog = ServiceCatalog(settings)
         self.rng = rng
         self.clock = Clock()
-        self._stall_check_targets = stall_check_targets
+        self._stall_check_interval_targets = stall_check_interval_targets
         self.stalls = StallDetector(self.clock, self._stall_check_interval_us())
         self.registry = ServerRegistry(rng)
         self.registry.set_local_zone(settings.zone)
@@ -53,13 +53,13 @@
         self.settings_bound = SettingsBoundState()
 
     def _stall_check_interval_us(self) -> int:
-        interval_us = int(self._stall_check_targets * self.catalog.shortest_target_us)
+        interval_us = int(self._stall_check_interval_targets * self.catalog.shortest_target_us)
         return max(interval_us, self.settings.tick_us)
 
-    def adopt(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Put other settings into force, and adapt all state that depends on them."""
         self.settings = settings
-        self.catalog.adopt(settings)
+        self.catalog.apply_settings(settings)
         self.stalls.set_check_interval(self._stall_check_interval_us())
         self.registry.set_local_zone(settings.zone)
         for server in self.registry.servers.values():
@@ -76,7 +76,7 @@
         """The longest latency target of any class, in microseconds."""
         return self.catalog.longest_target_us
 
-    def begin(self, now: int, event: Event) -> None:
+    def begin_event(self, now: int, event: Event) -> None:
         """Start to handle an event.
 
         Args:
@@ -87,11 +87,11 @@
         self.actions = []
         self.stalls.observe(is_timer=isinstance(event, TimerFired))
 
-    def end(self, wanted_at: Callable[[int, Timer], int | None]) -> list[Action]:
+    def end_event(self, current_due_time: Callable[[int, Timer], int | None]) -> list[Action]:
         """Finish handling the event: set the next stall check and the host's timer where they are needed.
 
         Args:
-            wanted_at: When a timer that was set for a time is still wanted; None if it is not.
+            current_due_time: When a timer that was set for a time is still wanted; None if it is not.
 
         Returns:
             The actions that the event led to, in the order to carry them out.
@@ -100,7 +100,7 @@
             check_due = self.stalls.schedule_check()
             if check_due is not None:
                 self.timers.add(check_due, StallCheck())
-        host_timer = self.timers.arm(self.now, wanted_at)
+        host_timer = self.timers.arm(self.now, current_due_time)
         if host_timer is not None:
             self.actions.append(host_timer)
         return self.actions
--- a/sidecar/balancer/state/load.py
+++ b/sidecar/balancer/state/load.py
@@ -16,45 +16,45 @@
     Attributes:
         attempts: The number of attempts that have not ended.
         within_target: Of these, the number of those whose latency target has not passed.
-        at_ejected: Of the attempts within their target, the number of those at ejected servers.
+        within_target_at_ejected: Of the attempts within their target, the number of those at ejected servers.
         mean: The moving average of the total.
     """
 
     def __init__(self, clock: Clock) -> None:
         self.attempts = 0
         self.within_target = 0
-        self.at_ejected = 0
+        self.within_target_at_ejected = 0
         self.mean = 0.0
-        self._mean_at = 0
-        self._abandoned: list[int] = []  # when each abandoned attempt stops counting; a heap
+        self._mean_updated_at = 0
+        self._abandoned_until: list[int] = []  # when each abandoned attempt stops counting; a heap
         self._clock = clock
 
-    def change(self, server: Server, by: int, within_target: bool = True) -> None:
+    def change(self, server: Server, delta: int, within_target: bool = True) -> None:
         """Count an attempt that starts or ends.
 
         Args:
             server: The server of the attempt.
-            by: 1 where it starts, -1 where it ends.
+            delta: 1 where it starts, -1 where it ends.
             within_target: Whether its latency target has not passed.
         """
-        server.in_flight += by
-        self.attempts += by
+        server.in_flight += delta
+        self.attempts += delta
         if within_target:
-            self._change_within_target(server, by)
+            self._change_within_target(server, delta)
 
-    def pass_target(self, attempt: Attempt) -> None:
+    def mark_target_passed(self, attempt: Attempt) -> None:
         """Leave a pending attempt out of the total, as its latency target has passed."""
         if attempt.within_target:
             attempt.within_target = False
             self._change_within_target(attempt.server, -1)
 
-    def _change_within_target(self, server: Server, by: int) -> None:
-        server.in_flight_within_target += by
-        self.within_target += by
+    def _change_within_target(self, server: Server, delta: int) -> None:
+        server.in_flight_within_target += delta
+        self.within_target += delta
         if server.ejected_until is not None:
-            self.at_ejected += by
+            self.within_target_at_ejected += delta
 
-    def abandon(self, server: Server, until: int, within_target: bool = True) -> None:
+    def add_abandoned(self, server: Server, until: int, within_target: bool = True) -> None:
         """Go on counting an attempt that ended without a response.
 
         Args:
@@ -64,16 +64,16 @@
         """
         server.abandoned_until.append(until)
         if within_target and server.ejected_until is None:
-            heapq.heappush(self._abandoned, until)
+            heapq.heappush(self._abandoned_until, until)
 
     def total(self) -> int:
         """The number of attempts within their target, and abandoned ones, at servers that are not ejected."""
         # From running counts, as it is read at every event.
-        while self._abandoned and self._abandoned[0] <= self._clock.now:
-            heapq.heappop(self._abandoned)
-        return self.within_target - self.at_ejected + len(self._abandoned)
+        while self._abandoned_until and self._abandoned_until[0] <= self._clock.now:
+            heapq.heappop(self._abandoned_until)
+        return self.within_target - self.within_target_at_ejected + len(self._abandoned_until)
 
-    def at(self, server: Server) -> int:
+    def attempts_at(self, server: Server) -> int:
         """The number of active and abandoned attempts at a server.
 
         Without the abandoned ones, a slow or hung server would look idle once its attempts are cancelled.
@@ -82,18 +82,18 @@
             server.abandoned_until = [until for until in server.abandoned_until if until > self._clock.now]
         return server.in_flight + len(server.abandoned_until)
 
-    def update_mean(self, most: float, span_us: float) -> None:
+    def update_mean(self, max_start: float, span_us: float) -> None:
         """Average the total up to now.
 
         Args:
-            most: The largest mean to start from, unless the total is larger.
+            max_start: The largest mean to start from, unless the total is larger.
             span_us: The time span of the moving average, in microseconds.
         """
-        elapsed_us = self._clock.now - self._mean_at
+        elapsed_us = self._clock.now - self._mean_updated_at
         if elapsed_us <= 0:
             return
-        self._mean_at = self._clock.now
+        self._mean_updated_at = self._clock.now
         total = self.total()
-        start = min(self.mean, max(total, most, 1.0))
+        start = min(self.mean, max(total, max_start, 1.0))
         step = 1.0 - math.exp(-elapsed_us / span_us)
         self.mean = start + (total - start) * step
--- a/sidecar/balancer/state/records.py
+++ b/sidecar/balancer/state/records.py
@@ -148,7 +148,7 @@
         deadline: By when the final response has to leave.
         relative_cost: Its cost relative to the mean of its class.
         traffic_key: Its class and tenant.
-        all_zones: Whether servers of all zones are candidates.
+        may_cross_zones: Whether servers of all zones are candidates.
         cost_class: Its relative cost by powers of two.
         limits: The strictest limits that held since it arrived.
         non_execution_outcomes: Outcomes that proved in all that time that an attempt did not run.
@@ -157,7 +157,7 @@
         failed_servers: Servers where an attempt failed or was rejected.
         rejections: The number of attempts rejected at capacity.
         answered: Whether the final response was given.
-        health_checked: The candidates whose health checks it waits for.
+        health_check_candidates: The candidates whose health checks it waits for.
         health_checks_due: When it stops waiting for them.
         priority: The share of the traffic of lower priority, from 0 to 1.
     """
@@ -167,7 +167,7 @@
     deadline: int
     relative_cost: float
     traffic_key: TrafficKey
-    all_zones: bool
+    may_cross_zones: bool
     cost_class: int
     limits: Limits = field(default_factory=Limits)
     non_execution_outcomes: frozenset[Outcome] = frozenset()
@@ -176,7 +176,7 @@
     failed_servers: list[Server] = field(default_factory=list)
     rejections: int = 0
     answered: bool = False
-    health_checked: list[Server] = field(default_factory=list)
+    health_check_candidates: list[Server] = field(default_factory=list)
     health_checks_due: int = 0
     priority: float = 0.5
 
--- a/sidecar/balancer/state/registry.py
+++ b/sidecar/balancer/state/registry.py
@@ -36,7 +36,7 @@
         """
         if update.kind is not RegistryUpdateKind.DELTA:
             self._remove_unlisted(update)
-        restarted = [endpoint.name for endpoint in update.servers if self._apply(endpoint)]
+        restarted = [endpoint.name for endpoint in update.endpoints if self._apply(endpoint)]
         if len(self._by_rank) < len(self.servers):
             self._by_rank = sorted(self.servers.values(), key=lambda each: each.rank)
         self.ready = [each for each in self._by_rank if each.state is ServerState.READY]
@@ -44,7 +44,7 @@
         return [self.servers[name] for name in restarted]
 
     def _remove_unlisted(self, update: RegistryUpdated) -> None:
-        listed = {endpoint.name for endpoint in update.servers}
+        listed = {endpoint.name for endpoint in update.endpoints}
         for server in self.servers.values():
             if server.name not in listed:
                 server.state = ServerState.REMOVED
@@ -76,6 +76,6 @@
         del self.servers[server.name]
         self._by_rank.remove(server)
 
-    def knows(self, server: Server) -> bool:
+    def contains(self, server: Server) -> bool:
         """Whether this very record is in use; a server that is listed again later has a new one."""
         return self.servers.get(server.name) is server
--- a/sidecar/balancer/state/service_catalog.py
+++ b/sidecar/balancer/state/service_catalog.py
@@ -11,19 +11,19 @@
         longest_target_us: The longest latency target of any class, in microseconds.
         shortest_target_us: The shortest latency target of any class, in microseconds.
         tenant_shares: Each tenant's share of the fleet, by the tenant's name.
-        all_shares: The sum of all shares; 1.0 where there are none.
+        total_share: The sum of all shares; 1.0 where there are none.
     """
 
     def __init__(self, settings: Settings) -> None:
-        self.adopt(settings)
+        self.apply_settings(settings)
 
-    def adopt(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Hold the classes and tenants of other settings from now on."""
         targets_us = [each.latency_target_us for each in settings.classes]
         self.longest_target_us = max(targets_us)
         self.shortest_target_us = min(targets_us)
         self.tenant_shares = {each.name: each.share for each in settings.tenants}
-        self.all_shares = sum(self.tenant_shares.values()) or 1.0
+        self.total_share = sum(self.tenant_shares.values()) or 1.0
         self._classes = {each.name: each for each in settings.classes}
         self._has_ordered_class = any(each.ordered_by_key for each in settings.classes)
 
--- a/sidecar/balancer/state/statistics.py
+++ b/sidecar/balancer/state/statistics.py
@@ -6,7 +6,7 @@
 class LinearFit:
     """A least-squares line through exponentially decaying observations."""
 
-    __slots__ = ("_keep", "_min_samples", "_sums")
+    __slots__ = ("_kept_weight", "_min_samples", "_sums")
 
     def __init__(self, decay: float, min_samples: float) -> None:
         """Create a fit without observations.
@@ -15,13 +15,13 @@
             decay: The part of the weight of earlier observations that each new one takes.
             min_samples: The sum of weights below which the fit predicts nothing.
         """
-        self._keep = 1.0 - decay
+        self._kept_weight = 1.0 - decay
         self._min_samples = min_samples
         self._sums = (0.0, 0.0, 0.0, 0.0, 0.0)  # of 1, x, y, x * x and x * y, by weight
 
     def add(self, x: float, y: float) -> None:
         """Add an observation."""
-        n, sum_x, sum_y, sum_xx, sum_xy = [self._keep * each for each in self._sums]
+        n, sum_x, sum_y, sum_xx, sum_xy = [self._kept_weight * each for each in self._sums]
         self._sums = (n + 1.0, sum_x + x, sum_y + y, sum_xx + x * x, sum_xy + x * y)
 
     def x_per_y(self) -> float | None:
@@ -45,7 +45,7 @@
 class DecayingRate:
     """A rate per microsecond, averaged over an exponentially decaying time span."""
 
-    __slots__ = ("_at", "_count", "_span_us")
+    __slots__ = ("_count", "_span_us", "_updated_at")
 
     def __init__(self, span_us: float) -> None:
         """Create a rate of 0.
@@ -55,7 +55,7 @@
         """
         self._span_us = span_us
         self._count = 0.0
-        self._at = 0
+        self._updated_at = 0
 
     def set_span(self, span_us: float) -> None:
         """Average over another time span, in microseconds, from now on."""
@@ -73,6 +73,6 @@
         return self._count / self._span_us
 
     def _decay(self, now: int) -> None:
-        if now > self._at:
-            self._count *= math.exp((self._at - now) / self._span_us)
-            self._at = now
+        if now > self._updated_at:
+            self._count *= math.exp((self._updated_at - now) / self._span_us)
+            self._updated_at = now
--- a/sidecar/balancer/state/timers.py
+++ b/sidecar/balancer/state/timers.py
@@ -86,7 +86,7 @@
 
     def __init__(self) -> None:
         self._heap: list[tuple[int, int, Timer]] = []
-        self._added = 0
+        self._added_count = 0
         self._armed_for: int | None = None  # when the host's timer fires; None: it is not set
 
     def add(self, due: int, timer: Timer) -> None:
@@ -96,10 +96,10 @@
             due: When it is due, in microseconds on the host's clock.
             timer: What is due then.
         """
-        self._added += 1
-        heapq.heappush(self._heap, (due, self._added, timer))
+        self._added_count += 1
+        heapq.heappush(self._heap, (due, self._added_count, timer))
 
-    def take_due(self, now: int) -> Iterator[tuple[int, Timer]]:
+    def pop_due(self, now: int) -> Iterator[tuple[int, Timer]]:
         """Remove the timers that are due; the host's timer is taken to have fired if its time has come.
 
         Args:
@@ -114,18 +114,19 @@
             due, _, timer = heapq.heappop(self._heap)
             yield due, timer
 
-    def arm(self, now: int, wanted_at: Callable[[int, Timer], int | None]) -> SetTimer | None:
-        """Set the host's timer for the first timer that is still wanted.
+    def arm(self, now: int, current_due_time: Callable[[int, Timer], int | None]) -> SetTimer | None:
+        """Set the host's timer for the first timer that is not stale.
 
         Args:
             now: The host's clock, in microseconds.
-            wanted_at: When a timer that was added for a time is still wanted; None if it is not.  A leading
-                timer that is wanted at another time, or not at all, is dropped.
+            current_due_time: Returns the time at which a timer is now due, given the time for which it was
+                added, or None if it is no longer needed.  A timer at the head of the queue is stale and dropped
+                if the result differs from the time for which it was added.
 
         Returns:
             The action that sets the host's timer; None where it fires early enough or nothing is left.
         """
-        self._drop_unwanted(wanted_at)
+        self._drop_stale(current_due_time)
         if not self._heap:
             return None
         first_due = self._heap[0][0]
@@ -134,10 +135,10 @@
         self._armed_for = first_due
         return SetTimer(max(first_due - now, 0), HOST_TIMER_TOKEN)
 
-    def _drop_unwanted(self, wanted_at: Callable[[int, Timer], int | None]) -> None:
+    def _drop_stale(self, current_due_time: Callable[[int, Timer], int | None]) -> None:
         heap = self._heap
         while heap:
             due, _, timer = heap[0]
-            if wanted_at(due, timer) == due:
+            if current_due_time(due, timer) == due:
                 return
             heapq.heappop(heap)
--- a/sidecar/proxy/endpoint_list.py
+++ b/sidecar/proxy/endpoint_list.py
@@ -51,7 +51,7 @@
     def carry_out(self, action: WatchRegistry | FetchRegistry) -> None:
         """Start or stop the watch, or fetch the complete list once."""
         match action:
-            case WatchRegistry() if action.wanted:
+            case WatchRegistry() if action.enabled:
                 self.client.start_watch()
             case WatchRegistry():
                 self.client.stop_watch()
--- a/sidecar/simulator/codec.py
+++ b/sidecar/simulator/codec.py
@@ -220,8 +220,8 @@
         key=_optional_integer(key),
         remaining_us=_integer(remaining_us),
         cost_us=_optional_integer(cost_us) if flags & _HAS_COST_HINT else None,
-        client_retry=bool(flags & _IS_CLIENT_RETRY),
-        write=bool(flags & _IS_WRITE),
+        is_client_retry=bool(flags & _IS_CLIENT_RETRY),
+        is_write=bool(flags & _IS_WRITE),
     )
 
 
@@ -376,7 +376,7 @@
     CheckHealth: ("CHECK", lambda action: [action.server]),
     CloseIdleConnections: ("SHUT_IDLE", lambda action: [action.server]),
     SendMessage: ("POST", lambda action: [_receiver(action), action.payload.hex()]),
-    WatchRegistry: ("FOLLOW", lambda action: [action.wanted]),
+    WatchRegistry: ("FOLLOW", lambda action: [action.enabled]),
     FetchRegistry: ("REFRESH", lambda _: []),
     Log: ("REMARK", lambda action: [action.text]),
 }
--- a/tests/balancer/policy_context.py
+++ b/tests/balancer/policy_context.py
@@ -14,8 +14,8 @@
 
 def make_context(servers: int = 10, **changes: object) -> Context:
     """A context at START_US with so many ready servers."""
-    context = Context(settings(**changes), random.Random(7), stall_check_targets=0.1)
-    context.begin(START_US, TimerFired(""))
+    context = Context(settings(**changes), random.Random(7), stall_check_interval_targets=0.1)
+    context.begin_event(START_US, TimerFired(""))
     endpoints = [Endpoint(f"s{number}", zone="east") for number in range(servers)]
     context.registry.apply(RegistryUpdated(RegistryUpdateKind.SNAPSHOT, endpoints))
     context.load.mean = 16.0  # enough traffic for the subset to be all of them
@@ -26,7 +26,9 @@
     """A request of the class, with no attempt so far."""
     service_class = next(each for each in context.settings.classes if each.name == class_name)
     traffic_key = TrafficKey(class_name, None)
-    return Request(1, service_class, START_US + 2 * SECOND_US, 1.0, traffic_key, all_zones=True, cost_class=1)
+    return Request(
+        1, service_class, START_US + 2 * SECOND_US, 1.0, traffic_key, may_cross_zones=True, cost_class=1
+    )
 
 
 def start_attempt(context: Context, request: Request, server: Server) -> Attempt:
--- a/tests/balancer/test_draining.py
+++ b/tests/balancer/test_draining.py
@@ -51,4 +51,6 @@
     harness.handle(AttemptEnded(request, 0, removed.name, Outcome.RESET, 1, False))
     harness.update_servers(others)
     assert set(harness.balancer._context.registry.servers) == set(others)
-    assert harness.balancer._context.load.total() == harness.balancer._context.load.at_ejected == 0
+    assert (
+        harness.balancer._context.load.total() == harness.balancer._context.load.within_target_at_ejected == 0
+    )
--- a/tests/balancer/test_outliers.py
+++ b/tests/balancer/test_outliers.py
@@ -169,6 +169,6 @@
     add_load(context, 5)
     outliers.eject(server, "test")
     assert context.load.total() == 0
-    assert context.load.at(server) == 5
+    assert context.load.attempts_at(server) == 5
     outliers.readmit(server)
     assert context.load.total() == 5
--- a/tests/balancer/test_selection.py
+++ b/tests/balancer/test_selection.py
@@ -75,7 +75,10 @@
     third = harness.send_request("pay")
     assert harness.server_of(third) in server_names(2)
     harness.advance(SECOND_US)
-    assert harness.balancer._context.load.at(harness.balancer._context.registry.servers[cancelled_at]) <= 1
+    assert (
+        harness.balancer._context.load.attempts_at(harness.balancer._context.registry.servers[cancelled_at])
+        <= 1
+    )
 
 
 def test_fast_errors_do_not_attract_more_requests() -> None:
--- a/tests/balancer/test_service_catalog.py
+++ b/tests/balancer/test_service_catalog.py
@@ -21,7 +21,7 @@
     assert CATALOG.longest_target_us == 4 * SECOND_US
     assert CATALOG.shortest_target_us == SECOND_US
     assert CATALOG.tenant_shares == {"t1": 3.0, "t2": 1.0}
-    assert CATALOG.all_shares == 4.0
+    assert CATALOG.total_share == 4.0
 
 
 def test_of_an_unknown_class_the_least_is_assumed() -> None:
--- a/tests/balancer/test_timers.py
+++ b/tests/balancer/test_timers.py
@@ -9,7 +9,7 @@
     queue = TimerQueue()
     for due, key in ((30, 1), (10, 2), (10, 3), (99, 4)):
         queue.add(due, KeyCooldownOver(key))
-    assert list(queue.take_due(30)) == [
+    assert list(queue.pop_due(30)) == [
         (10, KeyCooldownOver(2)),
         (10, KeyCooldownOver(3)),
         (30, KeyCooldownOver(1)),
@@ -38,4 +38,4 @@
     queue = TimerQueue()
     queue.add(50, KeyCooldownOver(1))
     assert queue.arm(20, lambda due, timer: None) is None
-    assert list(queue.take_due(99)) == []
+    assert list(queue.pop_due(99)) == []
--- a/tests/decision_digest.py
+++ b/tests/decision_digest.py
@@ -255,7 +255,7 @@
 
     def _refresh(self, update: RegistryUpdated) -> None:
         if update.kind is RegistryUpdateKind.SNAPSHOT:
-            update.servers = [each for each in self._endpoints.values() if self._random.random() < 0.98]
+            update.endpoints = [each for each in self._endpoints.values() if self._random.random() < 0.98]
         self._play(update)
 
     def _step(self) -> None:
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -62,7 +62,7 @@
     [
         (
             ("WORK_ITEM", "a", 5, "look", "acme", 9, 900, 70, 7),
-            RequestArrived(5, "look", "acme", 9, 900, cost_us=70, client_retry=True, write=True),
+            RequestArrived(5, "look", "acme", 9, 900, cost_us=70, is_client_retry=True, is_write=True),
         ),
         (("WORK_ITEM", "a", 5, "look", 0, None, 900, 70, 0), RequestArrived(5, "look", None, None, 900)),
         (("FIRST", "a", 5, 1, 300, "s:1"), ResponseStarted(5, 1, "s:1", 300)),
