--- a/tests/proxy/test_client_disconnect_races.py
+++ b/tests/proxy/test_client_disconnect_races.py
@@ -28,8 +28,8 @@
 from sidecar.proxy.addresses import Address
 from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.exchange import DeferredRequest
-from sidecar.proxy.http_messages import message
-from sidecar.proxy.server_connection import Connection
+from sidecar.proxy.http_messages import encode_message
+from sidecar.proxy.server_connection import ServerConnection
 
 
 def test_client_disconnects_while_queued_or_unread() -> None:
@@ -57,7 +57,7 @@
     dialled, go_on = asyncio.Event(), asyncio.Event()
     connect = server_connection.connect
 
-    async def held_up(*given: object) -> Connection:
+    async def held_up(*given: object) -> ServerConnection:
         # It passes on whatever the code under test gives it.
         connection = await connect(*given)  # type: ignore[arg-type]
         dialled.set()
@@ -75,7 +75,9 @@
             assert (await proxy.send_request(kind="pay", body=b"next", X_Call_Id="next"))[0] == 200
             assert [body for _, _, body in proxy.sent()] == [b"next"]
             # The connection was kept for others, and is counted once.
-            assert proxy.sidecar._pool.open_connections == len(proxy.sidecar._pool.servers["s-0"].idle)
+            assert proxy.sidecar._pool.open_connections == len(
+                proxy.sidecar._pool.servers["s-0"].idle_connections
+            )
             client.close()
 
     run_scenario(scenario())
@@ -132,7 +134,7 @@
             listener.setblocking(False)
             servers = ConnectionPool(600.0, 600.0, 10)
             servers.update("s", listener.getsockname()[:2], None, ServerState.READY)
-            data = message(b"POST / HTTP/1.1", [(b"Content-Length", b"8000000")], bytes(8_000_000))
+            data = encode_message(b"POST / HTTP/1.1", [(b"Content-Length", b"8000000")], bytes(8_000_000))
             orders = [data, None if left else data]
             heard: list[Outcome] = []
             exchange = servers.send(
@@ -141,7 +143,7 @@
             accepted, _ = await loop.sock_accept(listener)
             with accepted:
                 await wait_until(lambda: exchange.connection is not None)
-                assert not exchange.is_written()
+                assert not exchange.is_request_written()
                 assert len(orders) == 1
                 got = 0
                 while got < len(data) - left:
@@ -164,12 +166,12 @@
 def test_client_disconnects_as_its_request_waits_for_load_probes(
     leaves: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    made: list[Connection] = []
+    made: list[ServerConnection] = []
     connect = server_connection.connect
 
     async def noted(
         address: Address, body_most: int, stall_s: float | None = None, sock: socket.socket | None = None
-    ) -> Connection:
+    ) -> ServerConnection:
         made.append(await connect(address, body_most, stall_s, sock))
         return made[-1]
 
--- a/tests/proxy/test_dedup_window.py
+++ b/tests/proxy/test_dedup_window.py
@@ -22,7 +22,7 @@
 from sidecar.balancer.events import ServerState
 from sidecar.proxy import connection_dialer, server_connection
 from sidecar.proxy.addresses import Address
-from sidecar.proxy.server_connection import Connection
+from sidecar.proxy.server_connection import ServerConnection
 
 
 def other_than(proxy: ProxyHarness, first: FakeServer) -> str:
@@ -43,7 +43,7 @@
         max_body_bytes: int,
         response_timeout_s: float | None = None,
         sock: socket.socket | None = None,
-    ) -> Connection:
+    ) -> ServerConnection:
         dials.append(address)
         connection = await connect(address, max_body_bytes, response_timeout_s, sock)
         if len(dials) == 2:
@@ -68,7 +68,7 @@
             if late:
                 assert (status, body) == (500, b"")
                 assert len(proxy.sent()) == 1
-                (kept,) = proxy.sidecar._pool.servers[other_than(proxy, first)].idle
+                (kept,) = proxy.sidecar._pool.servers[other_than(proxy, first)].idle_connections
                 assert kept.connection.is_idle()  # the connection serves others
             else:
                 assert (status, body) == (200, b"served")
@@ -100,7 +100,7 @@
                 (live,) = proxy.sidecar._active
                 exchange = live.in_flight[1]
                 assert exchange is not None
-                assert not exchange.is_written()
+                assert not exchange.is_request_written()
                 # asyncio's types leave out the callback of a timer.
                 bound = proxy.sidecar._attempts._end_unwritten
                 # Only the private attribute of a handle tells its callback.
