--- a/sidecar/balancer/state/timers.py
+++ b/sidecar/balancer/state/timers.py
@@ -120,8 +120,8 @@
         Args:
             now: The host's clock, in microseconds.
             current_due_time: Returns the time at which a timer is now due, given the time for which it was
-                added, or None if it is no longer needed.  A timer at the head of the queue is dropped as stale
-                if the result differs from the time for which it was added.
+                added, or None if it is no longer needed.  A timer at the head of the queue is stale and is
+                dropped if the result differs from the time for which it was added.
 
         Returns:
             The action that sets the host's timer; None where it fires early enough or nothing is left.
