--- a/sidecar/balancer/__init__.py
+++ b/sidecar/balancer/__init__.py
@@ -1,4 +1,4 @@
-"""The balancer: all decisions of a sidecar, as a pure state machine fed with events."""
+"""The balancer: a deterministic state machine that makes all decisions of a sidecar from events."""
 
 from sidecar.balancer.balancer import Balancer
 
--- a/sidecar/balancer/actions.py
+++ b/sidecar/balancer/actions.py
@@ -1,7 +1,7 @@
-"""Actions: what the balancer asks of its host, as slotted dataclasses to be treated as values.
+"""Actions: what the balancer asks its host to do, as slotted dataclasses that must not be modified.
 
-All times and durations are whole microseconds.  A duration is named with the suffix `_us`; a time is one of
-the host's clock.
+All times and durations are whole microseconds.  Names of durations have the suffix `_us`; times are readings
+of the host's clock.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 
 @dataclass(slots=True)
 class SendAttempt:
-    """Start an attempt; the attempts of a request are numbered from 0 in the order they are sent.
+    """Start an attempt; the attempts of a request are numbered from 0 in the order in which they are sent.
 
     Attributes:
         request: The number of the request.
         server: The name of the server to send it to.
         deadline: The time at which the attempt times out.
-        write_by: The time by which the request has to be written completely if another attempt was begun
-            before; None: it may be written at any time.
+        write_by: The time by which the request must be written completely if another attempt was started
+            before this one; None if it may be written at any time.
     """
 
     request: int
@@ -29,11 +29,12 @@
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Give the client its final response: the request is rejected, and a retry does no harm.
+    """Send the client its final response: the request is rejected, and the client may safely retry it.
 
     Attributes:
         request: The number of the request.
-        retry_after_us: How long the client should wait before it retries, in microseconds; 0: not said.
+        retry_after_us: How long the client should wait before it retries, in microseconds; 0 if the response
+            does not state it.
     """
 
     request: int
@@ -42,7 +43,7 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Give the client its final response: the request failed, and a retry may do harm.
+    """Send the client its final response: the request failed, and a retry by the client may not be safe.
 
     Attributes:
         request: The number of the request.
@@ -53,7 +54,7 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt.
+    """Cancel an attempt that has not ended.
 
     Attributes:
         request: The number of the request.
@@ -66,10 +67,10 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Send a `TimerFired` event later.
+    """Send a `TimerFired` event after a delay.
 
     Attributes:
-        delay_us: How long to wait, in microseconds.
+        delay_us: The delay, in microseconds.
         token: The token to send with the event.
     """
 
@@ -101,10 +102,10 @@
 
 @dataclass(slots=True)
 class SendMessage:
-    """Send a message to other balancers of the tier; the simulator's wire has this action.
+    """Send a message to other balancers of the tier; the simulator's protocol has this action.
 
     Attributes:
-        receiver: The number of the balancer to send it to; None: to all of them.
+        receiver: The number of the balancer to send it to; None to send it to all of them.
         payload: The content of the message.
     """
 
@@ -114,10 +115,10 @@
 
 @dataclass(slots=True)
 class WatchRegistry:
-    """Subscribe to changes of the endpoint list, or end the subscription.
+    """Start or stop the watch of the endpoint list.
 
     Attributes:
-        enabled: Whether to subscribe.
+        enabled: Whether to watch it.
     """
 
     enabled: bool = True
@@ -125,7 +126,7 @@
 
 @dataclass(slots=True)
 class FetchRegistry:
-    """Fetch the complete endpoint list once; the simulator's wire has this action."""
+    """Fetch the complete endpoint list once; the simulator's protocol has this action."""
 
 
 @dataclass(slots=True)
--- a/sidecar/balancer/balancer.py
+++ b/sidecar/balancer/balancer.py
@@ -1,7 +1,7 @@
-"""The balancer: routes events to the policies, and guards what leaves it.
+"""The balancer: dispatches events to the policies and checks their decisions before they take effect.
 
-Every attempt leaves through `Balancer._send`, and every final response of the balancer's own through
-`Balancer._finish`.  These two gates enforce the rules, whatever the policies decide.
+Every attempt is sent by `Balancer._send`, and every final response that the balancer itself gives by
+`Balancer._finish`.  These two methods enforce the rules, whatever the policies decide.
 """
 
 import random
@@ -37,18 +37,18 @@
 from sidecar.balancer.state.timers import RequestDeadline
 from sidecar.settings import Idempotency, Settings
 
-STALL_CHECK_INTERVAL_TARGETS = 0.1  # of the shortest latency target; checks run while attempts are active
-RETRY_AFTER_TARGETS = 0.1  # after about this part of its latency target a rejected client should retry
+STALL_CHECK_INTERVAL_TARGETS = 0.1  # in shortest latency targets; checks run while attempts are active
+RETRY_AFTER_TARGETS = 0.1  # the mean delay before a rejected client should retry, in latency targets
 
 
 class Balancer:
     """The decisions of one sidecar, as a state machine that is deterministic given its seed."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Create a balancer that knows no servers yet.
+        """Create a balancer with an empty registry.
 
         Args:
-            settings: The settings in force at first.
+            settings: The initial settings.
             seed: The seed of all random decisions.
         """
         self._has_started = False
@@ -145,14 +145,14 @@
         self._zone_preference.is_local_first = uses_health_checks and is_crossing_costly
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Handle one event; events have to come in the order in which they happened.
+        """Handle one event; events must be passed in the order in which they happened.
 
         Args:
             now: The host's clock, in microseconds.
             event: The event.
 
         Returns:
-            The actions for the host, in the order to carry them out.
+            The actions for the host, in the order in which to carry them out.
         """
         context = self._context
         time_passed = now > context.now
@@ -186,10 +186,10 @@
             case events.HealthCheckEnded():
                 self._on_health_check_ended(event)
             case events.MessageReceived():
-                pass  # balancers send no messages
+                pass  # this balancer exchanges no messages with others
 
     def _place_ordered_requests(self) -> None:
-        """Place the requests that have come to the head of the queue of their key."""
+        """Place the requests that have reached the head of the queue of their ordering key."""
         while True:
             request = self._key_order.next_request()
             if request is None:
@@ -238,7 +238,7 @@
             self._placer.place_checked(request)
 
     def _on_settings_changed(self, settings: Settings) -> None:
-        """Put other settings into force; requests in progress keep their class and stricter limits."""
+        """Apply new settings; requests in progress keep their class and any stricter limits."""
         previous_discovery = self._context.settings.discovery
         previous_target_us = self._context.longest_target_us
         self._context.apply_settings(settings)
@@ -249,7 +249,7 @@
             self._registry_poller.poll()
 
     def _send(self, request: Request, server: Server) -> bool:
-        """Send an attempt if the rules allow it; the only way out for attempts.
+        """Send an attempt if the rules allow it; all attempts are sent here.
 
         Returns:
             Whether the attempt was sent.
@@ -264,7 +264,7 @@
         return True
 
     def _record_attempt(self, request: Request, server: Server) -> Attempt:
-        """Add a new attempt to the records of its request and of its server."""
+        """Add a new attempt to the records of its request and its server."""
         attempt = Attempt(
             index=len(request.attempts),
             server=server,
@@ -273,7 +273,7 @@
             successes_before=self._outliers.successes,
         )
         request.attempts.append(attempt)
-        server.slow_start_budget -= request.relative_cost  # it matters only while the server warms up
+        server.slow_start_budget -= request.relative_cost  # only used while the server is warming up
         server.idle_connections = max(server.idle_connections - 1, 0)
         if server.ejected_until is not None:
             server.half_open_attempt = attempt
@@ -281,13 +281,16 @@
         return attempt
 
     def _write_deadline(self, request: Request) -> int | None:
-        """By when an attempt has to be written if another one was begun; None: at any time."""
+        """The time by which an attempt must be written if another one was started; None if there is none."""
         if request.service_class.idempotency is not Idempotency.KEYED:
             return None
         return retries.retry_deadline(request, self._context.now, self._context.settings.tick_us)
 
     def _finish(self, request: Request) -> None:
-        """Reject a request where a retry does no harm, else fail it; the only way out for own responses."""
+        """Reject a request if the client may safely retry it, else fail it; no effect if it is answered.
+
+        All final responses that the balancer itself gives are sent here.
+        """
         if request.answered:
             return
         retry_after_us = self._retry_after_us(request)
@@ -298,9 +301,9 @@
         self._requests.close(request)
 
     def _retry_after_us(self, request: Request) -> int:
-        """How long a rejected client should wait, in microseconds; 0 where it is not told."""
+        """How long a rejected client should wait, in microseconds; 0 if the response does not state it."""
         limits = self._context.settings.limits
-        # Without jitter, clients rejected together would retry together.
+        # Without jitter, clients that are rejected at the same time would retry at the same time.
         jitter = 0.5 + self._context.rng.random()
         wait_us = RETRY_AFTER_TARGETS * request.service_class.latency_target_us * jitter
         if not limits.retry_after:
--- a/sidecar/balancer/events.py
+++ b/sidecar/balancer/events.py
@@ -1,7 +1,7 @@
-"""Events: what the host tells the balancer, as slotted dataclasses to be treated as values.
+"""Events: what the host reports to the balancer, as slotted dataclasses that the balancer does not modify.
 
-All times and durations are whole microseconds.  A duration is named with the suffix `_us`; a time is one of
-the host's clock.
+All times and durations are whole microseconds.  Names of durations have the suffix `_us`; times are readings
+of the host's clock.
 """
 
 from __future__ import annotations
@@ -20,23 +20,23 @@
     READY = "ready"
     """It accepts requests."""
     DRAINING = "draining"
-    """It finishes the requests it has and gets no new ones."""
+    """It finishes its requests in flight and gets no new ones."""
     REMOVED = "gone"
-    """It is not in the registry any more."""
+    """It is no longer in the registry."""
 
 
 @unique
 class RegistryUpdateKind(Enum):
-    """How to read the endpoint list of a registry update."""
+    """What the endpoint list of a registry update contains."""
 
     DELTA = "delta"
-    """It holds the changed endpoints only."""
+    """Only the changed endpoints."""
     SNAPSHOT = "snapshot"
-    """It is complete: a server that is missing is removed."""
+    """All endpoints: a server that is not listed has been removed."""
     CACHED = "cached"
-    """It is complete, but as of a time before the sidecar's restart."""
+    """All endpoints, as they were some time before the sidecar restarted."""
     FAILED = "failed"
-    """A call failed or the subscription broke; nothing changes."""
+    """Nothing, as a call to the registry or the watch failed; the list does not change."""
 
 
 @unique
@@ -46,7 +46,7 @@
     SUCCEEDED = "succeeded"
     """The server responded."""
     ERROR = "error"
-    """The server responded with an error, or with something that is no valid response."""
+    """The server responded with an error or with an invalid response."""
     REJECTED = "rejected"
     """The server shed the request."""
     TIMED_OUT = "timed_out"
@@ -54,7 +54,7 @@
     CONNECT_FAILED = "connect_failed"
     """No connection could be opened."""
     RESET = "reset"
-    """The connection broke before the response was complete."""
+    """The connection was closed before the response was complete."""
     CANCELLED = "cancelled"
     """The attempt was cancelled before it ended."""
     NOT_SENT = "not_sent"
@@ -69,10 +69,10 @@
         name: The server's name.
         zone: The availability zone that it runs in.
         kind: The kind of machine that it runs on; decisions don't depend on it.
-        cell: The group of servers that it shares its record of idempotency keys with.
+        cell: The group of servers with which it shares its record of idempotency keys.
         state: Whether it accepts requests.
-        capacity_weight: Its capacity relative to that of the others.
-        started_at: When its process started, on the registry's clock; None: long ago.
+        capacity_weight: Its capacity relative to that of other servers.
+        started_at: When its process started, on the registry's clock; None if that was long ago.
     """
 
     name: str
@@ -89,7 +89,7 @@
     """The registry sent an update, or a call to it failed.
 
     Attributes:
-        kind: How to read the endpoint list.
+        kind: What the endpoint list contains.
         endpoints: The endpoint list.
         version: The registry's version of the list; decisions don't depend on it.
     """
@@ -99,15 +99,16 @@
     version: int = 0
 
     def is_empty(self) -> bool:
-        """Whether the update says that nothing has changed."""
+        """Whether the update reports that nothing has changed."""
         return self.kind is RegistryUpdateKind.DELTA and not self.endpoints
 
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """Other settings are in force from now on.
+    """The settings were replaced.
 
-    Requests accepted before keep their class, deadline and idempotency; the new limits hold for them, too.
+    Requests that arrived before keep their class, deadline and idempotency.  New limits apply to them, too,
+    where they are stricter.
 
     Attributes:
         settings: The settings in force from now on.
@@ -118,17 +119,17 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client sent a request; from now on it is owed one final response.
+    """A client sent a request, which has to get exactly one final response.
 
     Attributes:
         request: The host's number of the request.
         service_class: The name of its service class.
         tenant: The name of its tenant, if it has one.
-        key: The key by which its class may order requests.
-        remaining_us: How long the client still waits, in microseconds.
+        key: Its ordering key, if it has one; only used if its class is ordered by key.
+        remaining_us: How long the client still waits for the response, in microseconds.
         cost_us: The client's estimate of the processing time, in microseconds, if it gave one.
-        is_client_retry: Whether the client says that this is a retry; decisions don't depend on it.
-        is_write: Whether the client says that this is a write; decisions don't depend on it.
+        is_client_retry: Whether the client marked the request as a retry; decisions don't depend on it.
+        is_write: Whether the client marked the request as a write; decisions don't depend on it.
     """
 
     request: int
@@ -168,8 +169,8 @@
         server: The name of the attempt's server.
         outcome: How the attempt ended.
         elapsed_us: How long the attempt took, in microseconds.
-        answered: Whether the client has its final response, by this attempt or from before.
-        report: The server's load report, if it sent one: figures by their names.
+        answered: Whether the client has its final response, by this attempt or otherwise.
+        report: The server's load report, if it sent one: values by field name.
     """
 
     request: int
@@ -183,7 +184,7 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client went away; it is owed no response any more.
+    """The client of a request disconnected, so no response is needed any more.
 
     Attributes:
         request: The number of the request.
@@ -211,7 +212,7 @@
         server: The name of the server.
         outcome: How the health check ended.
         elapsed_us: How long it took, in microseconds.
-        report: The server's load report, if it sent one: figures by their names.
+        report: The server's load report, if it sent one: values by field name.
     """
 
     server: str
@@ -222,7 +223,7 @@
 
 @dataclass(slots=True)
 class MessageReceived:
-    """Another balancer of the tier sent a message; the simulator's wire has this event.
+    """Another balancer of the tier sent a message; the simulator's protocol has this event.
 
     Attributes:
         sender: The number of the balancer that sent it.
--- a/sidecar/balancer/lifecycle/attempt_feedback.py
+++ b/sidecar/balancer/lifecycle/attempt_feedback.py
@@ -15,7 +15,7 @@
 from sidecar.balancer.policy.outliers import OutlierDetector
 from sidecar.balancer.state import Attempt, Context, Request
 
-CONNECTION_KEPT_OUTCOMES = (Outcome.SUCCEEDED, Outcome.ERROR, Outcome.REJECTED)  # it is idle after these
+CONNECTION_KEPT_OUTCOMES = (Outcome.SUCCEEDED, Outcome.ERROR, Outcome.REJECTED)  # it is idle afterwards
 
 
 @dataclass(slots=True, eq=False)
@@ -27,9 +27,9 @@
         key_order: Starts the cooldown of a key.
         connections: Counts idle connections.
         outliers: Ejects servers that fail, and readmits them.
-        limit: Follows load reports and successes.
-        admission: Follows the latency of responses.
-        latency: Follows the latency of each server and class.
+        limit: Observes load reports and successes.
+        admission: Observes the latency of responses.
+        latency: Tracks the latency of each server and class.
         latency_by_load: Learns how latency depends on a server's load.
     """
 
@@ -43,7 +43,7 @@
     latency_by_load: LatencyByLoad
 
     def attempt_ended(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
-        """Take in the end of an attempt that was pending."""
+        """Handle the end of an attempt that was pending."""
         attempt.pending = False
         attempt.may_have_run = event.outcome not in request.non_execution_outcomes
         self.key_order.attempt_ended(request, event.outcome)
@@ -66,7 +66,7 @@
         """Learn from an attempt without a response, which the server may still be processing."""
         if not (attempt.counted_as_late or request.answered or event.answered):
             self.admission.count_late_attempt()
-        counted_until = self.context.now + event.elapsed_us  # for as long as it was waited for
+        counted_until = self.context.now + event.elapsed_us  # counts as load for as long again as it took
         self.context.load.add_abandoned(attempt.server, counted_until, attempt.within_target)
         usual_latency_us = self.latency.usual_latency_us(request) * attempt.server.latency_weight
         if event.elapsed_us > usual_latency_us and not self.context.stalls.is_catching_up():
@@ -76,7 +76,7 @@
         target_us = request.service_class.latency_target_us
         self.limit.count_success(target_us)
         if self.context.stalls.is_catching_up():
-            return  # the response may have waited for this process
+            return  # part of the latency may be the stall of this process
         self.latency_by_load.observe_success(request, attempt, elapsed_us)
         self.latency.observe_success(request, attempt.server, elapsed_us)
         if not attempt.counted_as_late:
@@ -85,6 +85,6 @@
 
     def _on_rejected(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
         back_off_after_rejection(self.context, request, attempt.server)
-        # Servers that reject requests with idle cores tell of no overload: there is room for more.
+        # A server that rejects requests while its cores are idle does not indicate overload of the fleet.
         if event.report is None or event.report.get("util", 1.0) >= BUSY_CPU_UTILIZATION:
             self.admission.observe_latency(UNANSWERED_LATENCY_RATIO)
--- a/sidecar/balancer/lifecycle/attempt_rules.py
+++ b/sidecar/balancer/lifecycle/attempt_rules.py
@@ -1,4 +1,4 @@
-"""The rules that every attempt has to keep, whatever the policies decide."""
+"""The rules that every attempt must obey, whatever the policies decide."""
 
 from dataclasses import dataclass
 
@@ -11,11 +11,11 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptRules:
-    """Checks an attempt right before it is sent.
+    """Checks an attempt immediately before it is sent.
 
     Attributes:
         context: The shared state.
-        key_order: The order of requests with the same key.
+        key_order: The order of requests with the same ordering key.
         slow_start: The budgets of servers that are warming up.
     """
 
@@ -45,6 +45,6 @@
         return request.limits.allow_hedging or not request.is_active()
 
     def _is_safe_to_run(self, request: Request, server: Server) -> bool:
-        """Whether the request can't take effect twice, or may do so."""
+        """Whether the request cannot take effect twice, or is allowed to."""
         may_retry = retries.may_retry(request, self.context.now, self.context.settings.tick_us)
         return may_retry and retries.is_deduplicated_at(request, server)
--- a/sidecar/balancer/lifecycle/callbacks.py
+++ b/sidecar/balancer/lifecycle/callbacks.py
@@ -1,4 +1,4 @@
-"""The gates of the balancer, as its parts call them."""
+"""Callbacks of the balancer that send attempts and final responses."""
 
 from collections.abc import Callable
 
@@ -8,4 +8,4 @@
 """Sends an attempt of the request to the server if the rules allow it; returns whether it was sent."""
 
 FinishCallback = Callable[[Request], None]
-"""Gives the client the balancer's own final response, unless the request has one."""
+"""Rejects or fails the request, unless it is answered already."""
--- a/sidecar/balancer/lifecycle/placement.py
+++ b/sidecar/balancer/lifecycle/placement.py
@@ -12,17 +12,17 @@
 
 @dataclass(slots=True, eq=False)
 class RequestPlacer:
-    """Sends requests to the least loaded of a few candidates, or finishes them where no server is left.
+    """Sends requests to the least loaded of a few candidates, or finishes them if there is no candidate.
 
     Attributes:
         context: The shared state.
-        outliers: Knows the ejected servers that may be tried again.
+        outliers: Provides ejected servers that are due for a half-open attempt.
         selector: Draws the candidates.
-        health_checks: Asks the candidates how loaded they are, where that is cheap.
-        load_comparison: Picks one by what they reported.
-        send: The gate for attempts.
-        finish: The gate for the balancer's own final responses.
-        checks_per_request: How many candidates get a health check; with fewer than two none does.
+        health_checks: Checks the load of the candidates, where health checks are cheap.
+        load_comparison: Picks the best candidate by reported load.
+        send: Sends an attempt if the rules allow it.
+        finish: Rejects or fails a request.
+        checks_per_request: How many candidates get a health check; with fewer than two, none does.
     """
 
     context: Context
@@ -50,11 +50,11 @@
             self._send_or_finish(request, self.selector.least_loaded(candidates))
 
     def _should_check(self) -> bool:
-        # After a stall that others shared, their requests would all go where the same reports point.
+        # After a stall that others shared, all of them would pick the same servers by the same reports.
         return self.checks_per_request > 1 and not self.context.stalls.has_just_resumed()
 
     def place_checked(self, request: Request) -> None:
-        """Send a request whose health checks have ended, or were waited for long enough."""
+        """Send a request whose health checks have ended or timed out."""
         checked = self.health_checks.release(request)
         if request.answered:
             return
@@ -73,7 +73,7 @@
             request.attempts[-1].reported_load = server.reported_load
 
     def _first_eligible(self, request: Request, servers: list[Server]) -> Server | None:
-        return next((each for each in servers if self.selector.is_eligible(each, request)), None)
+        return next((server for server in servers if self.selector.is_eligible(server, request)), None)
 
     def _send_or_finish(self, request: Request, server: Server) -> bool:
         sent = self.send(request, server)
--- a/sidecar/balancer/lifecycle/request_factory.py
+++ b/sidecar/balancer/lifecycle/request_factory.py
@@ -1,4 +1,4 @@
-"""Creation of the record of a new request."""
+"""Creation of records of new requests."""
 
 import math
 from dataclasses import dataclass
@@ -9,25 +9,25 @@
 from sidecar.balancer.policy.zone_preference import ZonePreference
 from sidecar.balancer.state import Context, Request, TrafficKey
 
-RESPONSE_MARGIN_TICKS = 2  # a final response leaves this many ticks before the client's time is up
-MIN_COST_CLASS = -3  # costs below an eighth of the mean are one class
-MAX_COST_CLASS = 4  # and so are those of eight times the mean or more
+RESPONSE_MARGIN_TICKS = 2  # final responses are sent this many clock ticks before the client gives up
+MIN_COST_CLASS = -3  # the class of all costs below an eighth of the mean
+MAX_COST_CLASS = 4  # the class of all costs of at least eight times the mean
 
 
 def cost_class(relative_cost: float) -> int:
-    """The class of a cost relative to the mean: its power of two, within bounds."""
+    """The class of a cost relative to the mean: its binary exponent, within bounds."""
     _, exponent = math.frexp(relative_cost)
     return max(MIN_COST_CLASS, min(exponent, MAX_COST_CLASS))
 
 
 @dataclass(slots=True, eq=False)
 class RequestFactory:
-    """Creates requests by the settings in force when they arrive.
+    """Creates requests according to the settings in force when they arrive.
 
     Attributes:
         context: The shared state.
-        latency: Knows the mean cost of each class.
-        zone_preference: Knows whether only servers of the local zone are candidates at first.
+        latency: Provides the cost of a request relative to the mean of its class.
+        zone_preference: Decides whether at first only servers of the local zone are candidates.
     """
 
     context: Context
--- a/sidecar/balancer/lifecycle/request_table.py
+++ b/sidecar/balancer/lifecycle/request_table.py
@@ -9,7 +9,7 @@
 
 
 class RequestTable(Mapping[int, Request]):
-    """The requests that have no final response or an attempt that has not ended, by number."""
+    """The requests, by number, that have no final response yet or an attempt that has not ended."""
 
     def __init__(self, context: Context, key_order: KeyOrder) -> None:
         self._context = context
@@ -30,19 +30,19 @@
         self._requests[request.id] = request
 
     def unanswered(self, number: int) -> Request | None:
-        """The request of this number, if it has no final response yet."""
+        """The request with this number, if it has no final response yet."""
         request = self._requests.get(number)
         return None if request is None or request.answered else request
 
     def restrict(self) -> None:
-        """Hold all requests to the limits of the settings in force, where they are stricter than before."""
+        """Apply the limits of the settings in force to all requests, where they are stricter than before."""
         settings = self._context.settings
         non_execution_outcomes = retries.non_execution_outcomes(settings)
         for request in self._requests.values():
             request.restrict(settings.limits, non_execution_outcomes)
 
     def close(self, request: Request) -> None:
-        """Note that no final response is owed any more, and cancel active attempts where that is allowed."""
+        """Mark a request as needing no further response, and cancel its pending attempts where allowed."""
         request.answered = True
         for attempt in request.attempts:
             if attempt.pending and not attempt.has_response_started and request.limits.allow_cancel:
@@ -50,7 +50,7 @@
         self.forget_if_complete(request)
 
     def forget_if_complete(self, request: Request) -> None:
-        """Drop a request that is answered and has no active attempt."""
+        """Remove a request that is answered and has no pending attempt."""
         if request.is_complete():
             self._requests.pop(request.id, None)
             self._key_order.mark_changed(request.ordering_key)
--- a/sidecar/balancer/lifecycle/retrying.py
+++ b/sidecar/balancer/lifecycle/retrying.py
@@ -15,15 +15,15 @@
 
 @dataclass(slots=True, eq=False)
 class RequestRetrier:
-    """Places requests again where their class, the limits and the retry budget allow it.
+    """Sends further attempts of requests where their class, the limits and the retry budget allow it.
 
     Attributes:
         context: The shared state.
-        budget: The retries that may be sent.
-        limit: Tells of overload.
-        hedging: Tells which attempts are lost.
+        budget: Limits the number of retries and hedged requests.
+        limit: Indicates overload.
+        hedging: Decides which overdue attempts are hedged.
         placer: Places further attempts.
-        finish: The gate for the balancer's own final responses.
+        finish: Rejects or fails a request.
     """
 
     context: Context
@@ -34,7 +34,7 @@
     finish: FinishCallback
 
     def retry(self, request: Request, failed: Server, outcome: Outcome) -> None:
-        """Retry a request after an attempt without a response, or finish it.
+        """Retry a request after an attempt that gave it no final response, or finish it.
 
         Args:
             request: The request.
@@ -50,17 +50,17 @@
             self.finish(request)
 
     def _is_retry_free(self, outcome: Outcome) -> bool:
-        """Return whether a retry costs no budget, as its attempt put no work on any server.
+        """Whether a retry uses no retry budget, as the failed attempt caused no work at any server.
 
-        Retries of such attempts cannot multiply from hop to hop.  Under overload, connects that fail are a
-        sign of full servers, and further connects would add to that.
+        Retries of such attempts cannot multiply from hop to hop.  Under overload, failed connects indicate
+        that servers are full, and further connects would make that worse, so these retries use the budget.
         """
         if outcome is Outcome.CONNECT_FAILED:
             return self.limit.utilization() <= UNRESTRICTED_UTILIZATION
         return outcome is Outcome.REJECTED
 
     def hedge(self, request: Request, attempt: Attempt) -> None:
-        """Send a hedged request for an overdue attempt, or cancel the attempt so that it is retried."""
+        """Send a hedged request for an overdue attempt, or cancel that attempt so that it is retried."""
         limits = request.limits
         if not self.hedging.is_hedge_due(request, attempt):
             return
--- a/sidecar/balancer/lifecycle/timer_dispatch.py
+++ b/sidecar/balancer/lifecycle/timer_dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch of the timers that are due."""
+"""Dispatch of timers that are due."""
 
 from dataclasses import dataclass
 
@@ -26,19 +26,20 @@
 
 @dataclass(slots=True, eq=False)
 class TimerDispatcher:
-    """Hands each timer that is due to what waits for it, if that still does.
+    """Calls the handler of each timer that is due, unless the timer is stale.
 
-    Timers are never removed when they are no longer wanted; whoever they were set for is asked instead.
+    Timers are not removed from the queue when they are cancelled or rescheduled.  A timer is stale if the
+    component that set it gives another due time by now, or none.
 
     Attributes:
         context: The shared state.
         requests: The requests in progress.
-        key_order: Waits for the cooldown of keys.
-        connections: Waits to close idle connections.
-        registry_poller: Waits to poll the registry.
-        placer: Waits for health checks.
-        retrier: Waits for overdue attempts.
-        finish: The gate for the balancer's own final responses.
+        key_order: Handles the end of the cooldown of an ordering key.
+        connections: Closes idle connections.
+        registry_poller: Polls the registry.
+        placer: Sends requests whose health checks timed out.
+        retrier: Handles overdue attempts.
+        finish: Rejects or fails a request.
     """
 
     context: Context
@@ -51,14 +52,14 @@
     finish: FinishCallback
 
     def current_due_time(self, due: int, timer: Timer) -> int | None:
-        """When a timer is still wanted.
+        """The time at which a timer is due now, which may differ from the time that it was set for.
 
         Args:
             due: The time that it was set for, in microseconds.
             timer: The timer.
 
         Returns:
-            The time at which it is wanted now, in microseconds; None if it is not wanted any more.
+            The time at which it is due now, in microseconds; None if it is no longer needed.
         """
         match timer:
             case RequestDeadline() | AttemptOverdue() | HealthChecksDue():
@@ -85,7 +86,7 @@
                 return request.health_checks_due if request.health_check_candidates else None
 
     def fire_due(self) -> None:
-        """Fire all timers that are due and still wanted."""
+        """Fire all timers that are due and not stale."""
         now = self.context.now
         for due, timer in self.context.timers.pop_due(now):
             current_due_time = self.current_due_time(due, timer)
@@ -103,12 +104,12 @@
             case RegistryPoll():
                 self.registry_poller.poll()
             case StallCheck():
-                pass  # the stall detector has seen that the event is a timer
+                pass  # the stall detector observed the timer event before it was dispatched
 
     def _fire_for_request(self, timer: RequestTimer) -> None:
         request = self.requests[timer.request]
-        if any(each.has_response_started for each in request.attempts):
-            return  # the client gets its response already
+        if any(attempt.has_response_started for attempt in request.attempts):
+            return  # the response is already being forwarded to the client
         match timer:
             case RequestDeadline():
                 self.finish(request)
--- a/sidecar/balancer/registry_updates.py
+++ b/sidecar/balancer/registry_updates.py
@@ -1,4 +1,4 @@
-"""Updates of the registry: what follows from servers that are added, restarted or removed."""
+"""Registry updates: handles servers that are added, restarted or removed."""
 
 from dataclasses import dataclass
 
@@ -19,9 +19,9 @@
         context: The shared state.
         poller: Polls the registry.
         start_times: Converts start times to this balancer's clock.
-        slow_start: Warms up new processes.
-        outliers: Readmits restarted servers, and forgets the ejections of removed ones.
-        latency: Rates servers whose latency is unknown.
+        slow_start: Starts the slow start of new processes.
+        outliers: Readmits restarted servers, and ends the ejection of removed ones.
+        latency: Initializes the latency weights of servers without observations.
     """
 
     context: Context
@@ -32,19 +32,19 @@
     latency: LatencyTracker
 
     def update(self, update: RegistryUpdated) -> None:
-        """Take in an update, or the failure to get one."""
+        """Handle an update, or the failure to get one."""
         if update.kind is RegistryUpdateKind.FAILED:
             self.poller.failed()
             return
         if update.kind is not RegistryUpdateKind.CACHED:
             self.poller.succeeded()
-        # Most polls end without changes; the cost of an update grows with the number of servers.
+        # Most polls return no changes, and applying an update takes time proportional to the server count.
         if not update.is_empty():
             self._apply(self.start_times.to_local_clock(update))
         self.start_times.registry_responded(update)
 
     def _apply(self, update: RegistryUpdated) -> None:
-        # Determined before the change, as all servers that are warm may be removed by it.
+        # Updates the capacity estimate first, as the update may remove all warm servers.
         self.slow_start.capacity_estimate.of_warm_server()
         for server in self.context.registry.apply(update):
             self._on_restarted(server)
@@ -55,7 +55,7 @@
     def _on_restarted(self, server: Server) -> None:
         self.slow_start.start(server, server.started_at or 0)
         if server.ejected_until is not None and server.state is ServerState.READY:
-            self.outliers.readmit(server)  # the failures were those of its former process
+            self.outliers.readmit(server)  # the failures were those of its previous process
 
     def _on_removed(self, server: Server) -> None:
         self.outliers.end_ejection(server)
--- a/sidecar/balancer/state/__init__.py
+++ b/sidecar/balancer/state/__init__.py
@@ -1,6 +1,6 @@
-"""The state that the balancer keeps between events: records, the registry's copy, timers, running statistics.
+"""The balancer's state between events: records, its copy of the registry, timers and running statistics.
 
-Nothing here decides: `sidecar.balancer.policy` holds the decisions and every constant they depend on.
+These modules make no decisions: those and their constants are in `sidecar.balancer.policy`.
 """
 
 from sidecar.balancer.state.context import Context
--- a/sidecar/balancer/state/clock.py
+++ b/sidecar/balancer/state/clock.py
@@ -2,12 +2,12 @@
 
 
 class Clock:
-    """A clock that stands still while an event is handled.
+    """A clock that does not advance while an event is handled.
 
-    All parts of the balancer read the same clock, so they agree on the time of an event.
+    All parts of the balancer share it, so they use the same time for an event.
 
     Attributes:
-        now: The host's clock when the event happened, in microseconds.
+        now: The time of the host's clock at which the host reported the event, in microseconds.
     """
 
     __slots__ = ("now",)
--- a/sidecar/balancer/state/context.py
+++ b/sidecar/balancer/state/context.py
@@ -1,4 +1,4 @@
-"""What all policies share: the settings, the state and the outcome of the event being handled."""
+"""The context that all policies share: settings, state and the actions of the event being handled."""
 
 import random
 from collections.abc import Callable
@@ -16,28 +16,28 @@
 
 
 class Context:
-    """The shared state of a balancer, and the frame in which each event is handled.
+    """The shared state of a balancer; each event is handled between `begin_event` and `end_event`.
 
     Attributes:
         settings: The settings in force.
-        catalog: The service classes and tenants that they name.
-        rng: The source of every random decision.
+        catalog: The service classes and tenants of the settings.
+        rng: The random number generator for all random decisions.
         clock: The time of the event being handled.
-        stalls: The stalls of this process.
-        settings_bound: The tables and rates that follow the settings.
-        registry: The servers known.
-        load: This balancer's own attempts.
+        stalls: Detects stalls of this process.
+        settings_bound: The tables and rates that depend on the settings.
+        registry: The known servers.
+        load: The load of this balancer's own attempts.
         timers: The timers of all policies.
-        actions: The actions that the event has led to so far, in the order to carry them out.
+        actions: The actions for the event so far, in the order in which to carry them out.
     """
 
     def __init__(self, settings: Settings, rng: random.Random, stall_check_interval_targets: float) -> None:
         """Create the state of a new balancer.
 
         Args:
-            settings: The settings in force at first.
-            rng: The source of every random decision.
-            stall_check_interval_targets: The interval of the stall checks, in shortest latency targets.
+            settings: The initial settings.
+            rng: The random number generator for all random decisions.
+            stall_check_interval_targets: The interval of stall checks, in shortest latency targets.
         """
         self.settings = settings
         self.catalog = ServiceCatalog(settings)
@@ -57,7 +57,7 @@
         return max(interval_us, self.settings.tick_us)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Put other settings into force, and adapt all state that depends on them."""
+        """Replace the settings, and adapt all state that depends on them."""
         self.settings = settings
         self.catalog.apply_settings(settings)
         self.stalls.set_check_interval(self._stall_check_interval_us())
@@ -77,7 +77,7 @@
         return self.catalog.longest_target_us
 
     def begin_event(self, now: int, event: Event) -> None:
-        """Start to handle an event.
+        """Start handling an event.
 
         Args:
             now: The host's clock, in microseconds.
@@ -88,13 +88,14 @@
         self.stalls.observe(is_timer=isinstance(event, TimerFired))
 
     def end_event(self, current_due_time: Callable[[int, Timer], int | None]) -> list[Action]:
-        """Finish handling the event: set the next stall check and the host's timer where they are needed.
+        """Finish handling the event: set the next stall check and the host's timer where needed.
 
         Args:
-            current_due_time: When a timer that was set for a time is still wanted; None if it is not.
+            current_due_time: Returns the time at which a timer is now due, given the time for which it was
+                added, or None if it is no longer needed.
 
         Returns:
-            The actions that the event led to, in the order to carry them out.
+            The actions for the event, in the order in which to carry them out.
         """
         if self.load.attempts:
             check_due = self.stalls.schedule_check()
--- a/sidecar/balancer/state/load.py
+++ b/sidecar/balancer/state/load.py
@@ -1,4 +1,4 @@
-"""The load that this balancer's own attempts cause: at each server, in total and on average."""
+"""The load of this balancer's own attempts: at each server, in total and on average."""
 
 import heapq
 import math
@@ -8,15 +8,16 @@
 
 
 class ActiveLoad:
-    """Running counts of active attempts; abandoned ones count on for a while, as they may still run.
+    """Running counts of pending attempts, and of abandoned ones for a while, as servers may still run them.
 
-    The total leaves out attempts whose latency target has passed: they have told what they can tell.  Counted
-    up to their deadline, they would keep the concurrency limit full long after other servers are well.
+    The total excludes attempts whose latency target has passed, as they are known to be late already.  If
+    they were included up to their deadline, the concurrency limit would stay full long after other servers
+    have recovered.
 
     Attributes:
-        attempts: The number of attempts that have not ended.
-        within_target: Of these, the number of those whose latency target has not passed.
-        within_target_at_ejected: Of the attempts within their target, the number of those at ejected servers.
+        attempts: The number of pending attempts.
+        within_target: The number of pending attempts whose latency target has not passed.
+        within_target_at_ejected: The number of attempts in `within_target` that are at ejected servers.
         mean: The moving average of the total.
     """
 
@@ -26,7 +27,7 @@
         self.within_target_at_ejected = 0
         self.mean = 0.0
         self._mean_updated_at = 0
-        self._abandoned_until: list[int] = []  # when each abandoned attempt stops counting; a heap
+        self._abandoned_until: list[int] = []  # a heap: when each abandoned attempt stops counting
         self._clock = clock
 
     def change(self, server: Server, delta: int, within_target: bool = True) -> None:
@@ -34,7 +35,7 @@
 
         Args:
             server: The server of the attempt.
-            delta: 1 where it starts, -1 where it ends.
+            delta: 1 if it starts, -1 if it ends.
             within_target: Whether its latency target has not passed.
         """
         server.in_flight += delta
@@ -43,7 +44,7 @@
             self._change_within_target(server, delta)
 
     def mark_target_passed(self, attempt: Attempt) -> None:
-        """Leave a pending attempt out of the total, as its latency target has passed."""
+        """Exclude a pending attempt from the total, as its latency target has passed."""
         if attempt.within_target:
             attempt.within_target = False
             self._change_within_target(attempt.server, -1)
@@ -55,12 +56,12 @@
             self.within_target_at_ejected += delta
 
     def add_abandoned(self, server: Server, until: int, within_target: bool = True) -> None:
-        """Go on counting an attempt that ended without a response.
+        """Continue to count an attempt that ended without a response.
 
         Args:
             server: The server of the attempt.
-            until: The time up to which it counts, in microseconds.
-            within_target: Whether its latency target had not passed; otherwise the total leaves it out.
+            until: The time at which it stops counting, in microseconds.
+            within_target: Whether its latency target had not passed; otherwise the total excludes it.
         """
         server.abandoned_until.append(until)
         if within_target and server.ejected_until is None:
@@ -68,26 +69,26 @@
 
     def total(self) -> int:
         """The number of attempts within their target, and abandoned ones, at servers that are not ejected."""
-        # From running counts, as it is read at every event.
+        # Computed from running counts, as it is read at every event.
         while self._abandoned_until and self._abandoned_until[0] <= self._clock.now:
             heapq.heappop(self._abandoned_until)
         return self.within_target - self.within_target_at_ejected + len(self._abandoned_until)
 
     def attempts_at(self, server: Server) -> int:
-        """The number of active and abandoned attempts at a server.
+        """The number of pending and abandoned attempts at a server.
 
-        Without the abandoned ones, a slow or hung server would look idle once its attempts are cancelled.
+        Without the abandoned ones, a slow or hung server would seem idle once its attempts are cancelled.
         """
         if server.abandoned_until:
             server.abandoned_until = [until for until in server.abandoned_until if until > self._clock.now]
         return server.in_flight + len(server.abandoned_until)
 
     def update_mean(self, max_start: float, span_us: float) -> None:
-        """Average the total up to now.
+        """Update the moving average of the total for the time since its last update.
 
         Args:
-            max_start: The largest mean to start from, unless the total is larger.
-            span_us: The time span of the moving average, in microseconds.
+            max_start: The previous mean is reduced to this value first, but to no less than the total or 1.
+            span_us: The time constant of the moving average, in microseconds.
         """
         elapsed_us = self._clock.now - self._mean_updated_at
         if elapsed_us <= 0:
--- a/sidecar/balancer/state/records.py
+++ b/sidecar/balancer/state/records.py
@@ -1,6 +1,6 @@
-"""Records of servers, of requests in progress and of their attempts: data, and what follows from it alone.
+"""Records of servers, requests in progress and their attempts, with properties derived from their data.
 
-All times are in microseconds of the balancer's clock.
+All times are readings of the balancer's clock in microseconds.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 
 
 class Backoff(NamedTuple):
-    """A time during which a server is avoided.
+    """A period during which a server gets no requests, or none of some class and tenant.
 
     Attributes:
         until: When it ends.
-        repeats: How many there were in a row, this one included.
+        repeats: The number of consecutive backoffs, including this one.
     """
 
     until: int
@@ -40,37 +40,37 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """What this balancer knows of one server.
+    """What this balancer knows about one server.
 
     Attributes:
-        name: Its address, which identifies it.
-        rank: A random number drawn once; the order of servers by it differs from balancer to balancer.
+        name: Its name in the registry, which identifies it.
+        rank: A random sort key, drawn once; so each balancer has its own order of the servers.
         zone: The name of its zone.
         is_local: Whether it is in this balancer's own zone.
-        cell: The group of servers that deduplicate by idempotency key together.
-        declared_capacity: Its capacity relative to that of others, as the registry states it.
-        latency_weight: The moving average of its latency relative to the usual one.
+        cell: The group of servers that share their records of idempotency keys.
+        declared_capacity: Its capacity relative to that of other servers, as the registry states it.
+        latency_weight: The moving average of its latency relative to the usual latency.
         state: Whether it may get requests.
         started_at: When its process started, if known.
         slow_start_since: When its last slow start began, if it had one.
-        slow_start_budget: While it is warming up: what may be sent to it now, in requests of mean cost.
+        slow_start_budget: While it is warming up, what may be sent to it now, in requests of mean cost.
         slow_start_budget_updated_at: When the budget was last refilled.
         in_flight: The number of this balancer's attempts that have not ended.
-        in_flight_within_target: Of these, the ones whose latency target has not passed.
+        in_flight_within_target: The number of attempts in flight whose latency target has not passed.
         abandoned_until: For each abandoned attempt, when it stops counting as load.
-        idle_connections: The number of idle connections, as this balancer estimates it.
+        idle_connections: The estimated number of idle connections from this balancer.
         idle_since: When a connection last became idle.
         idle_close_due: When the idle connections should be closed.
-        reported_load: Requests in flight there by its last health check; None if that failed.
-        health_check_sent_at: When the health check under way was sent, if there is one.
+        reported_load: The requests in flight there by its last health check; None if that failed.
+        health_check_sent_at: When the pending health check was sent; None if none is pending.
         last_success_at: When an attempt last succeeded; -1 if none did.
-        last_success_sent_at: When the latest sent of the successful attempts was sent; -1 if none was.
+        last_success_sent_at: When the most recently sent of the successful attempts was sent; -1 if none was.
         consecutive_failures: The number of failures since the last success.
-        consecutive_connect_failures: The number of failed connects in a row.
+        consecutive_connect_failures: The number of consecutive failed connects.
         consecutive_ejections: The number of ejections since the last success.
         ejected_until: When it may get a half-open attempt; None if it is not ejected.
-        half_open_attempt: The single attempt under way that may readmit it.
-        rejection_backoffs: Backoffs after rejections at capacity, by class and tenant.
+        half_open_attempt: The one pending attempt that may readmit it.
+        rejection_backoffs: The backoffs after rejections at capacity, by class and tenant.
     """
 
     name: str
@@ -103,7 +103,7 @@
     rejection_backoffs: dict[TrafficKey, Backoff] = field(default_factory=dict)
 
     def is_warming_up(self, now: int, slow_start_us: int) -> bool:
-        """Whether the server is in slow start at clock time `now`, where that lasts `slow_start_us`."""
+        """Whether the server is in slow start at clock time `now`, given a duration of `slow_start_us`."""
         return self.slow_start_since is not None and now < self.slow_start_since + slow_start_us
 
 
@@ -113,15 +113,15 @@
 
     Attributes:
         index: Its number among the attempts of the request, from 0.
-        server: Where it was sent.
+        server: The server to which it was sent.
         sent_at: When it was sent.
-        stalled_before_us: How long the balancer's process had stalled by then, in all.
-        successes_before: How many attempts had succeeded by then, at all servers.
+        stalled_before_us: The total duration of stalls of this process before it was sent, in microseconds.
+        successes_before: The number of attempts at all servers that had succeeded before it was sent.
         pending: Whether it has no outcome yet.
         within_target: Whether its latency target had not passed while it was pending.
-        may_have_run: Whether no outcome proves that the server did not execute it.
+        may_have_run: Whether the server may have executed it; False once its outcome proves that it did not.
         has_response_started: Whether its response is being forwarded to the client.
-        reported_load: The load its server reported right before it was sent, if it did.
+        reported_load: The load that its server reported immediately before it was sent, if it did.
         counted_as_late: Whether it was counted as late before it ended.
     """
 
@@ -140,26 +140,27 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request in progress; it is kept until it is answered and its last attempt has ended.
+    """A request in progress; it is kept until it is answered and all of its attempts have ended.
 
     Attributes:
         id: Its number.
         service_class: Its class.
-        deadline: By when the final response has to leave.
+        deadline: The time by which its final response must be sent.
         relative_cost: Its cost relative to the mean of its class.
         traffic_key: Its class and tenant.
         may_cross_zones: Whether servers of all zones are candidates.
-        cost_class: Its relative cost by powers of two.
-        limits: The strictest limits that held since it arrived.
-        non_execution_outcomes: Outcomes that proved in all that time that an attempt did not run.
-        ordering_key: The key by which it is ordered, if its class is.
-        attempts: Its attempts, in the order they were sent.
-        failed_servers: Servers where an attempt failed or was rejected.
-        rejections: The number of attempts rejected at capacity.
-        answered: Whether the final response was given.
+        cost_class: The binary exponent of its relative cost, within bounds.
+        limits: The strictest limits that were in force since it arrived.
+        non_execution_outcomes: The outcomes that, by all settings since it arrived, prove that an attempt did
+            not run.
+        ordering_key: Its ordering key, if its class is ordered by key.
+        attempts: Its attempts, in the order in which they were sent.
+        failed_servers: The servers of its attempts that failed or were rejected.
+        rejections: The number of its attempts that were rejected at capacity.
+        answered: Whether it needs no further response: it has its final one, or its client has disconnected.
         health_check_candidates: The candidates whose health checks it waits for.
         health_checks_due: When it stops waiting for them.
-        priority: The share of the traffic of lower priority, from 0 to 1.
+        priority: The share of the traffic that has a lower priority, from 0 to 1.
     """
 
     id: int
@@ -181,11 +182,11 @@
     priority: float = 0.5
 
     def restrict(self, limits: Limits, non_execution_outcomes: frozenset[Outcome]) -> None:
-        """Apply changed settings: what they forbid is forbidden from now on, what they newly allow is not.
+        """Apply the limits of new settings where they are stricter; what they newly allow stays forbidden.
 
         Args:
             limits: The limits of the new settings.
-            non_execution_outcomes: Outcomes that prove by the new settings that an attempt did not run.
+            non_execution_outcomes: The outcomes that prove that an attempt did not run, by the new settings.
         """
         self.limits = replace(
             limits,
@@ -196,7 +197,7 @@
         self.non_execution_outcomes &= non_execution_outcomes
 
     def is_active(self) -> bool:
-        """Whether an attempt has not ended yet."""
+        """Whether any attempt has not ended yet."""
         return any(attempt.pending for attempt in self.attempts)
 
     def is_complete(self) -> bool:
@@ -204,14 +205,14 @@
         return self.answered and not self.is_active()
 
     def pending_attempt(self, index: int) -> Attempt | None:
-        """The attempt of this index, if it was sent and has not ended."""
+        """The attempt with this index, if it was sent and has not ended."""
         if index >= len(self.attempts):
             return None
         attempt = self.attempts[index]
         return attempt if attempt.pending else None
 
     def mark_response_started(self, index: int) -> None:
-        """Note that the response of an attempt is being forwarded to the client."""
+        """Record that the response of an attempt is being forwarded to the client."""
         if index < len(self.attempts):
             self.attempts[index].has_response_started = True
 
@@ -222,12 +223,12 @@
 
 @dataclass(slots=True, eq=False)
 class KeyQueue:
-    """The requests of one ordering key, which run one at a time; kept while in use or in cooldown.
+    """The requests with one ordering key, which run one at a time; kept while in use or in cooldown.
 
     Attributes:
         key: The ordering key.
         requests: The requests that are not complete, in order of arrival.
-        cooldown_until: No request may be sent before this time.
+        cooldown_until: The time before which no request may be sent.
     """
 
     key: int
@@ -235,7 +236,7 @@
     cooldown_until: int = 0
 
     def head(self) -> Request | None:
-        """The first request that is not complete; those before it are dropped."""
+        """The first request that is not complete; those before it are removed."""
         while self.requests and self.requests[0].is_complete():
             self.requests.popleft()
         return self.requests[0] if self.requests else None
@@ -243,12 +244,12 @@
 
 @dataclass(slots=True, eq=False)
 class Traffic:
-    """One tenant's traffic of one class.
+    """The traffic of one service class and tenant.
 
     Attributes:
-        service_class: The class, by the current settings.
+        service_class: The class, as in the settings in force.
         tenant: The name of the tenant, if there is one.
-        rate: The rate of requests that arrive.
+        rate: The arrival rate of requests.
     """
 
     service_class: ServiceClass
--- a/sidecar/balancer/state/registry.py
+++ b/sidecar/balancer/state/registry.py
@@ -7,40 +7,40 @@
 
 
 class ServerRegistry:
-    """The servers in the registry, and removed ones that are not forgotten yet.
+    """The servers in the registry, and removed servers whose records are still needed.
 
     Attributes:
-        servers: All of these, by name.
-        ready: Those that accept requests, in this balancer's own order of the servers.
-        ready_local: Of the ready ones, those in the local zone.
+        servers: All of these servers, by name.
+        ready: The servers that accept requests, in this balancer's own order.
+        ready_local: The ready servers in the local zone.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self.servers: dict[str, Server] = {}
         self.ready: list[Server] = []
         self.ready_local: list[Server] = []
-        self._by_rank: list[Server] = []  # all servers; kept in order, as it is costly to sort all
+        self._by_rank: list[Server] = []  # all servers; kept sorted, as sorting them is expensive
         self._local_zone = ""
         self._rng = rng
 
     def set_local_zone(self, zone: str) -> None:
-        """Take this zone for the local one."""
+        """Set the local zone."""
         self._local_zone = zone
-        self.ready_local = [each for each in self.ready if each.zone == zone]
+        self.ready_local = [server for server in self.ready if server.zone == zone]
 
     def apply(self, update: RegistryUpdated) -> list[Server]:
         """Apply an update of the endpoint list.
 
         Returns:
-            The servers whose process is a new one.
+            The servers that have a new process.
         """
         if update.kind is not RegistryUpdateKind.DELTA:
             self._remove_unlisted(update)
         restarted = [endpoint.name for endpoint in update.endpoints if self._apply(endpoint)]
         if len(self._by_rank) < len(self.servers):
-            self._by_rank = sorted(self.servers.values(), key=lambda each: each.rank)
-        self.ready = [each for each in self._by_rank if each.state is ServerState.READY]
-        self.ready_local = [each for each in self.ready if each.is_local]
+            self._by_rank = sorted(self.servers.values(), key=lambda server: server.rank)
+        self.ready = [server for server in self._by_rank if server.state is ServerState.READY]
+        self.ready_local = [server for server in self.ready if server.is_local]
         return [self.servers[name] for name in restarted]
 
     def _remove_unlisted(self, update: RegistryUpdated) -> None:
@@ -50,7 +50,11 @@
                 server.state = ServerState.REMOVED
 
     def _apply(self, endpoint: Endpoint) -> bool:
-        """Apply one entry; return whether its server has a new process."""
+        """Apply one entry.
+
+        Returns:
+            Whether its server has a new process.
+        """
         server = self.servers.get(endpoint.name)
         if server is None:
             server = Server(endpoint.name, self._rng.random())
@@ -68,8 +72,8 @@
         return True
 
     def removed(self) -> list[Server]:
-        """The servers that are removed and not forgotten yet."""
-        return [each for each in self.servers.values() if each.state is ServerState.REMOVED]
+        """The removed servers whose records are still kept."""
+        return [server for server in self.servers.values() if server.state is ServerState.REMOVED]
 
     def forget(self, server: Server) -> None:
         """Delete the record of a removed server."""
@@ -77,5 +81,5 @@
         self._by_rank.remove(server)
 
     def contains(self, server: Server) -> bool:
-        """Whether this very record is in use; a server that is listed again later has a new one."""
+        """Whether this record is in use; a server that is listed again after `forget` has a new record."""
         return self.servers.get(server.name) is server
--- a/sidecar/balancer/state/settings_bound.py
+++ b/sidecar/balancer/state/settings_bound.py
@@ -1,4 +1,4 @@
-"""Tables and rates that have to follow changes of the settings."""
+"""Tables and rates that must be adapted when the settings change."""
 
 from collections.abc import Callable
 from typing import Any, TypeVar
@@ -10,24 +10,25 @@
 
 
 def evict(table: dict[Key, Any], is_kept: Callable[[Key], bool]) -> None:
-    """Delete the entries of a table whose keys are not to be kept."""
+    """Delete the entries of a table whose keys do not fulfil a predicate."""
     evicted = [key for key in table if not is_kept(key)]
     for key in evicted:
         del table[key]
 
 
 class SettingsBoundState:
-    """Registers tables and rates, and adapts all of them when the settings change."""
+    """Creates tables and rates, and adapts all of them when the settings change."""
 
     def __init__(self) -> None:
         self._tables: list[tuple[dict[Any, Any], Callable[[Any], bool]]] = []
         self._rates: list[tuple[DecayingRate, Callable[[], float]]] = []
 
     def new_table(self, is_kept: Callable[[Key], bool]) -> dict[Key, Value]:
-        """Create a table by class or tenant.
+        """Create a table whose keys depend on the classes or tenants of the settings.
 
         Args:
-            is_kept: Whether the entry of a key is kept under the settings then in force.
+            is_kept: Returns whether the entry of a key is kept under the settings in force at the time of the
+                call.
         """
         table: dict[Key, Value] = {}
         self._tables.append((table, is_kept))
@@ -37,14 +38,15 @@
         """Create a rate.
 
         Args:
-            span_us: The span to average over under the settings then in force, in microseconds.
+            span_us: Returns the time span to average over, in microseconds, under the settings in force at
+                the time of the call.
         """
         rate = DecayingRate(span_us())
         self._rates.append((rate, span_us))
         return rate
 
     def settings_changed(self) -> None:
-        """Evict the entries that the settings no longer name, and average the rates over their new spans."""
+        """Evict table entries that the new settings do not keep, and change the time spans of the rates."""
         for table, is_kept in self._tables:
             evict(table, is_kept)
         for rate, span_us in self._rates:
--- a/sidecar/balancer/state/stall_detector.py
+++ b/sidecar/balancer/state/stall_detector.py
@@ -1,19 +1,20 @@
-"""Detection of stalls: times in which this process did not run."""
+"""Detection of stalls: periods in which this process did not run."""
 
 from sidecar.balancer.state.clock import Clock
 
 
 class StallDetector:
-    """Recognises a stall by a check that is due at a known time and handled late.
+    """Detects a stall by a check that is due at a known time and handled late.
 
-    What is found after a stall came at unknown times, so nothing is learned from it.  Otherwise the balancer
-    would take its own absence for slow servers, eject them and reject what they could serve.  Catching up
-    takes about as long as the stall; a process with too little CPU stays in that state.
+    Events that are handled after a stall happened at unknown times, so the balancer must learn nothing from
+    them.  Otherwise it would mistake its own delay for slow servers, eject them and reject requests that
+    they could serve.  Catching up takes about as long as the stall; a process with too little CPU does not
+    catch up.
 
     Attributes:
         stalled_us: The total duration of all stalls so far, in microseconds.
-        caught_up_at: When the events that arrived during the last stall have been handled, in microseconds on
-            the host's clock; -1 before the first stall.
+        caught_up_at: When the events that arrived during the last stall should all have been handled, in
+            microseconds on the host's clock; -1 before the first stall.
         check_due: When the next check is due, in microseconds on the host's clock; None while none is set.
     """
 
@@ -26,14 +27,14 @@
         self._resumed_at = -1
 
     def set_check_interval(self, check_interval_us: int) -> None:
-        """Check at another interval, in microseconds, from the next check on."""
+        """Change the interval, in microseconds, from the next check on."""
         self._check_interval_us = check_interval_us
 
     def schedule_check(self) -> int | None:
-        """Set the next check where none is set.
+        """Set the next check, unless one is set already.
 
         Returns:
-            The time at which the new check is due, in microseconds; None where one was set already.
+            The time at which the new check is due, in microseconds; None if one was set already.
         """
         if self.check_due is not None:
             return None
@@ -41,11 +42,11 @@
         return self.check_due
 
     def observe(self, is_timer: bool) -> None:
-        """Compare the time of an event with that of the pending check.
+        """Compare the time of an event with the due time of the pending check.
 
         Args:
-            is_timer: Whether the event is a timer.  Only a timer settles a check that is in time: where other
-                events are many, timers wait.
+            is_timer: Whether the event is a timer.  Any event can show that a check is late, but only a timer
+                completes a check in time: timers may still be waiting behind many other events.
         """
         if self.check_due is None:
             return
--- a/sidecar/balancer/state/timers.py
+++ b/sidecar/balancer/state/timers.py
@@ -1,4 +1,4 @@
-"""Timers: what may become due, and a queue of them behind a single timer of the host."""
+"""Timers of the balancer, and a queue that needs only a single timer of the host for all of them."""
 
 import heapq
 from collections.abc import Callable, Iterator
@@ -7,11 +7,11 @@
 from sidecar.balancer.actions import SetTimer
 from sidecar.balancer.state.records import Server
 
-HOST_TIMER_TOKEN = "agenda"  # one timer of the host serves all, so its token tells nothing
+HOST_TIMER_TOKEN = "agenda"  # a single host timer serves all timers, so they share its token
 
 
 class RequestDeadline(NamedTuple):
-    """A request has to get its final response.
+    """The time has come at which a request must get its final response.
 
     Attributes:
         request: The number of the request.
@@ -43,17 +43,17 @@
 
 
 class KeyCooldownOver(NamedTuple):
-    """The cooldown of a key is over, so its next request may be sent.
+    """The cooldown of an ordering key is over, so its next request may be sent.
 
     Attributes:
-        key: The key by which requests are ordered.
+        key: The ordering key.
     """
 
     key: int
 
 
 class IdleCloseDue(NamedTuple):
-    """The idle connections to a server may be closed.
+    """The idle connections to a server should be closed.
 
     Attributes:
         server: The server.
@@ -63,11 +63,11 @@
 
 
 class RegistryPoll(NamedTuple):
-    """The subscription to the registry has to be renewed."""
+    """The registry is to be polled."""
 
 
 class StallCheck(NamedTuple):
-    """A check for stalls: if it is handled late, this process stalled."""
+    """A check for stalls: if it is handled late, this process has stalled."""
 
 
 Timer = (
@@ -82,25 +82,25 @@
 
 
 class TimerQueue:
-    """Timers in the order they are due; of those due at the same time, the one added first comes first."""
+    """Timers in order of their due times; timers that are due at the same time are in insertion order."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[int, int, Timer]] = []
         self._added_count = 0
-        self._armed_for: int | None = None  # when the host's timer fires; None: it is not set
+        self._armed_for: int | None = None  # when the host's timer fires; None if it is not set
 
     def add(self, due: int, timer: Timer) -> None:
         """Add a timer.
 
         Args:
             due: When it is due, in microseconds on the host's clock.
-            timer: What is due then.
+            timer: The timer.
         """
         self._added_count += 1
         heapq.heappush(self._heap, (due, self._added_count, timer))
 
     def pop_due(self, now: int) -> Iterator[tuple[int, Timer]]:
-        """Remove the timers that are due; the host's timer is taken to have fired if its time has come.
+        """Remove the timers that are due; if the host's timer is due, it is assumed to have fired.
 
         Args:
             now: The host's clock, in microseconds.
@@ -124,7 +124,7 @@
                 dropped if the result differs from the time for which it was added.
 
         Returns:
-            The action that sets the host's timer; None where it fires early enough or nothing is left.
+            The action that sets the host's timer; None if it fires early enough already or no timer is left.
         """
         self._drop_stale(current_due_time)
         if not self._heap:
