--- a/sidecar/settings/__init__.py
+++ b/sidecar/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The settings of a service, and how they are read from plain mappings."""
+"""The settings of a balancer, and the parser that reads them from plain mappings."""
 
 from sidecar.settings.errors import ConfigurationError, DuplicateNameError, InvalidSettingError
 from sidecar.settings.model import (
--- a/sidecar/settings/errors.py
+++ b/sidecar/settings/errors.py
@@ -1,26 +1,26 @@
-"""Errors about a configuration that can't be used, with their messages."""
+"""Errors about an invalid configuration."""
 
 from __future__ import annotations
 
 
 class ConfigurationError(ValueError):
-    """The configuration can't be used."""
+    """The configuration is invalid."""
 
 
 class InvalidSettingError(ConfigurationError):
-    """A key has no value, or one that makes no sense.
+    """A required key is absent, or its value is invalid.
 
     Attributes:
-        key: Path of the key, as the source of the configuration has it.
+        key: Path of the key, with the names that the source of the configuration uses.
     """
 
     def __init__(self, key: str, expected: str, value: object) -> None:
-        """Make the error.
+        """Create the error.
 
         Args:
             key: Path of the key, such as `settings.guarantees.turnGapUs`.
-            expected: What is needed there, such as "a whole number from 0".
-            value: The value that came instead; None where there was none.
+            expected: Description of a valid value, such as "a whole number from 0".
+            value: The invalid value; None if the key is absent.
         """
         actual = "" if value is None else f", not {value!r:.60}"
         super().__init__(f"{key}: {expected} is needed{actual}")
@@ -31,10 +31,10 @@
     """Two entries of one list have the same name.
 
     Attributes:
-        key: Path of the list, as the source of the configuration has it.
+        key: Path of the list, with the names that the source of the configuration uses.
     """
 
     def __init__(self, key: str, name: str) -> None:
-        """Make the error for the list at `key`, in which `name` stands more than once."""
+        """Create the error for the list at `key`, which contains `name` more than once."""
         super().__init__(f"{key}: duplicate name {name!r:.60}")
         self.key = key
--- a/sidecar/settings/mapping_reader.py
+++ b/sidecar/settings/mapping_reader.py
@@ -1,4 +1,4 @@
-"""A typed reader of plain mappings, such as JSON gives them, whose errors name the path of the key."""
+"""A typed reader of plain mappings, such as parsed JSON, whose errors name the path of the key."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from sidecar.settings.model import Bounds
 
 _EnumMember = TypeVar("_EnumMember", bound=Enum)
-_ROOT_SECTION = "settings"  # the name of the outermost section
+_ROOT_SECTION = "settings"  # name of the root section
 _UNBOUNDED = Bounds()
 
 
 @dataclass(frozen=True, slots=True)
 class NameTable:
-    """The names that a mapping has for fields and for the members of enums.
+    """The names that a mapping uses for fields and for enum members.
 
     Attributes:
-        keys: Key of each field, by section and field.  A key with a dot names a field of an inner object;
-            where there is no such object, the field is absent.  A section that isn't listed has the fields'
-            own names.
-        enum_values: Word of each enum member.  The member's own value is accepted, too.
+        keys: Key of each field, by section and field name.  A key with a dot names a field of a nested
+            object; if there is no such object, the field is absent.  In a section that isn't listed, the
+            keys are the field names.
+        enum_values: Value that stands for each enum member.  The member's own value is accepted, too.
     """
 
     keys: Mapping[str, Mapping[str, str]] = field(default_factory=dict)
@@ -35,27 +35,27 @@
         return name if section_keys is None else section_keys[name]
 
     def enum_value(self, member: Enum) -> str:
-        """Return the word for a member of an enum."""
+        """Return the value that stands for an enum member."""
         return self.enum_values.get(member, str(member.value))
 
 
 class MappingReader:
     """Reads the fields of one mapping by their type.
 
-    None counts as absent.  Every method that reads a value raises InvalidSettingError where it has another
-    type, lies out of bounds or is absent without a default.
+    None counts as absent.  Every method that reads a typed value raises InvalidSettingError if the value has
+    another type, is out of bounds, or is absent and has no default.
     """
 
     def __init__(
         self, mapping: object, names: NameTable, path: str = "", section: str = _ROOT_SECTION
     ) -> None:
-        """Take the mapping to read.
+        """Create a reader.
 
         Args:
             mapping: The mapping.
-            names: How the mapping names its fields.
-            path: Path of the mapping itself, for error messages; empty for the outermost one.
-            section: Which section of `names` holds its fields.
+            names: The names that the mapping uses for its fields.
+            path: Path of the mapping itself, for error messages; empty for the root.
+            section: Section of `names` that contains its fields.
 
         Raises:
             InvalidSettingError: `mapping` isn't a mapping.
@@ -68,12 +68,12 @@
         self._section = section
 
     def path(self, name: str) -> str:
-        """Return the path of a field as the mapping has it."""
+        """Return the path of a field, with the names that the mapping uses."""
         key = self._names.key(self._section, name)
         return f"{self._path}.{key}" if self._path else key
 
     def value(self, name: str) -> object:
-        """Return the value of a field as it came, or None."""
+        """Return the value of a field without checks, or None if it is absent."""
         outer_key, _, inner_key = self._names.key(self._section, name).partition(".")
         value: object = self._mapping.get(outer_key)
         if not inner_key:
@@ -81,12 +81,12 @@
         return value.get(inner_key) if isinstance(value, Mapping) else None
 
     def section(self, name: str) -> MappingReader:
-        """Return a reader of the mapping in a field; it is empty where the field is absent."""
+        """Return a reader of the mapping in a field; the mapping is empty if the field is absent."""
         value = self.value(name)
         return MappingReader({} if value is None else value, self._names, self.path(name), name)
 
     def sections(self, name: str) -> list[MappingReader]:
-        """Return readers of all mappings in the list that a field holds."""
+        """Return a reader for each mapping in the list of a field; none if the field is absent."""
         value = self.value(name)
         if value is None:
             return []
@@ -98,27 +98,27 @@
         ]
 
     def string(self, name: str, default: str | None = None) -> str:
-        """Return the text in a field."""
+        """Return the string in a field."""
         value = self.value(name)
         if value is None and default is not None:
             return default
         if not isinstance(value, str):
-            raise self.invalid_setting(name, "a text")
+            raise self.invalid_setting(name, "a string")
         return value
 
     def strings(self, name: str, default: tuple[str, ...] = ()) -> tuple[str, ...]:
-        """Return the list of texts in a field."""
+        """Return the list of strings in a field."""
         value = self.value(name)
         if value is None:
             return default
         if not isinstance(value, Sequence) or isinstance(value, str):
-            raise self.invalid_setting(name, "a list of texts")
+            raise self.invalid_setting(name, "a list of strings")
         if not all(isinstance(item, str) for item in value):
-            raise self.invalid_setting(name, "a list of texts")
+            raise self.invalid_setting(name, "a list of strings")
         return tuple(value)
 
     def boolean(self, name: str, default: bool | None = None) -> bool:
-        """Return the truth value in a field."""
+        """Return the boolean in a field."""
         value = self.value(name)
         if value is None and default is not None:
             return default
@@ -149,7 +149,7 @@
     def enum_member(
         self, name: str, enum_type: type[_EnumMember], default: _EnumMember | None = None
     ) -> _EnumMember:
-        """Return the member of an enum whose word a field holds."""
+        """Return the enum member that the value of a field stands for."""
         value = self.value(name)
         if value is None and default is not None:
             return default
@@ -160,7 +160,7 @@
         raise self.invalid_setting(name, f"one of {allowed}")
 
     def invalid_setting(self, name: str, expected: str) -> InvalidSettingError:
-        """Return the error about the value of a field."""
+        """Return the error about the invalid or missing value of a field."""
         return InvalidSettingError(self.path(name), expected, self.value(name))
 
 
--- a/sidecar/settings/model.py
+++ b/sidecar/settings/model.py
@@ -1,7 +1,7 @@
-"""The settings of a service, as an instance of the balancer gets them.
+"""The settings of a balancer instance.
 
-Fields that end in `_us` are whole microseconds.  Every default is the cautious choice: what the settings
-leave out is taken as not permitted.
+Fields that end in `_us` are whole microseconds.  Every default is the cautious choice: whatever the settings
+omit is not permitted.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from typing import Annotated
 
 MAX_EXACT_INTEGER = 2**53
-"""Every whole number up to this one survives a double."""
+"""The largest integer up to which a double represents every integer exactly."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
     SAFE = "safe"
     """May run any number of times."""
     KEYED = "keyed"
-    """Has an idempotency key, by which a group of servers drops duplicates for a while."""
+    """Carries an idempotency key, by which a group of servers drops duplicates for a limited time."""
     UNSAFE = "unsafe"
     """Must never run twice."""
 
@@ -66,13 +66,13 @@
     """What the weight of an endpoint says about its capacity."""
 
     NONE = "silent"
-    """Nothing."""
+    """It says nothing."""
     NOMINAL = "nominal"
-    """Its size."""
+    """It is the size of the server."""
     ROUGH = "rough"
-    """About its size."""
+    """It is approximately the size of the server."""
     LIVE = "live"
-    """Its size, corrected for its present load."""
+    """It is the size of the server, corrected for its current load."""
 
 
 @unique
@@ -80,16 +80,16 @@
     """Where load reports come from."""
 
     ANSWERS = "answers"
-    """They come with responses."""
+    """Responses carry them."""
     PROBES = "probes"
-    """They come with the results of health checks."""
+    """Results of health checks carry them."""
     NONE = "silent"
     """There are none."""
 
 
 @unique
 class WeightBasis(Enum):
-    """What the priority weight of a class is counted for."""
+    """What the priority weight of a class applies to."""
 
     REQUEST = "request"
     WORK = "work"
@@ -100,17 +100,17 @@
     """One class of requests.
 
     Attributes:
-        name: Name of the class, as requests give it.
-        deadline_us: How long a client waits in all, in microseconds.
-        latency_target_us: A response within this time, in microseconds, has its full value.
-        priority_weight: Value of one request in time.
-        late_weight: Part of that value which a response has after the latency target.
+        name: Name of the class, as in requests.
+        deadline_us: How long a client waits for the response in total, in microseconds.
+        latency_target_us: Time within which a response has its full value, in microseconds.
+        priority_weight: Value of a response within the latency target.
+        late_weight: Fraction of that value that a response has after the latency target.
         idempotency: Whether a request may be attempted more than once.
         dedup_scope: Which servers drop duplicates of a request with an idempotency key.
-        dedup_window_us: For how long they do, in microseconds.
+        dedup_window_us: How long they drop such duplicates, in microseconds.
         streaming: Whether responses are streamed.
-        latency_target_stretch: The latency target grows by this many times the request's own work.
-        ordered_by_key: Whether requests with one key run one at a time, in the order of their arrival.
+        latency_target_stretch: Multiple of the request's own work that is added to the latency target.
+        ordered_by_key: Whether requests with the same key run one at a time, in order of arrival.
     """
 
     name: str
@@ -128,12 +128,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant and its part of the whole fleet.
+    """One tenant and its share of the whole fleet.
 
     Attributes:
-        name: Name of the tenant, as requests give it.
-        share: Its part of the service, relative to the other tenants.
-        quota_per_s: Requests per second, over all sidecars, that count as within its share.
+        name: Name of the tenant, as in requests.
+        share: Its share of the service, relative to the other tenants.
+        quota_per_s: Requests per second, summed over all sidecars, that count as within its share.
     """
 
     name: str
@@ -146,16 +146,16 @@
     """What the deployment permits.
 
     Attributes:
-        max_attempts: Attempts of one request at most.
+        max_attempts: Maximum number of attempts of one request.
         allow_hedging: Whether two attempts of a request may be in flight at once.
-        allow_cancel: Whether an attempt may be cancelled.
+        allow_cancel: Whether attempts may be cancelled.
         allow_probes: Whether servers may be sent health checks.
         allow_messages: Whether instances may send each other messages.
-        retry_after: Whether a rejected client gets a Retry-After.
+        retry_after: Whether rejections carry a Retry-After.
         max_retry_after_us: The longest Retry-After that clients honour, in microseconds.
-        dial_timeout_us: How long a new connection to a server may take, in microseconds.
-        idle_close_us: After how long servers close an idle connection, in microseconds.
-        streams_per_connection: Requests that one connection carries at once.
+        dial_timeout_us: How long connecting to a server may take, in microseconds.
+        idle_close_us: Time after which servers close an idle connection, in microseconds.
+        streams_per_connection: Number of concurrent requests on one connection.
     """
 
     max_attempts: int = 1
@@ -172,19 +172,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the deployment's rules.
+    """Parameters of the deployment's rules.
 
     Attributes:
         answer_slack_us: How long after its deadline a response is still accepted, in microseconds.
-        max_poll_interval_us: How long an instance may go without asking for the endpoint list before its
-            changes count as notified, in microseconds.
-        drain_grace_us: How long after it began to drain a server may still be sent requests, in microseconds.
-        slow_start_from: Part of its capacity with which a server starts.
-        slow_start_us: How long it takes to warm up to all of it, in microseconds.
-        overload_multiple: A server that is warming up fails under this many times its capacity ...
-        overload_window_us: ... for this long, in microseconds.
-        late_shedding: Whether servers also reject work that they had begun.
-        key_cooldown_us: How long a key rests after an attempt that may still be running, in microseconds.
+        max_poll_interval_us: Maximum time between two polls of the endpoint list, in microseconds.  After
+            that time, an instance counts as notified of the changes to the list.
+        drain_grace_us: How long after the start of its drain a server may still be sent requests, in
+            microseconds.
+        slow_start_from: Fraction of its capacity at which a server starts.
+        slow_start_us: How long a server takes to warm up to its full capacity, in microseconds.
+        overload_multiple: Multiple of its current capacity that overloads a server during slow start; the
+            server fails if the overload lasts `overload_window_us`.
+        overload_window_us: How long a server that is warming up withstands that overload, in microseconds.
+        late_shedding: Whether servers may also reject requests that they have begun to process.
+        key_cooldown_us: How long no new request with the same key is sent after an attempt that may still be
+            running, in microseconds.
     """
 
     answer_slack_us: int = 0
@@ -200,15 +203,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """What extra traffic costs, in points of service for one of each a request.
+    """Costs of extra traffic, in points of the service level, for one unit per request.
 
     Attributes:
-        cross_zone: An attempt in another zone.
-        probe: A health check.
-        message: A message to another instance.
-        waste: Work of a server that gave no response.
-        handshake: A new connection.
-        connection: A hundred open connections per server.
+        cross_zone: Cost of an attempt in another zone.
+        probe: Cost of a health check.
+        message: Cost of a message to another instance.
+        waste: Cost of server work that produced no response.
+        handshake: Cost of a new connection.
+        connection: Cost of a hundred open connections per server.
     """
 
     cross_zone: float = 0.0
@@ -225,21 +228,21 @@
 
     Attributes:
         classes: The classes of requests, at least one.
-        tenants: The tenants; where there are some, a request may name no other.
+        tenants: The tenants; if there are any, requests of other tenants are invalid.
         zone: The instance's own zone.
-        instance_index: Number of this instance, from 0.
-        sidecar_count: How many instances there are.
-        tick_us: Least time between two batches of the simulator, in microseconds.
+        instance_index: Index of this instance, from 0.
+        sidecar_count: Number of instances.
+        tick_us: Minimum time between two batches of the simulator, in microseconds.
         discovery: How changes of the endpoint list reach the instance.
         weights: What the weight of an endpoint says about its capacity.
-        weight_basis: What priority weights are counted for.
-        over_share_weight: Value of a request above its tenant's share, as a part of its class's weight.
+        weight_basis: What priority weights apply to.
+        over_share_weight: Value of a request beyond its tenant's share, as a fraction of its class's weight.
         report_source: Where load reports come from.
-        report_columns: Names of the figures in a load report.
-        warm_keys: Whether a server that lately served a key serves it again with less work.
+        report_columns: Names of the values in a load report.
+        warm_keys: Whether a server that recently served a key serves it again with less work.
         limits: What the deployment permits.
-        rules: The figures of the deployment's rules.
-        prices: What extra traffic costs.
+        rules: Parameters of the deployment's rules.
+        prices: Costs of extra traffic.
     """
 
     classes: tuple[ServiceClass, ...]
@@ -261,17 +264,17 @@
 
     @staticmethod
     def from_mapping(mapping: Mapping[str, object]) -> Settings:
-        """Read settings from plain nested mappings, whose keys are the names of the fields.
+        """Read settings from plain nested mappings, whose keys are the field names.
 
         Args:
-            mapping: The mapping.  Keys that aren't known are skipped, and None counts as absent.
+            mapping: The mapping.  Unknown keys are ignored, and None counts as absent.
 
         Returns:
             The settings.
 
         Raises:
-            ConfigurationError: A value makes no sense; the message names its key.
+            ConfigurationError: A value is invalid; the message names its key.
         """
-        from sidecar.settings.parsing import parse_settings  # here, as that module needs this one
+        from sidecar.settings.parsing import parse_settings  # avoids a circular import
 
         return parse_settings(mapping)
--- a/sidecar/settings/parsing.py
+++ b/sidecar/settings/parsing.py
@@ -1,4 +1,4 @@
-"""Reads settings from plain nested mappings, field by field as the model declares them."""
+"""Reads settings from plain nested mappings, by the types and bounds that the model declares."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from sidecar.settings.model import POSITIVE, Bounds, Limits, Prices, Rules, ServiceClass, Settings, Tenant
 
 FIELD_NAMES = NameTable()
-"""The names of a mapping whose keys are the names of the fields."""
+"""The names of a mapping whose keys are the field names."""
 
 _Model = TypeVar("_Model")
 
@@ -22,15 +22,15 @@
     """Read settings from plain nested mappings.
 
     Args:
-        mapping: The mapping.  Keys that aren't known are skipped, and None counts as absent.
-        names: How the mapping names the fields.
+        mapping: The mapping.  Unknown keys are ignored, and None counts as absent.
+        names: The names that the mapping uses for the fields.
         path: Path of the mapping itself, for error messages.
 
     Returns:
         The settings.
 
     Raises:
-        ConfigurationError: A value makes no sense; the message names its key as the mapping has it.
+        ConfigurationError: A value is invalid; the message names its key as it is in the mapping.
     """
     reader = MappingReader(mapping, names, path)
     classes = tuple(_parse_service_class(section) for section in reader.sections("classes"))
@@ -54,7 +54,7 @@
 
 
 def _parse_service_class(reader: MappingReader) -> ServiceClass:
-    """Read a class of requests, whose latency target is its deadline at most, and by default."""
+    """Read a class of requests; its latency target is at most its deadline, which is also the default."""
     deadline_us = reader.integer("deadline_us", bounds=POSITIVE)
     latency_target_us = reader.integer("latency_target_us", default=deadline_us, bounds=POSITIVE)
     return _parse_fields(
@@ -75,12 +75,12 @@
 
 @dataclass(frozen=True, slots=True)
 class _FieldSpec:
-    """What the model declares of a field.
+    """The declaration of a field in the model.
 
     Attributes:
         value_type: Type of the value.
-        bounds: The values that a number may have.
-        default: Value of an absent field; None where it is required.
+        bounds: The range of a number.
+        default: Value of an absent field; None if the field is required.
     """
 
     value_type: object
@@ -88,7 +88,7 @@
     default: Any
 
     def read(self, reader: MappingReader, name: str) -> object:
-        """Read the field from a mapping, where it has this name."""
+        """Read the field from a mapping under a field name."""
         if self.value_type is bool:
             return reader.boolean(name, self.default)
         if self.value_type is int:
@@ -106,7 +106,7 @@
 
 @cache
 def _field_specs(model: type) -> dict[str, _FieldSpec]:
-    """Return what a dataclass of the model declares, by the name of the field."""
+    """Return the declarations of the fields of a model dataclass, by field name."""
     hints = get_type_hints(model, include_extras=True)
     specs = {}
     for model_field in fields(model):
@@ -119,8 +119,8 @@
 
 
 def _parse_fields(model: type[_Model], reader: MappingReader, **parsed: object) -> _Model:
-    """Make a dataclass of the model: from what was parsed already, and the other fields from a mapping."""
-    hashable_model: type = model  # mypy takes type[_Model] for unhashable
+    """Create a model dataclass from the values in `parsed`, and read its other fields from a mapping."""
+    hashable_model: type = model  # mypy considers type[_Model] unhashable
     values = {
         name: spec.read(reader, name)
         for name, spec in _field_specs(hashable_model).items()
--- a/sidecar/settings/wire_names.py
+++ b/sidecar/settings/wire_names.py
@@ -1,4 +1,4 @@
-"""The names that the simulator's wire and the configuration file have for settings."""
+"""The names of settings in the simulator's wire protocol and in the configuration file."""
 
 from __future__ import annotations
 
@@ -90,16 +90,16 @@
 
 
 def settings_from_wire(value: object) -> Settings:
-    """Read the settings object of the wire or of a configuration file.
+    """Read the settings object of the wire protocol or of a configuration file.
 
     Args:
-        value: The object.  Keys that aren't known are skipped, and null counts as absent.
+        value: The object.  Unknown keys are ignored, and null counts as absent.
 
     Returns:
         The settings.
 
     Raises:
-        ConfigurationError: A value makes no sense; the message names the path of its key, such as
+        ConfigurationError: A value is invalid; the message names the path of its key, such as
             `settings.guarantees.turnGapUs`.
     """
     return parse_settings(value, WIRE_NAMES, "settings")
--- a/sidecar/simulator/__init__.py
+++ b/sidecar/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts balancers on the wire of the operators' simulator."""
+"""Connects balancers to the operators' simulator by its wire protocol."""
--- a/sidecar/simulator/__main__.py
+++ b/sidecar/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the simulator's adapter: `python -m sidecar.simulator`."""
+"""Runs the adapter for the simulator: `python -m sidecar.simulator`."""
 
 import sys
 
--- a/sidecar/simulator/adapter.py
+++ b/sidecar/simulator/adapter.py
@@ -1,7 +1,7 @@
-"""Hosts balancers for the simulator: plays the events of a batch through them and replies with their actions.
+"""Hosts balancers for the simulator: passes them the events of each batch and replies with their actions.
 
-Run as `python -m sidecar.simulator`.  Input that breaks the wire's grammar ends the process with one line on
-standard error and exit code 2.
+Run as `python -m sidecar.simulator`.  If a line of input violates the wire protocol, the process writes one
+line to standard error and exits with code 2.
 """
 
 from __future__ import annotations
@@ -43,10 +43,10 @@
 
 
 class Adapter:
-    """Hosts independent balancers, the simulator's instances."""
+    """Hosts one independent balancer for each instance of the simulator."""
 
     def __init__(self) -> None:
-        """Begin without instances, between two batches."""
+        """Create an adapter without instances that expects the start of a batch."""
         self._balancers: dict[str, Balancer] = {}
         self._pages: dict[int, Sequence[Endpoint]] = {}
         self._now_us = 0
@@ -54,16 +54,16 @@
         self._reply_lines: list[str] = []
 
     def handle_line(self, line: str) -> list[str] | None:
-        """Take one line of input.
+        """Process one line of input.
 
         Args:
-            line: The line, with or without its end.
+            line: The line, with or without its newline.
 
         Returns:
-            At the end of a batch, the lines of its reply; otherwise None.
+            The lines of the reply at the end of a batch; otherwise None.
 
         Raises:
-            WireError: The wire does not allow the line here.
+            WireError: The line violates the wire protocol.
         """
         message = parse_line(line)
         if message.name == BATCH_START:
@@ -114,7 +114,7 @@
     def _deliver_event(self, instance: str, balancer: Balancer, event: Event) -> None:
         try:
             actions = balancer.handle(self._now_us, event)
-        except Exception as error:  # the wire has a message for a defect of the decisions
+        except Exception as error:  # reported to the simulator; the other instances go on
             self._reply_lines.append(encode_internal_error(instance, error))
             return
         for action in actions:
@@ -122,12 +122,12 @@
 
 
 def run(lines: Iterable[str], output: TextIO, error_output: TextIO) -> int:
-    """Play all lines of input.
+    """Process all lines of input.
 
     Args:
         lines: The input.
-        output: Gets the replies.
-        error_output: Gets a line about input that the wire does not allow, at which it ends.
+        output: Receives the replies.
+        error_output: Receives one line about the first invalid line of input, which ends the run.
 
     Returns:
         The exit code.
--- a/sidecar/simulator/codec.py
+++ b/sidecar/simulator/codec.py
@@ -1,7 +1,6 @@
-"""Decodes the lines of the simulator's wire into messages, and encodes actions into lines.
+"""The codec of the simulator's wire protocol: decodes lines into messages, and encodes actions into lines.
 
-Each line is a JSON array that starts with the name of its message.  Values beyond those known here are
-skipped.
+Each line is a JSON array that starts with the name of its message.  Additional values at its end are ignored.
 """
 
 from __future__ import annotations
@@ -87,13 +86,13 @@
     "revoked": Outcome.CANCELLED,
     "unused": Outcome.NOT_SENT,
 }
-# Flags of a request, by their bit.
+# Bits of a request's flags.
 _HAS_COST_HINT = 1
 _IS_CLIENT_RETRY = 2
 _IS_WRITE = 4
 
-_ALL_INSTANCES = -1  # the receiver of a message to all
-_MIN_ENDPOINT_VALUES = 6  # of an entry of an endpoint list, at least
+_ALL_INSTANCES = -1  # as the receiver of a message
+_MIN_ENDPOINT_VALUES = 6  # in an entry of an endpoint list
 _MAX_ERROR_TEXT_LENGTH = 500
 
 _EnumMember = TypeVar("_EnumMember")
@@ -105,15 +104,15 @@
     """A message whose values have not been checked.
 
     Attributes:
-        name: Its name.
-        values: All its values, of which the first is the name.
+        name: Name of the message.
+        values: All values of the message, the first of which is its name.
     """
 
     name: object
     values: list[object]
 
     def require(self, count: int) -> None:
-        """Raise MissingValuesError unless so many values, the name included, are there."""
+        """Raise MissingValuesError if there are fewer values than `count`, which includes the name."""
         if len(self.values) < count:
             raise MissingValuesError(self.name, count - 1, len(self.values) - 1)
 
@@ -122,16 +121,16 @@
 
 
 def parse_line(line: str) -> WireMessage:
-    """Read a line up to its name.
+    """Parse a line as a message without checking its values.
 
     Args:
-        line: The line, with or without its end.
+        line: The line, with or without its newline.
 
     Returns:
         The message, for `decode_batch_start` or `decode_message`.
 
     Raises:
-        WireError: The line is no message.
+        WireError: The line is not a message.
     """
     try:
         values = json.loads(line)
@@ -143,10 +142,10 @@
 
 
 def decode_batch_start(message: WireMessage) -> int:
-    """Return the clock time of a batch, in microseconds, from the message that starts it.
+    """Return the time of a batch in microseconds, from the message that starts it.
 
     Raises:
-        WireError: The message has other values.
+        WireError: The values of the message are invalid.
     """
     message.require(2)
     _, now_us, *_ = message.values
@@ -157,13 +156,13 @@
     """Decode a message inside a batch.
 
     Args:
-        message: A message other than the start and the end of a batch.
+        message: Any message except the start or the end of a batch.
 
     Returns:
         The decoded message.
 
     Raises:
-        WireError: The name is unknown, or the message has other values than it should.
+        WireError: The name is unknown, or the values of the message are invalid.
     """
     name = message.name
     if not isinstance(name, str):
@@ -273,7 +272,7 @@
     return MessageReceived(_integer(sender), _payload(payload))
 
 
-# By the message's name: how many values it has at least, the name included, and what decodes them.
+# By the name of the message: its minimum number of values, the name included, and their decoder.
 _EVENT_DECODERS: dict[str, tuple[int, Callable[[list[object]], Event]]] = {
     "WORK_ITEM": (9, _decode_request_arrived),
     "FIRST": (6, _decode_response_started),
@@ -360,13 +359,13 @@
         cell=_integer(cell),
         state=_enum_member(state, _SERVER_STATES),
         capacity_weight=float(_number(nominal)),
-        started_at=started_at or None,  # on the wire, 0 is long ago, too
+        started_at=started_at or None,  # like null, 0 means long ago
     )
 
 
 # -- Encoding
 
-# By the action's type: the message's name, and what gives its values after the instance's name.
+# By the type of the action: the name of its message, and the encoder of the values after the instance.
 _ACTION_ENCODERS: dict[type[Action], tuple[str, Callable[[Any], list[object]]]] = {
     SendAttempt: ("ASSIGN", lambda action: [action.request, action.server, action.deadline]),
     RejectRequest: ("NOT_NOW", lambda action: [action.request, action.retry_after_us]),
@@ -387,12 +386,12 @@
 
 
 def encode_action(instance: str, action: Action) -> str:
-    """Return the line, without its end, for an action of an instance."""
+    """Return the line, without its newline, for an action of an instance."""
     name, encode_values = _ACTION_ENCODERS[type(action)]
     return _encode_json([name, instance, *encode_values(action)])
 
 
 def encode_internal_error(instance: str, error: Exception) -> str:
-    """Return the line, without its end, for an exception in the decisions of an instance."""
+    """Return the line, without its newline, for an exception that the balancer of an instance raised."""
     text = f"{type(error).__name__}: {error}"[:_MAX_ERROR_TEXT_LENGTH]
     return json.dumps(["INTERNAL_ERROR", instance, text])
--- a/sidecar/simulator/messages.py
+++ b/sidecar/simulator/messages.py
@@ -1,6 +1,6 @@
-"""Messages of the simulator to its instances, decoded.
+"""Decoded messages from the simulator to its instances.
 
-Times are whole microseconds.  Like events, messages are slotted dataclasses to be treated as values.
+Times are whole microseconds.  Like events, messages are slotted dataclasses that are treated as immutable.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 @dataclass(slots=True)
 class EndpointPage:
-    """An endpoint list, to which later messages refer.
+    """An endpoint list to which later messages refer by its number.
 
     Attributes:
-        number: Number of the list; a later one with the same number replaces it.
-        endpoints: Its entries.
+        number: Number of the list; a later list with the same number replaces it.
+        endpoints: Entries of the list.
     """
 
     number: int
@@ -27,12 +27,12 @@
 
 @dataclass(slots=True)
 class InstanceStarted:
-    """An instance begins, with nothing learned.
+    """An instance starts, without any learned state.
 
     Attributes:
         instance: Name of the instance.
-        seed: Seed of its random choices.
-        settings: What it is told of its service.
+        seed: Seed of the balancer's random choices.
+        settings: Settings of the balancer.
     """
 
     instance: str
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class InstanceStopped:
-    """An instance ends, and what it learned is lost.
+    """An instance stops, and its learned state is lost.
 
     Attributes:
         instance: Name of the instance.
@@ -53,12 +53,12 @@
 
 @dataclass(slots=True)
 class RegistryUpdateReceived:
-    """An instance gets an endpoint list, or learns that a call for it failed.
+    """An instance receives an endpoint list, or its request for the list failed.
 
     Attributes:
         instance: Name of the instance.
-        kind: How the list is to be read.
-        page: Number of the list; None where a call failed.
+        kind: Whether the list is complete, a delta or cached, or the request failed.
+        page: Number of the list; None if the request failed.
         version: Version of the list.
     """
 
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True)
 class EventReceived:
-    """Any other event for an instance.
+    """Any other event of an instance.
 
     Attributes:
         instance: Name of the instance.
