--- a/sidecar/proxy/__init__.py
+++ b/sidecar/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The sockets round the decisions: bytes become events, actions become bytes."""
+"""The network side of the sidecar: it turns received bytes into events and actions into sent bytes."""
--- a/sidecar/proxy/active_requests.py
+++ b/sidecar/proxy/active_requests.py
@@ -1,4 +1,4 @@
-"""The requests that are in progress, and the request ids that are in use."""
+"""Tracks the requests that are in progress and the request ids that are in use."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
 
 @dataclass(slots=True, eq=False)
 class ActiveRequest:
-    """A request that is in progress: unanswered, or with attempts in flight.
+    """A request in progress: it has not been answered, or has attempts in flight.
 
     Attributes:
-        number: What the balancer knows it by.
-        client_request: The request as its client sent it.
-        deadline_us: Clock time by which it has to be answered.
-        answered: Whether its client has its answer or has disconnected.
-        attempts_sent: Count of its attempts so far, which are numbered from 0.
-        in_flight: The attempts that have not ended, by number; None while one is being started.
-        started_attempts: Numbers of the attempts of which a first byte was written.
-        deadline_timer: Fails the request at its deadline.
+        number: Identifies the request to the balancer.
+        client_request: The request as the client sent it.
+        deadline_us: Clock time by which the request has to be answered, in microseconds.
+        answered: Whether the client has been answered or has disconnected.
+        attempts_sent: Number of attempts so far; attempts are numbered from 0.
+        in_flight: The exchange of each attempt that has not ended, by the number of the attempt; None while
+            the attempt is being started.
+        started_attempts: Numbers of the attempts for which writing the request has begun.
+        deadline_timer: Fails the request at the deadline.
     """
 
     number: int
@@ -37,16 +38,16 @@
     deadline_timer: asyncio.TimerHandle | None = None
 
     def exchanges_in_flight(self) -> list[Exchange]:
-        """Return the exchanges of its attempts in flight, as a copy."""
+        """Return a new list of the exchanges of the attempts in flight."""
         return [exchange for exchange in self.in_flight.values() if exchange is not None]
 
     def has_other_attempt_started(self, attempt: int) -> bool:
-        """Return whether a first byte of another attempt than this one was written."""
+        """Return whether writing the request has begun for an attempt other than the given one."""
         return bool(self.started_attempts - {attempt})
 
 
 class ActiveRequests:
-    """The table of requests in progress, by the balancer's number and by the client's request."""
+    """The requests in progress, indexed by the balancer's number and by the client's request."""
 
     def __init__(self) -> None:
         self._numbers = itertools.count(1)
@@ -61,7 +62,7 @@
         return iter(self._by_number.values())
 
     def add(self, client_request: ClientRequest, deadline_us: int) -> ActiveRequest:
-        """Add a request with a number of its own; its id is in use from now on."""
+        """Add a request under a new number, and mark its id as in use."""
         request = ActiveRequest(next(self._numbers), client_request, deadline_us)
         self._by_number[request.number] = request
         self._unanswered[client_request] = request
@@ -69,31 +70,33 @@
         return request
 
     def get(self, number: int | None) -> ActiveRequest | None:
-        """Return the request with this number, if it is in progress."""
+        """Return the request with this number, or None if it is not in progress."""
         return self._by_number.get(number) if number is not None else None
 
     def unanswered(self) -> list[ActiveRequest]:
-        """Return the requests whose clients wait for an answer."""
+        """Return the requests whose clients are waiting for an answer."""
         return list(self._unanswered.values())
 
     def is_id_in_use(self, request_id: str) -> bool:
-        """Return whether a request with this id is in progress, or may have run just now."""
+        """Return whether a request with this id is in progress, or may have been executed recently."""
         return request_id in self._ids_in_use
 
     def pop_unanswered(self, client_request: ClientRequest) -> ActiveRequest | None:
-        """Remove a request from those that wait for an answer; return it if it did wait."""
+        """Remove a request from the unanswered ones; return it, or None if it was not among them."""
         return self._unanswered.pop(client_request, None)
 
     def remove_if_finished(self, request: ActiveRequest) -> None:
-        """Remove a request that is answered and has no attempt in flight."""
+        """Remove a request if it has been answered and has no attempt in flight."""
         if request.answered and not request.in_flight:
             self._by_number.pop(request.number, None)
             self._release_id(request)
 
     def _release_id(self, request: ActiveRequest) -> None:
-        """Let a request's id be used again; where it may run but once, not before its client gives up.
+        """Allow the id of a request to be reused.
 
-        Guards against a client whose connection broke under the answer: it may send the same request again.
+        The id of a request that may have been executed and is not safe to repeat stays in use until the
+        client has given up.  A client whose connection broke before the response arrived may send the same
+        request again, which must not be executed a second time.
         """
         service_class = request.client_request.service_class
         request_id = request.client_request.request_id
--- a/sidecar/proxy/client_connection.py
+++ b/sidecar/proxy/client_connection.py
@@ -35,7 +35,8 @@
 log = logging.getLogger(__name__)
 
 _READINESS_PATH = b"/health/ready"
-# Discarded behind a rejected request or far ahead of a response, so that the response arrives.
+# Data that is read and discarded after a rejected request, or beyond the limit on pipelined data, so that
+# unread data does not reset the connection before the client has received the response.
 _MAX_DISCARDED_BYTES = 128 * MAX_BODY_BYTES
 _REASON_PHRASES: dict[int, bytes] = {
     status: status.phrase.encode()
@@ -49,12 +50,12 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the frontend that has accepted it.
+    """The interface of the frontend that a connection uses.
 
     Attributes:
-        handler: Takes its requests.
-        settings: In force for requests read from now on.
-        draining: Whether connections end with the response in hand.
+        handler: Handles the requests.
+        settings: The settings for requests that are read from now on.
+        draining: Whether each connection is closed after its current response.
     """
 
     handler: RequestHandler
@@ -62,20 +63,20 @@
     draining: bool
 
     def connection_opened(self, connection: ClientConnection, sock: socket.socket) -> None:
-        """Take note that a connection has been set up on an accepted socket."""
+        """Register a connection that has been set up on an accepted socket."""
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Take note that a connection has ended."""
+        """Unregister a connection that has been closed."""
 
     def change_state(self, connection: ClientConnection, state: ConnectionState) -> None:
-        """Set a connection's state."""
+        """Change the state of a connection."""
 
 
 class ClientConnection(SharedBufferProtocol):
-    """One connection of a client; it carries one request at a time.
+    """A connection from a client; it carries one request at a time.
 
     Attributes:
-        state: What it is doing; only the connection table sets it.
+        state: The current state; only the connection table changes it.
     """
 
     def __init__(
@@ -84,27 +85,27 @@
         """Create a connection for an accepted socket.
 
         Args:
-            owner: Has accepted it.
-            sock: The socket.
-            connected_after: No byte has arrived before this time, in seconds of the event loop's clock.
-            shed_load: Reject the first request, whatever it is.
+            owner: The frontend that accepted the connection.
+            sock: The accepted socket.
+            connected_after: Event loop time before which no data can have arrived, in seconds.
+            shed_load: Reject the first API request because of overload.
         """
         self.state = ConnectionState.READING
         self._owner = owner
         self._sock = sock
         self._shed_load = shed_load
-        self._earliest_arrival = connected_after  # the data read next arrived after this time
-        self._was_queued_with_data = False  # the data read first waited in the accept queue
+        self._earliest_arrival = connected_after  # event loop time; the next data read arrived later
+        self._was_queued_with_data = False  # the first data arrived before the setup
         self._reader = RequestReader(self._write)
         self._transport: asyncio.Transport | None = None
-        self._request: ClientRequest | None = None  # in flight
-        self._write_blocked = False  # the last response is not all written yet
-        self._discarded_bytes: int | None = None  # read after the last request; None: requests are read
+        self._request: ClientRequest | None = None  # the request in flight
+        self._write_blocked = False  # the last response has not been fully written
+        self._discarded_bytes: int | None = None  # None while data is parsed
 
     # -- asyncio protocol -----------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to read."""
+        """Register the connection once its transport is ready."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._was_queued_with_data = self.has_unread_data()
@@ -112,22 +113,22 @@
         self._owner.connection_opened(self, self._sock)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Give up the request in flight."""
+        """Drop the request in flight."""
         self._owner.connection_closed(self)
         self._abandon_request()
 
     def eof_received(self) -> bool:
-        """Close: a client that ends its side has gone away."""
+        """Close the connection: a half-closed connection counts as disconnected."""
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Read a request, or look at what is pipelined behind the one in flight."""
+        """Read a request, or examine the data pipelined behind the one in flight."""
         if self._discarded_bytes is not None:
             self._discard(len(data))
             return
         if self._request is None and has_peer_closed(self._sock):
-            # The client has left while its request waited unread.  Guards a busy proxy against work for
-            # clients that gave up, which would delay others until they give up, too.
+            # The client disconnected while its request waited to be read.  Handling such requests under load
+            # would delay the requests of other clients until those clients give up as well.
             self.abort()
             return
         self._record_arrival()
@@ -140,11 +141,11 @@
             self._limit_pipelined()
 
     def pause_writing(self) -> None:
-        """Take note that the response is not all written yet."""
+        """Record that the response has not been fully written; called by the transport."""
         self._write_blocked = True
 
     def resume_writing(self) -> None:
-        """Go on, as the response is written."""
+        """Continue now that the response has been fully written; called by the transport."""
         self._write_blocked = False
         if self._request is None and self._discarded_bytes is None:
             self._read_next_request()
@@ -154,45 +155,52 @@
     # -- Responder ------------------------------------------------------------------------------------
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write a complete response at once; the connection goes on if its framing allows."""
+        """Write a complete response, and keep the connection open where possible."""
         self._respond(status, headers, body)
 
     def is_disconnected(self) -> bool:
-        """Whether nobody waits for a response here, even if the close has not been read yet."""
+        """Return whether the connection is closed, even if a close by the client has not been read yet."""
         return self._transport is None or self._transport.is_closing() or has_peer_closed(self._sock)
 
     # -- State ----------------------------------------------------------------------------------------
 
     def has_unread_data(self) -> bool:
-        """Whether the kernel holds data, an end or an error that has not been read yet."""
+        """Return whether the kernel holds data, an end of stream or an error that has not been read yet."""
         return not is_receive_queue_empty(self._sock)
 
     def has_partial_request(self) -> bool:
-        """Whether a part of a request has been read that has no response yet."""
+        """Return whether part of a request without a response has been read."""
         return self._reader.has_partial_request()
 
     def can_close_safely(self) -> bool:
-        """Whether a close cuts no response short, unwritten or by a reset over unread data."""
+        """Return whether a close would not truncate a response.
+
+        A response is truncated if it has not been fully written, or if a close with unread data resets the
+        connection.
+        """
         return not self._write_blocked and not self.has_unread_data()
 
     def is_idle(self) -> bool:
-        """Whether it may be closed: no request is in flight, partly read or unread."""
+        """Return whether the connection may be closed: no request is in flight, partly read or unread."""
         if self.state not in (ConnectionState.READING, ConnectionState.IDLE):
             return False
         return not self.has_partial_request() and not self.has_unread_data()
 
     def close(self) -> None:
-        """Close it once all is written."""
+        """Close the connection once all data has been written."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Close it at once."""
+        """Close the connection immediately; data that has not been written is lost."""
         if self._transport is not None:
             self._transport.abort()
 
     def on_state_timeout(self) -> None:
-        """End it, unless data that has just arrived is about to change its state."""
+        """End the connection, unless unread data is about to change its state.
+
+        Called when the time limit of the current state has passed, and during a graceful shutdown.
+        """
         if self.state is ConnectionState.CLOSING:
             self.abort()
         elif self._request is not None:
@@ -205,7 +213,7 @@
     # -- Reading --------------------------------------------------------------------------------------
 
     def _record_arrival(self) -> None:
-        """Record when the data can have arrived; for pipelined data, when the first of it can have."""
+        """Record the earliest time at which the data can have arrived; for pipelined data, its first byte."""
         if (self._request is not None or self._write_blocked) and self._reader.unread:
             return
         if not self._was_queued_with_data:
@@ -213,12 +221,15 @@
         self._was_queued_with_data = False
 
     def _waited_us(self) -> int:
-        """How long the request may have waited to be read, while its client's time ran."""
+        """Return how long the request may have waited to be read, in microseconds; 0 if negligible.
+
+        The client's time budget was running during that wait.
+        """
         waited_s = asyncio.get_running_loop().time() - self._earliest_arrival
         return int(waited_s * 1e6) if waited_s > NEGLIGIBLE_WAIT_S else 0
 
     def _read(self) -> None:
-        """Read up to the end of one request and handle it."""
+        """Read at most one request, and handle it once it is complete."""
         try:
             request = self._reader.read()
             if request is not None:
@@ -227,8 +238,8 @@
             self._reject(error)
         except h11.RemoteProtocolError as error:
             self._reject(MalformedRequestError(str(error)))
-        except Exception:  # a defect, which fails this request and no other
-            log.exception("a request could not be handled")
+        except Exception:  # a defect in this program must fail only this request
+            log.exception("unexpected error while handling a request")
             self._fail_unhandled()
         if self.state is ConnectionState.IDLE and self.has_partial_request():
             self._owner.change_state(self, ConnectionState.READING)
@@ -237,14 +248,14 @@
         if self._reader.has_head:
             self._reject(InternalError())
         else:
-            self._half_close()  # it has its response, maybe not yet to the last byte
+            self._half_close()  # the response was already sent, though maybe not fully written
 
     def _look_ahead(self) -> None:
         """Examine the data pipelined behind the request in flight."""
         try:
             is_complete = self._reader.is_next_complete()
         except h11.RemoteProtocolError as error:
-            log.info("connection will close after its response: %s", error)
+            log.info("client connection will close after its response: malformed pipelined data: %s", error)
             self._discarded_bytes = 0
             self._owner.change_state(self, ConnectionState.READING_PIPELINED)
             return
@@ -253,9 +264,9 @@
         self._limit_pipelined()
 
     def _limit_pipelined(self) -> None:
-        """Discard what is pipelined beyond a limit; the connection ends with the response that is due.
+        """Start to discard pipelined data beyond the limit; the connection closes after the current response.
 
-        It is read all the same: behind unread data, the client's close would not be noticed.
+        The data is still read, because a close by the client would go unnoticed behind unread data.
         """
         if len(self._reader.unread) > MAX_BODY_BYTES:
             self._discarded_bytes = 0
@@ -265,12 +276,12 @@
         if self._discarded_bytes <= _MAX_DISCARDED_BYTES:
             return
         if self._request is not None:
-            self._fail_in_flight()  # the data has no end, and a close behind it would not be noticed
+            self._fail_in_flight()  # the client keeps sending, so a close could never be noticed
         elif self._transport is not None:
             self._transport.pause_reading()
 
     def _read_next_request(self) -> None:
-        """Turn to the data pipelined behind the request that has its response."""
+        """Read the next request from the data pipelined behind the answered one."""
         if self._transport is None or self._transport.is_closing():
             return
         if self._request is not None or self._write_blocked:
@@ -279,14 +290,14 @@
         self._read()
 
     def _become_idle(self) -> None:
-        """Leave the request in flight; the time limit of a partly read pipelined one runs on."""
+        """Enter the idle state, unless a pipelined request is partly read: its time limit keeps running."""
         if self.state is not ConnectionState.READING_PIPELINED or not self.has_partial_request():
             self._owner.change_state(self, ConnectionState.IDLE)
 
     # -- Handling -------------------------------------------------------------------------------------
 
     def _handle(self, received: ReceivedRequest) -> None:
-        """Answer a request here or hand it to the handler."""
+        """Answer a request directly or dispatch it to the handler."""
         self._owner.change_state(self, ConnectionState.IN_FLIGHT)
         path = received.path
         if path == _READINESS_PATH:
@@ -305,14 +316,14 @@
         self._respond(HTTPStatus.OK if is_ready else HTTPStatus.SERVICE_UNAVAILABLE, [], b"")
 
     def _shed(self, received: ReceivedRequest) -> None:
-        """Reject a request for lack of capacity, unless its id shows that it may be running."""
+        """Reject a request because of overload, unless one with the same id may be running."""
         self._check_request_id(received.request_id)
         limits = self._owner.settings.limits
         wait_us = limits.max_retry_after_us if limits.retry_after else 0
         self._respond(HTTPStatus.SERVICE_UNAVAILABLE, retry_after_header(wait_us), b"", close=True)
 
     def _dispatch(self, request: ClientRequest) -> None:
-        """Hand a request to the handler, unless its budget was used up before it was read."""
+        """Pass a request to the handler, or reject it if its budget expired before it was read."""
         waited_us = self._waited_us()
         if waited_us and request.budget_us <= waited_us:
             self._respond(HTTPStatus.SERVICE_UNAVAILABLE, [], b"")
@@ -322,7 +333,13 @@
         self._owner.handler.handle_request(request)
 
     def _check_request_id(self, request_id: str) -> None:
-        """Reject what may be running: forwarding it is not safe, nor is a 503, which invites a retry."""
+        """Check that no request with the same id may be running.
+
+        Otherwise neither forwarding the request nor a 503 response, which invites a retry, is safe.
+
+        Raises:
+            RequestIdInUseError: A request with this id is in progress, or may have been executed recently.
+        """
         if self._owner.handler.is_request_id_in_use(request_id):
             raise RequestIdInUseError
 
@@ -334,15 +351,15 @@
     # -- Responding -----------------------------------------------------------------------------------
 
     def _reject(self, error: BadRequestError) -> None:
-        """Reject the request and end the connection: nothing more is expected of this client."""
+        """Reject the request and close the connection; anything else that the client sends is discarded."""
         log.info("request rejected: %s", error)
         self._abandon_request()
         headers = [(b"Content-Type", b"text/plain")]
         self._respond(error.status, headers, f"{error}\n".encode(), close=True)
 
     def _fail_in_flight(self) -> None:
-        """Fail the request in flight and end the connection of a client that breaks the protocol."""
-        log.info("connection closed: no complete request behind the one in flight")
+        """Fail the request in flight and close the connection because of invalid data behind the request."""
+        log.info("closing client connection: incomplete request pipelined behind the one in flight")
         self._abandon_request()
         self._respond(HTTPStatus.INTERNAL_SERVER_ERROR, [], b"", close=True)
 
@@ -365,13 +382,13 @@
             self._keep_alive()
 
     def _must_close(self) -> bool:
-        """Whether the connection ends with the response that is due."""
+        """Return whether the connection has to be closed after the current response."""
         if self._discarded_bytes is not None or not self._reader.is_complete:
             return True
-        return self._owner.draining and not self._reader.unread  # what was read gets a response, too
+        return self._owner.draining and not self._reader.unread  # a pipelined request gets a response, too
 
     def _keep_alive(self) -> None:
-        """Go on behind a response."""
+        """Keep the connection open after a response, and read the next request."""
         self._reader.start_next()
         if self._write_blocked:
             self._owner.change_state(self, ConnectionState.CLOSING)
@@ -381,7 +398,10 @@
             asyncio.get_running_loop().call_soon(self._read_next_request)
 
     def _half_close(self) -> None:
-        """End this side and discard what still arrives: a close over unread data would reset the response."""
+        """Half-close the connection and discard the data that still arrives.
+
+        Closing it with unread data would reset the connection, and the client might lose the response.
+        """
         if self._transport is None or self._transport.is_closing():
             return
         self._discarded_bytes = 0
@@ -389,7 +409,7 @@
         try:
             self._transport.write_eof()
         except OSError:
-            self.abort()  # the client has closed, which has reset the response already
+            self.abort()  # the client has already reset the connection
 
     def _write(self, data: bytes) -> None:
         if self._transport is not None:
--- a/sidecar/proxy/client_request.py
+++ b/sidecar/proxy/client_request.py
@@ -1,4 +1,4 @@
-"""A client's request: parsed from its headers, checked against the settings, handled by the driver."""
+"""Client requests: parsing them, checking them against the settings, and the interface of their handler."""
 
 from __future__ import annotations
 
@@ -23,8 +23,9 @@
 
 API_PATH = b"/api"
 _MAX_REQUEST_ID_LENGTH = 256  # characters
-_BUDGET_TOLERANCE = 1.1  # a budget may exceed its class's deadline by rounding, no more
-_SINGLE_VALUED_HEADERS = frozenset(  # given twice, these may mean one thing here and another to a server
+_BUDGET_TOLERANCE = 1.1  # factor by which rounding may make a budget exceed the deadline of its class
+# A duplicate of one of these could be interpreted differently here and by a server.
+_SINGLE_VALUED_HEADERS = frozenset(
     (
         b"x-call-id",
         b"x-call-class",
@@ -36,18 +37,18 @@
     )
 )
 _REQUIRED_HEADERS = (b"x-call-id", b"x-call-class", b"x-budget")
-_UNFORWARDED_HEADERS = (b"content-length", b"x-budget", b"expect")  # beside the hop-by-hop headers
+_UNFORWARDED_HEADERS = (b"content-length", b"x-budget", b"expect")  # in addition to the hop-by-hop headers
 _NUMBER_PATTERN = re.compile(r"[0-9]{1,10}(\.[0-9]{1,9})?", re.ASCII)
 
 
 class Responder(Protocol):
-    """The way back to the client of one request."""
+    """Sends the response of one request to its client."""
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write the response, at once and complete; call this once for each request."""
+        """Write the complete response; to be called once for each request."""
 
     def is_disconnected(self) -> bool:
-        """Whether the client has closed its connection, even if the event loop has not read that yet."""
+        """Return whether the connection is closed, even if a close by the client has not been read yet."""
 
 
 @dataclass(slots=True, eq=False)
@@ -56,17 +57,17 @@
 
     Attributes:
         method: The HTTP method.
-        target: Path and query.
-        headers: Those that are forwarded.
+        target: The path and the query.
+        headers: The headers to forward.
         body: The complete body.
-        request_id: Unique among the requests in flight.
-        service_class: As in the settings when the request arrived.
-        tenant: Who asks, where the settings list tenants.
-        key: Identifies the data that the request is about, for cache affinity and ordering.
-        budget_us: What was left of the client's time when the request arrived, in microseconds.
-        cost_us: The client's estimate of the work, in microseconds.
+        request_id: The client's id of the request, unique among the requests in flight.
+        service_class: The service class, as in the settings when the request arrived.
+        tenant: The tenant that sent the request; None if it has not named one or the settings list none.
+        key: Identifies the data that the request is about, for cache affinity and ordering, if any.
+        budget_us: The remaining time budget when the request arrived, in microseconds.
+        cost_us: The client's estimate of the processing time, in microseconds; None if it gave none.
         is_retry: Whether the client has sent this request before.
-        responder: Takes the response.
+        responder: Sends the response to the client.
     """
 
     method: bytes
@@ -84,29 +85,35 @@
 
 
 class RequestHandler(Protocol):
-    """Handles the requests that the proxy's client side has read."""
+    """Handles the requests that have been read from client connections."""
 
     def handle_request(self, request: ClientRequest) -> None:
-        """Take a request, which is answered by its responder later."""
+        """Process a request, which is answered later through its responder."""
 
     def handle_disconnect(self, request: ClientRequest) -> None:
-        """Take note that the client of a request has gone away."""
+        """Process the disconnect of the client of a request."""
 
     def is_request_id_in_use(self, request_id: str) -> bool:
-        """Whether a request with this id is in flight, or may have been executed recently."""
+        """Return whether a request with this id is in progress, or may have been executed recently."""
 
     def is_ready(self) -> bool:
-        """Whether the proxy is ready for requests."""
+        """Return whether the proxy is ready for requests."""
 
 
 def retry_after_header(wait_us: int) -> Headers:
-    """The header that tells a rejected client when to retry; none for a wait of 0 microseconds."""
+    """Return the Retry-After header for a wait in microseconds; no header for a wait of 0."""
     return [(b"Retry-After", b"%.3f" % (wait_us / 1e6))] if wait_us else []
 
 
 def parse_request(head: h11.Request, body: bytes, settings: Settings, responder: Responder) -> ClientRequest:
     """Parse a request and check it against the settings.
 
+    Args:
+        head: The request line and the headers.
+        body: The complete body.
+        settings: The settings to check against.
+        responder: Sends the response to the client.
+
     Raises:
         BadRequestError: The request is malformed or not allowed.
     """
@@ -161,13 +168,13 @@
     if is_safe and request.body:
         raise UnexpectedBodyError
     if service_class.idempotency is Idempotency.KEYED and not has_idempotency_key:
-        raise MissingHeaderError("idempotency-key")  # servers could not deduplicate its attempts
+        raise MissingHeaderError("idempotency-key")  # without it, servers could not deduplicate the attempts
     if request.budget_us > _BUDGET_TOLERANCE * service_class.deadline_us:
         raise BudgetTooLongError
 
 
 def _check_tenant(request: ClientRequest, settings: Settings) -> None:
-    """Reject unknown tenants where the settings list any; otherwise ignore the name."""
+    """Reject an unknown tenant if the settings list tenants; otherwise clear the tenant."""
     if not settings.tenants:
         request.tenant = None
     elif request.tenant is not None and all(each.name != request.tenant for each in settings.tenants):
@@ -181,7 +188,7 @@
 
 
 def _parse_key(target: bytes) -> int | None:
-    """The last part of the path as a number, whatever characters it has."""
+    """Return the last path segment as a number, from hexadecimal digits or else from its bytes, if any."""
     last = target.partition(b"?")[0].removeprefix(API_PATH).rpartition(b"/")[2]
     if not last:
         return None
--- a/sidecar/proxy/clock.py
+++ b/sidecar/proxy/clock.py
@@ -1,4 +1,4 @@
-"""The clock of the balancer: Unix time that never steps."""
+"""The clock of the balancer: Unix time without the steps of the wall clock."""
 
 from __future__ import annotations
 
@@ -6,7 +6,10 @@
 
 
 class Clock:
-    """Unix time in microseconds, anchored once: monotonic, and comparable with the registry's `since_ms`."""
+    """Unix time in microseconds, read once and then advanced by the monotonic clock.
+
+    It never steps, and is comparable with the registry's `since_ms`.
+    """
 
     def __init__(self) -> None:
         self._offset_us = time.time_ns() // 1000 - time.monotonic_ns() // 1000
@@ -16,5 +19,5 @@
         return time.monotonic_ns() // 1000 + self._offset_us
 
     def to_loop_time(self, at_us: int) -> float:
-        """Return a clock time as the event loop counts it, in seconds."""
+        """Convert a time of this clock, in microseconds, to event loop time in seconds."""
         return (at_us - self._offset_us) / 1e6
--- a/sidecar/proxy/connection_state.py
+++ b/sidecar/proxy/connection_state.py
@@ -1,4 +1,4 @@
-"""The states of a client's connection and how long it may stay in each."""
+"""The states of a client connection, and their time limits."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class ConnectionState(Enum):
-    """What a client's connection is doing.
+    """The state of a client connection.
 
     Attributes:
-        READING: New, or a request has begun to arrive.
-        IN_FLIGHT: A request has been read and has no response yet.  It alone has no time limit here: the
-            request has a deadline of its own.
-        READING_PIPELINED: Part of a request, or malformed data, arrived behind a request in flight, which
-            may have been answered by now.
-        IDLE: Has carried requests, and no further one has begun to arrive.
+        READING: The connection is new, or a request has begun to arrive.
+        IN_FLIGHT: A request has been read and not been answered.  Only this state has no time limit, as the
+            request has its own deadline.
+        READING_PIPELINED: Part of a request, or malformed data, has arrived behind a request in flight,
+            which may have been answered since.
+        IDLE: The connection has carried requests, and no further one has begun to arrive.
         CLOSING: The last response is still being delivered.
     """
 
--- a/sidecar/proxy/connection_table.py
+++ b/sidecar/proxy/connection_table.py
@@ -1,4 +1,4 @@
-"""The clients' connections by state: their time limits, their number and what is closed to accept more."""
+"""The table of client connections by state: it enforces their time limits and their number."""
 
 from __future__ import annotations
 
@@ -12,8 +12,9 @@
 from sidecar.proxy.overload import OverloadDetector
 
 _SWEEP_INTERVAL_S = 0.1
-_NEW_CONNECTION_AGE_S = 0.1  # the request of a younger connection may be in transit: others are closed first
-_MAX_EVICTION_CANDIDATES = 4  # connections of one state that are examined for one to close
+# The request of a younger connection may be in transit, so other connections are evicted first.
+_NEW_CONNECTION_AGE_S = 0.1
+_MAX_EVICTION_CANDIDATES = 4  # connections of one state that are examined for eviction
 
 
 class ConnectionTable:
@@ -25,52 +26,52 @@
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
-        self._max_idle = max(capacity // 3, 1)  # clients may keep connections that they never use again
-        # Each connection with the time since when it has been in its state, the longest first.
+        self._max_idle = max(capacity // 3, 1)  # clients may keep idle connections that they never use again
+        # The connections in each state, with the event loop time at which they entered it, oldest first.
         self._by_state: dict[ConnectionState, dict[ClientConnection, float]] = {
             state: {} for state in ConnectionState
         }
-        self._pending: set[socket.socket] = set()  # accepted, with no transport yet
+        self._pending: set[socket.socket] = set()  # accepted sockets that have no transport yet
         self._overload = OverloadDetector(capacity)
-        self._silent: set[ClientConnection] = set()  # have had time to send a byte and sent none
+        self._silent: set[ClientConnection] = set()  # have not sent a byte although they had time to
         self._sweep_due = 0.0
 
     @property
     def connections(self) -> list[ClientConnection]:
-        """All connections, in any state."""
+        """The connections in all states."""
         return [connection for connections in self._by_state.values() for connection in connections]
 
     def count(self) -> int:
-        """The number of connections, including those still being set up."""
+        """Return the number of connections, including those still being set up."""
         return sum(map(len, self._by_state.values())) + len(self._pending)
 
     def is_full(self) -> bool:
-        """Whether the capacity is used up."""
+        """Return whether the capacity is used up."""
         return self.count() >= self.capacity
 
     # -- Entries --------------------------------------------------------------------------------------
 
     def reserve(self, sock: socket.socket) -> None:
-        """Count an accepted socket, which has no connection yet."""
+        """Reserve capacity for an accepted socket that has no connection yet."""
         self._pending.add(sock)
 
     def release(self, sock: socket.socket) -> bool:
-        """Stop counting an accepted socket; return whether it was still counted."""
+        """Release the capacity reserved for an accepted socket; return whether it was still reserved."""
         was_pending = sock in self._pending
         self._pending.discard(sock)
         return was_pending
 
     def add(self, connection: ClientConnection) -> None:
-        """Track a connection from now on, in the state that it has."""
+        """Start tracking a connection in its current state."""
         self._by_state[connection.state][connection] = asyncio.get_running_loop().time()
 
     def remove(self, connection: ClientConnection) -> None:
-        """Forget a connection, if it is known."""
+        """Stop tracking a connection, if it is tracked."""
         self._by_state[connection.state].pop(connection, None)
         self._silent.discard(connection)
 
     def change_state(self, connection: ClientConnection, state: ConnectionState) -> None:
-        """Set a connection's state and start its time limit; the state that it has already goes on."""
+        """Change the state of a connection and start its time limit; no effect if it is in that state."""
         if connection.state is state or connection not in self._by_state[connection.state]:
             return
         self.remove(connection)
@@ -90,7 +91,7 @@
     # -- Time limits ----------------------------------------------------------------------------------
 
     def schedule_sweep(self) -> None:
-        """Enforce the time limits from now on, at regular intervals."""
+        """Start enforcing the time limits at regular intervals."""
         self._sweep_due = asyncio.get_running_loop().time() + _SWEEP_INTERVAL_S
         asyncio.get_running_loop().call_at(self._sweep_due, self._sweep)
 
@@ -105,27 +106,28 @@
         loop = asyncio.get_running_loop()
         for connection, since in list(self._by_state[state].items()):
             if since + limit_s > loop.time():
-                return  # those behind it came later
+                return  # the following connections entered the state later
             connection.on_state_timeout()
 
     # -- Capacity -------------------------------------------------------------------------------------
 
     def is_overloaded(self) -> bool:
-        """Whether the CPU falls behind with the connections that carry requests.
+        """Return whether the CPU cannot keep up with the connections that carry requests.
 
-        Guards against responses that are all late: requests in flight are answered in time, and those on new
-        connections are rejected unread, for a fraction of what a decision costs.  If these connections were
-        closed without a response, more than a few requests would be lost.  Drawback: a short pause of the
-        machine with many connections open rejects some requests, too.
+        Under overload, requests on new connections are rejected without a decision by the balancer, at a
+        fraction of its cost, so that requests in flight are answered in time; otherwise all responses would
+        be late.  Closing the new connections without a response would lose more than a few requests.
+        Drawback: a short pause of the machine while many connections are open also causes some rejections.
         """
         idle = len(self._by_state[ConnectionState.IDLE]) + len(self._by_state[ConnectionState.CLOSING])
         return self._overload.is_overloaded(self.count() - idle - len(self._silent))
 
     def evict_one(self) -> bool:
-        """Abort a connection without a request in flight to make capacity; return whether there was one.
+        """Abort a connection without a request in flight to free capacity; return whether there was one.
 
-        First come those with their last response written, then those that have sent nothing, then the longest
-        idle.  New connections are spared while there are others: their requests may be on their way.
+        Connections whose last response has been written are evicted first, then those that have not sent a
+        complete request, then the longest idle.  New connections are evicted last, as their requests may be
+        in transit.
         """
         chosen = self._choose_eviction()
         if chosen is None:
@@ -147,14 +149,14 @@
     def _find_without_unread_data(
         self, state: ConnectionState, entered_before: float = math.inf
     ) -> ClientConnection | None:
-        """The longest in a state, and since before a time, without unread data."""
+        """Return the connection longest in a state that has no unread data and entered it before a time."""
         for connection, since in islice(self._by_state[state].items(), _MAX_EVICTION_CANDIDATES):
             if since < entered_before and not connection.has_unread_data():
                 return connection
         return None
 
     def _find_silent(self) -> set[ClientConnection]:
-        """The connections that have had time to send a first byte and have not.
+        """Return the connections that have not sent a byte although they had time to.
 
         The event loop reads sockets before it runs timers, so these have no unread data either.
         """
--- a/sidecar/proxy/driver.py
+++ b/sidecar/proxy/driver.py
@@ -1,6 +1,6 @@
-"""The driver: hands events to the balancer and carries its actions out.  It makes no decisions of its own.
+"""The driver: passes events to the balancer and carries out its actions.
 
-Nothing is awaited between a decision and its effect.
+It makes no decisions of its own, and awaits nothing between a decision and its effect.
 """
 
 from __future__ import annotations
@@ -42,28 +42,30 @@
 
 log = logging.getLogger(__name__)
 
-RESERVED_DESCRIPTORS = 64  # for the registry, logs and the runtime; clients and servers share the others
+RESERVED_DESCRIPTORS = (
+    64  # for the registry, logs and the runtime; client and server connections share the rest
+)
 
 
 class UnsupportedActionError(TypeError):
-    """The balancer asked for an action that a sidecar doesn't carry out."""
+    """The balancer requested an action that a sidecar does not support."""
 
     def __init__(self, action: object) -> None:
-        super().__init__(f"a sidecar carries out no {type(action).__name__}")
+        super().__init__(f"unsupported action: {type(action).__name__}")
 
 
 class Sidecar:
-    """One sidecar: a balancer, and what serves clients and reaches servers and the registry for it.
+    """One sidecar: a balancer, and the components that talk to clients, servers and the registry.
 
     Attributes:
-        frontend: The connections of the application.
+        frontend: Accepts the client connections.
     """
 
     def __init__(self, config: Config) -> None:
         """Open the listening socket.
 
         Raises:
-            OSError: The address to listen at can't be used.
+            OSError: The listening socket can't be opened.
         """
         self._settings = settings = config.settings
         self._cached_endpoints = config.cached_endpoints
@@ -96,11 +98,11 @@
         await self._pool.close()
 
     async def drain(self) -> None:
-        """Shut down gracefully: answer all requests that were accepted or still arrive, before SIGKILL."""
+        """Shut down gracefully: answer all accepted and newly arriving requests before SIGKILL."""
         await GracefulShutdown(self._settings, self.frontend, self._active, self._requests).run()
 
     def handle_request(self, request: ClientRequest) -> None:
-        """Process a new request, which is answered later."""
+        """Process a new request; it is answered later."""
         self._requests.handle_request(request)
 
     def handle_disconnect(self, request: ClientRequest) -> None:
@@ -108,18 +110,18 @@
         self._requests.handle_disconnect(request)
 
     def is_request_id_in_use(self, request_id: str) -> bool:
-        """Return whether a request with this id is in progress, or may have run just now."""
+        """Return whether a request with this id is in progress, or may have been executed recently."""
         return self._active.is_id_in_use(request_id)
 
     def is_ready(self) -> bool:
-        """Return whether it is ready for requests."""
+        """Return whether the sidecar is ready for requests."""
         return self._lag_monitor.has_settled and not self.frontend.draining
 
     def reconfigure(self, old: Config, new: Config) -> None:
-        """Put the difference between two configurations into force.
+        """Apply the difference between two configurations.
 
         Raises:
-            Exception: What the balancer raises on the settings; then nothing has changed.
+            Exception: Any error that the balancer raises on the new settings; then nothing has changed.
         """
         if new.settings != old.settings:
             self.apply_settings(new.settings)
@@ -127,12 +129,12 @@
             self.migrate_discovery(new.discovery)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Put other settings into force.
+        """Apply new settings.
 
-        Limits on descriptors and the listening socket are set at the start and stay.
+        The limits on descriptors and the listening socket are only set at the start.
 
         Raises:
-            Exception: What the balancer raises on them; then nothing has changed.
+            Exception: Any error that the balancer raises on the new settings; then nothing has changed.
         """
         actions = self._balancer.handle(self._clock.now(), SettingsChanged(settings))
         self._settings = settings
@@ -145,21 +147,21 @@
         self._endpoint_list.set_mode(settings.discovery)
 
     def migrate_discovery(self, address: Address) -> None:
-        """Migrate to another address of the registry, and fetch the complete list there at once."""
-        log.info("registry is at %s:%d now", *address)
+        """Migrate to another address of the registry, and fetch the complete list there immediately."""
+        log.info("migrating to the registry at %s:%d", *address)
         self._endpoint_list.client.migrate(address)
 
     def handle(self, event: Event) -> None:
-        """Process an event, and those that its actions cause, in order.
+        """Process an event and the events that its actions cause, in order.
 
-        Called while another event is processed, it leaves the event in the queue behind that one.
+        An event that arrives while another one is being processed is queued behind it.
         """
         self._events.append(event)
         if not self._is_processing:
             self._process(())
 
     def _process(self, actions: Sequence[Action]) -> None:
-        """Carry actions out, then process the queued events and those that all of this causes, in order."""
+        """Carry out actions, then process the queued events and those that result, in order."""
         self._is_processing = True
         try:
             self._carry_out_all(actions)
@@ -169,28 +171,28 @@
             self._is_processing = False
 
     def _decide(self, event: Event) -> Sequence[Action]:
-        """Return the balancer's actions on an event; a defect fails the event's request alone."""
+        """Return the balancer's actions on an event; an unexpected error fails only the event's request."""
         try:
             return self._balancer.handle(self._clock.now(), event)
         except Exception:
-            log.exception("the balancer failed on %.200r", event)
+            log.exception("balancer failed to handle event %.200r", event)
             self._requests.abort(getattr(event, "request", None))
             return ()
 
     def _carry_out_all(self, actions: Sequence[Action]) -> None:
-        """Carry actions out in order; a defect in one fails its request alone."""
+        """Carry out actions in order; an unexpected error in one fails only its request."""
         for action in actions:
             try:
                 self.carry_out(action)
             except Exception:
-                log.exception("could not carry out %.200r", action)
+                log.exception("could not carry out action %.200r", action)
                 self._requests.abort(getattr(action, "request", None))
 
     def carry_out(self, action: Action) -> None:
-        """Carry one action out.
+        """Carry out one action.
 
         Raises:
-            UnsupportedActionError: It is none that a sidecar carries out.
+            UnsupportedActionError: A sidecar does not support the action.
         """
         match action:
             case SendAttempt():
--- a/sidecar/proxy/event_loop.py
+++ b/sidecar/proxy/event_loop.py
@@ -1,4 +1,4 @@
-"""An event loop that bounds how long the data it reads may have waited unread."""
+"""An event loop that reports the earliest time at which the data it reads can have arrived."""
 
 from __future__ import annotations
 
@@ -7,20 +7,19 @@
 import time
 from collections.abc import Callable
 
-NEGLIGIBLE_WAIT_S = 0.005  # shorter waits count as none: each iteration takes some time
+NEGLIGIBLE_WAIT_S = 0.005  # shorter waits are ignored, as each iteration takes some time
 
 _ReadyEvents = list[tuple[selectors.SelectorKey, int]]
 
 
 class PollTimingSelector(selectors.DefaultSelector):
-    """Records the earliest time at which the events of its last poll can have occurred.
+    """A selector that records the earliest time at which the events of its last poll can have occurred.
 
-    An event that occurs while callbacks run is seen by the next poll only, as is one that occurs while the
-    whole process is stopped.  A stop during a poll shows when the poll overruns its timeout; a shorter one
-    goes unnoticed.
+    An event that occurs while callbacks run, or while the whole process is stopped, is only seen by the next
+    poll.  A stop during a poll is detected if the poll overruns its timeout; a shorter one goes unnoticed.
 
     Attributes:
-        earliest_arrival: The events of the last poll occurred after this time, in seconds of the clock.
+        earliest_arrival: The time after which the events of the last poll occurred, in seconds of the clock.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -30,10 +29,10 @@
         self.earliest_arrival = self._poll_ended_at
 
     def select(self, timeout: float | None = None) -> _ReadyEvents:
-        """Poll for at most `timeout` seconds; None: until an event comes."""
+        """Poll for at most `timeout` seconds; None: until an event occurs."""
         started_at = self._clock()
         if started_at - self._poll_ended_at > NEGLIGIBLE_WAIT_S:
-            ready = super().select(0)  # tells events that waited from those during the poll
+            ready = super().select(0)  # separates events that waited from events during the poll
             if ready or timeout == 0:
                 self._record_poll(self._poll_ended_at)
                 return ready
@@ -56,19 +55,19 @@
         super().__init__(self._poll_timing)
 
     def time(self) -> float:
-        """The loop's clock, in seconds."""
+        """Return the time of the loop's clock, in seconds."""
         return self._poll_clock()
 
     @property
     def earliest_arrival(self) -> float:
-        """The time after which the data arrived that this iteration is the first to read."""
+        """The time after which the data that becomes readable in this iteration arrived, in seconds."""
         return self._poll_timing.earliest_arrival
 
 
 def earliest_arrival() -> float:
-    """The time after which the data arrived that this iteration of the running loop is the first to read.
+    """Return the time after which the data that becomes readable in this iteration arrived, in seconds.
 
-    On an event loop of another kind this is the present: nothing counts as having waited.
+    On an event loop of another class this is the current time: no data counts as having waited.
     """
     loop = asyncio.get_running_loop()
     return loop.earliest_arrival if isinstance(loop, EventLoop) else loop.time()
--- a/sidecar/proxy/frontend.py
+++ b/sidecar/proxy/frontend.py
@@ -1,4 +1,4 @@
-"""The proxy's client side: it accepts connections and drains them for a graceful shutdown."""
+"""The frontend: accepts client connections, and drains them for a graceful shutdown."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 log = logging.getLogger(__name__)
 
-_ACCEPT_BATCH_SIZE = 64  # connections accepted in one go, before the event loop turns to others
-_ACCEPT_BACKOFF_S = 0.05  # after a failed accept, e.g. for lack of descriptors: no busy loop
+_ACCEPT_BATCH_SIZE = 64  # connections accepted before the event loop handles other events
+_ACCEPT_BACKOFF_S = 0.05  # delay after a failed accept, e.g. for lack of descriptors, to avoid a busy loop
 
 
 class Frontend:
-    """Accepts the application's connections, up to a limit, and gives their requests to a handler.
+    """Accepts client connections, up to a limit, and passes their requests to a handler.
 
     Attributes:
-        handler: Takes the requests.
-        settings: In force for requests read from now on; they may be replaced at any time.
+        handler: Handles the requests.
+        settings: The settings for requests that are read from now on; may be replaced at any time.
         draining: Whether a graceful shutdown has begun.
-        table: The connections.
-        address: Where it listens.
+        table: The table of connections.
+        address: The address of the listening socket.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self.draining = False
         self.table = ConnectionTable(max_connections)
         self._accepting = False
-        # When the kernel's queue was last seen empty; None while that was when the event loop last polled.
+        # Event loop time at which the accept queue was last known to be empty; None: at the loop's last poll.
         self._queue_empty_at: float | None = None
         self._setup_tasks: set[asyncio.Task[None]] = set()
         self._sock = open_listener(address)
@@ -52,7 +52,7 @@
         return self.table.connections
 
     def start(self) -> None:
-        """Accept connections and enforce their time limits from now on."""
+        """Start accepting connections and enforcing their time limits."""
         self._resume_accepting()
         self.table.schedule_sweep()
 
@@ -64,7 +64,7 @@
             asyncio.get_running_loop().add_reader(self._sock, self._accept)
 
     def _pause_accepting(self) -> None:
-        """Leave new connections in the kernel's queue for now."""
+        """Leave new connections in the accept queue for now."""
         self._accepting = False
         if self._queue_empty_at is None:
             self._queue_empty_at = earliest_arrival()
@@ -75,7 +75,7 @@
         asyncio.get_running_loop().call_later(_ACCEPT_BACKOFF_S, self._resume_accepting)
 
     def _accept(self, max_accepted: int = _ACCEPT_BATCH_SIZE) -> bool:
-        """Accept the connections in the kernel's queue; return whether none is left there."""
+        """Accept the connections in the accept queue; return whether the queue is empty."""
         if self._queue_empty_at is None:
             self._queue_empty_at = earliest_arrival()
         is_queue_empty = self._accept_batch(max_accepted, self._queue_empty_at)
@@ -99,10 +99,10 @@
         return False
 
     def _make_capacity(self) -> bool:
-        """Close a connection for one in the queue; return whether the queue is empty.
+        """Evict a connection if there is one in the accept queue; return whether the queue is empty.
 
-        The connection closed holds its descriptor until the next iteration of the event loop, so none is
-        accepted before that.
+        The evicted connection keeps its descriptor until the next iteration of the event loop, so no
+        connection is accepted before that.
         """
         if not has_pending_connection(self._sock):
             return True
@@ -111,7 +111,7 @@
         return False
 
     def _accept_failed(self, error: OSError) -> None:
-        log.error("accept: %s", error)
+        log.error("could not accept a connection: %s", error)
         self._back_off()
 
     def _set_up(self, sock: socket.socket, connected_after: float) -> None:
@@ -126,32 +126,32 @@
             connection = ClientConnection(self, sock, connected_after, shed_load=shed_load)
             await asyncio.get_running_loop().connect_accepted_socket(lambda: connection, sock)
         except OSError as error:
-            log.info("accepted connection has broken: %s", error)
+            log.info("could not set up an accepted connection: %s", error)
         finally:
-            if self.table.release(sock):  # no transport owns it
+            if self.table.release(sock):  # it has no transport that would close it
                 sock.close()
 
     # -- Connections ----------------------------------------------------------------------------------
 
     def connection_opened(self, connection: ClientConnection, sock: socket.socket) -> None:
-        """Count a connection by its state, now that it has been set up."""
+        """Register a connection that has been set up on an accepted socket."""
         self.table.release(sock)
         self.table.add(connection)
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Forget a connection."""
+        """Unregister a connection that has been closed."""
         self.table.remove(connection)
 
     def change_state(self, connection: ClientConnection, state: ConnectionState) -> None:
-        """Set a connection's state."""
+        """Change the state of a connection."""
         self.table.change_state(connection, state)
 
     # -- Graceful shutdown ----------------------------------------------------------------------------
 
     def drain(self) -> None:
-        """Begin a graceful shutdown: close idle connections while new ones are still accepted.
+        """Begin a graceful shutdown: close idle connections, and continue to accept new ones.
 
-        A request that crosses the close of its connection is sent again on a new one.
+        A client whose request crosses the close of its connection sends it again on a new one.
         """
         self.draining = True
         self.close_idle(only_used=True)
@@ -160,17 +160,17 @@
         """Close idle connections.
 
         Args:
-            only_used: Spare those that have carried no request yet, as their first may be on its way.
+            only_used: Keep those that have not carried a request, as their first one may be in transit.
         """
         for connection in self.connections:
             if connection.is_idle() and (connection.state is ConnectionState.IDLE or not only_used):
                 connection.close()
 
     def close_listener(self) -> bool:
-        """Accept the connections in the queue, then close the listener.
+        """Accept the connections in the accept queue, then close the listener.
 
         Returns:
-            Whether the listener is closed; it stays open while there is no capacity for those in the queue.
+            Whether the listener is closed; it stays open while there is no capacity for queued connections.
         """
         if self._sock.fileno() >= 0 and self._accept(BACKLOG):
             if self._accepting:
@@ -179,5 +179,5 @@
         return self._sock.fileno() < 0
 
     def has_no_connections(self) -> bool:
-        """Whether there is no connection, not even one being set up."""
+        """Return whether there are no connections, including those being set up."""
         return not self.table.count()
--- a/sidecar/proxy/listener.py
+++ b/sidecar/proxy/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket: opening it and accepting connections, with the errors that Linux documents."""
+"""The listening socket: opening it and accepting connections, with the errors documented for Linux."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 BACKLOG = 512
 _OPEN_RETRY_INTERVAL_S = 0.1
-_OPEN_TIMEOUT_S = 10.0  # a previous process has ended and its connections are closed by then
+_OPEN_TIMEOUT_S = 10.0  # by then a previous process has ended and its connections are closed
 _MAX_ACCEPT_ATTEMPTS = 8  # then the caller backs off
-# Errors that pass: a former process is ending, or the machine lacks a resource for a moment.
+# Transient errors: a previous process is ending, or the machine is short of a resource.
 _TRANSIENT_OPEN_ERRORS = frozenset(
     (
         errno.EADDRINUSE,
@@ -30,7 +30,7 @@
         errno.ENOMEM,
     )
 )
-# Errors of one connection, which leaves the queue with it; accept(2) says to retry on these as on EAGAIN.
+# Errors of one connection, which is removed from the queue; accept(2) says to treat them like EAGAIN.
 _CONNECTION_ACCEPT_ERRORS = frozenset(
     (
         errno.EINTR,
@@ -44,18 +44,18 @@
         errno.EOPNOTSUPP,
         errno.ENETUNREACH,
         errno.ETIMEDOUT,
-        errno.EPERM,  # a firewall forbids it
+        errno.EPERM,  # a firewall rejects the connection
     )
 )
 
 
 def open_listener(address: Address) -> socket.socket:
-    """Open a non-blocking listener, with retries on errors that pass.
+    """Open a non-blocking listener, with retries on transient errors.
 
-    Blocks for up to 10 s.
+    This blocks for up to 10 s.
 
     Raises:
-        OSError: The address can't be listened on.
+        OSError: The socket can't be opened at this address.
     """
     deadline = time.monotonic() + _OPEN_TIMEOUT_S
     while True:
@@ -64,7 +64,7 @@
         except OSError as error:
             if error.errno not in _TRANSIENT_OPEN_ERRORS or time.monotonic() >= deadline:
                 raise
-            log.warning("can't listen yet: %s", error)
+            log.warning("could not open the listener, retrying: %s", error)
             time.sleep(_OPEN_RETRY_INTERVAL_S)
         else:
             listener.setblocking(False)
@@ -72,25 +72,25 @@
 
 
 def accept_connection(listener: socket.socket) -> socket.socket | None:
-    """Accept the next connection from the kernel's queue.
+    """Accept the next connection from the accept queue.
 
     Returns:
-        The connected socket, non-blocking; None if its client has closed or reset it already: there may be
-        others behind it.
+        The connected non-blocking socket; None if the client has already closed or reset the connection, in
+        which case the queue may hold others.
 
     Raises:
         BlockingIOError: The queue is empty.
-        OSError: No connection can be accepted for now, e.g. for lack of descriptors.
+        OSError: No connection can be accepted at present, e.g. for lack of descriptors.
     """
     sock = _accept(listener)
     try:
-        if has_peer_closed(sock):  # its client gave up while it was in the queue
+        if has_peer_closed(sock):  # the client gave up while the connection was queued
             sock.close()
             return None
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    except OSError as error:  # its client has reset it
-        log.info("accepted connection has broken: %s", error)
+    except OSError as error:  # the client has reset the connection
+        log.info("could not set up an accepted connection: %s", error)
         sock.close()
         return None
     return sock
@@ -107,7 +107,7 @@
 
 
 def has_pending_connection(listener: socket.socket) -> bool:
-    """Whether a connection is in the kernel's queue, or may be where memory lacks for a look."""
+    """Return whether the accept queue holds a connection, or may hold one as the poll failed."""
     poller = select.poll()
     poller.register(listener, select.POLLIN)
     try:
--- a/sidecar/proxy/loop_lag.py
+++ b/sidecar/proxy/loop_lag.py
@@ -1,4 +1,4 @@
-"""Event loop lag: logs it, and reports from when on the event loop runs on time."""
+"""Monitors event loop lag: logs it, and reports when the event loop first runs on time after the start."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 log = logging.getLogger(__name__)
 
 _CHECK_INTERVAL_S = 0.25
-_LAG_WARNING_S = 0.05  # lag from which on a check logs it, and does not count as on time
-# On time by then in any case: of the 10 s that a start may take, and a machine that always lags serves better
-# late than never.
+_LAG_WARNING_S = 0.05  # larger lag is logged, and does not count as on time
+# The event loop counts as settled after this time in any case: a start may take at most 10 s, and a machine
+# that always lags must serve requests all the same.
 SETTLED_AFTER_S = 2.0
 
 
 class LoopLagMonitor:
     """Checks the lag of the running event loop at regular intervals.
 
-    Attributes:
-        has_settled: Whether the event loop has been on time since the start.
+    The platform may throttle this program after the start because of the CPU time that starting took.
+    Readiness waits until that is over, as most requests of clients that come earlier would be late.
 
-    Guards clients that come while the platform still throttles this program for the CPU that it spent on
-    starting: their requests would wait that out, and most be late.
+    Attributes:
+        has_settled: Whether a check has found the event loop on time, or `SETTLED_AFTER_S` have passed.
     """
 
     def __init__(self) -> None:
@@ -29,7 +29,7 @@
         self._check_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start the checks, and the time after which the event loop counts as on time."""
+        """Start the checks, and the timer after which the event loop counts as settled."""
         loop = asyncio.get_running_loop()
         self._check_task = loop.create_task(self._check_forever())
         loop.call_later(SETTLED_AFTER_S, self.mark_settled)
@@ -40,7 +40,7 @@
             self._check_task.cancel()
 
     def mark_settled(self) -> None:
-        """Let the event loop count as on time from now on."""
+        """Record that the event loop has settled."""
         self.has_settled = True
 
     async def _check_forever(self) -> None:
@@ -53,7 +53,9 @@
     def _record_lag(self, lag_s: float) -> None:
         if lag_s > _LAG_WARNING_S:
             log.warning(
-                "the event loop was %.0f ms late; warned from %.0f ms on", lag_s * 1000, _LAG_WARNING_S * 1000
+                "the event loop was %.0f ms late (warning threshold: %.0f ms)",
+                lag_s * 1000,
+                _LAG_WARNING_S * 1000,
             )
         else:
             self.mark_settled()
--- a/sidecar/proxy/overload.py
+++ b/sidecar/proxy/overload.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
-_MAX_LAG_S = 0.04  # a larger lag means more work than the CPU can do
-_MIN_ACTIVE_CONNECTIONS = 32  # may carry requests whatever the lag
-_LIMIT_DECREASE = 0.8  # factor on the limit at each sweep that is late
-_LIMIT_INCREASE = 1.1  # factor on the limit at each sweep that is on time
+_MAX_LAG_S = 0.04  # a larger lag shows that the CPU cannot keep up
+_MIN_ACTIVE_CONNECTIONS = 32  # the limit never falls below this, whatever the lag
+_LIMIT_DECREASE = 0.8  # factor on the limit after a late sweep
+_LIMIT_INCREASE = 1.1  # factor on the limit after a sweep on time
 
 
 class OverloadDetector:
-    """Limits active connections: multiplicative decrease while the event loop lags, increase otherwise.
+    """Limits active connections: multiplicative decrease while the event loop lags, else increase.
 
     Attributes:
-        active_limit: How many connections may carry requests before new ones are shed.
+        active_limit: Number of active connections from which on new connections are shed.
     """
 
     def __init__(self, capacity: int) -> None:
@@ -25,9 +25,9 @@
         self.active_limit = max(_MIN_ACTIVE_CONNECTIONS, min(self.active_limit, self._capacity))
 
     def is_limiting(self) -> bool:
-        """Whether recent lag keeps the limit below the capacity."""
+        """Return whether recent lag keeps the limit below the capacity."""
         return self.active_limit < self._capacity
 
     def is_overloaded(self, active: int) -> bool:
-        """Whether this many active connections reach the limit."""
+        """Return whether this number of active connections reaches the limit."""
         return active >= self.active_limit
--- a/sidecar/proxy/request_errors.py
+++ b/sidecar/proxy/request_errors.py
@@ -1,6 +1,6 @@
-"""Why a client's request is rejected before it is handled: an error for each reason, with its HTTP status.
+"""Errors for which a client's request is rejected before it is handled, with their HTTP statuses.
 
-The message of an error is the body of the response, so clients see it.
+The message of an error is sent to the client as the body of the response.
 """
 
 from __future__ import annotations
@@ -9,28 +9,28 @@
 
 
 class BadRequestError(Exception):
-    """A request that can't be accepted.
+    """Base of the errors for which a request is rejected.
 
     Attributes:
-        status: Of the response.
+        status: HTTP status of the response.
     """
 
     status = HTTPStatus.BAD_REQUEST
 
 
 class MalformedRequestError(BadRequestError):
-    """What was sent can't be read as an HTTP request; the message says why."""
+    """The received data is not a valid HTTP request; the message says why."""
 
 
 class AmbiguousFramingError(BadRequestError):
-    """The end of the body is given twice, so that one may hide a request in the other."""
+    """The body length is given in two ways, which would allow request smuggling."""
 
     def __init__(self) -> None:
         super().__init__("two ways to tell the body's end")
 
 
 class DuplicateHeaderError(BadRequestError):
-    """A header with one meaning is given twice."""
+    """A header that must be unique occurs more than once."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name} stands twice")
@@ -44,28 +44,28 @@
 
 
 class HeaderTooLongError(BadRequestError):
-    """The value of a header is longer than allowed."""
+    """The value of a header exceeds the maximum length."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name} is too long")
 
 
 class NotANumberError(BadRequestError):
-    """A header needs a plain decimal number."""
+    """The value of a header is not a plain decimal number."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name}: a number is needed")
 
 
 class UnknownNameError(BadRequestError):
-    """A header names what the settings don't list."""
+    """A header names a service class or a tenant that the settings don't list."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name} is not known")
 
 
 class UnexpectedBodyError(BadRequestError):
-    """A request that is safe to repeat has a body."""
+    """A request of a class that is safe to repeat has a body."""
 
     def __init__(self) -> None:
         super().__init__("a body belongs to no request that is safe to repeat")
@@ -79,7 +79,7 @@
 
 
 class MethodNotAllowedError(BadRequestError):
-    """The service class uses another method."""
+    """The service class requires another method."""
 
     status = HTTPStatus.METHOD_NOT_ALLOWED
 
@@ -88,7 +88,7 @@
 
 
 class PathNotFoundError(BadRequestError):
-    """The path is not one that the proxy serves."""
+    """The proxy does not serve the path."""
 
     status = HTTPStatus.NOT_FOUND
 
@@ -97,7 +97,7 @@
 
 
 class RequestTimeoutError(BadRequestError):
-    """The request did not arrive in time."""
+    """The request did not arrive completely within the time limit."""
 
     status = HTTPStatus.REQUEST_TIMEOUT
 
@@ -106,7 +106,7 @@
 
 
 class RequestIdInUseError(BadRequestError):
-    """The request id is that of another request, so neither forwarding nor a retry is safe."""
+    """The request id is that of another request, so neither forwarding it nor a retry is safe."""
 
     status = HTTPStatus.CONFLICT
 
@@ -115,7 +115,7 @@
 
 
 class BodyTooLargeError(BadRequestError):
-    """The body is longer than allowed."""
+    """The body exceeds the maximum size."""
 
     status = HTTPStatus.REQUEST_ENTITY_TOO_LARGE
 
@@ -124,7 +124,7 @@
 
 
 class InternalError(BadRequestError):
-    """A defect of this program; the request itself may be fine."""
+    """An unexpected error of this program; the request itself may be valid."""
 
     status = HTTPStatus.INTERNAL_SERVER_ERROR
 
--- a/sidecar/proxy/request_lifecycle.py
+++ b/sidecar/proxy/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""Takes the application's requests to the balancer, and gives each its one final answer."""
+"""Passes client requests to the balancer, and answers each of them exactly once."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class RequestLifecycle:
-    """Follows each request from its arrival to its answer, which is due by its deadline.
+    """Manages each request from its arrival to its answer, which is due by its deadline.
 
     Attributes:
         active: The requests in progress.
@@ -30,7 +30,7 @@
         self._handle = handle
 
     def handle_request(self, client_request: ClientRequest) -> None:
-        """Process a new request; the balancer decides on it before this returns."""
+        """Process a new request; when this returns, the balancer has decided on it."""
         deadline_us = self._clock.now() + client_request.budget_us
         request = self.active.add(client_request, deadline_us)
         deadline = self._clock.to_loop_time(request.deadline_us)
@@ -65,7 +65,7 @@
                 self.answer(request, 500, [], b"")
 
     def answer(self, request: ActiveRequest, status: int, headers: Headers, body: bytes) -> None:
-        """Answer a request, unless it has its answer already."""
+        """Answer a request, unless it has been answered already."""
         if request.answered:
             return
         self._mark_answered(request)
@@ -74,7 +74,8 @@
     def abort(self, number: int | None) -> None:
         """Fail a request and cancel its attempts.
 
-        Guards against a defect that would leave a request unanswered past its deadline.
+        Called at the deadline of an unanswered request, and on unexpected errors, so that no defect leaves a
+        request unanswered.
         """
         request = self.active.get(number)
         if request is None:
@@ -84,7 +85,7 @@
             self._pool.cancel(exchange)
 
     def fail_all(self) -> int:
-        """Answer all unanswered requests as failed (500); return how many they were."""
+        """Answer all unanswered requests as failed (500); return their number."""
         unanswered = self.active.unanswered()
         for request in unanswered:
             self.answer(request, 500, [], b"")
@@ -96,5 +97,5 @@
         if request.deadline_timer is not None:
             request.deadline_timer.cancel()
         for exchange in request.exchanges_in_flight():
-            self._pool.abandon_if_unwritten(exchange)  # nothing is sent for a request that is over
+            self._pool.abandon_if_unwritten(exchange)  # nothing is sent for an answered request
         self.active.remove_if_finished(request)
--- a/sidecar/proxy/request_reader.py
+++ b/sidecar/proxy/request_reader.py
@@ -1,4 +1,4 @@
-"""Reads HTTP/1.1 requests from a client's bytes, one at a time; pipelined bytes wait."""
+"""Reads HTTP/1.1 requests of a client connection, one at a time; pipelined data is kept unread."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedRequest:
-    """A request that has arrived completely.
+    """A complete request.
 
     Attributes:
         head: The request line and the headers.
@@ -38,7 +38,7 @@
 
 
 class RequestReader:
-    """Reads one request of a connection; `start_next` goes on to the one behind it."""
+    """Reads one request of a connection; `start_next` proceeds to the next one."""
 
     def __init__(self, write: Callable[[bytes], None]) -> None:
         """Create a reader.
@@ -53,12 +53,12 @@
 
     @property
     def unread(self) -> bytes:
-        """The bytes behind what has been read of the request."""
+        """The received data that has not been parsed as part of the request."""
         return self._h11.trailing_data[0]
 
     @property
     def has_head(self) -> bool:
-        """Whether the head of a request has been read that has no response yet."""
+        """Whether the head of a request that has not been answered has been read."""
         return self._head is not None
 
     @property
@@ -68,26 +68,26 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether the request was read to its end and its connection may carry others."""
+        """Whether the request was read completely and its connection may carry another one."""
         return self._h11.their_state is h11.DONE
 
     def has_partial_request(self) -> bool:
-        """Whether a part of a request has arrived that has no response yet."""
+        """Return whether part of a request that has not been answered has arrived."""
         return self.has_head or bool(self.unread)
 
     def receive(self, data: bytes) -> None:
-        """Add bytes that have arrived."""
+        """Add received data."""
         self._h11.receive_data(data)
 
     def read(self) -> ReceivedRequest | None:
-        """Read on, at most to the end of the request.
+        """Parse the received data, at most to the end of the request.
 
         Returns:
-            The request once it is complete.
+            The request, or None while it is incomplete.
 
         Raises:
             BadRequestError: The request is not allowed.
-            h11.RemoteProtocolError: It is not a request.
+            h11.RemoteProtocolError: The data is not a valid request.
         """
         event = self._h11.next_event()
         while isinstance(event, h11.Request | h11.Data):
@@ -102,21 +102,21 @@
         return ReceivedRequest(self._head, bytes(self._body))
 
     def discard_request(self) -> None:
-        """Forget the request, which has its response."""
+        """Discard the request, which has been answered."""
         self._head, self._body = None, bytearray()
 
     def start_next(self) -> None:
-        """Turn to the request behind this one."""
+        """Proceed to the next request, which begins with the unread data."""
         unread = self.unread
         self._h11 = h11.Connection(h11.SERVER)
         if unread:
             self._h11.receive_data(unread)
 
     def is_next_complete(self) -> bool:
-        """Whether the pipelined bytes begin with a complete request.
+        """Return whether the pipelined data begins with a complete request.
 
         Raises:
-            h11.RemoteProtocolError: They are not a request.
+            h11.RemoteProtocolError: The data is not a valid request.
         """
         lookahead = h11.Connection(h11.SERVER)
         lookahead.receive_data(self.unread)
--- a/sidecar/proxy/sockets.py
+++ b/sidecar/proxy/sockets.py
@@ -1,4 +1,4 @@
-"""TCP sockets: creating them, asking the kernel about their state, and reading with little memory."""
+"""TCP sockets: creating them, querying their state, and reading them with little memory."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 _READ_BUFFER_BYTES = 64 * 1024
 
-# Shared by all connections: each read is copied out of it before the next one.
+# Shared by all connections: the data of each read is copied out before the next read.
 _READ_BUFFER = memoryview(bytearray(_READ_BUFFER_BYTES))
 
 
 class SharedBufferProtocol(asyncio.BufferedProtocol):
-    """Base of protocols that read through one shared buffer.
+    """Base class of protocols that read into one shared buffer.
 
-    By default each read of asyncio allocates 256 KiB anew, which fragments the heap.
+    By default, asyncio allocates 256 KiB for each read, which fragments the heap.
     """
 
     def get_buffer(self, _sizehint: int) -> memoryview:
@@ -25,19 +25,19 @@
         return _READ_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Pass on what the transport has read."""
+        """Pass the data that the transport has read to `data_received`."""
         self.data_received(bytes(_READ_BUFFER[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
-        """Handle the bytes of one read; subclasses must override this."""
+        """Handle the data of one read; subclasses must override this."""
         raise NotImplementedError
 
 
 def new_socket(address: Address) -> socket.socket:
-    """Create a TCP socket of the family that an address needs.
+    """Create a TCP socket of the address family of an address.
 
     Raises:
-        OSError: The system has no descriptor or no memory for it.
+        OSError: The system lacks a descriptor or memory.
     """
     host, _ = address
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -45,7 +45,7 @@
 
 
 def is_receive_queue_empty(sock: socket.socket) -> bool:
-    """Return whether a connection has nothing unread: no byte, no end of the stream and no error."""
+    """Return whether a connection has nothing to read: no data, no end of stream and no error."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except (BlockingIOError, InterruptedError):
@@ -65,7 +65,7 @@
 
 
 def has_peer_closed(sock: socket.socket) -> bool:
-    """Return whether the peer has closed a connection, even if data that it sent before is unread."""
+    """Return whether the peer has closed its side of a connection, even if earlier data is unread."""
     poller = select.poll()
     poller.register(sock, select.POLLRDHUP)
     return bool(poller.poll(0))
