--- a/sidecar/reload.py
+++ b/sidecar/reload.py
@@ -151,20 +151,22 @@
         """
         self._reloader = reloader
         self._read_config = read_config
-        self._retry: asyncio.TimerHandle | None = None
+        self._retry_timer: asyncio.TimerHandle | None = None
 
     def handle_signal(self) -> None:
         """Reload now and cancel a pending retry; requires a running event loop."""
-        if self._retry is not None:
-            self._retry.cancel()
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
         self._try_reload(_RETRY_DELAYS_S)
 
     def _try_reload(self, retry_delays_s: Sequence[float]) -> None:
-        self._retry = None
+        self._retry_timer = None
         result = self._reloader.reload(self._read_config)
         if retry_delays_s and isinstance(result, Rejected) and result.is_transient:
             delay_s, *later_delays_s = retry_delays_s
-            self._retry = asyncio.get_running_loop().call_later(delay_s, self._try_reload, later_delays_s)
+            self._retry_timer = asyncio.get_running_loop().call_later(
+                delay_s, self._try_reload, later_delays_s
+            )
 
 
 def _version_conflict(active: int | None, new: int | None) -> str | None:
--- a/sidecar/settings/mapping_reader.py
+++ b/sidecar/settings/mapping_reader.py
@@ -11,7 +11,7 @@
 from sidecar.settings.model import Bounds
 
 _EnumMember = TypeVar("_EnumMember", bound=Enum)
-_ROOT_SECTION = "settings"  # name of the root section
+_ROOT_SECTION = "settings"
 _UNBOUNDED = Bounds()
 
 
--- a/sidecar/simulator/codec.py
+++ b/sidecar/simulator/codec.py
@@ -1,6 +1,6 @@
 """The codec of the simulator's wire protocol: decodes lines into messages, and encodes actions into lines.
 
-Each line is a JSON array that starts with the name of its message.  Additional values at its end are ignored.
+Each line is a JSON array that starts with the name of its message.  Additional values at the end are ignored.
 """
 
 from __future__ import annotations
@@ -111,7 +111,7 @@
     name: object
     values: list[object]
 
-    def require(self, count: int) -> None:
+    def require_values(self, count: int) -> None:
         """Raise MissingValuesError if there are fewer values than `count`, which includes the name."""
         if len(self.values) < count:
             raise MissingValuesError(self.name, count - 1, len(self.values) - 1)
@@ -147,7 +147,7 @@
     Raises:
         WireError: The values of the message are invalid.
     """
-    message.require(2)
+    message.require_values(2)
     _, now_us, *_ = message.values
     return _integer(now_us)
 
@@ -170,13 +170,13 @@
     event_decoder = _EVENT_DECODERS.get(name)
     if event_decoder is not None:
         min_values, decode_event = event_decoder
-        message.require(min_values)
+        message.require_values(min_values)
         return EventReceived(_string(message.values[1]), decode_event(message.values))
     message_decoder = _MESSAGE_DECODERS.get(name)
     if message_decoder is None:
         raise UnknownMessageError(name)
     min_values, decode = message_decoder
-    message.require(min_values)
+    message.require_values(min_values)
     return decode(message.values)
 
 
@@ -350,15 +350,15 @@
         raise InvalidValueError(ExpectedType.ENDPOINT, entry)
     if len(entry) < _MIN_ENDPOINT_VALUES:
         raise ShortEndpointError(_MIN_ENDPOINT_VALUES, len(entry))
-    server, zone, kind, cell, state, nominal, *optional = entry
+    name, zone, kind, cell, state, capacity_weight, *optional = entry
     started_at = _optional_integer(optional[0]) if optional else None
     return Endpoint(
-        name=_string(server),
+        name=_string(name),
         zone=_string(zone),
         kind=_string(kind),
         cell=_integer(cell),
         state=_enum_member(state, _SERVER_STATES),
-        capacity_weight=float(_number(nominal)),
+        capacity_weight=float(_number(capacity_weight)),
         started_at=started_at or None,  # like null, 0 means long ago
     )
 
