--- a/sidecar/proxy/client_connection.py
+++ b/sidecar/proxy/client_connection.py
@@ -21,10 +21,10 @@
 from sidecar.proxy.event_loop import NEGLIGIBLE_WAIT_S, earliest_arrival
 from sidecar.proxy.http_messages import Headers, encode_message
 from sidecar.proxy.request_errors import (
-    BadRequestError,
     InternalError,
     MalformedRequestError,
     PathNotFoundError,
+    RequestError,
     RequestIdInUseError,
     RequestTimeoutError,
 )
@@ -35,8 +35,8 @@
 log = logging.getLogger(__name__)
 
 _READINESS_PATH = b"/health/ready"
-# Data that is read and discarded after a rejected request, or beyond the limit on pipelined data, so that
-# unread data does not reset the connection before the client has received the response.
+# Limit of the data that is read and discarded after a rejected request, or beyond the limit on pipelined data.
+# Unread data would reset the connection at its close, and the client might lose the response.
 _MAX_DISCARDED_BYTES = 128 * MAX_BODY_BYTES
 _REASON_PHRASES: dict[int, bytes] = {
     status: status.phrase.encode()
@@ -100,7 +100,7 @@
         self._transport: asyncio.Transport | None = None
         self._request: ClientRequest | None = None  # the request in flight
         self._write_blocked = False  # the last response has not been fully written
-        self._discarded_bytes: int | None = None  # None while data is parsed
+        self._discarded_bytes: int | None = None  # discarded so far; None while data is parsed
 
     # -- asyncio protocol -----------------------------------------------------------------------------
 
@@ -234,7 +234,7 @@
             request = self._reader.read()
             if request is not None:
                 self._handle(request)
-        except BadRequestError as error:
+        except RequestError as error:
             self._reject(error)
         except h11.RemoteProtocolError as error:
             self._reject(MalformedRequestError(str(error)))
@@ -350,7 +350,7 @@
 
     # -- Responding -----------------------------------------------------------------------------------
 
-    def _reject(self, error: BadRequestError) -> None:
+    def _reject(self, error: RequestError) -> None:
         """Reject the request and close the connection; anything else that the client sends is discarded."""
         log.info("request rejected: %s", error)
         self._abandon_request()
--- a/sidecar/proxy/client_request.py
+++ b/sidecar/proxy/client_request.py
@@ -115,7 +115,7 @@
         responder: Sends the response to the client.
 
     Raises:
-        BadRequestError: The request is malformed or not allowed.
+        RequestError: The request is malformed or not allowed.
     """
     values = _parse_headers(head)
     cost = values.get(b"x-call-cost")
--- a/sidecar/proxy/request_errors.py
+++ b/sidecar/proxy/request_errors.py
@@ -8,7 +8,7 @@
 from http import HTTPStatus
 
 
-class BadRequestError(Exception):
+class RequestError(Exception):
     """Base of the errors for which a request is rejected.
 
     Attributes:
@@ -18,67 +18,67 @@
     status = HTTPStatus.BAD_REQUEST
 
 
-class MalformedRequestError(BadRequestError):
+class MalformedRequestError(RequestError):
     """The received data is not a valid HTTP request; the message says why."""
 
 
-class AmbiguousFramingError(BadRequestError):
+class AmbiguousFramingError(RequestError):
     """The body length is given in two ways, which would allow request smuggling."""
 
     def __init__(self) -> None:
         super().__init__("two ways to tell the body's end")
 
 
-class DuplicateHeaderError(BadRequestError):
+class DuplicateHeaderError(RequestError):
     """A header that must be unique occurs more than once."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name} stands twice")
 
 
-class MissingHeaderError(BadRequestError):
+class MissingHeaderError(RequestError):
     """A required header is absent or empty."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name} is missing")
 
 
-class HeaderTooLongError(BadRequestError):
+class HeaderTooLongError(RequestError):
     """The value of a header exceeds the maximum length."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name} is too long")
 
 
-class NotANumberError(BadRequestError):
+class NotANumberError(RequestError):
     """The value of a header is not a plain decimal number."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name}: a number is needed")
 
 
-class UnknownNameError(BadRequestError):
+class UnknownNameError(RequestError):
     """A header names a service class or a tenant that the settings don't list."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name} is not known")
 
 
-class UnexpectedBodyError(BadRequestError):
+class UnexpectedBodyError(RequestError):
     """A request of a class that is safe to repeat has a body."""
 
     def __init__(self) -> None:
         super().__init__("a body belongs to no request that is safe to repeat")
 
 
-class BudgetTooLongError(BadRequestError):
+class BudgetTooLongError(RequestError):
     """The time budget exceeds the deadline of the service class."""
 
     def __init__(self) -> None:
         super().__init__("x-budget is longer than the deadline of the class")
 
 
-class MethodNotAllowedError(BadRequestError):
+class MethodNotAllowedError(RequestError):
     """The service class requires another method."""
 
     status = HTTPStatus.METHOD_NOT_ALLOWED
@@ -87,7 +87,7 @@
         super().__init__("not the method of the class")
 
 
-class PathNotFoundError(BadRequestError):
+class PathNotFoundError(RequestError):
     """The proxy does not serve the path."""
 
     status = HTTPStatus.NOT_FOUND
@@ -96,7 +96,7 @@
         super().__init__("no such path")
 
 
-class RequestTimeoutError(BadRequestError):
+class RequestTimeoutError(RequestError):
     """The request did not arrive completely within the time limit."""
 
     status = HTTPStatus.REQUEST_TIMEOUT
@@ -105,7 +105,7 @@
         super().__init__("the request took too long to come")
 
 
-class RequestIdInUseError(BadRequestError):
+class RequestIdInUseError(RequestError):
     """The request id is that of another request, so neither forwarding it nor a retry is safe."""
 
     status = HTTPStatus.CONFLICT
@@ -114,7 +114,7 @@
         super().__init__("x-call-id is that of another request, which is out or may have run")
 
 
-class BodyTooLargeError(BadRequestError):
+class BodyTooLargeError(RequestError):
     """The body exceeds the maximum size."""
 
     status = HTTPStatus.REQUEST_ENTITY_TOO_LARGE
@@ -123,7 +123,7 @@
         super().__init__("the body is too large")
 
 
-class InternalError(BadRequestError):
+class InternalError(RequestError):
     """An unexpected error of this program; the request itself may be valid."""
 
     status = HTTPStatus.INTERNAL_SERVER_ERROR
--- a/sidecar/proxy/request_reader.py
+++ b/sidecar/proxy/request_reader.py
@@ -86,7 +86,7 @@
             The request, or None while it is incomplete.
 
         Raises:
-            BadRequestError: The request is not allowed.
+            RequestError: The request is not allowed.
             h11.RemoteProtocolError: The data is not a valid request.
         """
         event = self._h11.next_event()
