--- a/sidecar/proxy/client_connection.py
+++ b/sidecar/proxy/client_connection.py
@@ -35,7 +35,7 @@
 log = logging.getLogger(__name__)
 
 _READINESS_PATH = b"/health/ready"
-# Limit of the data that is read and discarded after a rejected request, or beyond the limit on pipelined data.
+# Limit of the data that is read and discarded after a rejected request, or when a client pipelines too much.
 # Unread data would reset the connection at its close, and the client might lose the response.
 _MAX_DISCARDED_BYTES = 128 * MAX_BODY_BYTES
 _REASON_PHRASES: dict[int, bytes] = {
