--- a/sidecar/balancer/balancer.py
+++ b/sidecar/balancer/balancer.py
@@ -203,8 +203,8 @@
         self._context.timers.add(request.deadline, RequestDeadline(request.id))
         if self._admission.should_reject(request, event.remaining_us):
             self._finish(request)
-        elif request.service_class.ordered_by_key and event.key is not None:
-            self._key_order.enqueue(request, event.key)
+        elif request.service_class.ordered_by_key and event.ordering_key is not None:
+            self._key_order.enqueue(request, event.ordering_key)
         else:
             self._placer.place(request)
 
@@ -221,7 +221,7 @@
         elif not request.answered:
             self._retrier.retry(request, attempt.server, event.outcome)
         self._retry_budget.attempt_ended(event.outcome)
-        self._requests.forget_if_complete(request)
+        self._requests.remove_if_complete(request)
 
     def _on_response_started(self, event: events.ResponseStarted) -> None:
         request = self._requests.get(event.request)
@@ -244,7 +244,7 @@
         self._context.apply_settings(settings)
         self._configure_health_checks()
         self._limit.rescale(self._context.longest_target_us / previous_target_us)
-        self._requests.restrict()
+        self._requests.tighten_limits()
         if settings.discovery is not previous_discovery:
             self._registry_poller.poll()
 
@@ -277,7 +277,7 @@
         server.idle_connections = max(server.idle_connections - 1, 0)
         if server.ejected_until is not None:
             server.half_open_attempt = attempt
-        self._context.load.change(server, 1)
+        self._context.load.change_attempts(server, 1)
         return attempt
 
     def _write_deadline(self, request: Request) -> int | None:
--- a/sidecar/balancer/events.py
+++ b/sidecar/balancer/events.py
@@ -125,7 +125,7 @@
         request: The host's number of the request.
         service_class: The name of its service class.
         tenant: The name of its tenant, if it has one.
-        key: Its ordering key, if it has one; only used if its class is ordered by key.
+        ordering_key: Its ordering key, if it has one; only used if its class is ordered by key.
         remaining_us: How long the client still waits for the response, in microseconds.
         cost_us: The client's estimate of the processing time, in microseconds, if it gave one.
         is_client_retry: Whether the client marked the request as a retry; decisions don't depend on it.
@@ -135,7 +135,7 @@
     request: int
     service_class: str
     tenant: str | None
-    key: int | None
+    ordering_key: int | None
     remaining_us: int
     cost_us: int | None = None
     is_client_retry: bool = False
--- a/sidecar/balancer/lifecycle/attempt_feedback.py
+++ b/sidecar/balancer/lifecycle/attempt_feedback.py
@@ -47,7 +47,7 @@
         attempt.pending = False
         attempt.may_have_run = event.outcome not in request.non_execution_outcomes
         self.key_order.attempt_ended(request, event.outcome)
-        self.context.load.change(attempt.server, -1, attempt.within_target)
+        self.context.load.change_attempts(attempt.server, -1, attempt.within_target)
         if event.outcome in CONNECTION_KEPT_OUTCOMES:
             self.connections.add(attempt.server)
         self.outliers.attempt_ended(request, attempt, event.outcome)
--- a/sidecar/balancer/lifecycle/placement.py
+++ b/sidecar/balancer/lifecycle/placement.py
@@ -44,8 +44,8 @@
         if not candidates:
             self._finish_unless_active(request)
         elif self._should_check():
-            by_load = sorted(candidates, key=self.context.load.attempts_at)
-            self.health_checks.start(request, by_load[: self.checks_per_request])
+            least_loaded_first = sorted(candidates, key=self.context.load.attempts_at)
+            self.health_checks.start(request, least_loaded_first[: self.checks_per_request])
         else:
             self._send_or_finish(request, self.selector.least_loaded(candidates))
 
--- a/sidecar/balancer/lifecycle/request_table.py
+++ b/sidecar/balancer/lifecycle/request_table.py
@@ -34,12 +34,12 @@
         request = self._requests.get(number)
         return None if request is None or request.answered else request
 
-    def restrict(self) -> None:
+    def tighten_limits(self) -> None:
         """Apply the limits of the settings in force to all requests, where they are stricter than before."""
         settings = self._context.settings
         non_execution_outcomes = retries.non_execution_outcomes(settings)
         for request in self._requests.values():
-            request.restrict(settings.limits, non_execution_outcomes)
+            request.tighten_limits(settings.limits, non_execution_outcomes)
 
     def close(self, request: Request) -> None:
         """Mark a request as needing no further response, and cancel its pending attempts where allowed."""
@@ -47,9 +47,9 @@
         for attempt in request.attempts:
             if attempt.pending and not attempt.has_response_started and request.limits.allow_cancel:
                 self._context.actions.append(CancelAttempt(request.id, attempt.index))
-        self.forget_if_complete(request)
+        self.remove_if_complete(request)
 
-    def forget_if_complete(self, request: Request) -> None:
+    def remove_if_complete(self, request: Request) -> None:
         """Remove a request that is answered and has no pending attempt."""
         if request.is_complete():
             self._requests.pop(request.id, None)
--- a/sidecar/balancer/lifecycle/retrying.py
+++ b/sidecar/balancer/lifecycle/retrying.py
@@ -33,15 +33,15 @@
     placer: RequestPlacer
     finish: FinishCallback
 
-    def retry(self, request: Request, failed: Server, outcome: Outcome) -> None:
+    def retry(self, request: Request, failed_server: Server, outcome: Outcome) -> None:
         """Retry a request after an attempt that gave it no final response, or finish it.
 
         Args:
             request: The request.
-            failed: The server of the attempt.
+            failed_server: The server of the attempt.
             outcome: How the attempt ended.
         """
-        request.failed_servers.append(failed)
+        request.failed_servers.append(failed_server)
         if outcome is Outcome.REJECTED:
             request.rejections += 1
         if self._is_retry_free(outcome) or (self._may_retry(request) and self.budget.try_acquire()):
--- a/sidecar/balancer/state/load.py
+++ b/sidecar/balancer/state/load.py
@@ -30,7 +30,7 @@
         self._abandoned_until: list[int] = []  # a heap: when each abandoned attempt stops counting
         self._clock = clock
 
-    def change(self, server: Server, delta: int, within_target: bool = True) -> None:
+    def change_attempts(self, server: Server, delta: int, within_target: bool = True) -> None:
         """Count an attempt that starts or ends.
 
         Args:
@@ -96,5 +96,5 @@
         self._mean_updated_at = self._clock.now
         total = self.total()
         start = min(self.mean, max(total, max_start, 1.0))
-        step = 1.0 - math.exp(-elapsed_us / span_us)
-        self.mean = start + (total - start) * step
+        weight = 1.0 - math.exp(-elapsed_us / span_us)
+        self.mean = start + (total - start) * weight
--- a/sidecar/balancer/state/records.py
+++ b/sidecar/balancer/state/records.py
@@ -181,7 +181,7 @@
     health_checks_due: int = 0
     priority: float = 0.5
 
-    def restrict(self, limits: Limits, non_execution_outcomes: frozenset[Outcome]) -> None:
+    def tighten_limits(self, limits: Limits, non_execution_outcomes: frozenset[Outcome]) -> None:
         """Apply the limits of new settings where they are stricter; what they newly allow stays forbidden.
 
         Args:
--- a/sidecar/simulator/codec.py
+++ b/sidecar/simulator/codec.py
@@ -216,7 +216,7 @@
         request=_integer(request),
         service_class=_string(service_class),
         tenant=None if tenant is None or tenant == 0 else _string(tenant),
-        key=_optional_integer(key),
+        ordering_key=_optional_integer(key),
         remaining_us=_integer(remaining_us),
         cost_us=_optional_integer(cost_us) if flags & _HAS_COST_HINT else None,
         is_client_retry=bool(flags & _IS_CLIENT_RETRY),
--- a/tests/balancer/policy_context.py
+++ b/tests/balancer/policy_context.py
@@ -35,7 +35,7 @@
     """Add an attempt at the server, and its load."""
     attempt = Attempt(len(request.attempts), server, context.now, 0, 0)
     request.attempts.append(attempt)
-    context.load.change(server, 1)
+    context.load.change_attempts(server, 1)
     return attempt
 
 
@@ -43,4 +43,4 @@
     """Add the load of so many attempts to the first ready server."""
     server = context.registry.ready[0]
     for _ in range(attempts):
-        context.load.change(server, 1)
+        context.load.change_attempts(server, 1)
--- a/tests/balancer/test_outliers.py
+++ b/tests/balancer/test_outliers.py
@@ -116,7 +116,7 @@
     for _ in range(times):
         request = make_request(context)
         attempt = start_attempt(context, request, server)
-        context.load.change(server, -1)
+        context.load.change_attempts(server, -1)
         outliers.attempt_ended(request, attempt, Outcome.ERROR)
 
 
@@ -148,7 +148,7 @@
         assert outliers.half_open_candidate(request) is server
         server.half_open_attempt = start_attempt(context, request, server)
         assert outliers.half_open_candidate(make_request(context)) is None
-        context.load.change(server, -1)
+        context.load.change_attempts(server, -1)
         outliers.attempt_ended(request, server.half_open_attempt, Outcome.ERROR)
     for wait, targets in zip(waits, [2, 4, 8, 16, 16, 16], strict=True):
         assert 0.75 * targets <= wait <= 1.25 * targets
