--- a/sidecar/proxy/discovery_client.py
+++ b/sidecar/proxy/discovery_client.py
@@ -116,8 +116,7 @@
         """Make the calls of the watch one after the other, until one fails.
 
         Each call follows the previous response at once: after more than 200 ms it would be a new watch.  A
-        call that timed out is followed at once, too: a registry with many such clients serves
-        them in turn.
+        call that timed out is followed at once, too: a registry with many such clients serves them in turn.
         """
         loop = asyncio.get_running_loop()
         while True:
--- a/sidecar/proxy/idle_connections.py
+++ b/sidecar/proxy/idle_connections.py
@@ -38,7 +38,7 @@
     """
 
     def __init__(self, dial_timeout_s: float, idle_timeout_s: float) -> None:
-        """Create the policy.
+        """Create the reuse policy.
 
         Args:
             dial_timeout_s: Seconds within which a server accepts a connection.
--- a/sidecar/proxy/idle_lifetimes.py
+++ b/sidecar/proxy/idle_lifetimes.py
@@ -36,8 +36,8 @@
     """Decides how long a connection may have been idle and still be trusted with a request.
 
     Guards against servers and middleboxes that drop an idle connection long before the configured time, which
-    shows only when the next request fails.  Failures that new connections suffer too are not counted
-    against idle ones.  Counts decay over a few time constants, so that connections are trusted again.
+    shows only when the next request fails.  Failures that new connections suffer too are not counted against
+    idle ones.  Counts decay over a few time constants, so that connections are trusted again.
     """
 
     def __init__(self, time_constant_s: float) -> None:
