--- a/sidecar/proxy/request_errors.py
+++ b/sidecar/proxy/request_errors.py
@@ -1,6 +1,6 @@
-"""Why a client's request is rejected before it is handled: an error for each reason, with its HTTP status.
+"""Errors for which a client's request is rejected before it is handled, with their HTTP statuses.
 
-The message of an error is the body of the response, so clients see it.
+The message of an error is sent to the client as the body of the response.
 """
 
 from __future__ import annotations
@@ -8,78 +8,78 @@
 from http import HTTPStatus
 
 
-class BadRequestError(Exception):
-    """A request that can't be accepted.
+class RequestError(Exception):
+    """Base of the errors for which a request is rejected.
 
     Attributes:
-        status: Of the response.
+        status: HTTP status of the response.
     """
 
     status = HTTPStatus.BAD_REQUEST
 
 
-class MalformedRequestError(BadRequestError):
-    """What was sent can't be read as an HTTP request; the message says why."""
+class MalformedRequestError(RequestError):
+    """The received data is not a valid HTTP request; the message says why."""
 
 
-class AmbiguousFramingError(BadRequestError):
-    """The end of the body is given twice, so that one may hide a request in the other."""
+class AmbiguousFramingError(RequestError):
+    """The body length is given in two ways, which would allow request smuggling."""
 
     def __init__(self) -> None:
         super().__init__("two ways to tell the body's end")
 
 
-class DuplicateHeaderError(BadRequestError):
-    """A header with one meaning is given twice."""
+class DuplicateHeaderError(RequestError):
+    """A header that must be unique occurs more than once."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name} stands twice")
 
 
-class MissingHeaderError(BadRequestError):
+class MissingHeaderError(RequestError):
     """A required header is absent or empty."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name} is missing")
 
 
-class HeaderTooLongError(BadRequestError):
-    """The value of a header is longer than allowed."""
+class HeaderTooLongError(RequestError):
+    """The value of a header exceeds the maximum length."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name} is too long")
 
 
-class NotANumberError(BadRequestError):
-    """A header needs a plain decimal number."""
+class NotANumberError(RequestError):
+    """The value of a header is not a plain decimal number."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name}: a number is needed")
 
 
-class UnknownNameError(BadRequestError):
-    """A header names what the settings don't list."""
+class UnknownNameError(RequestError):
+    """A header names a service class or a tenant that the settings don't list."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name} is not known")
 
 
-class UnexpectedBodyError(BadRequestError):
-    """A request that is safe to repeat has a body."""
+class UnexpectedBodyError(RequestError):
+    """A request of a class that is safe to repeat has a body."""
 
     def __init__(self) -> None:
         super().__init__("a body belongs to no request that is safe to repeat")
 
 
-class BudgetTooLongError(BadRequestError):
+class BudgetTooLongError(RequestError):
     """The time budget exceeds the deadline of the service class."""
 
     def __init__(self) -> None:
         super().__init__("x-budget is longer than the deadline of the class")
 
 
-class MethodNotAllowedError(BadRequestError):
-    """The service class uses another method."""
+class MethodNotAllowedError(RequestError):
+    """The service class requires another method."""
 
     status = HTTPStatus.METHOD_NOT_ALLOWED
 
@@ -87,8 +87,8 @@
         super().__init__("not the method of the class")
 
 
-class PathNotFoundError(BadRequestError):
-    """The path is not one that the proxy serves."""
+class PathNotFoundError(RequestError):
+    """The proxy does not serve the path."""
 
     status = HTTPStatus.NOT_FOUND
 
@@ -96,8 +96,8 @@
         super().__init__("no such path")
 
 
-class RequestTimeoutError(BadRequestError):
-    """The request did not arrive in time."""
+class RequestTimeoutError(RequestError):
+    """The request did not arrive completely within the time limit."""
 
     status = HTTPStatus.REQUEST_TIMEOUT
 
@@ -105,8 +105,8 @@
         super().__init__("the request took too long to come")
 
 
-class RequestIdInUseError(BadRequestError):
-    """The request id is that of another request, so neither forwarding nor a retry is safe."""
+class RequestIdInUseError(RequestError):
+    """The request id is that of another request, so neither forwarding it nor a retry is safe."""
 
     status = HTTPStatus.CONFLICT
 
@@ -114,8 +114,8 @@
         super().__init__("x-call-id is that of another request, which is out or may have run")
 
 
-class BodyTooLargeError(BadRequestError):
-    """The body is longer than allowed."""
+class BodyTooLargeError(RequestError):
+    """The body exceeds the maximum size."""
 
     status = HTTPStatus.REQUEST_ENTITY_TOO_LARGE
 
@@ -123,8 +123,8 @@
         super().__init__("the body is too large")
 
 
-class InternalError(BadRequestError):
-    """A defect of this program; the request itself may be fine."""
+class InternalError(RequestError):
+    """An unexpected error of this program; the request itself may be valid."""
 
     status = HTTPStatus.INTERNAL_SERVER_ERROR
 
