--- a/tests/proxy/test_new_connection_responses.py
+++ b/tests/proxy/test_new_connection_responses.py
@@ -76,9 +76,8 @@
             client = socket.create_connection(frontend.address)
             client.sendall(SIZES["small"])
             frontend.drain()
-            assert (
-                frontend.close_listener()
-            )  # within one step of the event loop: nothing has been accepted before
+            # Within one step of the event loop: nothing has been accepted before.
+            assert frontend.close_listener()
             client.setblocking(False)
             reader, writer = await asyncio.open_connection(sock=client)
             status, headers, _ = await read_response(reader)
