--- a/sidecar/balancer/lifecycle/timer_dispatch.py
+++ b/sidecar/balancer/lifecycle/timer_dispatch.py
@@ -29,7 +29,7 @@
     """Calls the handler of each timer that is due, unless the timer is stale.
 
     Timers are not removed from the queue when they are cancelled or rescheduled.  A timer is stale if the
-    component that set it gives another due time by now, or none.
+    component that set it now reports another due time, or none.
 
     Attributes:
         context: The shared state.
@@ -86,7 +86,7 @@
                 return request.health_checks_due if request.health_check_candidates else None
 
     def fire_due(self) -> None:
-        """Fire all timers that are due and not stale."""
+        """Remove the timers that are due, and fire those whose current due time has passed."""
         now = self.context.now
         for due, timer in self.context.timers.pop_due(now):
             current_due_time = self.current_due_time(due, timer)
