--- a/scale/standins/change_log.py
+++ b/scale/standins/change_log.py
@@ -8,7 +8,7 @@
 from dataclasses import asdict, dataclass, replace
 from enum import StrEnum
 
-MAXIMUM_CHANGES = 8_192  # entries; a delta from before the oldest becomes a snapshot
+MAXIMUM_LOG_ENTRIES = 8_192  # entries; a delta from before the oldest becomes a snapshot
 
 
 class EndpointStatus(StrEnum):
@@ -52,10 +52,10 @@
 class ChangeLog:
     """Endpoints by name, and a log of their changes; each commit is one version."""
 
-    def __init__(self, endpoints: Iterable[Endpoint] = (), length: int = MAXIMUM_CHANGES) -> None:
+    def __init__(self, endpoints: Iterable[Endpoint] = (), max_length: int = MAXIMUM_LOG_ENTRIES) -> None:
         self._endpoints = {each.name: each for each in endpoints}
         self._changes: deque[Change] = deque()
-        self._length = length
+        self._max_length = max_length
         self._version = 1
         self._oldest_delta_base = 1  # the oldest version that a delta can start from
         self._snapshot: SerializedResponse | None = None
@@ -163,7 +163,7 @@
 
     def _trim(self) -> None:
         """Drop the oldest versions, each completely: a part of a version's entries would be a wrong delta."""
-        while len(self._changes) > self._length:
+        while len(self._changes) > self._max_length:
             dropped = self._changes[0].version
             while self._changes and self._changes[0].version == dropped:
                 self._changes.popleft()
--- a/scale/standins/registry.py
+++ b/scale/standins/registry.py
@@ -42,34 +42,34 @@
         """Go down, become overloaded or come back; watches end unless the registry is up."""
         self._state.set_availability(availability)
 
-    async def start(self, listeners: int = 1, observed: int = 0) -> list[Address]:
+    async def start(self, listeners: int = 1, observed_listeners: int = 0) -> list[Address]:
         """Listen on loopback at ports picked by the kernel.
 
         Args:
             listeners: How many addresses to listen at.
-            observed: How many of the last listeners record their calls: if only one sidecar uses such an
-                address, the calls show when it had applied which version.
+            observed_listeners: How many of the last listeners record their calls.  If only one sidecar uses
+                such an address, the calls show when it had applied which version.
 
         Returns:
             The addresses of all listeners.
         """
         for index in range(listeners):
-            await self._listen(index >= listeners - observed)
+            await self._listen(index >= listeners - observed_listeners)
         return [listener.address for listener in self._listeners]
 
-    async def _listen(self, observed: bool) -> None:
+    async def _listen(self, records_calls: bool) -> None:
         loop = asyncio.get_running_loop()
-        accepted: list[Listener] = []  # filled before the loop can accept a connection
+        created: list[Listener] = []  # filled before the loop can accept a connection
 
         def new_connection() -> RegistryConnection:
-            return RegistryConnection(self._state, accepted[0])
+            return RegistryConnection(self._state, created[0])
 
         server = await loop.create_server(
             new_connection, "127.0.0.1", 0, backlog=_BACKLOG, start_serving=False
         )
         host, port = server.sockets[0].getsockname()
-        accepted.append(Listener(server, (host, port), observed=[] if observed else None))
-        self._listeners.append(accepted[0])
+        created.append(Listener(server, (host, port), observed_calls=[] if records_calls else None))
+        self._listeners.append(created[0])
         await server.start_serving()
 
     async def stop(self) -> None:
@@ -83,7 +83,7 @@
 
     def observed_calls(self, listener: int) -> list[ObservedCall]:
         """Return the calls recorded at a listener, the oldest first; empty if it records none."""
-        return list(self._listeners[listener].observed or ())
+        return list(self._listeners[listener].observed_calls or ())
 
     def traffic(self, listener: int) -> ListenerTraffic:
         """Return the traffic of a listener since the start."""
@@ -95,14 +95,14 @@
         Its connections stay open, but nothing is read or written on them; they are reset at the end, as by a
         machine that is reachable again.  Unlike in a real partition, the kernel accepts new connections.
         """
-        chosen = self._listeners[listener]
-        if chosen.partitioned and not partitioned:
-            for connection in list(chosen.connections):
+        target = self._listeners[listener]
+        if target.is_partitioned and not partitioned:
+            for connection in list(target.connections):
                 connection.abort()
-        chosen.partitioned = partitioned
+        target.is_partitioned = partitioned
 
     def blackhole_connections(self) -> None:
         """Ignore all open connections for good, as after the address has failed over to another machine."""
         for listener in self._listeners:
             for connection in listener.connections:
-                connection.blackholed = True
+                connection.is_blackholed = True
--- a/scale/standins/registry_process.py
+++ b/scale/standins/registry_process.py
@@ -38,7 +38,7 @@
 
     def __init__(self, server: RegistryServer) -> None:
         self._server = server
-        self._fleet = server.change_log.endpoints()
+        self._initial_endpoints = server.change_log.endpoints()
 
     def handle(self, line: bytes) -> Message:
         """Handle one command, as a JSON line, and return its response.
@@ -67,12 +67,12 @@
                     http_bytes=sum(each.http_bytes for each in traffic),
                 )
             case GetObservedDelays():
-                return self._observed(command)
+                return self._observed_delays(command)
         return Done()
 
     def _change(self, command: ChangeEndpoints) -> CommittedChange:
         log, at_s = self._server.change_log, time.monotonic()
-        names = [self._fleet[index].name for index in command.indexes]
+        names = [self._initial_endpoints[index].name for index in command.indexes]
         match command.change:
             case "restart":
                 version = log.restart(names, time.time_ns() // 1_000_000)
@@ -81,23 +81,23 @@
             case "remove":
                 version = log.remove(names)
             case "add":
-                version = log.commit([self._fleet[index] for index in command.indexes])
+                version = log.commit([self._initial_endpoints[index] for index in command.indexes])
         return CommittedChange(version=version, at_s=at_s)
 
     def _counts(self) -> Counts:
         counts = self._server.counts
-        figures = {name: getattr(counts, name) for name in Counts.model_fields if name != "version"}
-        return Counts(version=self._server.change_log.version, **figures)
+        counters = {name: getattr(counts, name) for name in Counts.model_fields if name != "version"}
+        return Counts(version=self._server.change_log.version, **counters)
 
-    def _observed(self, command: GetObservedDelays) -> ObservedDelays:
+    def _observed_delays(self, command: GetObservedDelays) -> ObservedDelays:
         return ObservedDelays(
             delays_s=[
-                [self._first_seen_after(change, listener) for listener in command.listeners]
+                [self._delay_until_observed(change, listener) for listener in command.listeners]
                 for change in command.changes
             ]
         )
 
-    def _first_seen_after(self, change: CommittedChange, listener: int) -> float | None:
+    def _delay_until_observed(self, change: CommittedChange, listener: int) -> float | None:
         for call in self._server.observed_calls(listener):
             if call.after >= change.version and call.at_s >= change.at_s:
                 return call.at_s - change.at_s
--- a/scale/standins/registry_protocol.py
+++ b/scale/standins/registry_protocol.py
@@ -37,27 +37,27 @@
     Raises:
         MalformedCallError: The request is not the protocol's GET.
     """
-    first, *rest = head.split(b"\r\n")
-    line = _REQUEST_LINE.fullmatch(first)
-    if line is None:
+    request_line, *header_lines = head.split(b"\r\n")
+    request_match = _REQUEST_LINE.fullmatch(request_line)
+    if request_match is None:
         raise MalformedCallError(HTTPStatus.BAD_REQUEST)
-    method, target, minor = line.groups()
+    method, target, minor_version = request_match.groups()
     headers = {}
-    for each in rest:
-        header = _HEADER_LINE.fullmatch(each)
-        if header is None:
+    for header_line in header_lines:
+        header_match = _HEADER_LINE.fullmatch(header_line)
+        if header_match is None:
             raise MalformedCallError(HTTPStatus.BAD_REQUEST)
-        headers[header[1].lower()] = header[2]
+        headers[header_match[1].lower()] = header_match[2]
     if method != b"GET":
         raise MalformedCallError(HTTPStatus.METHOD_NOT_ALLOWED)
     has_body = not _BODY_HEADERS.isdisjoint(headers)
-    if has_body or (minor == b"1" and b"host" not in headers):
+    if has_body or (minor_version == b"1" and b"host" not in headers):
         raise MalformedCallError(HTTPStatus.BAD_REQUEST)
     path, _, query = target.decode("ascii").partition("?")
     if path != PATH:
         raise MalformedCallError(HTTPStatus.NOT_FOUND)
     after, wait_ms = _parse_query(query)
-    keep_alive = minor == b"1" and headers.get(b"connection", b"").lower() != b"close"
+    keep_alive = minor_version == b"1" and headers.get(b"connection", b"").lower() != b"close"
     return Call(after, wait_ms, keep_alive)
 
 
--- a/scale/standins/server.py
+++ b/scale/standins/server.py
@@ -24,7 +24,7 @@
 _LIVENESS_PATH = "/health/live"
 _BACKLOG = 512
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for 0 s
-_REJECTION = {"X-Rejected": "1"}
+_REJECTION_HEADERS = {"X-Rejected": "1"}
 
 
 class ServerMode(Enum):
@@ -74,8 +74,8 @@
             ValueError: The body is not JSON.
             TypeError: The body has other keys.
         """
-        given = json.loads(body)
-        return ServedBody(**given)
+        fields = json.loads(body)
+        return ServedBody(**fields)
 
 
 def exponential_service_times(mean_s: float, seed: int) -> Callable[[], float]:
@@ -130,7 +130,7 @@
         self._server = server
         self._reader = MessageReader()
         self._transport: asyncio.Transport | None = None
-        self._calls = 0
+        self._request_count = 0
         self._response_timer: asyncio.TimerHandle | None = None
         self._is_hanging = False
 
@@ -180,7 +180,7 @@
             self._write(HTTPStatus.NOT_FOUND)
         else:
             counters.requests += 1
-            self._calls += 1
+            self._request_count += 1
             server.last_request_at = time.monotonic()
             self._handle_call(server.mode)
 
@@ -188,10 +188,10 @@
         counters = self._server.counters
         if mode is ServerMode.REJECT:
             counters.rejected += 1
-            self._write(HTTPStatus.SERVICE_UNAVAILABLE, _REJECTION)
+            self._write(HTTPStatus.SERVICE_UNAVAILABLE, _REJECTION_HEADERS)
         elif mode is ServerMode.DRAIN:
             counters.rejected += 1
-            self._write(HTTPStatus.SERVICE_UNAVAILABLE, _REJECTION | {"Connection": "close"})
+            self._write(HTTPStatus.SERVICE_UNAVAILABLE, _REJECTION_HEADERS | {"Connection": "close"})
             if self._transport is not None:
                 self._transport.close()
         elif mode is ServerMode.HANG:
@@ -211,7 +211,7 @@
             return
         self._server.counters.served += 1
         service_time_us = (time.monotonic() - started_at) * 1e6
-        served = ServedBody(self._server.name, self._calls, started_at, service_time_us)
+        served = ServedBody(self._server.name, self._request_count, started_at, service_time_us)
         self._write(HTTPStatus.OK, body=served.encode())
 
     def _write(self, status: HTTPStatus, headers: dict[str, str] | None = None, body: bytes = b"") -> None:
--- a/tests/scale/test_registry_standin.py
+++ b/tests/scale/test_registry_standin.py
@@ -120,7 +120,7 @@
 
 
 def test_log_that_does_not_reach_back_gives_a_snapshot() -> None:
-    log = ChangeLog(ENDPOINTS, length=3)
+    log = ChangeLog(ENDPOINTS, max_length=3)
     for since_ms in (1, 2, 3, 4):
         log.restart(["s-1"], since_ms)
     assert not log.delta_since(2).is_snapshot
