--- a/scale/callgraph/policies.py
+++ b/scale/callgraph/policies.py
@@ -67,9 +67,9 @@
     def _update(self, event: RegistryUpdated) -> None:
         if event.kind is RegistryUpdateKind.SNAPSHOT:
             self._in_flight.clear()
-        for endpoint in event.servers:
+        for endpoint in event.endpoints:
             if endpoint.state is ServerState.READY:
-                self._in_flight.setdefault(endpoint.server, 0)
+                self._in_flight.setdefault(endpoint.name, 0)
 
     def _attempt(self, now: int, number: int, request: _BaselineRequest) -> list[Action]:
         untried = [name for name in self._in_flight if name not in request.attempted]
--- a/sidecar/configuration.py
+++ b/sidecar/configuration.py
@@ -1,4 +1,8 @@
-"""Reads the configuration of one sidecar: a JSON file, and the environment where the file is silent."""
+"""Reads the configuration of a sidecar from a JSON file and environment variables.
+
+RELAY_CONFIG is the path of the file.  RELAY_LISTEN overrides the `listen` of the file.  RELAY_DISCOVERY is
+used only if the file has no `discovery`.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
 from sidecar.settings.wire_names import settings_from_wire
 
 READ_ERRORS = (OSError, ConfigurationError)
-"""What `read_config` raises: the file can't be read, or what it holds can't be used."""
+"""The exceptions of `read_config`: the file can't be read, or its contents are invalid."""
 
 _FILE_VARIABLE = "RELAY_CONFIG"
 _LISTEN_VARIABLE = "RELAY_LISTEN"
@@ -22,10 +26,9 @@
 
 
 class NoConfigurationFileError(ConfigurationError):
-    """The environment names no configuration file."""
+    """The environment doesn't name a configuration file."""
 
     def __init__(self) -> None:
-        """Make the error."""
         super().__init__(f"{_FILE_VARIABLE} names no file")
 
 
@@ -33,15 +36,15 @@
     """The configuration file isn't JSON."""
 
     def __init__(self, reason: Exception) -> None:
-        """Make the error from what the JSON reader raised."""
+        """Create the error from the exception of the JSON parser."""
         super().__init__(f"not JSON: {reason}")
 
 
 class InvalidEndpointListError(ConfigurationError):
-    """The last known endpoint list has another form than that of service discovery."""
+    """The last known endpoint list isn't in the format of the registry's responses."""
 
     def __init__(self, key: str, reason: Exception) -> None:
-        """Make the error from what the reader of the list at `key` raised."""
+        """Create the error from the exception that parsing the list at `key` raised."""
         super().__init__(f"{key}: {reason}")
 
 
@@ -50,25 +53,25 @@
 
     Args:
         environ: Environment variables.
-        with_known_endpoints: Whether to read the entries of the last known endpoint list.  The start alone
-            needs them, and while the sidecar serves, its requests would wait for thousands to be read.
+        with_known_endpoints: Whether to read the entries of the last known endpoint list.  Only the start
+            needs them; on a reload, parsing thousands of entries would delay the requests being served.
 
     Returns:
         The configuration.
 
     Raises:
         OSError: The file can't be read.
-        ConfigurationError: What the file holds can't be used; the message names the key.
+        ConfigurationError: The contents of the file are invalid; the message names the key.
     """
-    given = _read_json_object(environ.get(_FILE_VARIABLE))
+    document = _read_json_object(environ.get(_FILE_VARIABLE))
     return Config(
-        listen=_listen_address(given, environ),
-        discovery=_discovery_address(given, environ),
-        seed=_seed(given.get("seed", _DEFAULT_SEED)),
-        sockets=_sockets(given.get("limits")),
-        settings=settings_from_wire(given.get("settings")),
-        cached_endpoints=_known_endpoints(given.get("known"), with_known_endpoints),
-        version=_version(given.get("version")),
+        listen=_listen_address(document, environ),
+        discovery=_discovery_address(document, environ),
+        seed=_seed(document.get("seed", _DEFAULT_SEED)),
+        sockets=_sockets(document.get("limits")),
+        settings=settings_from_wire(document.get("settings")),
+        cached_endpoints=_known_endpoints(document.get("known"), with_known_endpoints),
+        version=_version(document.get("version")),
     )
 
 
@@ -77,46 +80,46 @@
         raise NoConfigurationFileError
     with open(path, encoding="utf-8") as file:
         try:
-            given = json.load(file)
+            document = json.load(file)
         except (ValueError, RecursionError) as error:
             raise ConfigurationSyntaxError(error) from error
-    if not isinstance(given, dict):
-        raise InvalidSettingError("configuration", "an object", given)
-    return given
+    if not isinstance(document, dict):
+        raise InvalidSettingError("configuration", "an object", document)
+    return document
 
 
-def _listen_address(given: Mapping[str, object], environ: Mapping[str, str]) -> Address:
+def _listen_address(document: Mapping[str, object], environ: Mapping[str, str]) -> Address:
     from_environment = environ.get(_LISTEN_VARIABLE)
     if from_environment:
         return _address(from_environment, _LISTEN_VARIABLE)
-    return _address(given.get("listen"), "listen")
+    return _address(document.get("listen"), "listen")
 
 
-def _discovery_address(given: Mapping[str, object], environ: Mapping[str, str]) -> Address:
+def _discovery_address(document: Mapping[str, object], environ: Mapping[str, str]) -> Address:
     from_environment = environ.get(_DISCOVERY_VARIABLE)
-    if from_environment and not given.get("discovery"):
+    if from_environment and not document.get("discovery"):
         return _address(from_environment, _DISCOVERY_VARIABLE)
-    return _address(given.get("discovery"), "discovery")
+    return _address(document.get("discovery"), "discovery")
 
 
 def _address(value: object, key: str) -> Address:
-    needed = "an address host:port"
+    expected = "an address host:port"
     if not isinstance(value, str):
-        raise InvalidSettingError(key, needed, value)
+        raise InvalidSettingError(key, expected, value)
     try:
         return parse_address(value)
     except ValueError:
-        raise InvalidSettingError(key, needed, value) from None
+        raise InvalidSettingError(key, expected, value) from None
 
 
 def _seed(value: object) -> int:
-    needed = "a text of hex digits"
+    expected = "a string of hex digits"
     if not isinstance(value, str):
-        raise InvalidSettingError("seed", needed, value)
+        raise InvalidSettingError("seed", expected, value)
     try:
         return int(value, 16)
     except ValueError:
-        raise InvalidSettingError("seed", needed, value) from None
+        raise InvalidSettingError("seed", expected, value) from None
 
 
 def _known_endpoints(value: object, with_entries: bool) -> RegistryResponse:
@@ -142,7 +145,7 @@
 
 
 def _integer(value: object, key: str, low: int) -> int:
-    """Check a whole number strictly: unlike in the settings, neither 2.0 nor null will do."""
+    """Return a whole number; unlike in the settings, neither 2.0 nor null is accepted."""
     if type(value) is not int or value < low:
         raise InvalidSettingError(key, f"a whole number from {low}", value)
     return value
--- a/sidecar/proxy/pooled_servers.py
+++ b/sidecar/proxy/pooled_servers.py
@@ -9,9 +9,9 @@
 from sidecar.balancer.events import Outcome, ServerState
 from sidecar.proxy.addresses import Address
 from sidecar.proxy.exchange import Exchange
-from sidecar.proxy.server_connection import Connection
+from sidecar.proxy.server_connection import ServerConnection
 
-_UNKNOWN_ADDRESS: Address = ("127.0.0.1", 0)  # of a server that accepts nothing new anyway
+_UNKNOWN_ADDRESS: Address = ("127.0.0.1", 0)  # of a server that gets no new requests anyway
 
 
 @dataclass(slots=True, eq=False)
@@ -23,7 +23,7 @@
         close_timer: Closes it when it has been idle for too long.
     """
 
-    connection: Connection
+    connection: ServerConnection
     close_timer: asyncio.TimerHandle
 
     def close(self) -> None:
@@ -34,16 +34,18 @@
 
 @dataclass(slots=True, eq=False)
 class PooledServer:
-    """A server, and what the pool holds for it.
+    """A server with its idle connections and its dials in progress.
 
     Attributes:
         name: Name of the server.
         address: Where it listens.
-        started_at: When its process started, as discovery tells it; None: long ago.
-        state: As of the endpoint list.
-        generation: Counts its processes and addresses; connections of an older one are not reused.
-        idle: Its idle connections, the longest idle first; bounded together with all connections.
-        dialing: The exchanges that are waiting for a new connection to it.
+        started_at: When its process started, according to discovery, in microseconds of Unix time; None: long
+            ago.
+        state: Its state in the endpoint list.
+        generation: Counts changes of its process and address; connections of an older one are not reused.
+        idle_connections: Its idle connections, the longest idle first; the limit on all connections bounds
+            them.
+        dialing_exchanges: The exchanges that are waiting for a new connection to it.
     """
 
     name: str
@@ -51,8 +53,8 @@
     started_at: int | None
     state: ServerState
     generation: int = 0
-    idle: list[IdleConnection] = field(default_factory=list)
-    dialing: set[Exchange] = field(default_factory=set)
+    idle_connections: list[IdleConnection] = field(default_factory=list)
+    dialing_exchanges: set[Exchange] = field(default_factory=set)
 
     def may_reuse(self, generation: int) -> bool:
         """Return whether a connection of a generation may carry another request."""
@@ -60,30 +62,31 @@
 
     def close_idle(self) -> None:
         """Close its idle connections."""
-        while self.idle:
-            self.idle.pop().close()
+        while self.idle_connections:
+            self.idle_connections.pop().close()
 
-    def end_unwritten(self, outcome: Outcome = Outcome.CONNECT_FAILED) -> None:
+    def close_idle_and_end_dials(self, outcome: Outcome = Outcome.CONNECT_FAILED) -> None:
         """Close its idle connections and end the exchanges that wait for a new one.
 
         Guards against a slow dial that would write its request after a draining server has stopped.
 
         Args:
-            outcome: What these exchanges end with.
+            outcome: The outcome of these exchanges.
         """
         self.close_idle()
-        for exchange in list(self.dialing):
+        for exchange in list(self.dialing_exchanges):
             exchange.end(outcome)
 
-    def move(self, address: Address, started_at: int | None) -> None:
-        """Adopt the address and start time of a new process; older connections are of no use any more."""
+    def replace_process(self, address: Address, started_at: int | None) -> None:
+        """Adopt the address and start time of a new process; older connections are not reused."""
         has_new_address = self.address != address
         self.address = address
         self.started_at = started_at
         self.generation += 1
         self.close_idle()
         if has_new_address:
-            self.end_unwritten(Outcome.NOT_SENT)  # any other server may listen at the old address now
+            # Another server may listen at the old address now.
+            self.close_idle_and_end_dials(Outcome.NOT_SENT)
 
 
 class ServerTable(Mapping[str, PooledServer]):
@@ -107,9 +110,9 @@
 
         Args:
             name: Name of the server.
-            address: Where it listens; None: where it did so far.
-            started_at: When its process started; None: long ago.
-            state: Its state; a removed server is dropped, and its exchanges in flight go on.
+            address: The address that it listens on; None: unchanged.
+            started_at: When its process started, in microseconds of Unix time; None: long ago.
+            state: Its state; a removed server is deleted, and requests already written to it stay in flight.
         """
         server = self._servers.get(name)
         if server is None:
@@ -118,10 +121,10 @@
             return
         address = address or server.address
         if (server.address, server.started_at) != (address, started_at):
-            server.move(address, started_at)
+            server.replace_process(address, started_at)
         server.state = state
         if state is not ServerState.READY:
-            server.end_unwritten()
+            server.close_idle_and_end_dials()
         if state is ServerState.REMOVED:
             del self._servers[name]
 
@@ -131,7 +134,7 @@
             self._remove(name)
 
     def remove_superseded(self) -> list[str]:
-        """Remove the servers at whose address the process of another one listens now, which started later.
+        """Remove each server whose address is now that of another server, with a process that started later.
 
         Returns:
             The names of the servers that were removed.
--- a/sidecar/simulator/codec.py
+++ b/sidecar/simulator/codec.py
@@ -1,7 +1,6 @@
-"""Decodes the lines of the simulator's wire into messages, and encodes actions into lines.
+"""The codec of the simulator's wire protocol: decodes lines into messages, and encodes actions into lines.
 
-Each line is a JSON array that starts with the name of its message.  Values beyond those known here are
-skipped.
+Each line is a JSON array that starts with the name of its message.  Additional values at the end are ignored.
 """
 
 from __future__ import annotations
@@ -42,23 +41,23 @@
 from sidecar.settings import ConfigurationError
 from sidecar.settings.wire_names import settings_from_wire
 from sidecar.simulator.errors import (
+    ExpectedType,
     InvalidJsonError,
     InvalidMessageError,
     InvalidSettingsError,
     InvalidValueError,
     MissingValuesError,
-    Needed,
     ShortEndpointError,
+    UnknownEnumValueError,
     UnknownMessageError,
-    UnknownWordError,
 )
 from sidecar.simulator.messages import (
     EndpointPage,
-    EndpointsNotified,
     EventReceived,
     InstanceStarted,
     InstanceStopped,
     Message,
+    RegistryUpdateReceived,
 )
 
 BATCH_START = "FRAME"
@@ -87,16 +86,16 @@
     "revoked": Outcome.CANCELLED,
     "unused": Outcome.NOT_SENT,
 }
-# Flags of a request, by their bit.
+# Bits of a request's flags.
 _HAS_COST_HINT = 1
 _IS_CLIENT_RETRY = 2
 _IS_WRITE = 4
 
-_ALL_INSTANCES = -1  # the receiver of a message to all
-_ENDPOINT_VALUES = 6  # of an entry of an endpoint list, at least
-_ERROR_TEXT_LENGTH = 500
+_ALL_INSTANCES = -1  # as the receiver of a message
+_MIN_ENDPOINT_VALUES = 6  # in an entry of an endpoint list
+_MAX_ERROR_TEXT_LENGTH = 500
 
-_Word = TypeVar("_Word")
+_EnumMember = TypeVar("_EnumMember")
 _encode_json = json.JSONEncoder(separators=(",", ":")).encode
 
 
@@ -105,15 +104,15 @@
     """A message whose values have not been checked.
 
     Attributes:
-        name: Its name.
-        values: All its values, of which the first is the name.
+        name: Name of the message.
+        values: All values of the message, the first of which is its name.
     """
 
     name: object
     values: list[object]
 
-    def require(self, count: int) -> None:
-        """Raise MissingValuesError unless so many values, the name included, are there."""
+    def require_values(self, count: int) -> None:
+        """Raise MissingValuesError if there are fewer values than `count`, which includes the name."""
         if len(self.values) < count:
             raise MissingValuesError(self.name, count - 1, len(self.values) - 1)
 
@@ -122,16 +121,16 @@
 
 
 def parse_line(line: str) -> WireMessage:
-    """Read a line up to its name.
+    """Parse a line as a message without checking its values.
 
     Args:
-        line: The line, with or without its end.
+        line: The line, with or without its newline.
 
     Returns:
         The message, for `decode_batch_start` or `decode_message`.
 
     Raises:
-        WireError: The line is no message.
+        WireError: The line is not a message.
     """
     try:
         values = json.loads(line)
@@ -143,12 +142,12 @@
 
 
 def decode_batch_start(message: WireMessage) -> int:
-    """Return the clock time of a batch, in microseconds, from the message that starts it.
+    """Return the time of a batch in microseconds, from the message that starts it.
 
     Raises:
-        WireError: The message has other values.
+        WireError: The values of the message are invalid.
     """
-    message.require(2)
+    message.require_values(2)
     _, now_us, *_ = message.values
     return _integer(now_us)
 
@@ -157,41 +156,41 @@
     """Decode a message inside a batch.
 
     Args:
-        message: A message other than the start and the end of a batch.
+        message: Any message except the start or the end of a batch.
 
     Returns:
         The decoded message.
 
     Raises:
-        WireError: The name is unknown, or the message has other values than it should.
+        WireError: The name is unknown, or the values of the message are invalid.
     """
     name = message.name
     if not isinstance(name, str):
         raise UnknownMessageError(name)
     event_decoder = _EVENT_DECODERS.get(name)
     if event_decoder is not None:
-        least, decode_event = event_decoder
-        message.require(least)
+        min_values, decode_event = event_decoder
+        message.require_values(min_values)
         return EventReceived(_string(message.values[1]), decode_event(message.values))
     message_decoder = _MESSAGE_DECODERS.get(name)
     if message_decoder is None:
         raise UnknownMessageError(name)
-    least, decode = message_decoder
-    message.require(least)
+    min_values, decode = message_decoder
+    message.require_values(min_values)
     return decode(message.values)
 
 
 def _decode_page(values: list[object]) -> EndpointPage:
     _, number, entries, *_ = values
     if not isinstance(entries, list):
-        raise InvalidValueError(Needed.ENDPOINT_LIST, entries)
+        raise InvalidValueError(ExpectedType.ENDPOINT_LIST, entries)
     return EndpointPage(_integer(number), [_endpoint(entry) for entry in entries])
 
 
 def _decode_instance_started(values: list[object]) -> InstanceStarted:
-    _, instance, seed, given, *_ = values
+    _, instance, seed, raw_settings, *_ = values
     try:
-        settings = settings_from_wire(given)
+        settings = settings_from_wire(raw_settings)
     except ConfigurationError as error:
         raise InvalidSettingsError(error) from error
     return InstanceStarted(_string(instance), _integer(seed), settings)
@@ -202,12 +201,12 @@
     return InstanceStopped(_string(instance))
 
 
-def _decode_endpoints_notified(values: list[object]) -> EndpointsNotified:
-    _, instance, word, page, version, *_ = values
-    kind = _word(word, _REGISTRY_UPDATE_KINDS)
+def _decode_registry_update(values: list[object]) -> RegistryUpdateReceived:
+    _, instance, kind_name, page, version, *_ = values
+    kind = _enum_member(kind_name, _REGISTRY_UPDATE_KINDS)
     if kind is RegistryUpdateKind.FAILED:
-        return EndpointsNotified(_string(instance), kind)
-    return EndpointsNotified(_string(instance), kind, _integer(page), _integer(version))
+        return RegistryUpdateReceived(_string(instance), kind)
+    return RegistryUpdateReceived(_string(instance), kind, _integer(page), _integer(version))
 
 
 def _decode_request_arrived(values: list[object]) -> RequestArrived:
@@ -217,11 +216,11 @@
         request=_integer(request),
         service_class=_string(service_class),
         tenant=None if tenant is None or tenant == 0 else _string(tenant),
-        key=_optional_integer(key),
+        ordering_key=_optional_integer(key),
         remaining_us=_integer(remaining_us),
         cost_us=_optional_integer(cost_us) if flags & _HAS_COST_HINT else None,
-        client_retry=bool(flags & _IS_CLIENT_RETRY),
-        write=bool(flags & _IS_WRITE),
+        is_client_retry=bool(flags & _IS_CLIENT_RETRY),
+        is_write=bool(flags & _IS_WRITE),
     )
 
 
@@ -241,7 +240,7 @@
         request=_integer(request),
         attempt=_integer(attempt),
         server=_string(server),
-        outcome=_word(outcome, _OUTCOMES),
+        outcome=_enum_member(outcome, _OUTCOMES),
         elapsed_us=_integer(elapsed_us),
         answered=_boolean(answered),
         report=_load_report(optional[0]) if optional else None,
@@ -262,7 +261,7 @@
     _, _, elapsed_us, outcome, server, *optional = values
     return HealthCheckEnded(
         server=_string(server),
-        outcome=_word(outcome, _OUTCOMES),
+        outcome=_enum_member(outcome, _OUTCOMES),
         elapsed_us=_integer(elapsed_us),
         report=_load_report(optional[0]) if optional else None,
     )
@@ -273,7 +272,7 @@
     return MessageReceived(_integer(sender), _payload(payload))
 
 
-# By the message's name: how many values it has at least, the name included, and what decodes them.
+# By the name of the message: its minimum number of values, the name included, and their decoder.
 _EVENT_DECODERS: dict[str, tuple[int, Callable[[list[object]], Event]]] = {
     "WORK_ITEM": (9, _decode_request_arrived),
     "FIRST": (6, _decode_response_started),
@@ -287,7 +286,7 @@
     "PAGE": (3, _decode_page),
     "BEGIN": (4, _decode_instance_started),
     "EXIT": (2, _decode_instance_stopped),
-    "TARGETS": (5, _decode_endpoints_notified),
+    "TARGETS": (5, _decode_registry_update),
 }
 
 
@@ -296,7 +295,7 @@
 
 def _integer(value: object) -> int:
     if type(value) is not int:
-        raise InvalidValueError(Needed.INTEGER, value)
+        raise InvalidValueError(ExpectedType.INTEGER, value)
     return value
 
 
@@ -306,77 +305,77 @@
 
 def _string(value: object) -> str:
     if type(value) is not str:
-        raise InvalidValueError(Needed.STRING, value)
+        raise InvalidValueError(ExpectedType.STRING, value)
     return value
 
 
 def _boolean(value: object) -> bool:
     if type(value) is not bool:
-        raise InvalidValueError(Needed.BOOLEAN, value)
+        raise InvalidValueError(ExpectedType.BOOLEAN, value)
     return value
 
 
 def _number(value: object) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise InvalidValueError(Needed.NUMBER, value)
+        raise InvalidValueError(ExpectedType.NUMBER, value)
     return value
 
 
-def _word(value: object, words: Mapping[str, _Word]) -> _Word:
-    meaning = words.get(value) if isinstance(value, str) else None
-    if meaning is None:
-        raise UnknownWordError(value)
-    return meaning
+def _enum_member(value: object, members: Mapping[str, _EnumMember]) -> _EnumMember:
+    member = members.get(value) if isinstance(value, str) else None
+    if member is None:
+        raise UnknownEnumValueError(value)
+    return member
 
 
 def _payload(value: object) -> bytes:
     try:
         return bytes.fromhex(_string(value))
     except ValueError:
-        raise InvalidValueError(Needed.HEX_DIGITS, value) from None
+        raise InvalidValueError(ExpectedType.HEX_DIGITS, value) from None
 
 
 def _load_report(value: object) -> Mapping[str, float] | None:
     if value is None:
         return None
     if not isinstance(value, dict):
-        raise InvalidValueError(Needed.LOAD_REPORT, value)
-    for figure in value.values():
-        _number(figure)
+        raise InvalidValueError(ExpectedType.LOAD_REPORT, value)
+    for load_figure in value.values():
+        _number(load_figure)
     return value
 
 
 def _endpoint(entry: object) -> Endpoint:
     if not isinstance(entry, list):
-        raise InvalidValueError(Needed.ENDPOINT, entry)
-    if len(entry) < _ENDPOINT_VALUES:
-        raise ShortEndpointError(_ENDPOINT_VALUES, len(entry))
-    server, zone, kind, cell, state, nominal, *optional = entry
+        raise InvalidValueError(ExpectedType.ENDPOINT, entry)
+    if len(entry) < _MIN_ENDPOINT_VALUES:
+        raise ShortEndpointError(_MIN_ENDPOINT_VALUES, len(entry))
+    name, zone, kind, cell, state, capacity_weight, *optional = entry
     started_at = _optional_integer(optional[0]) if optional else None
     return Endpoint(
-        server=_string(server),
+        name=_string(name),
         zone=_string(zone),
         kind=_string(kind),
         cell=_integer(cell),
-        state=_word(state, _SERVER_STATES),
-        nominal=float(_number(nominal)),
-        started_at=started_at or None,  # on the wire, 0 is long ago, too
+        state=_enum_member(state, _SERVER_STATES),
+        capacity_weight=float(_number(capacity_weight)),
+        started_at=started_at or None,  # like null, 0 means long ago
     )
 
 
 # -- Encoding
 
-# By the action's type: the message's name, and what gives its values after the instance's name.
+# By the type of the action: the name of its message, and the encoder of the values after the instance.
 _ACTION_ENCODERS: dict[type[Action], tuple[str, Callable[[Any], list[object]]]] = {
-    SendAttempt: ("ASSIGN", lambda action: [action.request, action.server, action.until]),
+    SendAttempt: ("ASSIGN", lambda action: [action.request, action.server, action.deadline]),
     RejectRequest: ("NOT_NOW", lambda action: [action.request, action.retry_after_us]),
     FailRequest: ("SURRENDER", lambda action: [action.request]),
     CancelAttempt: ("ABORT_ATTEMPT", lambda action: [action.request, action.attempt]),
-    SetTimer: ("REMIND", lambda action: [action.in_us, action.token]),
+    SetTimer: ("REMIND", lambda action: [action.delay_us, action.token]),
     CheckHealth: ("CHECK", lambda action: [action.server]),
     CloseIdleConnections: ("SHUT_IDLE", lambda action: [action.server]),
     SendMessage: ("POST", lambda action: [_receiver(action), action.payload.hex()]),
-    WatchRegistry: ("FOLLOW", lambda action: [action.wanted]),
+    WatchRegistry: ("FOLLOW", lambda action: [action.enabled]),
     FetchRegistry: ("REFRESH", lambda _: []),
     Log: ("REMARK", lambda action: [action.text]),
 }
@@ -387,12 +386,12 @@
 
 
 def encode_action(instance: str, action: Action) -> str:
-    """Return the line, without its end, for an action of an instance."""
-    name, values_of = _ACTION_ENCODERS[type(action)]
-    return _encode_json([name, instance, *values_of(action)])
+    """Return the line, without its newline, for an action of an instance."""
+    name, encode_values = _ACTION_ENCODERS[type(action)]
+    return _encode_json([name, instance, *encode_values(action)])
 
 
-def encode_defect(instance: str, error: Exception) -> str:
-    """Return the line, without its end, for an exception in the decisions of an instance."""
-    text = f"{type(error).__name__}: {error}"[:_ERROR_TEXT_LENGTH]
+def encode_internal_error(instance: str, error: Exception) -> str:
+    """Return the line, without its newline, for an exception that the balancer of an instance raised."""
+    text = f"{type(error).__name__}: {error}"[:_MAX_ERROR_TEXT_LENGTH]
     return json.dumps(["INTERNAL_ERROR", instance, text])
--- a/tests/balancer/test_selection.py
+++ b/tests/balancer/test_selection.py
@@ -53,7 +53,7 @@
     harness = BalancerHarness()
     harness.update_servers(
         [
-            Endpoint(name, "east", nominal=4.0 if name == server_names(8)[0] else 1.0)
+            Endpoint(name, "east", capacity_weight=4.0 if name == server_names(8)[0] else 1.0)
             for name in server_names(8)
         ]
     )
@@ -75,7 +75,10 @@
     third = harness.send_request("pay")
     assert harness.server_of(third) in server_names(2)
     harness.advance(SECOND_US)
-    assert harness.balancer._context.load.at(harness.balancer._context.registry.servers[cancelled_at]) <= 1
+    assert (
+        harness.balancer._context.load.attempts_at(harness.balancer._context.registry.servers[cancelled_at])
+        <= 1
+    )
 
 
 def test_fast_errors_do_not_attract_more_requests() -> None:
@@ -96,7 +99,7 @@
     harness = BalancerHarness()
     harness.update_servers(
         [
-            Endpoint(name, "east", nominal=0.5 if name == server_names(5)[0] else 1.0)
+            Endpoint(name, "east", capacity_weight=0.5 if name == server_names(5)[0] else 1.0)
             for name in server_names(5)
         ]
     )
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -81,7 +81,7 @@
         async with running_proxy(respond_ok, rules={"max_poll_interval_us": 1 * SECOND_US}) as proxy:
             proxy.discovery.responses.put_nowait(bad)
             await wait_until(lambda: len(proxy.discovery.targets) == 2)
-            assert proxy.sidecar._balancer._registry_poller.failed_polls == 1
+            assert proxy.sidecar._balancer._registry_poller.consecutive_failures == 1
             assert (await proxy.send_request())[0] == 200
 
     run_scenario(scenario())
@@ -182,9 +182,9 @@
     response = parse_registry_response(
         {"index": 5, "snapshot": True, "endpoints": [*junk, entry(since_ms=2, group=3)]}
     )
-    assert [each.endpoint.server for each in response.endpoints] == ["s-1"]
+    assert [each.endpoint.name for each in response.endpoints] == ["s-1"]
     line = response.endpoints[0]
-    assert (response.version, response.complete, line.address) == (5, True, ("127.0.0.1", 9))
+    assert (response.version, response.is_complete, line.address) == (5, True, ("127.0.0.1", 9))
     assert (line.endpoint.started_at, line.endpoint.cell, line.endpoint.zone) == (2000, 3, "a")
     assert (
         parse_registry_response({"index": 5, "endpoints": [entry()]}).endpoints[0].endpoint.started_at is None
--- a/tests/proxy/test_request_crossings.py
+++ b/tests/proxy/test_request_crossings.py
@@ -29,7 +29,7 @@
 from sidecar.balancer.events import ServerState
 from sidecar.proxy import connection_dialer, server_connection
 from sidecar.proxy.addresses import Address
-from sidecar.proxy.server_connection import Connection
+from sidecar.proxy.server_connection import ServerConnection
 from sidecar.proxy.sockets import is_connected
 
 BAD_PEER_S = 3.0  # bad input is answered or its connection closed within this
@@ -60,7 +60,7 @@
 
     async def delayed(
         address: Address, body_most: int, stall_s: float | None = None, sock: socket.socket | None = None
-    ) -> Connection:
+    ) -> ServerConnection:
         connection = await connect(address, body_most, stall_s, sock)
         if address == victim:
             assert connection._transport is not None
@@ -298,7 +298,7 @@
                 assert how == "idle" or after_s > 0.5
             else:
                 assert (status, headers["connection"], body) == (200, "close", b"served")
-            await wait_until(lambda: proxy.sidecar.frontend.is_empty())
+            await wait_until(lambda: proxy.sidecar.frontend.has_no_connections())
             writer.close()
 
     run_in_virtual_time(scenario())
@@ -318,7 +318,7 @@
             status, headers, body = await read_response(reader)
             assert (status, headers["connection"], body) == (200, "close", b"served")
             assert await wait_for_eof(reader)
-            await wait_until(lambda: proxy.sidecar.frontend.is_empty())
+            await wait_until(lambda: proxy.sidecar.frontend.has_no_connections())
             assert [head["x-call-id"] for _, head, _ in proxy.sent()] == ["first"]
             writer.close()
 
@@ -340,7 +340,7 @@
             status, headers, body = await read_response(reader)
             assert (status, headers["connection"], body) == (200, "close", b"served")
             assert await wait_for_eof(reader)
-            await wait_until(lambda: proxy.sidecar.frontend.is_empty())
+            await wait_until(lambda: proxy.sidecar.frontend.has_no_connections())
             assert [head["x-call-id"] for _, head, _ in proxy.sent()] == ["first", "crossing"]
             writer.close()
 
