--- a/scale/callgraph/sweep.py
+++ b/scale/callgraph/sweep.py
@@ -10,7 +10,7 @@
 from scale.callgraph.loop import MICROSECONDS
 from scale.callgraph.measure import Shares
 from scale.callgraph.run import CallGraphRun, Point, points, run_point
-from scale.results import Label, ResultWriter
+from scale.results import LabelValue, ResultWriter
 
 _ROLE = "call graph"
 
@@ -35,8 +35,8 @@
         )
 
 
-def _labels(point: Point) -> dict[str, Label]:
-    labels: dict[str, Label] = {
+def _labels(point: Point) -> dict[str, LabelValue]:
+    labels: dict[str, LabelValue] = {
         "policy": point.policy.value,
         "depth": point.depth,
         "load": point.load,
@@ -61,7 +61,7 @@
     _write_recovery(writer, run, labels)
 
 
-def _write_shares(writer: ResultWriter, span: str, shares: Shares, labels: Mapping[str, Label]) -> None:
+def _write_shares(writer: ResultWriter, span: str, shares: Shares, labels: Mapping[str, LabelValue]) -> None:
     labels = {**labels, "span": span}
     writer.add(_ROLE, "root calls offered", shares.offered, "calls", labels)
     writer.add(_ROLE, "goodput", shares.goodput, "part of offered", labels)
@@ -69,7 +69,7 @@
     writer.add(_ROLE, "failed", shares.failed, "part of offered", labels)
 
 
-def _write_recovery(writer: ResultWriter, run: CallGraphRun, labels: Mapping[str, Label]) -> None:
+def _write_recovery(writer: ResultWriter, run: CallGraphRun, labels: Mapping[str, LabelValue]) -> None:
     """Without recovery, write the time until the end of the run, with the label `recovered=False`."""
     recovery_us = run.recovery_us()
     recovered = recovery_us is not None
--- a/scale/capacity/evaluation.py
+++ b/scale/capacity/evaluation.py
@@ -9,7 +9,7 @@
 from scale.capacity.figures import Figure
 from scale.capacity.numbers import format_number
 from scale.results import Measurement
-from scale.slope import Slope, fit_slope
+from scale.slope import LinearFit, fit_line
 
 Results = Mapping[str, Sequence[Measurement]]  # by the name of their file
 
@@ -22,7 +22,7 @@
     minimum: float
     maximum: float
     derivation: str
-    run: str
+    runs: str
     is_lower_bound: bool = False  # whether the run ended before the timed event
 
 
@@ -78,18 +78,18 @@
     sizes = [float(each.labels[against]) for each in selected]
     if len(set(sizes)) == 1:
         return None
-    slope = fit_slope(sizes, [each.value for each in selected])
-    value = slope.at(at) * figure.times
-    return Evaluation(value, value, value, _describe_line(figure, slope, against, at, selected[0].unit), run)
+    fit = fit_line(sizes, [each.value for each in selected])
+    value = fit.at(at) * figure.times
+    return Evaluation(value, value, value, _describe_line(figure, fit, against, at, selected[0].unit), run)
 
 
-def _describe_line(figure: Figure, slope: Slope, against: str, at: float, unit: str) -> str:
-    measured_range = f"measured to {format_number(slope.largest)}"
-    if at > slope.largest:
+def _describe_line(figure: Figure, fit: LinearFit, against: str, at: float, unit: str) -> str:
+    measured_range = f"measured to {format_number(fit.largest_size)}"
+    if at > fit.largest_size:
         measured_range += ", beyond that extrapolated"
     name = against.replace("_", " ")
-    line = f"{format_number(slope.per_unit)} x {format_number(at)} {name}"
-    line += f" {'-' if slope.at_zero < 0.0 else '+'} {format_number(abs(slope.at_zero))} {unit}"
+    line = f"{format_number(fit.slope)} x {format_number(at)} {name}"
+    line += f" {'-' if fit.intercept < 0.0 else '+'} {format_number(abs(fit.intercept))} {unit}"
     if figure.processes:
         line = f"({line}) x {figure.processes}"
-    return f"worked out: {line}; {measured_range}, r2 {slope.r_squared:.2f}"
+    return f"worked out: {line}; {measured_range}, r2 {fit.r_squared:.2f}"
--- a/scale/capacity/figures.py
+++ b/scale/capacity/figures.py
@@ -8,7 +8,7 @@
 
 from scale.errors import InvalidKeyError
 from scale.experiment import read_experiment_file
-from scale.results import Label
+from scale.results import LabelValue
 
 
 class Figure(BaseModel):
@@ -21,7 +21,7 @@
     results: list[str] = Field(min_length=1)  # names of results files without their suffix, one run each
     role: str
     metric: str
-    where: dict[str, Label] = {}  # labels that the measurements must have
+    where: dict[str, LabelValue] = {}  # labels that the measurements must have
     commit: str | None = None  # of the runs; otherwise that of each file's last line
     not_commits: list[str] = []  # runs that this figure must not come from
     against: str | None = None  # label of the size that a line is fitted to
--- a/scale/capacity/table.py
+++ b/scale/capacity/table.py
@@ -47,7 +47,7 @@
         evaluation = evaluate_figure(figure, results)
         value, derivation, run = NOT_RUN, "", ", ".join(figure.results)
         if evaluation is not None:
-            value, derivation, run = _format_value(figure, evaluation), evaluation.derivation, evaluation.run
+            value, derivation, run = _format_value(figure, evaluation), evaluation.derivation, evaluation.runs
         rows.append(
             (figure.what, value, _format_budget(figure, evaluation), derivation, run, figure.carried_by)
         )
--- a/scale/cli.py
+++ b/scale/cli.py
@@ -21,20 +21,20 @@
 from scale.report import format_table
 from scale.results import ResultWriter, read_results
 from scale.slopes import fit_slopes, format_slopes
-from scale.suite import EXPERIMENTS, RESULTS, TIME_LIMIT_S, find_experiments, run_suite
+from scale.suite import EXPERIMENTS_FOLDER, RESULTS_FOLDER, TIME_LIMIT_S, find_experiments, run_suite
 
-EXIT_FAULT = 1
+EXIT_CHECK_FAILED = 1
 EXIT_BAD_INPUT = 2
 
-PAGE = RESULTS.parent.parent / "CAPACITY.md"
-FIGURES = RESULTS.parent / "figures.toml"
+CAPACITY_PAGE = RESULTS_FOLDER.parent.parent / "CAPACITY.md"
+FIGURES_FILE = RESULTS_FOLDER.parent / "figures.toml"
 
 app = typer.Typer(no_args_is_help=True, add_completion=False, help="Measure the sidecar at fleet size.")
 log = structlog.get_logger()
 
 
 @app.callback()
-def common(verbose: Annotated[bool, typer.Option(help="Log from debug level on.")] = False) -> None:
+def set_up(verbose: Annotated[bool, typer.Option(help="Log from debug level on.")] = False) -> None:
     """Set up the logs for every command."""
     configure_logs(verbose)
 
@@ -55,13 +55,13 @@
 
 @app.command()
 def suite(
-    results: Annotated[Path, typer.Option(help="Folder of the results, one file each.")] = RESULTS,
-    experiments: Annotated[Path, typer.Option(help="Folder of the experiment files.")] = EXPERIMENTS,
+    results: Annotated[Path, typer.Option(help="Folder of the results, one file each.")] = RESULTS_FOLDER,
+    experiments: Annotated[Path, typer.Option(help="Folder of the experiment files.")] = EXPERIMENTS_FOLDER,
 ) -> None:
     """Run the complete set of experiments, without the small ones for tests."""
     elapsed_s = run_suite(find_experiments(experiments), results)
-    note = log.warning if elapsed_s > TIME_LIMIT_S else log.info
-    note("suite ended", elapsed_s=round(elapsed_s, 1), limit_s=TIME_LIMIT_S, results=str(results))
+    log_message = log.warning if elapsed_s > TIME_LIMIT_S else log.info
+    log_message("suite ended", elapsed_s=round(elapsed_s, 1), limit_s=TIME_LIMIT_S, results=str(results))
 
 
 @app.command()
@@ -90,9 +90,9 @@
 
 @app.command()
 def page(
-    path: Annotated[Path, typer.Argument(help="The page whose tables are filled in.")] = PAGE,
-    figures: Annotated[Path, typer.Option(help="What each table holds (TOML).")] = FIGURES,
-    results: Annotated[Path, typer.Option(help="Folder of the results.")] = RESULTS,
+    path: Annotated[Path, typer.Argument(help="The page whose tables are filled in.")] = CAPACITY_PAGE,
+    figures: Annotated[Path, typer.Option(help="What each table holds (TOML).")] = FIGURES_FILE,
+    results: Annotated[Path, typer.Option(help="Folder of the results.")] = RESULTS_FOLDER,
 ) -> None:
     """Fill in the capacity page's tables from results files."""
     filled = fill_page(path.read_text(encoding="utf-8"), read_figures(figures), results)
@@ -108,11 +108,11 @@
     """Show one real sidecar while a server is drained and another killed; exit code 0 if all checks pass."""
     outcome = run_demo(duration, rate, seed, typer.echo)
     typer.echo(format_outcome(outcome))
-    faults = outcome.faults()
-    for fault in faults:
-        typer.echo(f"FAULT: {fault}")
-    if faults:
-        raise typer.Exit(EXIT_FAULT)
+    failed_checks = outcome.failed_checks()
+    for check in failed_checks:
+        typer.echo(f"FAULT: {check}")
+    if failed_checks:
+        raise typer.Exit(EXIT_CHECK_FAILED)
     typer.echo("all went as it should")
 
 
--- a/scale/configuration/point.py
+++ b/scale/configuration/point.py
@@ -15,7 +15,7 @@
 from scale.histogram import LatencyHistogram
 from scale.http_client import CallResult
 from scale.processes import ManagedProcess
-from scale.results import Label, ResultWriter
+from scale.results import LabelValue, ResultWriter
 from scale.standins.registry_commands import Counts, GetCounts
 from scale.standins.server import ServerStandin
 
@@ -47,7 +47,7 @@
     server: ServerStandin
     registry: CommandClient
     sidecars: list[ConfiguredSidecar]
-    labels: Mapping[str, Label]
+    labels: Mapping[str, LabelValue]
     version: int = 1  # of the configuration that was written last
 
     async def run(self) -> None:
@@ -82,7 +82,7 @@
         for delay in delays:
             histogram.add_seconds(delay)
         for percentile in PERCENTILES if delays else ():
-            value = histogram.quantile_seconds(percentile)
+            value = histogram.percentile_seconds(percentile)
             self._add("configuration", f"in force, {percentile:g} in 100", value, "s", phase)
 
     async def _measure_change(self) -> None:
--- a/scale/configuration/sidecar.py
+++ b/scale/configuration/sidecar.py
@@ -13,7 +13,7 @@
 
 from scale.http_client import Address, CallResult, HttpClient, format_call
 from scale.processes import ProcessGroup
-from scale.sidecar_process import await_ready, sample_config, start_sidecar
+from scale.sidecar_process import sample_config, start_sidecar, wait_until_ready
 
 SAMPLE_CLASSES = ("read", "update", "send")  # of the sample configuration, one per idempotency
 _BUDGET_S = 1.5
@@ -45,7 +45,7 @@
         Raises:
             SidecarStartError: It ended first, or took too long.
         """
-        await_ready(self.process, self.listen, self._folder)
+        wait_until_ready(self.process, self.listen, self._folder)
 
     def configuration(self, version: int, added_class: str) -> bytes:
         """Return a configuration with one idempotent class more than the sample's, as JSON."""
--- a/scale/control/figures.py
+++ b/scale/control/figures.py
@@ -10,8 +10,8 @@
 from scale.control.fleet import Fleet, Reading
 from scale.control.stub_commands import Delays
 from scale.histogram import LatencyHistogram
-from scale.processes import Usage
-from scale.results import Label, ResultWriter
+from scale.processes import ResourceUsage
+from scale.results import LabelValue, ResultWriter
 from scale.standins.registry_commands import ObservedDelays
 from scale.standins.tcp_info import SEGMENT_HEADER_BYTES
 
@@ -19,10 +19,10 @@
 STUB_ROLE = "hollow sidecar"  # stored results use this word for a stub sidecar
 STUB_PROCESS_ROLE = "hollow process"
 
-Labels = Mapping[str, Label]
+Labels = Mapping[str, LabelValue]
 
 
-def _cores(before: Usage, after: Usage) -> float:
+def _cores(before: ResourceUsage, after: ResourceUsage) -> float:
     return (after.cpu_s - before.cpu_s) / (after.at_s - before.at_s)
 
 
@@ -120,7 +120,7 @@
     writer.add(role, "in force, missing", missing, "pairs", labels)
     if histogram.count:
         for percentile in PERCENTILES:
-            delay_s = histogram.quantile_seconds(percentile)
+            delay_s = histogram.percentile_seconds(percentile)
             writer.add(role, f"in force, {percentile:g} in 100", delay_s, "s", labels)
 
 
--- a/scale/control/fleet.py
+++ b/scale/control/fleet.py
@@ -7,7 +7,7 @@
 
 from scale.control.experiment import ControlExperiment
 from scale.control.processes import RealSidecar, Registry, StubGroup
-from scale.processes import ManagedProcess, Usage
+from scale.processes import ManagedProcess, ResourceUsage
 from scale.standins.registry_commands import CommittedChange, Counts, ObservedDelays, TrafficTotals
 
 
@@ -15,9 +15,9 @@
 class Reading:
     """Resource usage of all processes up to one moment."""
 
-    registry: Usage
-    stubs: list[Usage]
-    real: list[Usage]
+    registry: ResourceUsage
+    stubs: list[ResourceUsage]
+    real: list[ResourceUsage]
     counts: Counts
     real_traffic: TrafficTotals
 
@@ -59,5 +59,5 @@
         )
 
 
-def _usages(processes: Sequence[ManagedProcess]) -> list[Usage]:
+def _usages(processes: Sequence[ManagedProcess]) -> list[ResourceUsage]:
     return [process.usage() for process in processes]
--- a/scale/demo/outcome.py
+++ b/scale/demo/outcome.py
@@ -11,7 +11,7 @@
 from scale.http_client import CallResult
 from scale.standins.server import ServedBody
 
-DRAINED, KILLED = 1, 2  # numbers of the servers
+DRAINED_SERVER, KILLED_SERVER = 1, 2  # numbers of the servers
 DRAIN_GRACE_S = 1.0  # drainGraceUs of the sample configuration
 _SHED_STATUSES = frozenset((HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE))
 
@@ -74,11 +74,11 @@
             [each.latency_us - ServedBody.decode(each.body).service_time_us for each in self.served()]
         )
 
-    def faults(self) -> list[str]:
+    def failed_checks(self) -> list[str]:
         """Return a line for each failed check; none if all passed."""
-        drained = self.servers[DRAINED]
+        drained = self.servers[DRAINED_SERVER]
         at_end = self.served_by_phase()[-1]
-        survivors = [each for n, each in enumerate(self.servers) if n not in (DRAINED, KILLED)]
+        survivors = [each for n, each in enumerate(self.servers) if n not in (DRAINED_SERVER, KILLED_SERVER)]
         checks = [
             (not self.results, "no calls were made"),
             (bool(self.shed()), f"{self.shed()} calls were shed"),
@@ -93,4 +93,4 @@
             ),
             (self.exit_code != 0, f"the sidecar's exit code after SIGTERM was {self.exit_code}, not 0"),
         ]
-        return [text for is_fault, text in checks if is_fault]
+        return [text for has_failed, text in checks if has_failed]
--- a/scale/demo/report.py
+++ b/scale/demo/report.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from scale.demo.outcome import DRAINED, DemoOutcome
+from scale.demo.outcome import DRAINED_SERVER, DemoOutcome
 from scale.text_table import align_columns
 
 
@@ -16,7 +16,7 @@
         rows.append([server.name, *counts, str(server.rejected)])
     lines = align_columns(rows, str.rjust)
     added = outcome.added_us()
-    drained = outcome.servers[DRAINED]
+    drained = outcome.servers[DRAINED_SERVER]
     stopped_after_ms = max((drained.last_request_at - outcome.drain_notified_at) * 1000, 0.0)
     attempts = sum(server.requests for server in outcome.servers)
     lines += [
@@ -24,8 +24,8 @@
         f"calls: {len(outcome.results)}, served {len(outcome.served())}, shed {outcome.shed()},"
         f" failed {outcome.failed()}; attempts that reached servers: {attempts}",
         f"{drained.name} got its last call {stopped_after_ms:.0f} ms after the registry had drained it",
-        f"time beyond the server's own: {added.quantile(50) / 1000:.2f} ms for 50 in 100 calls,"
-        f" {added.quantile(99) / 1000:.2f} ms for 99 in 100",
+        f"time beyond the server's own: {added.percentile(50) / 1000:.2f} ms for 50 in 100 calls,"
+        f" {added.percentile(99) / 1000:.2f} ms for 99 in 100",
         f"sidecar: exit code {outcome.exit_code} after SIGTERM; its log:",
         *(f"    {line}" for line in outcome.log),
     ]
--- a/scale/demo/run.py
+++ b/scale/demo/run.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable, Sequence
 from pathlib import Path
 
-from scale.demo.outcome import DRAINED, KILLED, DemoOutcome, Phase, ServerOutcome
+from scale.demo.outcome import DRAINED_SERVER, KILLED_SERVER, DemoOutcome, Phase, ServerOutcome
 from scale.http_client import Address, CallResult, HttpClient, format_call
 from scale.open_loop import poisson_arrivals, run_open_loop
 from scale.ports import ReservedAddress
 from scale.processes import ManagedProcess, ProcessGroup
-from scale.sidecar_process import await_ready, format_address, log_path, sample_config, start_sidecar
+from scale.sidecar_process import format_address, log_path, sample_config, start_sidecar, wait_until_ready
 from scale.standins.change_log import ChangeLog, Endpoint
 from scale.standins.registry import RegistryServer
 from scale.standins.server import ServerStandin, exponential_service_times
@@ -71,7 +71,7 @@
         listen = self._listen
         sidecar = start_sidecar(self._group, sample_config(listen, discovery), self._folder)
         self._echo(f"sidecar started: process {sidecar.pid}, listening at {format_address(listen)}")
-        await asyncio.to_thread(await_ready, sidecar, listen, self._folder)
+        await asyncio.to_thread(wait_until_ready, sidecar, listen, self._folder)
         self._echo(f"sidecar is ready; {rate_per_s:.0f} calls a second for {duration_s:.0f} s")
         faults = asyncio.create_task(self._inject_faults(duration_s))
         started_at = time.monotonic()
@@ -83,8 +83,8 @@
             server.close()
         phases = [
             Phase("all up", started_at + duration_s * _DRAIN_FRACTION),
-            Phase(f"s-{DRAINED} drained", started_at + duration_s * _KILL_FRACTION),
-            Phase(f"s-{KILLED} killed", started_at + duration_s),
+            Phase(f"s-{DRAINED_SERVER} drained", started_at + duration_s * _KILL_FRACTION),
+            Phase(f"s-{KILLED_SERVER} killed", started_at + duration_s),
         ]
         return DemoOutcome(
             results,
@@ -106,19 +106,19 @@
     async def _send_calls(self, listen: Address, arrivals_s: Sequence[float]) -> list[CallResult]:
         client = HttpClient(listen)
 
-        async def start_call(number: int, arrived_at: float) -> CallResult:
+        async def make_call(number: int, scheduled_at: float) -> CallResult:
             request = format_call(_CLASS, f"{self._seed:08x}{number:08x}", _BUDGET_S)
-            return await client.call(request, arrived_at, _CALL_TIMEOUT_S)
+            return await client.call(request, scheduled_at, _CALL_TIMEOUT_S)
 
         try:
-            return await run_open_loop(arrivals_s, start_call)
+            return await run_open_loop(arrivals_s, make_call)
         finally:
             client.close()
 
     async def _inject_faults(self, duration_s: float) -> None:
         started_at = time.monotonic()
         await asyncio.sleep(duration_s * _DRAIN_FRACTION)
-        drained, killed = self._servers[DRAINED], self._servers[KILLED]
+        drained, killed = self._servers[DRAINED_SERVER], self._servers[KILLED_SERVER]
         self._echo(f"{time.monotonic() - started_at:.1f} s: registry drains {drained.name}")
         drained.drain()
         self._drain_notified_at = time.monotonic()
--- a/scale/histogram.py
+++ b/scale/histogram.py
@@ -9,7 +9,7 @@
 
 _LOWEST_US, _HIGHEST_US = 1, 3_600_000_000
 _SIGNIFICANT_DIGITS = 3
-_MICROSECONDS = 1e6  # in a second
+_MICROSECONDS_PER_SECOND = 1e6
 
 
 class LatencyHistogram:
@@ -27,15 +27,15 @@
 
     def add_seconds(self, time_s: float) -> None:
         """Record one time in seconds."""
-        self.add(round(time_s * _MICROSECONDS))
+        self.add(round(time_s * _MICROSECONDS_PER_SECOND))
 
-    def quantile(self, percent: float) -> float:
-        """Return the time that `percent` in 100 do not exceed, in microseconds; 0 if there is none."""
-        return float(self._histogram.get_value_at_percentile(percent))
+    def percentile(self, percentile: float) -> float:
+        """Return the time that `percentile` in 100 do not exceed, in microseconds; 0 if there is none."""
+        return float(self._histogram.get_value_at_percentile(percentile))
 
-    def quantile_seconds(self, percent: float) -> float:
-        """Return the time that `percent` in 100 do not exceed, in seconds; 0 if there is none."""
-        return self.quantile(percent) / _MICROSECONDS
+    def percentile_seconds(self, percentile: float) -> float:
+        """Return the time that `percentile` in 100 do not exceed, in seconds; 0 if there is none."""
+        return self.percentile(percentile) / _MICROSECONDS_PER_SECOND
 
     @property
     def count(self) -> int:
--- a/scale/http_client.py
+++ b/scale/http_client.py
@@ -16,12 +16,12 @@
 class CallResult:
     """The result of one call; times are seconds on the monotonic clock."""
 
-    arrived_at: float  # when it was scheduled
+    scheduled_at: float  # when it was scheduled
     sent_at: float
     ended_at: float
     status: int
     body: bytes
-    connected: bool = False  # whether it opened a new connection
+    opened_connection: bool = False  # whether it opened a new connection
 
     @property
     def latency_us(self) -> float:
@@ -31,7 +31,7 @@
     @property
     def start_lag_us(self) -> float:
         """Microseconds from the scheduled start to writing the request."""
-        return (self.sent_at - self.arrived_at) * 1e6
+        return (self.sent_at - self.scheduled_at) * 1e6
 
 
 class HttpClient:
@@ -41,12 +41,12 @@
         self._address = address
         self._idle: list[_ClientConnection] = []
 
-    async def call(self, request: bytes, arrived_at: float, timeout_s: float) -> CallResult:
+    async def call(self, request: bytes, scheduled_at: float, timeout_s: float) -> CallResult:
         """Send a request; retry it once on a new connection if a reused one was being closed.
 
         Args:
             request: The encoded request.
-            arrived_at: When the call was scheduled, in seconds on the monotonic clock.
+            scheduled_at: When the call was scheduled, in seconds on the monotonic clock.
             timeout_s: How long to wait for the response, in seconds.
 
         Returns:
@@ -54,19 +54,21 @@
         """
         sent_at = time.monotonic()
         connection = self._acquire_idle()
-        connected = connection is None
+        opened_connection = connection is None
         try:
             async with asyncio.timeout(timeout_s):
                 if connection is not None:
                     try:
                         response = await self._exchange(connection, request)
                     except ConnectionError:  # it was closed between requests
-                        connected, response = True, await self._exchange_on_new_connection(request)
+                        opened_connection, response = True, await self._exchange_on_new_connection(request)
                 else:
                     response = await self._exchange_on_new_connection(request)
         except (OSError, TimeoutError):
-            return CallResult(arrived_at, sent_at, time.monotonic(), NO_RESPONSE, b"", connected)
-        return CallResult(arrived_at, sent_at, time.monotonic(), response.status, response.body, connected)
+            return CallResult(scheduled_at, sent_at, time.monotonic(), NO_RESPONSE, b"", opened_connection)
+        return CallResult(
+            scheduled_at, sent_at, time.monotonic(), response.status, response.body, opened_connection
+        )
 
     async def _exchange_on_new_connection(self, request: bytes) -> Message:
         loop = asyncio.get_running_loop()
--- a/scale/latency/analysis.py
+++ b/scale/latency/analysis.py
@@ -10,11 +10,11 @@
 
 from scale.histogram import LatencyHistogram
 from scale.http_client import CallResult
-from scale.latency.tracing import Times, Trace
+from scale.latency.tracing import FloatArray, Trace
 from scale.standins.server import ServedBody
 
-PERCENTS = (50.0, 99.0, 99.9)
-SLOWEST_PERCENT = 99.0  # the calls beyond it are the slowest 1 in 100
+PERCENTILES = (50.0, 99.0, 99.9)
+SLOWEST_PERCENTILE = 99.0  # the calls beyond it are the slowest 1 in 100
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pair:
+class CallPair:
     """A call through the sidecar and the direct call next to it."""
 
     through_sidecar: ServedCall
@@ -48,32 +48,32 @@
         return self.through_sidecar.overhead_us - self.direct.overhead_us
 
 
-def parse_served(result: CallResult) -> ServedCall | None:
+def parse_served_call(result: CallResult) -> ServedCall | None:
     """Parse the body of a call; None if it was not served."""
     return ServedCall(result, ServedBody.decode(result.body)) if result.status == HTTPStatus.OK else None
 
 
-def pair_calls(results: Sequence[CallResult]) -> list[Pair]:
+def pair_calls(results: Sequence[CallResult]) -> list[CallPair]:
     """Pair each call through the sidecar with the direct call after it, where both were served."""
     pairs = []
     for through_sidecar, direct in zip(results[::2], results[1::2], strict=False):
-        both = parse_served(through_sidecar), parse_served(direct)
+        both = parse_served_call(through_sidecar), parse_served_call(direct)
         if both[0] is not None and both[1] is not None:
-            pairs.append(Pair(both[0], both[1]))
+            pairs.append(CallPair(both[0], both[1]))
     return pairs
 
 
-def quantiles_us(values_us: Sequence[float] | Times) -> dict[float, float]:
+def percentiles_us(values_us: Sequence[float] | FloatArray) -> dict[float, float]:
     """Return the reported quantiles by percentage, in microseconds; empty if there are no values."""
     if not len(values_us):
         return {}
-    return {percent: float(np.percentile(values_us, percent)) for percent in PERCENTS}
+    return {percentile: float(np.percentile(values_us, percentile)) for percentile in PERCENTILES}
 
 
-def histogram_quantiles_us(calls: Sequence[ServedCall]) -> dict[float, float]:
+def histogram_percentiles_us(calls: Sequence[ServedCall]) -> dict[float, float]:
     """Return the reported quantiles of the calls' overheads by percentage, in microseconds."""
     histogram = LatencyHistogram([call.overhead_us for call in calls])
-    return {percent: histogram.quantile(percent) for percent in PERCENTS}
+    return {percentile: histogram.percentile(percentile) for percentile in PERCENTILES}
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,18 +84,18 @@
     collection triggered while a registry response is read counts as a collection.
     """
 
-    own_work: Times  # callbacks of the event loop, as long as those of a typical call
-    other_work: Times  # callbacks beyond that: other calls and timers that delayed this one
-    collections: Times
-    registry: Times
-    preempted: Times
-    outside: Times  # the kernel, the network, the client, and the sidecar's wake-up
+    own_work: FloatArray  # callbacks of the event loop, as long as those of a typical call
+    other_work: FloatArray  # callbacks beyond that: other calls and timers that delayed this one
+    collections: FloatArray
+    registry: FloatArray
+    preempted: FloatArray
+    outside: FloatArray  # the kernel, the network, the client, and the sidecar's wake-up
 
-    def event_loop_cpu(self) -> Times:
+    def event_loop_cpu(self) -> FloatArray:
         """Return the event loop's CPU time during each call: about its overhead on an idle machine."""
         return self.own_work + self.other_work + self.collections + self.registry
 
-    def parts(self) -> dict[str, Times]:
+    def parts(self) -> dict[str, FloatArray]:
         """Return the sources by name."""
         return {
             "own work": self.own_work,
@@ -115,9 +115,9 @@
     ended = np.array([call.result.ended_at for call in calls])
     new = np.array([call.is_on_new_connection for call in calls], dtype=bool)
 
-    def time_in_windows(measure: str, name: str) -> Times:
+    def time_in_windows(measure: str, name: str) -> FloatArray:
         between = getattr(getattr(trace, name), measure)
-        both: Times = (between(sent, service_started) + between(service_ended, ended)) * 1e6
+        both: FloatArray = (between(sent, service_started) + between(service_ended, ended)) * 1e6
         return both
 
     wall = time_in_windows("wall_s", "callbacks")
@@ -130,7 +130,7 @@
     return OverheadSources(own, work - own, collections, registry, wall - cpu, overhead - wall)
 
 
-def _typical_work(work: Times, new: np.ndarray[tuple[int], np.dtype[np.bool_]]) -> Times:
+def _typical_work(work: FloatArray, new: np.ndarray[tuple[int], np.dtype[np.bool_]]) -> FloatArray:
     """Return, for each call, the median work of the calls on its kind of connection, new or reused."""
     typical = np.zeros_like(work)
     for group in (new, ~new):
--- a/scale/latency/figures.py
+++ b/scale/latency/figures.py
@@ -8,23 +8,23 @@
 
 from scale.histogram import LatencyHistogram
 from scale.latency.analysis import (
-    PERCENTS,
-    SLOWEST_PERCENT,
+    PERCENTILES,
+    SLOWEST_PERCENTILE,
     attribute_overhead,
-    histogram_quantiles_us,
+    histogram_percentiles_us,
     pair_calls,
-    parse_served,
-    quantiles_us,
+    parse_served_call,
+    percentiles_us,
 )
 from scale.latency.experiment import LatencyExperiment, LatencyPoint
 from scale.latency.point import PointOutcome
 from scale.latency.tracing import Trace
-from scale.results import Label, ResultWriter
+from scale.results import LabelValue, ResultWriter
 
 _MEBIBYTE = 1024 * 1024
 
 
-def write_point(
+def write_point_figures(
     outcome: PointOutcome, experiment: LatencyExperiment, point: LatencyPoint, writer: ResultWriter
 ) -> None:
     """Write the figures of one point."""
@@ -40,11 +40,11 @@
         self._outcome = outcome
         self._budget_us = experiment.budget_ms * 1000
         self._writer = writer
-        self._labels: dict[str, Label] = point.model_dump(mode="json")
-        self._calls = [call for call in map(parse_served, outcome.results[::2]) if call is not None]
-        self._direct = [call for call in map(parse_served, outcome.results[1::2]) if call is not None]
+        self._labels: dict[str, LabelValue] = point.model_dump(mode="json")
+        self._calls = [call for call in map(parse_served_call, outcome.results[::2]) if call is not None]
+        self._direct = [call for call in map(parse_served_call, outcome.results[1::2]) if call is not None]
 
-    def _add(self, role: str, metric: str, value: float, unit: str, **labels: Label) -> None:
+    def _add(self, role: str, metric: str, value: float, unit: str, **labels: LabelValue) -> None:
         self._writer.add(role, metric, value, unit, self._labels | labels)
 
     def write(self) -> None:
@@ -80,14 +80,17 @@
         pairs = pair_calls(self._outcome.results)
         if not pairs:
             return
-        through_sidecar, direct = histogram_quantiles_us(self._calls), histogram_quantiles_us(self._direct)
-        paired = quantiles_us([pair.added_us for pair in pairs])
-        for percent in PERCENTS:
-            self._add("sidecar", f"overhead p{percent:g}", through_sidecar[percent], "us")
-            self._add("client", f"direct overhead p{percent:g}", direct[percent], "us")
-            added_us = through_sidecar[percent] - direct[percent]
-            self._add("sidecar", f"added p{percent:g}, difference of quantiles", added_us, "us")
-            self._add("sidecar", f"added p{percent:g}, paired", paired[percent], "us")
+        through_sidecar, direct = (
+            histogram_percentiles_us(self._calls),
+            histogram_percentiles_us(self._direct),
+        )
+        paired = percentiles_us([pair.added_us for pair in pairs])
+        for percentile in PERCENTILES:
+            self._add("sidecar", f"overhead p{percentile:g}", through_sidecar[percentile], "us")
+            self._add("client", f"direct overhead p{percentile:g}", direct[percentile], "us")
+            added_us = through_sidecar[percentile] - direct[percentile]
+            self._add("sidecar", f"added p{percentile:g}, difference of quantiles", added_us, "us")
+            self._add("sidecar", f"added p{percentile:g}, paired", paired[percentile], "us")
         within = sum(pair.added_us <= self._budget_us for pair in pairs)
         self._add("sidecar", "pairs within the budget", within / len(pairs) * 100, "%")
 
@@ -99,32 +102,32 @@
                 self._add(
                     "sidecar", "share of calls", len(group) / len(self._calls) * 100, "%", connection=name
                 )
-                for percent, value in histogram_quantiles_us(group).items():
-                    self._add("sidecar", f"overhead p{percent:g}", value, "us", connection=name)
-        connected = sum(call.result.connected for call in self._calls)
-        self._add("client", "new connections to the sidecar", connected, "connections")
+                for percentile, value in histogram_percentiles_us(group).items():
+                    self._add("sidecar", f"overhead p{percentile:g}", value, "us", connection=name)
+        opened_connections = sum(call.result.opened_connection for call in self._calls)
+        self._add("client", "new connections to the sidecar", opened_connections, "connections")
 
     def _write_conditions(self) -> None:
         lag = self._outcome.lag
-        for percent in PERCENTS:
-            self._add("client", f"event loop lag p{percent:g}", lag.quantile(percent), "us")
+        for percentile in PERCENTILES:
+            self._add("client", f"event loop lag p{percentile:g}", lag.percentile(percentile), "us")
         start_lag = LatencyHistogram([result.start_lag_us for result in self._outcome.results])
-        self._add("client", "calls started late p99", start_lag.quantile(99.0), "us")
+        self._add("client", "calls started late p99", start_lag.percentile(99.0), "us")
         for moment, load in zip(("before", "after"), self._outcome.load_averages, strict=True):
             self._add("machine", "load average", load, "processes", moment=moment)
         self._add("machine", "cores", os.cpu_count() or 0, "cores")
 
     def _write_sources(self, trace: Trace) -> None:
         overhead = np.array([call.overhead_us for call in self._calls])
-        slowest = overhead >= np.percentile(overhead, SLOWEST_PERCENT)
+        slowest = overhead >= np.percentile(overhead, SLOWEST_PERCENTILE)
         sources = attribute_overhead(self._calls, trace)
-        for percent, value in quantiles_us(sources.event_loop_cpu()).items():
-            self._add("sidecar", f"event loop CPU while a call waits p{percent:g}", value, "us")
+        for percentile, value in percentiles_us(sources.event_loop_cpu()).items():
+            self._add("sidecar", f"event loop CPU while a call waits p{percentile:g}", value, "us")
         for source, times in sources.parts().items():
             self._add("sidecar", "mean time of all calls", float(times.mean()), "us", source=source)
             mean_us = float(times[slowest].mean())
             self._add("sidecar", "mean time of the slowest 1 in 100", mean_us, "us", source=source)
-            without = float(np.percentile(overhead - times, SLOWEST_PERCENT))
+            without = float(np.percentile(overhead - times, SLOWEST_PERCENTILE))
             self._add("sidecar", "overhead p99 without it", without, "us", source=source)
         new = np.array([call.is_on_new_connection for call in self._calls], dtype=bool)
         share = float(new[slowest].mean()) * 100
--- a/scale/latency/point.py
+++ b/scale/latency/point.py
@@ -25,13 +25,13 @@
 from scale.latency.tracing import Trace
 from scale.open_loop import poisson_arrivals, run_open_loop
 from scale.ports import ReservedAddress
-from scale.processes import ManagedProcess, ProcessGroup, Usage
+from scale.processes import ManagedProcess, ProcessGroup, ResourceUsage
 from scale.sidecar_process import (
-    PROGRAM,
-    await_ready,
+    SIDECAR_COMMAND,
     format_address,
     sample_config,
     start_sidecar,
+    wait_until_ready,
 )
 from scale.standins.change_log import ChangeLog, Endpoint
 from scale.standins.registry import RegistryServer
@@ -49,8 +49,8 @@
     """The measurements of one point, without warm-up."""
 
     results: Sequence[CallResult]  # alternating: through the sidecar, then direct
-    before: Usage  # of the sidecar
-    after: Usage
+    before: ResourceUsage  # of the sidecar
+    after: ResourceUsage
     lag: LatencyHistogram  # of the client's event loop
     load_averages: tuple[float, float]  # of the machine, over a minute, before and after
     counts_before: ServerCounts
@@ -115,7 +115,7 @@
         registry = RegistryServer(self._change_log)
         listen = self._listen
         sidecar = self._start_sidecar(listen, (await registry.start())[0])
-        await asyncio.to_thread(await_ready, sidecar, listen, self._folder)
+        await asyncio.to_thread(wait_until_ready, sidecar, listen, self._folder)
         through_sidecar = HttpClient(listen)
         async with endpoint_churn(self._change_log, self._point, self._rng), _collection_paused():
             await self._call(through_sidecar, self._experiment.warm_up_s, self._experiment.seed)
@@ -138,15 +138,15 @@
         )
 
     def _start_sidecar(self, listen: Address, discovery: Address) -> ManagedProcess:
-        program: Sequence[str] = PROGRAM
+        command: Sequence[str] = SIDECAR_COMMAND
         if self._point.traced:
-            program = python_command(
+            command = python_command(
                 "scale.latency.traced_sidecar",
                 *("--trace", self._trace_path),
                 *("--collector", self._point.collector.value),
             )
         config = sample_config(listen, discovery) | {"seed": f"{self._experiment.seed:x}"}
-        return start_sidecar(self._group, config, self._folder, program)
+        return start_sidecar(self._group, config, self._folder, command)
 
     def _counts(self) -> ServerCounts:
         return self._servers.request(GetServerCounts(), ServerCounts)
@@ -156,13 +156,13 @@
         arrivals = poisson_arrivals(2 * self._experiment.calls_per_s, duration_s, seed)
         direct = self._rng.integers(len(self._direct), size=len(arrivals))
 
-        async def start_call(number: int, arrived_at: float) -> CallResult:
+        async def make_call(number: int, scheduled_at: float) -> CallResult:
             client = self._direct[direct[number]] if number % 2 else through_sidecar
             self._calls += 1
             request = format_call(_CLASS, f"{self._calls:016x}", _BUDGET_S)
-            return await client.call(request, arrived_at, _CALL_TIMEOUT_S)
+            return await client.call(request, scheduled_at, _CALL_TIMEOUT_S)
 
-        return await run_open_loop(arrivals, start_call)
+        return await run_open_loop(arrivals, make_call)
 
     def _stop(self, sidecar: ManagedProcess) -> None:
         sidecar.popen.terminate()
--- a/scale/latency/tracing.py
+++ b/scale/latency/tracing.py
@@ -20,7 +20,7 @@
 Parameters = ParamSpec("Parameters")
 Result = TypeVar("Result")
 
-Times = npt.NDArray[np.float64]
+FloatArray = npt.NDArray[np.float64]
 Span = tuple[float, float, float]  # start, end, CPU seconds of the thread
 
 
@@ -97,23 +97,23 @@
         self._cpu = self._cumulative(ordered[:, 2])
 
     @staticmethod
-    def _cumulative(lengths: Times) -> Times:
+    def _cumulative(lengths: FloatArray) -> FloatArray:
         """Return the sums up to each edge: a span's length accrues between its start and its end."""
         after = np.cumsum(lengths)
         return np.column_stack((after - lengths, after)).ravel()
 
-    def wall_s(self, starts: Times, ends: Times) -> Times:
+    def wall_s(self, starts: FloatArray, ends: FloatArray) -> FloatArray:
         """Return the seconds covered in each interval."""
         return self._between(self._wall, starts, ends)
 
-    def cpu_s(self, starts: Times, ends: Times) -> Times:
+    def cpu_s(self, starts: FloatArray, ends: FloatArray) -> FloatArray:
         """Return the CPU seconds spent in each interval, assumed to be even over each span."""
         return self._between(self._cpu, starts, ends)
 
-    def _between(self, cumulative: Times, starts: Times, ends: Times) -> Times:
+    def _between(self, cumulative: FloatArray, starts: FloatArray, ends: FloatArray) -> FloatArray:
         if not self._edges.size:
             return np.zeros_like(starts)
-        until_end: Times = np.interp(ends, self._edges, cumulative)
+        until_end: FloatArray = np.interp(ends, self._edges, cumulative)
         return until_end - np.interp(starts, self._edges, cumulative)
 
 
--- a/scale/open_loop.py
+++ b/scale/open_loop.py
@@ -24,13 +24,13 @@
 
 
 async def run_open_loop(
-    arrivals_s: Sequence[float], start_call: Callable[[int, float], Awaitable[CallResult]]
+    arrivals_s: Sequence[float], make_call: Callable[[int, float], Awaitable[CallResult]]
 ) -> list[CallResult]:
     """Start each call at its time.
 
     Args:
         arrivals_s: Start times in seconds from now, in order.
-        start_call: Makes a call, given its number and its start time on the monotonic clock.
+        make_call: Makes a call, given its number and its start time on the monotonic clock.
 
     Returns:
         The results in the order of the start times.
@@ -39,9 +39,9 @@
     tasks: list[asyncio.Future[CallResult]] = []
     try:
         for number, after_s in enumerate(arrivals_s):
-            arrives_at = started_at + after_s
-            await asyncio.sleep(max(arrives_at - time.monotonic(), 0.0))
-            tasks.append(asyncio.ensure_future(start_call(number, arrives_at)))
+            scheduled_at = started_at + after_s
+            await asyncio.sleep(max(scheduled_at - time.monotonic(), 0.0))
+            tasks.append(asyncio.ensure_future(make_call(number, scheduled_at)))
         return list(await asyncio.gather(*tasks))
     finally:
         for task in tasks:
--- a/scale/plots.py
+++ b/scale/plots.py
@@ -13,7 +13,7 @@
 import matplotlib.pyplot as plt
 
 from scale.results import Measurement
-from scale.slope import MINIMUM_SIZES
+from scale.slope import MINIMUM_DISTINCT_SIZES
 
 
 def write_plots(measurements: Sequence[Measurement], against: str, folder: Path) -> list[Path]:
@@ -34,7 +34,7 @@
     folder.mkdir(parents=True, exist_ok=True)
     written = []
     for (role, metric, unit), points in series.items():
-        if len({point.labels[against] for point in points}) < MINIMUM_SIZES:
+        if len({point.labels[against] for point in points}) < MINIMUM_DISTINCT_SIZES:
             continue
         path = folder / (re.sub(r"[^a-z0-9]+", "-", f"{role}-{metric}".lower()) + ".png")
         _write_plot(points, against, f"{role}: {metric}", unit, path)
--- a/scale/ports.py
+++ b/scale/ports.py
@@ -27,7 +27,7 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self, exc_type: type[BaseException] | None, exc: BaseException | None, traceback: TracebackType | None
     ) -> None:
         self.close()
 
--- a/scale/processes.py
+++ b/scale/processes.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Usage:
+class ResourceUsage:
     """Resource usage of a process up to one moment."""
 
     at_s: float  # monotonic clock
@@ -39,7 +39,7 @@
         """Return whether it has not ended yet."""
         return self.popen.poll() is None
 
-    def usage(self) -> Usage:
+    def usage(self) -> ResourceUsage:
         """Return its resource usage so far.
 
         Raises:
@@ -48,7 +48,7 @@
         with self._process.oneshot():
             times = self._process.cpu_times()
             memory = self._process.memory_info().rss
-        return Usage(time.monotonic(), times.user + times.system, memory)
+        return ResourceUsage(time.monotonic(), times.user + times.system, memory)
 
 
 class ProcessGroup:
@@ -61,9 +61,9 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self, exc_type: type[BaseException] | None, exc: BaseException | None, traceback: TracebackType | None
     ) -> None:
-        self.end_all()
+        self.terminate_all()
 
     def start(
         self,
@@ -94,7 +94,7 @@
         self.processes.append(process)
         return process
 
-    def end_all(self) -> None:
+    def terminate_all(self) -> None:
         """Send SIGTERM to all, and SIGKILL to those that have not ended within 5 s."""
         running = [each.popen for each in self.processes if each.is_running()]
         for popen in running:
--- a/scale/results.py
+++ b/scale/results.py
@@ -13,7 +13,7 @@
 from scale.errors import InvalidMeasurementError, UnreadableResultsError
 from scale.experiment import Experiment
 
-Label = str | float | int | bool
+LabelValue = str | float | int | bool
 _REPOSITORY = Path(__file__).resolve().parent.parent
 
 
@@ -30,7 +30,7 @@
     metric: str
     value: float
     unit: str
-    labels: dict[str, Label] = {}  # the point that was measured: sizes, faults, the baseline's name
+    labels: dict[str, LabelValue] = {}  # the point that was measured: sizes, faults, the baseline's name
 
 
 def current_commit(repository: Path = _REPOSITORY) -> str:
@@ -62,12 +62,12 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self, exc_type: type[BaseException] | None, exc: BaseException | None, traceback: TracebackType | None
     ) -> None:
         self._file.close()
 
     def add(
-        self, role: str, metric: str, value: float, unit: str, labels: Mapping[str, Label] | None = None
+        self, role: str, metric: str, value: float, unit: str, labels: Mapping[str, LabelValue] | None = None
     ) -> None:
         """Write one measurement.
 
--- a/scale/sidecar_process.py
+++ b/scale/sidecar_process.py
@@ -16,7 +16,7 @@
 from scale.processes import ManagedProcess, ProcessGroup
 
 SAMPLE_CONFIG = Path(__file__).resolve().parent.parent / "deploy" / "sample" / "config.json"
-PROGRAM = (sys.executable, "-m", "sidecar")
+SIDECAR_COMMAND = (sys.executable, "-m", "sidecar")
 READY_TIMEOUT_S = 15.0
 
 _POLL_INTERVAL_S = 0.05
@@ -42,7 +42,7 @@
 
 
 def start_sidecar(
-    group: ProcessGroup, config: Mapping[str, Any], folder: Path, program: Sequence[str] = PROGRAM
+    group: ProcessGroup, config: Mapping[str, Any], folder: Path, command: Sequence[str] = SIDECAR_COMMAND
 ) -> ManagedProcess:
     """Start a sidecar with its configuration and log in a folder.
 
@@ -52,7 +52,7 @@
     path = write_config(config, folder)
     inherited = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
     with log_path(folder).open("wb") as log:
-        return group.start(program, inherited | {"RELAY_CONFIG": str(path)}, stderr=log)
+        return group.start(command, inherited | {"RELAY_CONFIG": str(path)}, stderr=log)
 
 
 def log_path(folder: Path) -> Path:
@@ -60,7 +60,7 @@
     return folder / "sidecar.log"
 
 
-def await_ready(sidecar: ManagedProcess, listen: Address, folder: Path) -> None:
+def wait_until_ready(sidecar: ManagedProcess, listen: Address, folder: Path) -> None:
     """Wait until a sidecar is ready.
 
     Raises:
--- a/scale/slopes.py
+++ b/scale/slopes.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from scale.results import Measurement
-from scale.slope import MINIMUM_SIZES, Slope, fit_slope
+from scale.slope import MINIMUM_DISTINCT_SIZES, LinearFit, fit_line
 from scale.text_table import align_columns
 
 
@@ -20,7 +20,7 @@
     role: str
     metric: str
     unit: str
-    alike: str  # the labels other than the size
+    other_labels: str  # the labels other than the size
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
 
     series: Series
     points: int
-    slope: Slope
+    line: LinearFit
 
 
 def fit_slopes(measurements: Sequence[Measurement], against: str) -> list[FittedSeries]:
@@ -37,16 +37,18 @@
     points: dict[Series, list[Measurement]] = defaultdict(list)
     for each in measurements:
         if isinstance(each.labels.get(against), int | float):
-            alike = " ".join(f"{name}={value}" for name, value in each.labels.items() if name != against)
-            points[Series(each.experiment, each.commit, each.role, each.metric, each.unit, alike)].append(
-                each
+            other_labels = " ".join(
+                f"{name}={value}" for name, value in each.labels.items() if name != against
             )
+            points[
+                Series(each.experiment, each.commit, each.role, each.metric, each.unit, other_labels)
+            ].append(each)
     fitted = []
     for series, measured in points.items():
         sizes = [float(each.labels[against]) for each in measured]
-        if len(set(sizes)) >= MINIMUM_SIZES:
-            slope = fit_slope(sizes, [each.value for each in measured])
-            fitted.append(FittedSeries(series, len(measured), slope))
+        if len(set(sizes)) >= MINIMUM_DISTINCT_SIZES:
+            line = fit_line(sizes, [each.value for each in measured])
+            fitted.append(FittedSeries(series, len(measured), line))
     return fitted
 
 
@@ -54,10 +56,10 @@
     """Format a plain-text table: slope, value at zero, fit, largest measured size, and value at `at`."""
     names = ("experiment", "commit", "role", "metric", "unit")
     figure_names = ("per unit", "at zero", "r2", "largest", "points", f"at {at:g}")
-    rows = [[*names, *figure_names, "alike"]]
+    rows = [[*names, *figure_names, "other labels"]]
     for each in fitted:
-        series, slope = each.series, each.slope
-        figures = (slope.per_unit, slope.at_zero, slope.r_squared, slope.largest, each.points, slope.at(at))
+        series, line = each.series, each.line
+        figures = (line.slope, line.intercept, line.r_squared, line.largest_size, each.points, line.at(at))
         labels = (series.experiment, series.commit, series.role, series.metric, series.unit)
-        rows.append([*labels, *(f"{figure:.4g}" for figure in figures), series.alike])
+        rows.append([*labels, *(f"{figure:.4g}" for figure in figures), series.other_labels])
     return "\n".join(align_columns(rows))
--- a/scale/suite.py
+++ b/scale/suite.py
@@ -12,8 +12,8 @@
 from scale.kinds import load_experiment, run_experiment
 from scale.results import ResultWriter, current_commit
 
-EXPERIMENTS = Path(__file__).resolve().parent / "experiments"
-RESULTS = Path(__file__).resolve().parent.parent / "docs" / "capacity" / "results"
+EXPERIMENTS_FOLDER = Path(__file__).resolve().parent / "experiments"
+RESULTS_FOLDER = Path(__file__).resolve().parent.parent / "docs" / "capacity" / "results"
 TIME_LIMIT_S = 15 * 60.0  # for the complete set
 
 _SMALL_SUFFIX = "-small"  # of the names of experiments for tests, whose results are not stored
@@ -21,7 +21,7 @@
 log = structlog.get_logger()
 
 
-def find_experiments(folder: Path = EXPERIMENTS) -> list[Path]:
+def find_experiments(folder: Path = EXPERIMENTS_FOLDER) -> list[Path]:
     """List the experiment files of a folder, without the small ones for tests.
 
     Raises:
--- a/tests/scale/test_capacity.py
+++ b/tests/scale/test_capacity.py
@@ -11,9 +11,9 @@
 from scale.capacity.numbers import format_number
 from scale.capacity.page import fill_page
 from scale.capacity.table import format_figures
-from scale.cli import FIGURES, PAGE
+from scale.cli import CAPACITY_PAGE, FIGURES_FILE
 from scale.errors import ExperimentError
-from scale.results import Label, Measurement
+from scale.results import LabelValue, Measurement
 
 BYTES = Figure(
     table="day", what="bytes", results=["small"], role="sidecar", metric="bytes", carried_by="`net/`"
@@ -21,7 +21,7 @@
 MARKS = "before\n<!-- table: day -->\nformer\n<!-- end of table -->\nafter\n"
 
 
-def measured(value: float, commit: str = "new", seed: int = 3, **labels: Label) -> Measurement:
+def measured(value: float, commit: str = "new", seed: int = 3, **labels: LabelValue) -> Measurement:
     return Measurement(
         experiment="small",
         kind="control",
@@ -40,9 +40,9 @@
     latest = evaluate_figure(BYTES, {"small": measurements})
     former = evaluate_figure(BYTES.model_copy(update={"commit": "old"}), {"small": measurements})
     assert latest is not None
-    assert (latest.value, latest.run) == (2.0, "small, new, seed 3")
+    assert (latest.value, latest.runs) == (2.0, "small, new, seed 3")
     assert former is not None
-    assert (former.value, former.run) == (1.0, "small, old, seed 3")
+    assert (former.value, former.runs) == (1.0, "small, old, seed 3")
 
 
 def test_figure_after_a_change_is_not_taken_from_the_run_before_it() -> None:
@@ -71,7 +71,7 @@
     evaluation = evaluate_figure(figure, files)
     assert evaluation is not None
     assert (evaluation.value, evaluation.minimum, evaluation.maximum) == (2.0, 1.0, 3.0)
-    assert evaluation.run == "small, new, seed 3; again, older, seed 4"
+    assert evaluation.runs == "small, new, seed 3; again, older, seed 4"
 
 
 def test_line_is_fitted_within_bounds_and_says_where_it_is_extrapolated() -> None:
@@ -142,5 +142,5 @@
 
 
 def test_page_of_this_repository_has_a_mark_for_each_table(tmp_path: Path) -> None:
-    filled = fill_page(PAGE.read_text(encoding="utf-8"), read_figures(FIGURES), tmp_path)
-    assert filled.count("not run yet") >= len(read_figures(FIGURES))
+    filled = fill_page(CAPACITY_PAGE.read_text(encoding="utf-8"), read_figures(FIGURES_FILE), tmp_path)
+    assert filled.count("not run yet") >= len(read_figures(FIGURES_FILE))
--- a/tests/scale/test_demo.py
+++ b/tests/scale/test_demo.py
@@ -12,7 +12,7 @@
 import psutil
 import pytest
 
-from scale.demo.outcome import DRAINED, DemoOutcome, Phase, ServerOutcome
+from scale.demo.outcome import DRAINED_SERVER, DemoOutcome, Phase, ServerOutcome
 from scale.demo.report import format_outcome
 from scale.demo.run import SERVERS
 from scale.errors import SidecarError
@@ -21,9 +21,9 @@
 from scale.processes import ProcessGroup
 from scale.sidecar_process import (
     SAMPLE_CONFIG,
-    await_ready,
     sample_config,
     start_sidecar,
+    wait_until_ready,
 )
 from scale.standins.server import ServedBody
 from sidecar.configuration import read_config
@@ -74,7 +74,7 @@
 
 def test_outcome_without_fault_is_shown_as_a_table() -> None:
     good = outcome()
-    assert good.faults() == []
+    assert good.failed_checks() == []
     assert [dict(each) for each in good.served_by_phase()][2] == {"s-0": 1, "s-3": 1}
     assert "calls: 9, served 9, shed 0, failed 0" in format_outcome(good)
 
@@ -86,19 +86,19 @@
         ({"results": [*outcome().results, result("s-0", 2.5, NO_RESPONSE)]}, "1 calls failed"),
         ({"results": outcome().results[:-1]}, "that stayed up got no calls"),
         ({"results": []}, "no calls were made"),
-        ({"drain_notified_at": -1.0}, f"s-{DRAINED} got calls later than 1 s"),
+        ({"drain_notified_at": -1.0}, f"s-{DRAINED_SERVER} got calls later than 1 s"),
         ({"exit_code": 1}, "exit code after SIGTERM was 1"),
         ({"exit_code": None}, "exit code after SIGTERM was None"),
     ],
 )
 def test_failed_check_is_reported(changes: dict[str, Any], fault: str) -> None:
-    assert any(fault in each for each in outcome(**changes).faults())
+    assert any(fault in each for each in outcome(**changes).failed_checks())
 
 
 def test_program_starts_from_the_sample_configuration(tmp_path: Path) -> None:
     with ReservedAddress() as listen, ReservedAddress() as nowhere, ProcessGroup() as group:
         sidecar = start_sidecar(group, sample_config(listen.address, nowhere.address), tmp_path)
-        await_ready(sidecar, listen.address, tmp_path)
+        wait_until_ready(sidecar, listen.address, tmp_path)
     assert sidecar.popen.returncode == 0
 
 
@@ -107,7 +107,7 @@
         address = listen.address
         sidecar = start_sidecar(group, sample_config(address, address) | {"seed": 7}, tmp_path)
         with pytest.raises(SidecarError, match="seed: a string of hex digits is needed, not 7"):
-            await_ready(sidecar, address, tmp_path)
+            wait_until_ready(sidecar, address, tmp_path)
 
 
 def test_sample_configuration_is_valid() -> None:
--- a/tests/scale/test_latency.py
+++ b/tests/scale/test_latency.py
@@ -18,7 +18,7 @@
 from scale.experiment import validate_experiment
 from scale.http_client import NO_RESPONSE, CallResult
 from scale.kinds import load_experiment, run_experiment
-from scale.latency.analysis import ServedCall, attribute_overhead, pair_calls, parse_served
+from scale.latency.analysis import ServedCall, attribute_overhead, pair_calls, parse_served_call
 from scale.latency.experiment import LatencyExperiment
 from scale.latency.tracing import BusyTime, Trace, Tracer
 from scale.results import Measurement, ResultWriter, read_results
@@ -72,7 +72,7 @@
 
 
 def served_calls(*results: CallResult) -> Sequence[ServedCall]:
-    return [each for each in map(parse_served, results) if each is not None]
+    return [each for each in map(parse_served_call, results) if each is not None]
 
 
 def test_pairs_hold_calls_that_were_both_served() -> None:
--- a/tests/scale/test_rig.py
+++ b/tests/scale/test_rig.py
@@ -14,7 +14,7 @@
 from scale.processes import ProcessGroup
 from scale.report import format_table
 from scale.results import ResultWriter, read_results
-from scale.slope import fit_slope
+from scale.slope import fit_line
 
 EXPERIMENT = Experiment(name="small", kind="control", seed=3, duration_s=1.0)
 WAIT_FOREVER = [sys.executable, "-c", "import signal; print(flush=True); signal.pause()"]
@@ -64,12 +64,12 @@
 
 
 def test_slope_is_fitted_and_extrapolated() -> None:
-    slope = fit_slope([1, 2, 4], [3, 5, 9])
-    assert slope.at(10) == pytest.approx(21.0)
-    assert slope.r_squared == pytest.approx(1.0)
-    assert slope.largest == 4
+    line = fit_line([1, 2, 4], [3, 5, 9])
+    assert line.at(10) == pytest.approx(21.0)
+    assert line.r_squared == pytest.approx(1.0)
+    assert line.largest_size == 4
     with pytest.raises(ValueError, match="two different sizes"):
-        fit_slope([2, 2], [1, 3])
+        fit_line([2, 2], [1, 3])
 
 
 def test_processes_are_ended_when_an_experiment_fails() -> None:
--- a/tests/scale/test_server_standin.py
+++ b/tests/scale/test_server_standin.py
@@ -160,15 +160,15 @@
     async def scene() -> None:
         last_started = asyncio.Event()
 
-        async def start_call(number: int, arrived_at: float) -> CallResult:
+        async def make_call(number: int, scheduled_at: float) -> CallResult:
             started.append(number)
             if number == 2:
                 last_started.set()
             await last_started.wait()  # the first call ends only once the last has started
-            return CallResult(arrived_at, arrived_at, arrived_at, 200, b"")
+            return CallResult(scheduled_at, scheduled_at, scheduled_at, 200, b"")
 
         async with asyncio.timeout(TIMEOUT_S):
-            results = await run_open_loop([0.0, 0.0, 0.001], start_call)
+            results = await run_open_loop([0.0, 0.0, 0.001], make_call)
         assert started == [0, 1, 2]
         assert len(results) == 3
 
@@ -178,5 +178,5 @@
 def test_histogram_gives_quantiles_to_three_digits() -> None:
     histogram = LatencyHistogram(range(1, 1001))
     assert histogram.count == 1000
-    assert histogram.quantile(50) == pytest.approx(500, rel=0.01)
-    assert histogram.quantile(99) == pytest.approx(990, rel=0.01)
+    assert histogram.percentile(50) == pytest.approx(500, rel=0.01)
+    assert histogram.percentile(99) == pytest.approx(990, rel=0.01)
