--- a/sidecar/balancer/lifecycle/placement.py
+++ b/sidecar/balancer/lifecycle/placement.py
@@ -55,7 +55,7 @@
 
     def place_checked(self, request: Request) -> None:
         """Send a request whose health checks have ended or timed out."""
-        checked = self.health_checks.release(request)
+        checked = self.health_checks.end_wait(request)
         if request.answered:
             return
         server = self.load_comparison.least_loaded(request, checked)
--- a/sidecar/balancer/lifecycle/timer_dispatch.py
+++ b/sidecar/balancer/lifecycle/timer_dispatch.py
@@ -71,7 +71,7 @@
             case IdleCloseDue():
                 return self.connections.close_due(timer.server)
             case RegistryPoll():
-                return self.registry_poller.due
+                return self.registry_poller.next_poll_at
 
     def _request_due_time(self, due: int, timer: RequestTimer) -> int | None:
         request = self.requests.unanswered(timer.request)
--- a/sidecar/balancer/policy/health_checks.py
+++ b/sidecar/balancer/policy/health_checks.py
@@ -10,7 +10,7 @@
 from sidecar.settings import ReportSource, Settings
 
 LOAD_FIELD = "inflight"  # name in load reports: the requests in flight at the server
-MAX_COST_SHARE = 0.01  # share of the value of a request that its health checks may cost
+MAX_CHECK_COST_SHARE = 0.01  # share of the value of a request that its health checks may cost
 MIN_PRICE = 1e-9  # avoids a division by zero where health checks are free
 # A request waits for its candidates up to this many usual durations of a health check ...
 MAX_WAIT_CHECK_DURATIONS = 3.0
@@ -24,7 +24,7 @@
         return 0
     if LOAD_FIELD not in settings.report_columns:
         return 0
-    affordable = MAX_COST_SHARE / max(settings.prices.probe, MIN_PRICE)
+    affordable = MAX_CHECK_COST_SHARE / max(settings.prices.probe, MIN_PRICE)
     return int(min(affordable, CANDIDATE_COUNT))
 
 
@@ -38,7 +38,7 @@
             context: The shared state of the balancer.
         """
         self._context = context
-        self._waiting: dict[int, Request] = {}  # by request id
+        self._waiting_requests: dict[int, Request] = {}  # by request id
         self._usual_duration_us: float | None = None  # of a health check
 
     def start(self, request: Request, candidates: list[Server]) -> None:
@@ -50,7 +50,7 @@
         """
         request.health_check_candidates = candidates
         request.health_checks_due = self._context.now + self._max_wait_us(request)
-        self._waiting[request.id] = request
+        self._waiting_requests[request.id] = request
         for server in candidates:
             if server.health_check_sent_at is None:
                 server.health_check_sent_at = self._context.now
@@ -75,13 +75,13 @@
             self._observe_duration(event.elapsed_us)
             if event.report is not None:
                 server.reported_load = event.report.get(LOAD_FIELD)
-        for request in list(self._waiting.values()):
+        for request in list(self._waiting_requests.values()):
             if all(candidate.health_check_sent_at is None for candidate in request.health_check_candidates):
                 yield request
 
-    def release(self, request: Request) -> list[Server]:
+    def end_wait(self, request: Request) -> list[Server]:
         """End the wait of a request and return the candidates that were checked for it."""
-        self._waiting.pop(request.id, None)
+        self._waiting_requests.pop(request.id, None)
         candidates = request.health_check_candidates
         request.health_check_candidates = []
         return candidates
--- a/sidecar/balancer/policy/key_order.py
+++ b/sidecar/balancer/policy/key_order.py
@@ -25,7 +25,7 @@
         """
         self.queues: dict[int, KeyQueue] = {}
         self._context = context
-        self._changed: deque[KeyQueue] = deque()  # queues whose head may be ready to be sent
+        self._changed_queues: deque[KeyQueue] = deque()  # queues whose head may be ready to be sent
 
     def enqueue(self, request: Request, key: int) -> None:
         """Add a new request to the queue of its key."""
@@ -42,7 +42,7 @@
     def mark_changed(self, key: int | None) -> None:
         """Record that the head of a key's queue may have changed, or that its cooldown may be over."""
         if key is not None:
-            self._changed.append(self.queues[key])
+            self._changed_queues.append(self.queues[key])
 
     def cooldown_until(self, key: int) -> int | None:
         """When the cooldown of a key ends, in us; None if the key is not in use."""
@@ -51,8 +51,8 @@
 
     def next_request(self) -> Request | None:
         """Return a request at the head of its queue that may be sent now; None if there is none."""
-        while self._changed:
-            queue = self._changed.popleft()
+        while self._changed_queues:
+            queue = self._changed_queues.popleft()
             head = queue.head()
             if self._context.now < queue.cooldown_until:
                 self._context.timers.add(queue.cooldown_until, KeyCooldownOver(queue.key))
--- a/sidecar/balancer/policy/load_comparison.py
+++ b/sidecar/balancer/policy/load_comparison.py
@@ -16,7 +16,7 @@
 MAX_PREDICTED_RATIO = 0.7  # predicted latency ratio up to which the highest priority is admitted ...
 PREDICTED_RATIO_RANGE = 0.5  # ... and how much lower that bound is for the lowest priority
 # Share of the requests that is admitted despite predicted overload, to verify the prediction.
-SAMPLE_SHARE = 0.01
+OVERLOAD_SAMPLE_SHARE = 0.01
 
 
 def cross_zone_cost(settings: Settings) -> float:
@@ -84,7 +84,7 @@
         predicted_ratio = self.latency_by_load.predict(best.reported_load)
         max_ratio = MAX_PREDICTED_RATIO - PREDICTED_RATIO_RANGE * (1.0 - request.priority)
         if predicted_ratio is not None and predicted_ratio > max_ratio:
-            return self.context.rng.random() >= SAMPLE_SHARE
+            return self.context.rng.random() >= OVERLOAD_SAMPLE_SHARE
         return False
 
     def _rank(self, server: Server) -> tuple[int, float, float]:
--- a/sidecar/balancer/policy/low_traffic_shedding.py
+++ b/sidecar/balancer/policy/low_traffic_shedding.py
@@ -4,10 +4,10 @@
 chance.
 """
 
-from sidecar.balancer.policy.priority import rate_span_us
+from sidecar.balancer.policy.priority import traffic_rate_span_us
 from sidecar.balancer.state import Context
 
-ADMITTED_PER_TIMELY = 1.2  # requests admitted for each timely response
+ADMITTED_PER_TIMELY_RESPONSE = 1.2  # requests admitted for each timely response
 PRIOR_TIMELY_COUNT = 2.0  # timely responses assumed in advance, as a few late ones may be chance
 IDLE_CPU_UTILIZATION = 0.6  # below this, late responses come from a few slow servers, not from overload
 
@@ -27,7 +27,7 @@
         self._shed = context.settings_bound.new_rate(self._span_us)
 
     def _span_us(self) -> float:
-        return rate_span_us(self._context)
+        return traffic_rate_span_us(self._context)
 
     def count_timely(self) -> None:
         """Count a response within its latency target."""
@@ -63,4 +63,4 @@
         # Attempts in flight indicate a surge before any of them is late.  With nothing late or shed they are
         # ignored, as they may be a mere burst.
         in_flight = min(late_or_shed, 1.0) * self._context.load.total()
-        return ADMITTED_PER_TIMELY * timely / (timely + late_or_shed + in_flight)
+        return ADMITTED_PER_TIMELY_RESPONSE * timely / (timely + late_or_shed + in_flight)
--- a/sidecar/balancer/policy/priority.py
+++ b/sidecar/balancer/policy/priority.py
@@ -6,7 +6,7 @@
 MEDIAN_PRIORITY = 0.5  # used while no traffic is known
 
 
-def rate_span_us(context: Context) -> float:
+def traffic_rate_span_us(context: Context) -> float:
     """The time over which rates of requests are averaged, in us."""
     return RATE_SPAN_TARGETS * context.longest_target_us
 
@@ -36,7 +36,7 @@
         """
         traffic = self._traffic.get(request.traffic_key)
         if traffic is None:
-            rate = DecayingRate(rate_span_us(self._context))
+            rate = DecayingRate(traffic_rate_span_us(self._context))
             traffic = Traffic(request.service_class, request.traffic_key.tenant, rate)
             self._traffic[request.traffic_key] = traffic
         traffic.service_class = request.service_class  # the settings may have changed
--- a/sidecar/balancer/policy/registry_polling.py
+++ b/sidecar/balancer/policy/registry_polling.py
@@ -20,7 +20,7 @@
     """Keeps a watch on the registry established if changes are not pushed.
 
     Attributes:
-        due: The time of the next poll, in us; None while the watch is established.
+        next_poll_at: The time of the next poll, in us; None while the watch is established.
         consecutive_failures: The number of polls that failed since the last response.
     """
 
@@ -30,7 +30,7 @@
         Args:
             context: The shared state of the balancer.
         """
-        self.due: int | None = None
+        self.next_poll_at: int | None = None
         self.consecutive_failures = 0
         self._context = context
 
@@ -40,12 +40,12 @@
             self._context.actions.append(WatchRegistry(True))
             self._schedule(MAX_BACKOFF_SHARE)
 
-    def succeeded(self) -> None:
+    def poll_succeeded(self) -> None:
         """Record a response: the watch is established, so that no further poll is needed."""
         self.consecutive_failures = 0
-        self.due = None
+        self.next_poll_at = None
 
-    def failed(self) -> None:
+    def poll_failed(self) -> None:
         """Back off after a failed poll, with jitter to prevent balancers from polling at the same time."""
         backoff_share = min(INITIAL_BACKOFF_SHARE * 2**self.consecutive_failures, MAX_BACKOFF_SHARE)
         self.consecutive_failures = min(self.consecutive_failures + 1, MAX_COUNTED_FAILURES)
@@ -55,5 +55,5 @@
     def _schedule(self, share: float) -> None:
         """Schedule the next poll after this share of the permitted staleness, in place of any earlier one."""
         max_staleness_us = min(self._context.settings.rules.max_poll_interval_us, MAX_STALENESS_US)
-        self.due = self._context.now + int(share * max_staleness_us)
-        self._context.timers.add(self.due, RegistryPoll())
+        self.next_poll_at = self._context.now + int(share * max_staleness_us)
+        self._context.timers.add(self.next_poll_at, RegistryPoll())
--- a/sidecar/balancer/policy/server_capacity.py
+++ b/sidecar/balancer/policy/server_capacity.py
@@ -11,7 +11,7 @@
 RATE_SPAN_WINDOWS = 2.0  # span over which rates are averaged, in overload windows
 
 
-def rate_span_us(context: Context) -> float:
+def capacity_rate_span_us(context: Context) -> float:
     """The time over which rates of arrivals and of served cost are averaged, in us."""
     return RATE_SPAN_WINDOWS * context.settings.rules.overload_window_us
 
@@ -49,12 +49,12 @@
         """
         self._context = context
         self._arrivals = arrivals
-        self._warm_service_rate = context.settings_bound.new_rate(lambda: rate_span_us(context))
-        self._capacity = 0.0  # requests of mean cost per us, as of _capacity_at
-        self._capacity_at = -1
+        self._warm_service_rate = context.settings_bound.new_rate(lambda: capacity_rate_span_us(context))
+        self._capacity = 0.0  # requests of mean cost per us; computed at _capacity_computed_at
+        self._capacity_computed_at = -1
         self._last_warm_capacity = math.inf  # the last estimate while any server was warm
         self._last_warm_servers_used = 1  # how many servers shared the traffic at that time
-        self._mean_declared_capacity = 1.0  # as of _capacity_at
+        self._mean_declared_capacity = 1.0  # computed at _capacity_computed_at
         self._reference: ReferenceServers | None = None  # None: to be recomputed
 
     def count_served(self, cost: float) -> None:
@@ -84,8 +84,8 @@
 
         It is computed once for each clock time.
         """
-        if self._capacity_at != self._context.now:
-            self._capacity_at = self._context.now
+        if self._capacity_computed_at != self._context.now:
+            self._capacity_computed_at = self._context.now
             self._reference = self.current_reference()
             self._capacity = self._estimate(self._reference)
             self._mean_declared_capacity = self._reference.mean_declared_capacity
--- a/sidecar/balancer/policy/slow_start.py
+++ b/sidecar/balancer/policy/slow_start.py
@@ -1,6 +1,6 @@
 """Slow start: a server that is warming up receives requests up to a budget, which grows with its age."""
 
-from sidecar.balancer.policy.server_capacity import ServerCapacityEstimate, rate_span_us
+from sidecar.balancer.policy.server_capacity import ServerCapacityEstimate, capacity_rate_span_us
 from sidecar.balancer.state import Context, Server
 
 # Refill rate as a share of the rate that overloads a server; low, as the capacity is only an estimate.
@@ -24,7 +24,7 @@
             context: The shared state of the balancer.
         """
         self._context = context
-        self.arrivals = context.settings_bound.new_rate(lambda: rate_span_us(context))
+        self.arrivals = context.settings_bound.new_rate(lambda: capacity_rate_span_us(context))
         self.capacity_estimate = ServerCapacityEstimate(context, self.arrivals)
 
     def start(self, server: Server, since: int) -> None:
--- a/sidecar/balancer/policy/zone_preference.py
+++ b/sidecar/balancer/policy/zone_preference.py
@@ -31,16 +31,16 @@
         self.is_local_first = False
         self._context = context
         self._limit = limit
-        self._remote_weight = 1.0  # computed at _remote_weight_at
-        self._remote_weight_at = -1  # us
+        self._remote_weight = 1.0  # computed at _remote_weight_computed_at
+        self._remote_weight_computed_at = -1  # us
         self._weight_by_latency = 1.0  # cached; computed for the list in _averaged_servers
         self._averaged_servers: list[Server] | None = None
         self._remaining_cache_uses = 0  # at how many further clock times the cached weight may be used
 
     def remote_weight(self) -> float:
         """The weight factor of servers in other zones, computed once for each clock time."""
-        if self._remote_weight_at != self._context.now:
-            self._remote_weight_at = self._context.now
+        if self._remote_weight_computed_at != self._context.now:
+            self._remote_weight_computed_at = self._context.now
             self._remote_weight = self._current_remote_weight()
         return self._remote_weight
 
--- a/sidecar/balancer/registry_updates.py
+++ b/sidecar/balancer/registry_updates.py
@@ -34,10 +34,10 @@
     def update(self, update: RegistryUpdated) -> None:
         """Handle an update, or the failure to get one."""
         if update.kind is RegistryUpdateKind.FAILED:
-            self.poller.failed()
+            self.poller.poll_failed()
             return
         if update.kind is not RegistryUpdateKind.CACHED:
-            self.poller.succeeded()
+            self.poller.poll_succeeded()
         # Most polls return no changes, and applying an update takes time proportional to the server count.
         if not update.is_empty():
             self._apply(self.start_times.to_local_clock(update))
--- a/tests/balancer/test_registry_polling.py
+++ b/tests/balancer/test_registry_polling.py
@@ -58,7 +58,7 @@
     ready = context.registry.ready
     harness.handle(RegistryUpdated(RegistryUpdateKind.DELTA, [], 1))
     assert context.registry.ready is ready  # not rebuilt
-    assert harness.balancer._registry_poller.due is None
+    assert harness.balancer._registry_poller.next_poll_at is None
     assert not harness.balancer._registry_poller.consecutive_failures
     harness.handle(
         RegistryUpdated(RegistryUpdateKind.SNAPSHOT, [], 1)
