--- a/scale/capacity/evaluation.py
+++ b/scale/capacity/evaluation.py
@@ -42,8 +42,8 @@
     values = [each.value * figure.times for each in selected]
     derivation = "measured" if len(values) == 1 else f"measured, median of {len(values)}"
     if figure.processes:
-        one = format_number(statistics.median(values) / figure.times)
-        derivation = f"worked out: {one} {selected[0].unit} x {figure.processes}"
+        single_value = format_number(statistics.median(values) / figure.times)
+        derivation = f"worked out: {single_value} {selected[0].unit} x {figure.processes}"
     is_lower_bound = any(each.labels.get("recovered") is False for each in selected)
     return Evaluation(
         statistics.median(values), min(values), max(values), derivation, "; ".join(runs), is_lower_bound
@@ -73,14 +73,14 @@
 
 
 def _evaluate_line(
-    figure: Figure, against: str, at: float, selected: Sequence[Measurement], run: str
+    figure: Figure, against: str, at: float, selected: Sequence[Measurement], runs: str
 ) -> Evaluation | None:
     sizes = [float(each.labels[against]) for each in selected]
     if len(set(sizes)) == 1:
         return None
     fit = fit_line(sizes, [each.value for each in selected])
     value = fit.at(at) * figure.times
-    return Evaluation(value, value, value, _describe_line(figure, fit, against, at, selected[0].unit), run)
+    return Evaluation(value, value, value, _describe_line(figure, fit, against, at, selected[0].unit), runs)
 
 
 def _describe_line(figure: Figure, fit: LinearFit, against: str, at: float, unit: str) -> str:
--- a/scale/capacity/numbers.py
+++ b/scale/capacity/numbers.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 _SIGNIFICANT_DIGITS = 3
-_LEAST_WITHOUT_FRACTION = 100.0  # three digits have no fraction from here on
-_LEAST_ROUNDED = 10_000.0  # from here on, digits beyond the significant ones become zeros
+_SMALLEST_WITHOUT_FRACTION = 100.0  # three digits have no fraction from here on
+_SMALLEST_ROUNDED = 10_000.0  # from here on, digits beyond the significant ones become zeros
 
 
 def format_number(value: float) -> str:
@@ -12,7 +12,7 @@
     if value == 0.0:
         return "0"
     rounded = float(f"{value:.{_SIGNIFICANT_DIGITS}g}")
-    if abs(rounded) >= _LEAST_WITHOUT_FRACTION:
-        return f"{value:,.0f}" if abs(value) < _LEAST_ROUNDED else f"{rounded:,.0f}"
+    if abs(rounded) >= _SMALLEST_WITHOUT_FRACTION:
+        return f"{value:,.0f}" if abs(value) < _SMALLEST_ROUNDED else f"{rounded:,.0f}"
     text = f"{rounded:.10f}".rstrip("0").rstrip(".")
     return "0" if text == "-0" else text
--- a/scale/capacity/page.py
+++ b/scale/capacity/page.py
@@ -11,7 +11,7 @@
 from scale.errors import UnmatchedTableError
 from scale.results import Measurement, read_results
 
-MISSING = "missing"  # the table of the ranked figures
+MISSING_TABLE = "missing"  # the table of the ranked figures
 _BLOCK = re.compile(r"(<!-- table: (?P<name>[a-z-]+) -->\n).*?(<!-- end of table -->)", re.DOTALL)
 
 
@@ -19,7 +19,9 @@
     """Return the ranked figures in order, as rows of the table of what is missing."""
     ranked = sorted((figure.rank, index) for index, figure in enumerate(figures) if figure.rank is not None)
     return [
-        figures[index].model_copy(update={"table": MISSING, "what": f"{rank}. {figures[index].missing}"})
+        figures[index].model_copy(
+            update={"table": MISSING_TABLE, "what": f"{rank}. {figures[index].missing}"}
+        )
         for rank, index in ranked
     ]
 
@@ -44,10 +46,10 @@
         path = folder / f"{name}.jsonl"
         results[name] = read_results([path]) if path.exists() else []
     displayed = [*figures, *_ranked_figures(figures)]
-    marked = {match["name"] for match in _BLOCK.finditer(text)}
-    known = {figure.table for figure in displayed}
-    if marked != known:
-        raise UnmatchedTableError(marked ^ known)
+    marked_tables = {match["name"] for match in _BLOCK.finditer(text)}
+    figure_tables = {figure.table for figure in displayed}
+    if marked_tables != figure_tables:
+        raise UnmatchedTableError(marked_tables ^ figure_tables)
 
     def fill(match: re.Match[str]) -> str:
         selected = [figure for figure in displayed if figure.table == match["name"]]
--- a/scale/capacity/table.py
+++ b/scale/capacity/table.py
@@ -18,10 +18,10 @@
     if minimum != maximum:
         text += f" ({minimum} to {maximum})"
     text = f"{'at least ' if evaluation.is_lower_bound else ''}{text} {figure.unit}".strip()
-    return f"**{text}**" if _exceeds_budget(figure, evaluation) else text
+    return f"**{text}**" if _violates_budget(figure, evaluation) else text
 
 
-def _exceeds_budget(figure: Figure, evaluation: Evaluation) -> bool:
+def _violates_budget(figure: Figure, evaluation: Evaluation) -> bool:
     """Return whether any of the values exceeds the budget."""
     if figure.budget is None:
         return False
@@ -45,10 +45,14 @@
     rows = [_HEADER, tuple("---" for _ in _HEADER)]
     for figure in figures:
         evaluation = evaluate_figure(figure, results)
-        value, derivation, run = NOT_RUN, "", ", ".join(figure.results)
+        value, derivation, runs = NOT_RUN, "", ", ".join(figure.results)
         if evaluation is not None:
-            value, derivation, run = _format_value(figure, evaluation), evaluation.derivation, evaluation.runs
+            value, derivation, runs = (
+                _format_value(figure, evaluation),
+                evaluation.derivation,
+                evaluation.runs,
+            )
         rows.append(
-            (figure.what, value, _format_budget(figure, evaluation), derivation, run, figure.carried_by)
+            (figure.what, value, _format_budget(figure, evaluation), derivation, runs, figure.carried_by)
         )
     return "".join(f"| {' | '.join(row)} |\n" for row in rows)
--- a/scale/cli.py
+++ b/scale/cli.py
@@ -45,8 +45,8 @@
     results: Annotated[Path, typer.Option(help="File that the figures are appended to, as JSON lines.")],
 ) -> None:
     """Run experiments one after another."""
-    checked = [load_experiment(path) for path in experiments]
-    for experiment in checked:
+    loaded_experiments = [load_experiment(path) for path in experiments]
+    for experiment in loaded_experiments:
         log.info("experiment started", experiment=experiment.name, kind=experiment.kind, seed=experiment.seed)
         with ResultWriter(results, experiment) as writer:
             run_experiment(experiment, writer)
--- a/scale/commands.py
+++ b/scale/commands.py
@@ -47,7 +47,7 @@
         handle: Handles one command, as a JSON line.
         addresses: Addresses to print, for the other side to use.
     """
-    ended = asyncio.Event()
+    connection_closed = asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -56,13 +56,13 @@
                 await writer.drain()
         finally:
             writer.close()
-            ended.set()
+            connection_closed.set()
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0, limit=MAXIMUM_LINE_BYTES)
     try:
         host, port = server.sockets[0].getsockname()
         print(Ready(commands=(host, port), addresses=addresses).model_dump_json(), flush=True)
-        await ended.wait()
+        await connection_closed.wait()
     finally:
         server.close()
 
--- a/scale/demo/outcome.py
+++ b/scale/demo/outcome.py
@@ -61,11 +61,11 @@
         """Return how many calls each server served, for each phase."""
         counters: list[Counter[str]] = [Counter() for _ in self.phases]
         for result in self.served():
-            number = next(
-                (n for n, phase in enumerate(self.phases) if result.sent_at < phase.ends_at),
+            phase_index = next(
+                (index for index, phase in enumerate(self.phases) if result.sent_at < phase.ends_at),
                 len(self.phases) - 1,
             )
-            counters[number][ServedBody.decode(result.body).server] += 1
+            counters[phase_index][ServedBody.decode(result.body).server] += 1
         return counters
 
     def added_us(self) -> LatencyHistogram:
@@ -77,8 +77,10 @@
     def failed_checks(self) -> list[str]:
         """Return a line for each failed check; none if all passed."""
         drained = self.servers[DRAINED_SERVER]
-        at_end = self.served_by_phase()[-1]
-        survivors = [each for n, each in enumerate(self.servers) if n not in (DRAINED_SERVER, KILLED_SERVER)]
+        served_at_end = self.served_by_phase()[-1]
+        survivors = [
+            each for index, each in enumerate(self.servers) if index not in (DRAINED_SERVER, KILLED_SERVER)
+        ]
         checks = [
             (not self.results, "no calls were made"),
             (bool(self.shed()), f"{self.shed()} calls were shed"),
@@ -88,7 +90,7 @@
                 f"{drained.name} got calls later than {DRAIN_GRACE_S:.0f} s after the registry drained it",
             ),
             (
-                any(not at_end[each.name] for each in survivors),
+                any(not served_at_end[each.name] for each in survivors),
                 "a server that stayed up got no calls at the end",
             ),
             (self.exit_code != 0, f"the sidecar's exit code after SIGTERM was {self.exit_code}, not 0"),
--- a/scale/demo/run.py
+++ b/scale/demo/run.py
@@ -22,7 +22,7 @@
 SERVERS = 4
 
 _SERVICE_MEAN_S = 0.005
-_CLASS = "read"  # of the sample configuration: safe to repeat
+_SERVICE_CLASS = "read"  # of the sample configuration: safe to repeat
 _BUDGET_S = 2.0
 _CALL_TIMEOUT_S = 2.5
 _DRAIN_FRACTION, _KILL_FRACTION = 1 / 3, 2 / 3  # of the duration
@@ -107,7 +107,7 @@
         client = HttpClient(listen)
 
         async def make_call(number: int, scheduled_at: float) -> CallResult:
-            request = format_call(_CLASS, f"{self._seed:08x}{number:08x}", _BUDGET_S)
+            request = format_call(_SERVICE_CLASS, f"{self._seed:08x}{number:08x}", _BUDGET_S)
             return await client.call(request, scheduled_at, _CALL_TIMEOUT_S)
 
         try:
--- a/scale/experiment.py
+++ b/scale/experiment.py
@@ -41,13 +41,13 @@
         raise TomlSyntaxError(path, error) from error
 
 
-def validate_experiment(model: type[AnyExperiment], given: dict[str, Any]) -> AnyExperiment:
+def validate_experiment(model: type[AnyExperiment], content: dict[str, Any]) -> AnyExperiment:
     """Validate an experiment against its model.
 
     Raises:
         InvalidKeyError: A key is missing, unknown or out of range; the first such key is named.
     """
     try:
-        return model.model_validate(given)
+        return model.model_validate(content)
     except ValidationError as error:
         raise InvalidKeyError.from_validation(error) from error
--- a/scale/http1.py
+++ b/scale/http1.py
@@ -45,10 +45,10 @@
             ValueError: A head is malformed.
         """
         self._buffer += data
-        while (message := self._next()) is not None:
+        while (message := self._next_message()) is not None:
             yield message
 
-    def _next(self) -> Message | None:
+    def _next_message(self) -> Message | None:
         end = self._buffer.find(_END_OF_HEAD)
         if end < 0:
             return None
@@ -68,15 +68,15 @@
 
 def format_request(method: str, target: str, headers: Mapping[str, str], body: bytes = b"") -> bytes:
     """Encode a request."""
-    return _format(f"{method} {target} HTTP/1.1", headers, body)
+    return _encode(f"{method} {target} HTTP/1.1", headers, body)
 
 
 def format_response(status: HTTPStatus, headers: Mapping[str, str], body: bytes = b"") -> bytes:
     """Encode a response."""
-    return _format(f"HTTP/1.1 {status.value} {status.phrase}", headers, body)
+    return _encode(f"HTTP/1.1 {status.value} {status.phrase}", headers, body)
 
 
-def _format(first_line: str, headers: Mapping[str, str], body: bytes) -> bytes:
+def _encode(first_line: str, headers: Mapping[str, str], body: bytes) -> bytes:
     lines = [first_line, *(f"{name}: {value}" for name, value in headers.items())]
     lines.append(f"Content-Length: {len(body)}")
     return "\r\n".join([*lines, "", ""]).encode("latin-1") + body
--- a/scale/http_client.py
+++ b/scale/http_client.py
@@ -53,7 +53,7 @@
             The result; its status is `NO_RESPONSE` if the connection failed or the call timed out.
         """
         sent_at = time.monotonic()
-        connection = self._acquire_idle()
+        connection = self._acquire_idle_connection()
         opened_connection = connection is None
         try:
             async with asyncio.timeout(timeout_s):
@@ -75,7 +75,7 @@
         _, connection = await loop.create_connection(_ClientConnection, *self._address)
         return await self._exchange(connection, request)
 
-    def _acquire_idle(self) -> _ClientConnection | None:
+    def _acquire_idle_connection(self) -> _ClientConnection | None:
         while self._idle:
             connection = self._idle.pop()
             if connection.is_open():
--- a/scale/kinds.py
+++ b/scale/kinds.py
@@ -45,11 +45,11 @@
         UnknownKindError: The rig does not know the kind of experiment.
         InvalidKeyError: A key is missing, unknown or out of range.
     """
-    given = read_experiment_file(path)
-    kind = KINDS.get(str(given.get("kind")))
+    content = read_experiment_file(path)
+    kind = KINDS.get(str(content.get("kind")))
     if kind is None:
         raise UnknownKindError(KINDS.keys())
-    return validate_experiment(kind.model, given)
+    return validate_experiment(kind.model, content)
 
 
 def run_experiment(experiment: Experiment, writer: ResultWriter) -> None:
--- a/scale/lag_probe.py
+++ b/scale/lag_probe.py
@@ -7,7 +7,7 @@
 
 from scale.histogram import LatencyHistogram
 
-_LAG_INTERVAL_S = 0.01
+_TIMER_INTERVAL_S = 0.01
 
 
 class LagProbe:
@@ -31,6 +31,6 @@
 
     async def _measure(self) -> None:
         while True:
-            due = time.monotonic() + _LAG_INTERVAL_S
-            await asyncio.sleep(_LAG_INTERVAL_S)
-            self.histogram.add((time.monotonic() - due) * 1e6)
+            due_at = time.monotonic() + _TIMER_INTERVAL_S
+            await asyncio.sleep(_TIMER_INTERVAL_S)
+            self.histogram.add((time.monotonic() - due_at) * 1e6)
--- a/scale/latency/analysis.py
+++ b/scale/latency/analysis.py
@@ -57,9 +57,9 @@
     """Pair each call through the sidecar with the direct call after it, where both were served."""
     pairs = []
     for through_sidecar, direct in zip(results[::2], results[1::2], strict=False):
-        both = parse_served_call(through_sidecar), parse_served_call(direct)
-        if both[0] is not None and both[1] is not None:
-            pairs.append(CallPair(both[0], both[1]))
+        served_pair = parse_served_call(through_sidecar), parse_served_call(direct)
+        if served_pair[0] is not None and served_pair[1] is not None:
+            pairs.append(CallPair(served_pair[0], served_pair[1]))
     return pairs
 
 
@@ -95,7 +95,7 @@
         """Return the event loop's CPU time during each call: about its overhead on an idle machine."""
         return self.own_work + self.other_work + self.collections + self.registry
 
-    def parts(self) -> dict[str, FloatArray]:
+    def by_name(self) -> dict[str, FloatArray]:
         """Return the sources by name."""
         return {
             "own work": self.own_work,
@@ -113,27 +113,31 @@
     service_started = np.array([call.body.started_at for call in calls])
     service_ended = service_started + np.array([call.body.service_time_us for call in calls]) / 1e6
     ended = np.array([call.result.ended_at for call in calls])
-    new = np.array([call.is_on_new_connection for call in calls], dtype=bool)
+    on_new_connection = np.array([call.is_on_new_connection for call in calls], dtype=bool)
 
-    def time_in_windows(measure: str, name: str) -> FloatArray:
-        between = getattr(getattr(trace, name), measure)
-        both: FloatArray = (between(sent, service_started) + between(service_ended, ended)) * 1e6
-        return both
+    def time_in_windows(method: str, span_kind: str) -> FloatArray:
+        time_between = getattr(getattr(trace, span_kind), method)
+        total_us: FloatArray = (
+            time_between(sent, service_started) + time_between(service_ended, ended)
+        ) * 1e6
+        return total_us
 
     wall = time_in_windows("wall_s", "callbacks")
     cpu = time_in_windows("cpu_s", "callbacks")
     collections = time_in_windows("cpu_s", "collections")
     registry = time_in_windows("cpu_s", "registry") - time_in_windows("cpu_s", "collections_in_registry")
     work = cpu - collections - registry
-    own = np.minimum(work, _typical_work(work, new))
+    own_work = np.minimum(work, _typical_work(work, on_new_connection))
     overhead = np.array([call.overhead_us for call in calls])
-    return OverheadSources(own, work - own, collections, registry, wall - cpu, overhead - wall)
+    return OverheadSources(own_work, work - own_work, collections, registry, wall - cpu, overhead - wall)
 
 
-def _typical_work(work: FloatArray, new: np.ndarray[tuple[int], np.dtype[np.bool_]]) -> FloatArray:
+def _typical_work(
+    work: FloatArray, on_new_connection: np.ndarray[tuple[int], np.dtype[np.bool_]]
+) -> FloatArray:
     """Return, for each call, the median work of the calls on its kind of connection, new or reused."""
     typical = np.zeros_like(work)
-    for group in (new, ~new):
-        if group.any():
-            typical[group] = np.median(work[group])
+    for mask in (on_new_connection, ~on_new_connection):
+        if mask.any():
+            typical[mask] = np.median(work[mask])
     return typical
--- a/scale/latency/experiment.py
+++ b/scale/latency/experiment.py
@@ -33,7 +33,7 @@
     traced: bool = False  # whether the sidecar's event loop and collections are timed from inside
 
     @model_validator(mode="after")
-    def _collector_is_set_by_the_tracing_entry(self) -> Self:
+    def _check_collector_requires_tracing(self) -> Self:
         if self.collector is not Collector.PROGRAM and not self.traced:
             raise UntracedCollectorError
         return self
--- a/scale/latency/figures.py
+++ b/scale/latency/figures.py
@@ -41,8 +41,12 @@
         self._budget_us = experiment.budget_ms * 1000
         self._writer = writer
         self._labels: dict[str, LabelValue] = point.model_dump(mode="json")
-        self._calls = [call for call in map(parse_served_call, outcome.results[::2]) if call is not None]
-        self._direct = [call for call in map(parse_served_call, outcome.results[1::2]) if call is not None]
+        self._sidecar_calls = [
+            call for call in map(parse_served_call, outcome.results[::2]) if call is not None
+        ]
+        self._direct_calls = [
+            call for call in map(parse_served_call, outcome.results[1::2]) if call is not None
+        ]
 
     def _add(self, role: str, metric: str, value: float, unit: str, **labels: LabelValue) -> None:
         self._writer.add(role, metric, value, unit, self._labels | labels)
@@ -50,39 +54,39 @@
     def write(self) -> None:
         self._write_counts()
         self._write_cost()
-        self._write_added()
+        self._write_added_latency()
         self._write_connections()
         self._write_conditions()
-        if self._outcome.trace is not None and self._calls:
+        if self._outcome.trace is not None and self._sidecar_calls:
             self._write_sources(self._outcome.trace)
 
     def _write_counts(self) -> None:
         through_sidecar, direct = self._outcome.results[::2], self._outcome.results[1::2]
         self._add("sidecar", "calls", len(through_sidecar), "calls")
-        self._add("sidecar", "calls not served", len(through_sidecar) - len(self._calls), "calls")
+        self._add("sidecar", "calls not served", len(through_sidecar) - len(self._sidecar_calls), "calls")
         self._add("client", "direct calls", len(direct), "calls")
-        self._add("client", "direct calls not served", len(direct) - len(self._direct), "calls")
+        self._add("client", "direct calls not served", len(direct) - len(self._direct_calls), "calls")
         before, after = self._outcome.counts_before, self._outcome.counts_after
         self._add("server", "requests", after.requests - before.requests, "requests")
         self._add("server", "overlapping requests", after.overlapping - before.overlapping, "requests")
         self._add("server", "new connections", after.connections - before.connections, "connections")
 
     def _write_cost(self) -> None:
-        before, after = self._outcome.before, self._outcome.after
+        before, after = self._outcome.usage_before, self._outcome.usage_after
         cpu_s = after.cpu_s - before.cpu_s
         calls = max(len(self._outcome.results[::2]), 1)
         self._add("sidecar", "CPU a call", cpu_s / calls * 1e6, "us")
         self._add("sidecar", "CPU", cpu_s / (after.at_s - before.at_s) * 100, "% of a core")
         self._add("sidecar", "memory", after.memory_bytes / _MEBIBYTE, "MiB")
 
-    def _write_added(self) -> None:
+    def _write_added_latency(self) -> None:
         """Write overheads, which are latencies without the server's service time."""
         pairs = pair_calls(self._outcome.results)
         if not pairs:
             return
         through_sidecar, direct = (
-            histogram_percentiles_us(self._calls),
-            histogram_percentiles_us(self._direct),
+            histogram_percentiles_us(self._sidecar_calls),
+            histogram_percentiles_us(self._direct_calls),
         )
         paired = percentiles_us([pair.added_us for pair in pairs])
         for percentile in PERCENTILES:
@@ -91,20 +95,24 @@
             added_us = through_sidecar[percentile] - direct[percentile]
             self._add("sidecar", f"added p{percentile:g}, difference of quantiles", added_us, "us")
             self._add("sidecar", f"added p{percentile:g}, paired", paired[percentile], "us")
-        within = sum(pair.added_us <= self._budget_us for pair in pairs)
-        self._add("sidecar", "pairs within the budget", within / len(pairs) * 100, "%")
+        pairs_within_budget = sum(pair.added_us <= self._budget_us for pair in pairs)
+        self._add("sidecar", "pairs within the budget", pairs_within_budget / len(pairs) * 100, "%")
 
     def _write_connections(self) -> None:
-        new = [call for call in self._calls if call.is_on_new_connection]
-        reused = [call for call in self._calls if not call.is_on_new_connection]
+        new = [call for call in self._sidecar_calls if call.is_on_new_connection]
+        reused = [call for call in self._sidecar_calls if not call.is_on_new_connection]
         for name, group in (("new", new), ("kept", reused)):
             if group:
                 self._add(
-                    "sidecar", "share of calls", len(group) / len(self._calls) * 100, "%", connection=name
+                    "sidecar",
+                    "share of calls",
+                    len(group) / len(self._sidecar_calls) * 100,
+                    "%",
+                    connection=name,
                 )
                 for percentile, value in histogram_percentiles_us(group).items():
                     self._add("sidecar", f"overhead p{percentile:g}", value, "us", connection=name)
-        opened_connections = sum(call.result.opened_connection for call in self._calls)
+        opened_connections = sum(call.result.opened_connection for call in self._sidecar_calls)
         self._add("client", "new connections to the sidecar", opened_connections, "connections")
 
     def _write_conditions(self) -> None:
@@ -118,19 +126,19 @@
         self._add("machine", "cores", os.cpu_count() or 0, "cores")
 
     def _write_sources(self, trace: Trace) -> None:
-        overhead = np.array([call.overhead_us for call in self._calls])
+        overhead = np.array([call.overhead_us for call in self._sidecar_calls])
         slowest = overhead >= np.percentile(overhead, SLOWEST_PERCENTILE)
-        sources = attribute_overhead(self._calls, trace)
+        sources = attribute_overhead(self._sidecar_calls, trace)
         for percentile, value in percentiles_us(sources.event_loop_cpu()).items():
             self._add("sidecar", f"event loop CPU while a call waits p{percentile:g}", value, "us")
-        for source, times in sources.parts().items():
+        for source, times in sources.by_name().items():
             self._add("sidecar", "mean time of all calls", float(times.mean()), "us", source=source)
             mean_us = float(times[slowest].mean())
             self._add("sidecar", "mean time of the slowest 1 in 100", mean_us, "us", source=source)
-            without = float(np.percentile(overhead - times, SLOWEST_PERCENTILE))
-            self._add("sidecar", "overhead p99 without it", without, "us", source=source)
-        new = np.array([call.is_on_new_connection for call in self._calls], dtype=bool)
-        share = float(new[slowest].mean()) * 100
-        self._add("sidecar", "share on a new connection of the slowest 1 in 100", share, "%")
+            p99_without_us = float(np.percentile(overhead - times, SLOWEST_PERCENTILE))
+            self._add("sidecar", "overhead p99 without it", p99_without_us, "us", source=source)
+        new = np.array([call.is_on_new_connection for call in self._sidecar_calls], dtype=bool)
+        share_percent = float(new[slowest].mean()) * 100
+        self._add("sidecar", "share on a new connection of the slowest 1 in 100", share_percent, "%")
         self._add("sidecar", "garbage collections", trace.collection_count, "collections")
         self._add("sidecar", "registry calls timed", trace.registry_count, "calls")
--- a/scale/latency/point.py
+++ b/scale/latency/point.py
@@ -38,7 +38,7 @@
 
 DIRECT_SERVERS = 35  # that get direct calls, over pooled connections
 
-_CLASS = "read"  # of the sample configuration: safe to repeat
+_SERVICE_CLASS = "read"  # of the sample configuration: safe to repeat
 _BUDGET_S = 2.0
 _CALL_TIMEOUT_S = 2.5
 _STOP_TIMEOUT_S = 15.0
@@ -49,8 +49,8 @@
     """The measurements of one point, without warm-up."""
 
     results: Sequence[CallResult]  # alternating: through the sidecar, then direct
-    before: ResourceUsage  # of the sidecar
-    after: ResourceUsage
+    usage_before: ResourceUsage  # of the sidecar
+    usage_after: ResourceUsage
     lag: LatencyHistogram  # of the client's event loop
     load_averages: tuple[float, float]  # of the machine, over a minute, before and after
     counts_before: ServerCounts
@@ -108,8 +108,8 @@
             for index, address in enumerate(self._addresses)
         )
         self._rng = np.random.default_rng(experiment.seed)
-        self._direct = [HttpClient(address) for address in self._addresses[:DIRECT_SERVERS]]
-        self._calls = 0
+        self._direct_clients = [HttpClient(address) for address in self._addresses[:DIRECT_SERVERS]]
+        self._call_count = 0
 
     async def run(self) -> PointOutcome:
         registry = RegistryServer(self._change_log)
@@ -118,23 +118,30 @@
         await asyncio.to_thread(wait_until_ready, sidecar, listen, self._folder)
         through_sidecar = HttpClient(listen)
         async with endpoint_churn(self._change_log, self._point, self._rng), _collection_paused():
-            await self._call(through_sidecar, self._experiment.warm_up_s, self._experiment.seed)
-            load_before, counts_before = os.getloadavg()[0], self._counts()
-            before = sidecar.usage()
+            await self._make_calls(through_sidecar, self._experiment.warm_up_s, self._experiment.seed)
+            load_before, counts_before = os.getloadavg()[0], self._get_server_counts()
+            usage_before = sidecar.usage()
             async with LagProbe() as lag:
-                results = await self._call(
+                results = await self._make_calls(
                     through_sidecar, self._experiment.duration_s, self._experiment.seed + 1
                 )
-            after = sidecar.usage()
+            usage_after = sidecar.usage()
         load_averages = (load_before, os.getloadavg()[0])
-        counts_after = self._counts()
-        for client in (through_sidecar, *self._direct):
+        counts_after = self._get_server_counts()
+        for client in (through_sidecar, *self._direct_clients):
             client.close()
         await asyncio.to_thread(self._stop, sidecar)
         await registry.stop()
         trace = Trace.read(self._trace_path) if self._point.traced else None
         return PointOutcome(
-            results, before, after, lag.histogram, load_averages, counts_before, counts_after, trace
+            results,
+            usage_before,
+            usage_after,
+            lag.histogram,
+            load_averages,
+            counts_before,
+            counts_after,
+            trace,
         )
 
     def _start_sidecar(self, listen: Address, discovery: Address) -> ManagedProcess:
@@ -148,18 +155,20 @@
         config = sample_config(listen, discovery) | {"seed": f"{self._experiment.seed:x}"}
         return start_sidecar(self._group, config, self._folder, command)
 
-    def _counts(self) -> ServerCounts:
+    def _get_server_counts(self) -> ServerCounts:
         return self._servers.request(GetServerCounts(), ServerCounts)
 
-    async def _call(self, through_sidecar: HttpClient, duration_s: float, seed: int) -> list[CallResult]:
+    async def _make_calls(
+        self, through_sidecar: HttpClient, duration_s: float, seed: int
+    ) -> list[CallResult]:
         """Alternate calls through the sidecar and direct calls."""
         arrivals = poisson_arrivals(2 * self._experiment.calls_per_s, duration_s, seed)
-        direct = self._rng.integers(len(self._direct), size=len(arrivals))
+        direct_indexes = self._rng.integers(len(self._direct_clients), size=len(arrivals))
 
         async def make_call(number: int, scheduled_at: float) -> CallResult:
-            client = self._direct[direct[number]] if number % 2 else through_sidecar
-            self._calls += 1
-            request = format_call(_CLASS, f"{self._calls:016x}", _BUDGET_S)
+            client = self._direct_clients[direct_indexes[number]] if number % 2 else through_sidecar
+            self._call_count += 1
+            request = format_call(_SERVICE_CLASS, f"{self._call_count:016x}", _BUDGET_S)
             return await client.call(request, scheduled_at, _CALL_TIMEOUT_S)
 
         return await run_open_loop(arrivals, make_call)
--- a/scale/latency/servers.py
+++ b/scale/latency/servers.py
@@ -37,7 +37,7 @@
     return f"s-{index:04d}"
 
 
-def count(servers: list[ServerStandin]) -> ServerCounts:
+def sum_counters(servers: list[ServerStandin]) -> ServerCounts:
     """Sum the servers' counters."""
     sums = {
         name: sum(getattr(server.counters, name) for server in servers) for name in ServerCounts.model_fields
@@ -56,7 +56,7 @@
 
     def handle(line: bytes) -> Message:
         GetServerCounts.model_validate_json(line)
-        return count(standins)
+        return sum_counters(standins)
 
     await serve_commands(handle, [each.address for each in standins])
 
--- a/scale/latency/traced_sidecar.py
+++ b/scale/latency/traced_sidecar.py
@@ -32,11 +32,11 @@
 
 def trace_registry(tracer: Tracer) -> None:
     """Time how registry responses are read and applied."""
-    reader, endpoint_list = vars(DiscoveryClient), vars(EndpointList)
-    read = tracer.registry.timed(reader["_parse"].__func__)
-    apply = tracer.registry.timed(endpoint_list["apply"])
-    type.__setattr__(DiscoveryClient, "_parse", staticmethod(read))
-    type.__setattr__(EndpointList, "apply", apply)
+    client_members, list_members = vars(DiscoveryClient), vars(EndpointList)
+    timed_parse = tracer.registry.timed(client_members["_parse"].__func__)
+    timed_apply = tracer.registry.timed(list_members["apply"])
+    type.__setattr__(DiscoveryClient, "_parse", staticmethod(timed_parse))
+    type.__setattr__(EndpointList, "apply", timed_apply)
 
 
 def main(
--- a/scale/latency/tracing.py
+++ b/scale/latency/tracing.py
@@ -34,14 +34,14 @@
         """Wrap a function so that each of its calls is recorded."""
 
         @functools.wraps(function)
-        def call(*arguments: Parameters.args, **keywords: Parameters.kwargs) -> Result:
+        def timed_call(*arguments: Parameters.args, **keywords: Parameters.kwargs) -> Result:
             started_at, cpu_started_at = time.monotonic(), time.thread_time()
             try:
                 return function(*arguments, **keywords)
             finally:
                 self.spans.append((started_at, time.monotonic(), time.thread_time() - cpu_started_at))
 
-        return call
+        return timed_call
 
 
 class CollectionLog(SpanLog):
@@ -120,13 +120,13 @@
 class Trace:
     """A trace that was read from a file."""
 
-    def __init__(self, given: dict[str, list[Span]]) -> None:
-        self.callbacks = BusyTime(given["callbacks"])
-        self.collections = BusyTime(given["collections"])
-        self.registry = BusyTime(given["registry"])
-        self.collections_in_registry = BusyTime(_inside(given["collections"], given["registry"]))
-        self.collection_count = len(given["collections"])
-        self.registry_count = len(given["registry"])  # two for each response: it is read, then applied
+    def __init__(self, spans: dict[str, list[Span]]) -> None:
+        self.callbacks = BusyTime(spans["callbacks"])
+        self.collections = BusyTime(spans["collections"])
+        self.registry = BusyTime(spans["registry"])
+        self.collections_in_registry = BusyTime(_spans_within(spans["collections"], spans["registry"]))
+        self.collection_count = len(spans["collections"])
+        self.registry_count = len(spans["registry"])  # two for each response: it is read, then applied
 
     @staticmethod
     def read(path: Path) -> Trace:
@@ -139,7 +139,7 @@
         return Trace(json.loads(path.read_text(encoding="utf-8")))
 
 
-def _inside(inner: list[Span], outer: list[Span]) -> list[Span]:
+def _spans_within(inner: list[Span], outer: list[Span]) -> list[Span]:
     """Return the inner spans that lie within one of the outer spans."""
     return [
         span
--- a/scale/open_loop.py
+++ b/scale/open_loop.py
@@ -38,8 +38,8 @@
     started_at = time.monotonic()
     tasks: list[asyncio.Future[CallResult]] = []
     try:
-        for number, after_s in enumerate(arrivals_s):
-            scheduled_at = started_at + after_s
+        for number, offset_s in enumerate(arrivals_s):
+            scheduled_at = started_at + offset_s
             await asyncio.sleep(max(scheduled_at - time.monotonic(), 0.0))
             tasks.append(asyncio.ensure_future(make_call(number, scheduled_at)))
         return list(await asyncio.gather(*tasks))
--- a/scale/plots.py
+++ b/scale/plots.py
@@ -32,22 +32,22 @@
         if isinstance(each.labels.get(against), int | float):
             series[(each.role, each.metric, each.unit)].append(each)
     folder.mkdir(parents=True, exist_ok=True)
-    written = []
+    paths = []
     for (role, metric, unit), points in series.items():
         if len({point.labels[against] for point in points}) < MINIMUM_DISTINCT_SIZES:
             continue
         path = folder / (re.sub(r"[^a-z0-9]+", "-", f"{role}-{metric}".lower()) + ".png")
         _write_plot(points, against, f"{role}: {metric}", unit, path)
-        written.append(path)
-    return written
+        paths.append(path)
+    return paths
 
 
 def _write_plot(points: Sequence[Measurement], against: str, title: str, unit: str, path: Path) -> None:
     groups: dict[str, list[tuple[float, float]]] = defaultdict(list)
     for point in points:
-        others = [f"{name}={value}" for name, value in point.labels.items() if name != against]
+        other_labels = [f"{name}={value}" for name, value in point.labels.items() if name != against]
         size = float(point.labels[against])
-        groups[" ".join([point.experiment, point.commit, *others])].append((size, point.value))
+        groups[" ".join([point.experiment, point.commit, *other_labels])].append((size, point.value))
     figure, axes = plt.subplots(figsize=(8.0, 5.0), layout="constrained")
     for label, pairs in groups.items():
         sizes, values = zip(*sorted(pairs), strict=True)
--- a/scale/results.py
+++ b/scale/results.py
@@ -42,10 +42,10 @@
 
     try:
         commit = git("rev-parse", "--short=9", "HEAD")
-        changed = git("status", "--porcelain", "--untracked-files=no")
+        local_changes = git("status", "--porcelain", "--untracked-files=no")
     except (OSError, subprocess.CalledProcessError):
         return "unknown"
-    return f"{commit}-dirty" if changed else commit
+    return f"{commit}-dirty" if local_changes else commit
 
 
 class ResultWriter:
--- a/scale/sidecar_process.py
+++ b/scale/sidecar_process.py
@@ -50,9 +50,9 @@
         OSError: The process cannot be started.
     """
     path = write_config(config, folder)
-    inherited = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
+    environment = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
     with log_path(folder).open("wb") as log:
-        return group.start(command, inherited | {"RELAY_CONFIG": str(path)}, stderr=log)
+        return group.start(command, environment | {"RELAY_CONFIG": str(path)}, stderr=log)
 
 
 def log_path(folder: Path) -> Path:
--- a/scale/suite.py
+++ b/scale/suite.py
@@ -53,10 +53,10 @@
     commit = current_commit()
     started_at = time.monotonic()
     for path, experiment in zip(paths, experiments, strict=True):
-        experiment_began = time.monotonic()
+        experiment_started_at = time.monotonic()
         log.info("experiment started", experiment=experiment.name, kind=experiment.kind, seed=experiment.seed)
         with ResultWriter(results / f"{path.stem}.jsonl", experiment, commit) as writer:
             run_experiment(experiment, writer)
-        elapsed_s = round(time.monotonic() - experiment_began, 1)
+        elapsed_s = round(time.monotonic() - experiment_started_at, 1)
         log.info("experiment ended", experiment=experiment.name, elapsed_s=elapsed_s)
     return time.monotonic() - started_at
--- a/tests/scale/test_latency.py
+++ b/tests/scale/test_latency.py
@@ -113,7 +113,7 @@
     )
     sources = attribute_overhead(calls, trace)
     assert sources.event_loop_cpu() == pytest.approx([300, 1_800, 700, 1_300, 300], abs=0.1)
-    parts = sources.parts()
+    parts = sources.by_name()
     assert parts["garbage collection"] == pytest.approx([0, 1_000, 0, 0, 0], abs=0.1)
     assert parts["registry answers"] == pytest.approx([0, 0, 0, 1_000, 0], abs=0.1)
     assert parts["preempted"] == pytest.approx([0, 0, 600, 0, 0], abs=0.1)
@@ -126,7 +126,7 @@
     calls = served_calls(make_call(0.0, 2_000, 5_000))
     response, collection = (0.003, 0.0045, 0.0015), (0.0035, 0.004, 0.0005)
     trace = Trace({"callbacks": [response], "collections": [collection], "registry": [response]})
-    parts = attribute_overhead(calls, trace).parts()
+    parts = attribute_overhead(calls, trace).by_name()
     assert parts["garbage collection"] == pytest.approx([500], abs=0.1)
     assert parts["registry answers"] == pytest.approx([1_000], abs=0.1)
     assert parts["own work"] == pytest.approx([0], abs=0.1)
@@ -135,7 +135,7 @@
 def test_work_on_a_new_connection_is_compared_with_other_new_connections() -> None:
     calls = served_calls(make_call(0, 2_000, 5_000, request_number=1), make_call(10, 2_000, 5_000))
     trace = Trace({"callbacks": [(0.0, 0.0008, 0.0008)], "collections": [], "registry": []})
-    parts = attribute_overhead(calls, trace).parts()
+    parts = attribute_overhead(calls, trace).by_name()
     assert parts["own work"] == pytest.approx([800, 0], abs=0.1)
     assert parts["other work in the event loop"] == pytest.approx([0, 0], abs=0.1)
 
