--- a/scale/configuration/point.py
+++ b/scale/configuration/point.py
@@ -22,8 +22,8 @@
 PERCENTILES = (50.0, 99.0, 100.0)
 _LOAD_TIMEOUT_S = 60.0
 _POLL_INTERVAL_S = 0.05
-_SERVICE_TIME_S = 0.8  # of the requests in flight while the file is replaced
-_BAD_FILE = b'{"settings": {"lanes": []}}'
+_IN_FLIGHT_SERVICE_TIME_S = 0.8  # of the requests in flight while the file is replaced
+_INVALID_CONFIGURATION = b'{"settings": {"lanes": []}}'
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
         )
         for _ in range(self.experiment.changes):
             await self._measure_change()
-        await self._measure_bad_file()
+        await self._measure_invalid_file()
         await self._measure_rollback()
         await self._measure_cost()
 
@@ -70,75 +70,83 @@
         self.version += 1
         return [(each, each.configuration(self.version, added_class)) for each in self.sidecars]
 
-    async def _change(self, phase: str, added_class: str) -> None:
+    async def _replace_configurations(self, phase: str, added_class: str) -> None:
         """Replace all files by the next version, and write the times until a class was accepted."""
         timeout_s = self.experiment.duration_s
         configurations = self._next_configurations(added_class)
-        changes = (each.change(content, added_class, timeout_s) for each, content in configurations)
+        changes = (
+            each.replace_and_await(content, added_class, timeout_s) for each, content in configurations
+        )
         delays = [delay for delay in await asyncio.gather(*changes) if delay is not None]
         share = len(delays) / len(self.sidecars)
-        self._add("configuration", f"in force within {timeout_s:g} s", share, "share", phase)
+        self._write("configuration", f"in force within {timeout_s:g} s", share, "share", phase)
         histogram = LatencyHistogram()
         for delay in delays:
             histogram.add_seconds(delay)
         for percentile in PERCENTILES if delays else ():
             value = histogram.quantile_seconds(percentile)
-            self._add("configuration", f"in force, {percentile:g} in 100", value, "s", phase)
+            self._write("configuration", f"in force, {percentile:g} in 100", value, "s", phase)
 
     async def _measure_change(self) -> None:
         """Replace all files while each sidecar has a request of each idempotency in flight."""
-        reached = self.server.counters.requests + len(self.sidecars) * len(SAMPLE_CLASSES)
-        self.server.service_time_s = lambda: _SERVICE_TIME_S
+        expected_requests = self.server.counters.requests + len(self.sidecars) * len(SAMPLE_CLASSES)
+        self.server.service_time_s = lambda: _IN_FLIGHT_SERVICE_TIME_S
         in_flight = [
-            asyncio.ensure_future(each.call(kind)) for each in self.sidecars for kind in SAMPLE_CLASSES
+            asyncio.ensure_future(each.call(service_class))
+            for each in self.sidecars
+            for service_class in SAMPLE_CLASSES
         ]
         await _wait_until(
-            lambda: self.server.counters.requests + _count_ended(in_flight) >= reached,
+            lambda: self.server.counters.requests + _count_ended(in_flight) >= expected_requests,
             RequestsInFlightTimeoutError(_LOAD_TIMEOUT_S),
         )
         self.server.service_time_s = lambda: 0.0
         ended_before = _count_ended(in_flight)
-        await self._change("change", f"added-{self.version + 1}")
+        await self._replace_configurations("change", f"added-{self.version + 1}")
         results = await asyncio.gather(*in_flight)
         served = sum(each.status == HTTPStatus.OK for each in results)
-        self._add("request in flight", "ended before the change", ended_before, "requests", "change")
-        self._add("request in flight", "served", served / len(results), "share", "change")
+        self._write("request in flight", "ended before the change", ended_before, "requests", "change")
+        self._write("request in flight", "served", served / len(results), "share", "change")
 
-    async def _measure_bad_file(self) -> None:
+    async def _measure_invalid_file(self) -> None:
         """Replace all files by an invalid one: the active configuration has to stay active."""
         for sidecar in self.sidecars:
-            await asyncio.to_thread(sidecar.replace_file, _BAD_FILE)
+            await asyncio.to_thread(sidecar.replace_file, _INVALID_CONFIGURATION)
         await asyncio.sleep(self.experiment.reload_interval_s)
-        unchanged = [await each.knows_class(SAMPLE_CLASSES[0]) for each in self.sidecars]
-        self._add("configuration", "classes as before", sum(unchanged) / len(unchanged), "share", "bad file")
+        unchanged = [await each.accepts_class(SAMPLE_CLASSES[0]) for each in self.sidecars]
+        self._write(
+            "configuration", "classes as before", sum(unchanged) / len(unchanged), "share", "bad file"
+        )
 
     async def _measure_rollback(self) -> None:
         """Apply the content of an earlier version again, as a newer version."""
-        await self._change("taken back", "added-2")
+        await self._replace_configurations("taken back", "added-2")
 
     async def _measure_cost(self) -> None:
         """Compare a window with reloads, and no other traffic, with an idle window of the same length."""
         reloads, interval_s = self.experiment.metered_reloads, self.experiment.reload_interval_s
-        start = self._read()
+        start = self._read_usage()
         await asyncio.sleep(reloads * interval_s)
-        idle = self._read()
+        idle = self._read_usage()
         for _ in range(reloads):
             for sidecar, content in self._next_configurations(f"metered-{self.version + 1}"):
                 await asyncio.to_thread(sidecar.replace_file, content)
             await asyncio.sleep(interval_s)
-        end = self._read()
+        end = self._read_usage()
         reload_count = reloads * len(self.sidecars)
         cpu_s = (end.sidecar_cpu_s - idle.sidecar_cpu_s) - (idle.sidecar_cpu_s - start.sidecar_cpu_s)
         received_bytes = (end.http_bytes() - idle.http_bytes()) - (idle.http_bytes() - start.http_bytes())
         snapshots = end.counts.snapshots - idle.counts.snapshots
-        self._add("sidecar", "cpu of a reload", cpu_s / reload_count, "s", "metered")
-        self._add("sidecar", "registry bytes of a reload", received_bytes / reload_count, "bytes", "metered")
-        self._add("discovery", "whole lists for a reload", snapshots / reload_count, "answers", "metered")
+        self._write("sidecar", "cpu of a reload", cpu_s / reload_count, "s", "metered")
+        self._write(
+            "sidecar", "registry bytes of a reload", received_bytes / reload_count, "bytes", "metered"
+        )
+        self._write("discovery", "whole lists for a reload", snapshots / reload_count, "answers", "metered")
 
-    def _read(self) -> Reading:
+    def _read_usage(self) -> Reading:
         return Reading(sum(_cpu_s(each.process) for each in self.sidecars), self._counts())
 
-    def _add(self, role: str, metric: str, value: float, unit: str, phase: str) -> None:
+    def _write(self, role: str, metric: str, value: float, unit: str, phase: str) -> None:
         self.writer.add(role, metric, value, unit, {**self.labels, "phase": phase})
 
 
--- a/scale/configuration/run.py
+++ b/scale/configuration/run.py
@@ -32,39 +32,43 @@
         RequestsInFlightTimeoutError: Not all requests reached the server in time.
         SidecarStartError: A sidecar did not start.
     """
-    for servers in experiment.servers:
-        for sidecars in experiment.sidecars:
-            asyncio.run(_run_point(experiment, writer, servers, sidecars))
+    for server_count in experiment.servers:
+        for sidecar_count in experiment.sidecars:
+            asyncio.run(_run_point(experiment, writer, server_count, sidecar_count))
 
 
 async def _run_point(
-    experiment: ConfigurationExperiment, writer: ResultWriter, servers: int, sidecars: int
+    experiment: ConfigurationExperiment, writer: ResultWriter, server_count: int, sidecar_count: int
 ) -> None:
     with ExitStack() as stack, ProcessGroup() as group, tempfile.TemporaryDirectory() as folder:
-        listen = [stack.enter_context(ReservedAddress()).address for _ in range(sidecars)]
+        listen_addresses = [stack.enter_context(ReservedAddress()).address for _ in range(sidecar_count)]
         server = ServerStandin("s-0", lambda: 0.0)
         await server.start()
-        registry = group.start(_registry_command(experiment, servers, server), stdout=subprocess.PIPE)
+        registry = group.start(_registry_command(experiment, server_count, server), stdout=subprocess.PIPE)
         client = CommandClient(registry.popen)
         discovery = client.ready.addresses[0]
-        configured = [
+        sidecars = [
             ConfiguredSidecar(group, Path(folder) / f"n{index}", address, discovery, experiment.seed + index)
-            for index, address in enumerate(listen)
+            for index, address in enumerate(listen_addresses)
         ]
-        for each in configured:
+        for each in sidecars:
             each.await_ready()
         point = Point(
-            experiment, writer, server, client, configured, {"servers": servers, "sidecars": sidecars}
+            experiment, writer, server, client, sidecars, {"servers": server_count, "sidecars": sidecar_count}
         )
         try:
             await point.run()
         finally:
-            for each in configured:
+            for each in sidecars:
                 each.close()
             server.close()
-    log.info("point measured", servers=servers, sidecars=sidecars)
+    log.info("point measured", servers=server_count, sidecars=sidecar_count)
 
 
-def _registry_command(experiment: ConfigurationExperiment, servers: int, server: ServerStandin) -> list[str]:
+def _registry_command(
+    experiment: ConfigurationExperiment, server_count: int, server: ServerStandin
+) -> list[str]:
     address = format_address(server.address)
-    return registry_command(RegistryOptions(servers=servers, seed=experiment.seed, endpoint_address=address))
+    return registry_command(
+        RegistryOptions(servers=server_count, seed=experiment.seed, endpoint_address=address)
+    )
--- a/scale/control/applied_log.py
+++ b/scale/control/applied_log.py
@@ -18,7 +18,7 @@
         self._versions.append(version)
         self._times_s.append(at_s)
 
-    def version(self) -> int:
+    def latest_version(self) -> int:
         """Return the version applied last; 0 before the first."""
         return self._versions[-1] if self._versions else 0
 
@@ -34,5 +34,5 @@
         Returns:
             The seconds until that version or a newer one was applied; None if none was yet.
         """
-        start = max(bisect_left(self._versions, version), bisect_left(self._times_s, committed_at_s))
-        return self._times_s[start] - committed_at_s if start < len(self._times_s) else None
+        index = max(bisect_left(self._versions, version), bisect_left(self._times_s, committed_at_s))
+        return self._times_s[index] - committed_at_s if index < len(self._times_s) else None
--- a/scale/control/experiment.py
+++ b/scale/control/experiment.py
@@ -12,10 +12,10 @@
 from scale.experiment import Experiment
 
 MAXIMUM_SERVERS = 20_000
-MAXIMUM_STUBS = 10_000
-MAXIMUM_REAL = 100
+MAXIMUM_STUB_SIDECARS = 10_000
+MAXIMUM_REAL_SIDECARS = 100
 BYTES_PER_ENDPOINT = 1_700  # memory of an endpoint list's entry in a stub sidecar, measured
-BYTES_PER_SIDECAR = 60_000  # memory of a stub sidecar without endpoints, measured
+BYTES_PER_STUB_SIDECAR = 60_000  # memory of a stub sidecar without endpoints, measured
 
 
 class FaultKind(StrEnum):
@@ -50,10 +50,10 @@
     """
 
     servers: list[Annotated[int, Field(ge=2, le=MAXIMUM_SERVERS)]] = Field(min_length=1)
-    stub_sidecars: list[Annotated[int, Field(ge=1, le=MAXIMUM_STUBS)]] = Field(
+    stub_sidecars: list[Annotated[int, Field(ge=1, le=MAXIMUM_STUB_SIDECARS)]] = Field(
         min_length=1, alias="hollow_sidecars"
     )
-    real_sidecars: int = Field(default=0, ge=0, le=MAXIMUM_REAL)
+    real_sidecars: int = Field(default=0, ge=0, le=MAXIMUM_REAL_SIDECARS)
     stubs_per_process: int = Field(default=250, ge=1, le=2_000, alias="hollow_per_process")
     changes_per_second: list[Annotated[float, Field(ge=0.0, le=1_000.0)]] = Field(min_length=1)
     zones: int = Field(default=18, ge=1, le=1_000)
@@ -64,10 +64,10 @@
 
     @field_validator("stub_sidecars")
     @classmethod
-    def _fits_in_memory(cls, stub_sidecars: list[int], others: ValidationInfo) -> list[int]:
+    def _check_memory_limit(cls, stub_sidecars: list[int], info: ValidationInfo) -> list[int]:
         """Limit the memory of all endpoint lists to half of the machine's."""
-        largest_list = BYTES_PER_ENDPOINT * max(others.data.get("servers", [0]))
-        needed = max(stub_sidecars) * (BYTES_PER_SIDECAR + largest_list)
-        if needed > psutil.virtual_memory().total / 2:
-            raise MemoryLimitError(needed)
+        largest_list_bytes = BYTES_PER_ENDPOINT * max(info.data.get("servers", [0]))
+        needed_bytes = max(stub_sidecars) * (BYTES_PER_STUB_SIDECAR + largest_list_bytes)
+        if needed_bytes > psutil.virtual_memory().total / 2:
+            raise MemoryLimitError(needed_bytes)
         return stub_sidecars
--- a/scale/control/faults.py
+++ b/scale/control/faults.py
@@ -9,7 +9,7 @@
 
 from scale.control.experiment import Fault, FaultKind
 from scale.control.fleet import Fleet
-from scale.control.processes import HALVES
+from scale.control.processes import STUB_HALVES
 from scale.standins.fleet import zone_name
 from scale.standins.registry_commands import (
     BlackholeConnections,
@@ -29,7 +29,7 @@
     """The changes whose propagation measures a fault."""
 
     changes: list[CommittedChange]
-    halves: tuple[int, ...] = HALVES  # of the stub sidecars that it affected
+    affected_halves: tuple[int, ...] = STUB_HALVES  # of the stub sidecars that it affected
     affects_real_sidecars: bool = True  # whether it affected the real sidecars, too
 
 
@@ -97,7 +97,7 @@
     return FaultOutcome([removed, recovered])
 
 
-def _roll_service(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
+def _perform_rolling_restart(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
     """Drain, remove and add again each server of a service, spread over the fault's time."""
     service = rng.choice(fleet.registry.endpoints).group
     indexes = [index for index, each in enumerate(fleet.registry.endpoints) if each.group == service]
@@ -126,7 +126,7 @@
     time.sleep(fault.lasts_s / 2)
     recovered = _current_version(fleet)
     client.execute(SetPartitioned(listener=listener, partitioned=False))
-    return FaultOutcome([recovered], halves=(_PARTITIONED_HALF,), affects_real_sidecars=False)
+    return FaultOutcome([recovered], affected_halves=(_PARTITIONED_HALF,), affects_real_sidecars=False)
 
 
 _INJECTORS: Mapping[FaultKind, Callable[[Fault, Fleet, random.Random], FaultOutcome]] = {
@@ -137,7 +137,7 @@
     FaultKind.DISCOVERY_FAILED_OVER: _fail_over_discovery,
     FaultKind.REGION_LOST: _lose_region,
     FaultKind.ZONE_LOST: _lose_zone,
-    FaultKind.RELEASE: _roll_service,
+    FaultKind.RELEASE: _perform_rolling_restart,
     FaultKind.SIDECARS_RESTARTED: _restart_sidecars,
     FaultKind.SIDECARS_CUT_OFF: _partition_sidecars,
 }
--- a/scale/control/figures.py
+++ b/scale/control/figures.py
@@ -30,7 +30,7 @@
 class Traffic:
     """Traffic between the registry and all sidecars in a window."""
 
-    seconds: float
+    duration_s: float
     calls: int
     connections: int
     http_bytes: int
@@ -44,16 +44,16 @@
 
 def traffic_between(before: Reading, after: Reading) -> Traffic:
     """Return the traffic between two readings."""
-    first, last = before.counts, after.counts
+    first, last = before.registry_counts, after.registry_counts
     connections = last.connections - first.connections
     sampled = last.sampled_connections - first.sampled_connections
-    segments = (last.sampled_segments - first.sampled_segments) / sampled if sampled else 0.0
+    segments_per_connection = (last.sampled_segments - first.sampled_segments) / sampled if sampled else 0.0
     return Traffic(
-        seconds=after.registry.at_s - before.registry.at_s,
+        duration_s=after.registry.at_s - before.registry.at_s,
         calls=last.calls - first.calls,
         connections=connections,
         http_bytes=last.bytes_in + last.bytes_out - first.bytes_in - first.bytes_out,
-        segments=connections * segments,
+        segments=connections * segments_per_connection,
     )
 
 
@@ -62,42 +62,54 @@
     traffic = traffic_between(before, after)
     writer.add("discovery", "cpu", _cores(before.registry, after.registry), "cores", labels)
     writer.add("discovery", "memory", after.registry.memory_bytes, "bytes", labels)
-    writer.add("discovery", "calls", traffic.calls / traffic.seconds, "1/s", labels)
-    writer.add("discovery", "http bytes", traffic.http_bytes / traffic.seconds, "bytes/s", labels)
-    writer.add("discovery", "snapshots", after.counts.snapshots - before.counts.snapshots, "answers", labels)
+    writer.add("discovery", "calls", traffic.calls / traffic.duration_s, "1/s", labels)
+    writer.add("discovery", "http bytes", traffic.http_bytes / traffic.duration_s, "bytes/s", labels)
     writer.add(
-        "discovery", "refused", after.counts.unavailable - before.counts.unavailable, "answers", labels
+        "discovery",
+        "snapshots",
+        after.registry_counts.snapshots - before.registry_counts.snapshots,
+        "answers",
+        labels,
     )
-    stub_cores = sum(map(_cores, before.stubs, after.stubs)) / fleet.stubs.count
+    writer.add(
+        "discovery",
+        "refused",
+        after.registry_counts.unavailable - before.registry_counts.unavailable,
+        "answers",
+        labels,
+    )
+    stub_cores = sum(map(_cores, before.stub_processes, after.stub_processes)) / fleet.stubs.count
     writer.add(STUB_ROLE, "cpu", stub_cores, "cores", labels)
-    busiest = max(map(_cores, before.stubs, after.stubs))
+    busiest_cores = max(map(_cores, before.stub_processes, after.stub_processes))
     writer.add(
-        STUB_PROCESS_ROLE, "cpu, largest", busiest, "cores", labels
+        STUB_PROCESS_ROLE, "cpu, largest", busiest_cores, "cores", labels
     )  # near 1, the process itself delays its sidecars
-    if fleet.real:
-        _write_real_usage(writer, before, after, traffic.seconds, labels)
-    each = traffic.seconds * fleet.sidecars
-    writer.add("sidecar", "http bytes", traffic.http_bytes / each, "bytes/s", labels)
-    writer.add("sidecar", "wire bytes", traffic.wire_bytes / each, "bytes/s", labels)
-    writer.add("sidecar", "http bytes in the window", traffic.http_bytes / fleet.sidecars, "bytes", labels)
-    writer.add("sidecar", "calls", traffic.calls / each, "1/s", labels)
-    writer.add("sidecar", "connections", traffic.connections / each, "1/s", labels)
-
-
-def _write_real_usage(
-    writer: ResultWriter, before: Reading, after: Reading, seconds: float, labels: Labels
+    if fleet.real_sidecars:
+        _write_real_sidecar_usage(writer, before, after, traffic.duration_s, labels)
+    sidecar_seconds = traffic.duration_s * fleet.sidecar_count
+    writer.add("sidecar", "http bytes", traffic.http_bytes / sidecar_seconds, "bytes/s", labels)
+    writer.add("sidecar", "wire bytes", traffic.wire_bytes / sidecar_seconds, "bytes/s", labels)
+    writer.add(
+        "sidecar", "http bytes in the window", traffic.http_bytes / fleet.sidecar_count, "bytes", labels
+    )
+    writer.add("sidecar", "calls", traffic.calls / sidecar_seconds, "1/s", labels)
+    writer.add("sidecar", "connections", traffic.connections / sidecar_seconds, "1/s", labels)
+
+
+def _write_real_sidecar_usage(
+    writer: ResultWriter, before: Reading, after: Reading, duration_s: float, labels: Labels
 ) -> None:
     role = "real sidecar"
-    cores = list(map(_cores, before.real, after.real))
-    memory = [usage.memory_bytes for usage in after.real]
-    calls = after.real_traffic.calls - before.real_traffic.calls
-    http_bytes = after.real_traffic.http_bytes - before.real_traffic.http_bytes
+    cores = list(map(_cores, before.real_sidecars, after.real_sidecars))
+    memory = [usage.memory_bytes for usage in after.real_sidecars]
+    calls = after.real_sidecar_traffic.calls - before.real_sidecar_traffic.calls
+    http_bytes = after.real_sidecar_traffic.http_bytes - before.real_sidecar_traffic.http_bytes
     writer.add(role, "cpu", float(np.mean(cores)), "cores", labels)
     writer.add(role, "cpu, largest", max(cores), "cores", labels)
     writer.add(role, "memory", float(np.mean(memory)), "bytes", labels)
     writer.add(role, "memory, largest", max(memory), "bytes", labels)
-    writer.add(role, "calls", calls / seconds / len(cores), "1/s", labels)
-    writer.add(role, "http bytes", http_bytes / seconds / len(cores), "bytes/s", labels)
+    writer.add(role, "calls", calls / duration_s / len(cores), "1/s", labels)
+    writer.add(role, "http bytes", http_bytes / duration_s / len(cores), "bytes/s", labels)
     writer.add(role, "http bytes in the window", http_bytes / len(cores), "bytes", labels)
 
 
@@ -105,11 +117,11 @@
     writer: ResultWriter, fleet: Fleet, empty: Reading, full: Reading, labels: Labels
 ) -> None:
     """Write what a stub sidecar adds to the memory of its process."""
-    grown = sum(
+    growth_bytes = sum(
         after.memory_bytes - before.memory_bytes
-        for before, after in zip(empty.stubs, full.stubs, strict=True)
+        for before, after in zip(empty.stub_processes, full.stub_processes, strict=True)
     )
-    writer.add(STUB_ROLE, "memory", grown / fleet.stubs.count, "bytes", labels)
+    writer.add(STUB_ROLE, "memory", growth_bytes / fleet.stubs.count, "bytes", labels)
 
 
 def _write_percentiles(
@@ -127,12 +139,14 @@
 def write_stub_delays(writer: ResultWriter, delays: Sequence[Delays], labels: Labels) -> None:
     """Write the times until changes were applied in stub sidecars."""
     histogram = LatencyHistogram()
-    for each in delays:
-        histogram.merge(LatencyHistogram.decode(each.histogram))
-    _write_percentiles(writer, STUB_ROLE, histogram, sum(each.missing for each in delays), labels)
+    for process_delays in delays:
+        histogram.merge(LatencyHistogram.decode(process_delays.histogram))
+    _write_percentiles(
+        writer, STUB_ROLE, histogram, sum(process_delays.missing for process_delays in delays), labels
+    )
 
 
-def write_real_delays(writer: ResultWriter, observed: ObservedDelays, labels: Labels) -> None:
+def write_real_sidecar_delays(writer: ResultWriter, observed: ObservedDelays, labels: Labels) -> None:
     """Write the times until changes were applied in real sidecars, as observed in their next calls."""
     histogram = LatencyHistogram()
     missing = 0
--- a/scale/control/fleet.py
+++ b/scale/control/fleet.py
@@ -16,10 +16,10 @@
     """Resource usage of all processes up to one moment."""
 
     registry: Usage
-    stubs: list[Usage]
-    real: list[Usage]
-    counts: Counts
-    real_traffic: TrafficTotals
+    stub_processes: list[Usage]
+    real_sidecars: list[Usage]
+    registry_counts: Counts
+    real_sidecar_traffic: TrafficTotals
 
 
 @dataclass(slots=True)
@@ -29,33 +29,33 @@
     experiment: ControlExperiment
     registry: Registry
     stubs: StubGroup
-    real: list[RealSidecar]
+    real_sidecars: list[RealSidecar]
     migrated: bool = False  # whether the sidecars use their second address of the registry
 
     @property
-    def sidecars(self) -> int:
+    def sidecar_count(self) -> int:
         """How many sidecars watch the registry."""
-        return self.stubs.count + len(self.real)
+        return self.stubs.count + len(self.real_sidecars)
 
     def migrate_discovery(self) -> None:
         """Migrate all sidecars to their other address of the registry, at once."""
         self.migrated = not self.migrated
         self.stubs.migrate(self.migrated)
-        for sidecar in self.real:
+        for sidecar in self.real_sidecars:
             sidecar.migrate(self.migrated)
 
-    def real_delays(self, changes: list[CommittedChange]) -> ObservedDelays:
+    def real_sidecar_delays(self, changes: list[CommittedChange]) -> ObservedDelays:
         """Return the seconds until each real sidecar was first observed with each change."""
-        return self.registry.real_delays(changes, len(self.real), self.migrated)
+        return self.registry.real_sidecar_delays(changes, len(self.real_sidecars), self.migrated)
 
-    def read(self) -> Reading:
+    def read_usage(self) -> Reading:
         """Read the usage of all processes."""
         return Reading(
             self.registry.process.usage(),
             _usages(self.stubs.processes),
-            _usages([each.process for each in self.real]),
+            _usages([each.process for each in self.real_sidecars]),
             self.registry.counts(),
-            self.registry.real_traffic(len(self.real)),
+            self.registry.real_sidecar_traffic(len(self.real_sidecars)),
         )
 
 
--- a/scale/control/peak_sampler.py
+++ b/scale/control/peak_sampler.py
@@ -40,6 +40,6 @@
 
     def write(self, writer: ResultWriter, labels: Labels) -> None:
         """Write the peaks."""
-        each = self._stub_bytes / self._fleet.stubs.count
+        bytes_per_sidecar = self._stub_bytes / self._fleet.stubs.count
         writer.add("discovery", "memory, largest", self._registry_bytes, "bytes", labels)
-        writer.add(STUB_ROLE, "memory, largest, with its process's", each, "bytes", labels)
+        writer.add(STUB_ROLE, "memory, largest, with its process's", bytes_per_sidecar, "bytes", labels)
--- a/scale/control/processes.py
+++ b/scale/control/processes.py
@@ -38,17 +38,17 @@
     registry_command,
 )
 
-HALVES = (0, 1)  # stub sidecars use two addresses, so that one half can be partitioned
-_STUB_LISTENERS = 2 * len(HALVES)  # each half has another address to migrate to
+STUB_HALVES = (0, 1)  # stub sidecars use two addresses, so that one half can be partitioned
+_STUB_LISTENERS = 2 * len(STUB_HALVES)  # each half has another address to migrate to
 _POLL_INTERVAL_S = 0.2
 
 
 class Registry:
     """The registry stand-in's process."""
 
-    def __init__(self, group: ProcessGroup, experiment: ControlExperiment, servers: int) -> None:
+    def __init__(self, group: ProcessGroup, experiment: ControlExperiment, server_count: int) -> None:
         options = RegistryOptions(
-            servers=servers,
+            servers=server_count,
             zones=experiment.zones,
             seed=experiment.seed,
             listeners=_STUB_LISTENERS,
@@ -56,15 +56,15 @@
         )
         self.process = group.start(registry_command(options), stdout=subprocess.PIPE)
         self.client = CommandClient(self.process.popen)
-        self.endpoints: list[Endpoint] = make_endpoints(servers, experiment.zones, experiment.seed)
+        self.endpoints: list[Endpoint] = make_endpoints(server_count, experiment.zones, experiment.seed)
 
     def stub_listener(self, half: int, migrated: bool) -> int:
         """Return the listener that a half of the stub sidecars uses, before or after a migration."""
-        return half + len(HALVES) * migrated
+        return half + len(STUB_HALVES) * migrated
 
-    def real_listener(self, sidecar: int, migrated: bool) -> int:
+    def real_sidecar_listener(self, index: int, migrated: bool) -> int:
         """Return the listener that only one real sidecar uses, before or after a migration."""
-        return _STUB_LISTENERS + 2 * sidecar + migrated
+        return _STUB_LISTENERS + 2 * index + migrated
 
     def address(self, listener: int) -> Address:
         """Return the address of a listener."""
@@ -78,20 +78,20 @@
         """Return its counters."""
         return self.client.request(GetCounts(), Counts)
 
-    def real_traffic(self, real_sidecars: int) -> TrafficTotals:
+    def real_sidecar_traffic(self, real_sidecar_count: int) -> TrafficTotals:
         """Return the traffic between the registry and all real sidecars so far."""
         listeners = [
-            self.real_listener(index, migrated)
-            for index in range(real_sidecars)
+            self.real_sidecar_listener(index, migrated)
+            for index in range(real_sidecar_count)
             for migrated in (False, True)
         ]
         return self.client.request(GetTraffic(listeners=listeners), TrafficTotals)
 
-    def real_delays(
-        self, changes: list[CommittedChange], real_sidecars: int, migrated: bool
+    def real_sidecar_delays(
+        self, changes: list[CommittedChange], real_sidecar_count: int, migrated: bool
     ) -> ObservedDelays:
         """Return the seconds until each real sidecar was first observed with each change."""
-        listeners = [self.real_listener(index, migrated) for index in range(real_sidecars)]
+        listeners = [self.real_sidecar_listener(index, migrated) for index in range(real_sidecar_count)]
         return self.client.request(GetObservedDelays(listeners=listeners, changes=changes), ObservedDelays)
 
 
@@ -106,7 +106,7 @@
         self.processes: list[ManagedProcess] = []
         for first in range(0, count, experiment.stubs_per_process):
             index = len(self.processes)
-            discovery = registry.address(registry.stub_listener(index % len(HALVES), migrated=False))
+            discovery = registry.address(registry.stub_listener(index % len(STUB_HALVES), migrated=False))
             command = python_command(
                 "scale.control.stub_process",
                 *("--count", min(experiment.stubs_per_process, count - first)),
@@ -125,20 +125,22 @@
     def migrate(self, migrated: bool) -> None:
         """Migrate all to their other address of the registry, or back."""
         for index, client in enumerate(self._clients):
-            listener = self._registry.stub_listener(index % len(HALVES), migrated)
+            listener = self._registry.stub_listener(index % len(STUB_HALVES), migrated)
             client.execute(MigrateDiscovery(address=self._registry.address(listener)))
 
-    def is_applied(self, change: CommittedChange, halves: tuple[int, ...] = HALVES) -> bool:
+    def have_applied(self, change: CommittedChange, halves: tuple[int, ...] = STUB_HALVES) -> bool:
         """Return whether all sidecars of these halves have applied a change."""
-        progress = [client.request(GetProgress(change=change), Progress) for client in self._of(halves)]
+        progress = [
+            client.request(GetProgress(change=change), Progress) for client in self._clients_of(halves)
+        ]
         return all(each.applied == each.sidecars for each in progress)
 
-    def delays(self, changes: list[CommittedChange], halves: tuple[int, ...] = HALVES) -> list[Delays]:
+    def delays(self, changes: list[CommittedChange], halves: tuple[int, ...] = STUB_HALVES) -> list[Delays]:
         """Return the times until the sidecars of these halves applied changes, by process."""
-        return [client.request(GetDelays(changes=changes), Delays) for client in self._of(halves)]
+        return [client.request(GetDelays(changes=changes), Delays) for client in self._clients_of(halves)]
 
-    def _of(self, halves: tuple[int, ...]) -> list[CommandClient]:
-        return [client for index, client in enumerate(self._clients) if index % len(HALVES) in halves]
+    def _clients_of(self, halves: tuple[int, ...]) -> list[CommandClient]:
+        return [client for index, client in enumerate(self._clients) if index % len(STUB_HALVES) in halves]
 
 
 def real_sidecar_config(experiment: ControlExperiment, index: int, listen: Address) -> dict[str, Any]:
@@ -170,7 +172,7 @@
         self.process = start_sidecar(group, self._config_at(migrated=False), self._folder)
 
     def _config_at(self, migrated: bool) -> dict[str, Any]:
-        address = self._registry.address(self._registry.real_listener(self._index, migrated))
+        address = self._registry.address(self._registry.real_sidecar_listener(self._index, migrated))
         return {**self._config, "discovery": format_address(address)}
 
     def migrate(self, migrated: bool) -> None:
--- a/scale/control/stub_process.py
+++ b/scale/control/stub_process.py
@@ -37,7 +37,7 @@
 
     def __init__(self, count: int, zone: str, seed: int, discovery: Address) -> None:
         self._settings = settings_from_wire(sidecar_settings(zone))
-        self._random = random.Random(seed)
+        self._rng = random.Random(seed)
         self._discovery = discovery
         self._count = count
         self._sidecars: list[StubSidecar] = []
@@ -66,15 +66,17 @@
         for sidecar in self._sidecars:
             sidecar.stop()
         self._sidecars = [
-            StubSidecar(self._settings, self._random.getrandbits(64), self._discovery)
+            StubSidecar(self._settings, self._rng.getrandbits(64), self._discovery)
             for _ in range(self._count)
         ]
         loop = asyncio.get_running_loop()
         for sidecar in self._sidecars:
-            loop.call_later(spread_s * self._random.random(), sidecar.start)
+            loop.call_later(spread_s * self._rng.random(), sidecar.start)
 
     def _progress(self, change: CommittedChange) -> Progress:
-        delays = [each.applied.delay_until_applied(change.version, change.at_s) for each in self._sidecars]
+        delays = [
+            each.applied_log.delay_until_applied(change.version, change.at_s) for each in self._sidecars
+        ]
         return Progress(sidecars=len(delays), applied=sum(delay is not None for delay in delays))
 
     def _delays(self, changes: list[CommittedChange]) -> Delays:
@@ -82,7 +84,7 @@
         missing = 0
         for change in changes:
             for sidecar in self._sidecars:
-                delay_s = sidecar.applied.delay_until_applied(change.version, change.at_s)
+                delay_s = sidecar.applied_log.delay_until_applied(change.version, change.at_s)
                 if delay_s is None:
                     missing += 1
                 else:
--- a/scale/control/stub_sidecar.py
+++ b/scale/control/stub_sidecar.py
@@ -34,7 +34,7 @@
     """A sidecar without a front end: it watches the registry as a real one does, and serves no requests."""
 
     def __init__(self, settings: Settings, seed: int, discovery: Address) -> None:
-        self.applied = AppliedLog()  # the versions it applied, with their times
+        self.applied_log = AppliedLog()  # the versions it applied, with their times
         self._clock = Clock()
         self.balancer = Balancer(settings, seed)
         limits = settings.limits
@@ -42,7 +42,7 @@
             limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, _SOCKETS_PER_SIDECAR
         )
         self._discovery = DiscoveryClient(discovery, 0, self._on_registry_response)
-        self._stopped = False
+        self._is_stopped = False
 
     def start(self) -> None:
         """Start with an empty cached endpoint list, and watch the registry."""
@@ -50,7 +50,7 @@
 
     def stop(self) -> None:
         """Drop all calls, as a killed process does."""
-        self._stopped = True
+        self._is_stopped = True
         self._discovery.stop()
 
     def migrate(self, address: Address) -> None:
@@ -61,10 +61,10 @@
         if response is None:
             self._handle(RegistryUpdated(RegistryUpdateKind.FAILED))
             return
-        is_update = response.is_complete or response.version > self.applied.version()
+        is_update = response.is_complete or response.version > self.applied_log.latest_version()
         self._apply(response)
         if is_update:
-            self.applied.add(response.version, time.monotonic())
+            self.applied_log.add(response.version, time.monotonic())
 
     def _apply(self, response: RegistryResponse) -> None:
         """Apply an update in the order of `Sidecar`: addresses first, then the balancer."""
@@ -79,7 +79,7 @@
         self._handle(RegistryUpdated(kind, servers, response.version))
 
     def _handle(self, event: RegistryUpdated | TimerFired) -> None:
-        if self._stopped:
+        if self._is_stopped:
             return
         for action in self.balancer.handle(self._clock.now(), event):
             match action:
@@ -87,12 +87,12 @@
                     loop = asyncio.get_running_loop()
                     loop.call_later(action.delay_us / 1e6, self._handle, TimerFired(action.token))
                 case WatchRegistry():
-                    self._set_watching(action.enabled)
+                    self._set_watch_enabled(action.enabled)
                 case FetchRegistry():
                     self._discovery.fetch()
 
-    def _set_watching(self, wanted: bool) -> None:
-        if wanted:
+    def _set_watch_enabled(self, enabled: bool) -> None:
+        if enabled:
             self._discovery.start_watch()
         else:
             self._discovery.stop_watch()
--- a/tests/scale/test_control.py
+++ b/tests/scale/test_control.py
@@ -40,7 +40,7 @@
     assert log.delay_until_applied(4, 15.0) == 5.0  # the snapshot was sent again
     assert log.delay_until_applied(5, 15.0) == 6.0
     assert log.delay_until_applied(6, 15.0) is None
-    assert log.version() == 5
+    assert log.latest_version() == 5
 
 
 async def check_stub_sidecar() -> None:
@@ -52,14 +52,14 @@
     try:
         async with asyncio.timeout(TIMEOUT_S):
             sidecar.start()
-            await wait_until(lambda: sidecar.applied.version() >= 1)
+            await wait_until(lambda: sidecar.applied_log.latest_version() >= 1)
             log.drain(leave)
-            await wait_until(lambda: sidecar.applied.version() >= 2)
+            await wait_until(lambda: sidecar.applied_log.latest_version() >= 2)
             for request in range(8):
                 assert sent_to(sidecar, request) == [stays]
             sidecar.migrate(second)
             log.remove([stays])
-            await wait_until(lambda: sidecar.applied.version() >= 3)
+            await wait_until(lambda: sidecar.applied_log.latest_version() >= 3)
             assert sent_to(sidecar, 8) == []
             assert server.counts.snapshots == 2  # at the start and after the migration
     finally:
