--- a/scale/control/fleet.py
+++ b/scale/control/fleet.py
@@ -7,7 +7,7 @@
 
 from scale.control.experiment import ControlExperiment
 from scale.control.processes import RealSidecar, Registry, StubGroup
-from scale.processes import ManagedProcess, Usage
+from scale.processes import ManagedProcess, ResourceUsage
 from scale.standins.registry_commands import CommittedChange, Counts, ObservedDelays, TrafficTotals
 
 
@@ -15,9 +15,9 @@
 class Reading:
     """Resource usage of all processes up to one moment."""
 
-    registry: Usage
-    stub_processes: list[Usage]
-    real_sidecars: list[Usage]
+    registry: ResourceUsage
+    stub_processes: list[ResourceUsage]
+    real_sidecars: list[ResourceUsage]
     registry_counts: Counts
     real_sidecar_traffic: TrafficTotals
 
@@ -59,5 +59,5 @@
         )
 
 
-def _usages(processes: Sequence[ManagedProcess]) -> list[Usage]:
+def _usages(processes: Sequence[ManagedProcess]) -> list[ResourceUsage]:
     return [process.usage() for process in processes]
