--- a/scale/capacity/__init__.py
+++ b/scale/capacity/__init__.py
@@ -1,5 +1,5 @@
-"""The capacity page's tables, computed from results files as `figures.toml` beside them defines.
+"""Computes the tables of the capacity page from results files, as defined in `figures.toml`.
 
-A figure is a measured value, or a line through the values measured at several sizes, evaluated at the design
-size; either may then be multiplied by a number of processes.
+A figure is a measured value, or the value at the design size of a line fitted to values at several sizes.
+Either may be multiplied by a number of processes.
 """
--- a/scale/capacity/evaluation.py
+++ b/scale/capacity/evaluation.py
@@ -11,23 +11,32 @@
 from scale.results import Measurement
 from scale.slope import LinearFit, fit_line
 
-Results = Mapping[str, Sequence[Measurement]]  # by the name of their file
+Results = Mapping[str, Sequence[Measurement]]  # measurements by the name of their results file
 
 
 @dataclass(frozen=True, slots=True)
 class Evaluation:
-    """The value of a figure, with its range and where it comes from."""
+    """The value of a figure, with its range and its origin.
+
+    Attributes:
+        value: The median of the measured values, or the value of a fitted line.
+        minimum: The smallest of the values.
+        maximum: The largest of the values.
+        derivation: How the value was computed, as shown on the capacity page.
+        runs: The results files, commits and seeds of the measurements, as shown on the capacity page.
+        is_lower_bound: Whether a run ended before the timed event.
+    """
 
     value: float
     minimum: float
     maximum: float
     derivation: str
     runs: str
-    is_lower_bound: bool = False  # whether the run ended before the timed event
+    is_lower_bound: bool = False
 
 
 def evaluate_figure(figure: Figure, results: Results) -> Evaluation | None:
-    """Evaluate a figure from its files' measurements; None if no run has measured it."""
+    """Evaluate a figure from its files' measurements; None if there are none, or only one size for a line."""
     selected: list[Measurement] = []
     runs = []
     for name in figure.results:
--- a/scale/capacity/figures.py
+++ b/scale/capacity/figures.py
@@ -22,19 +22,19 @@
     role: str
     metric: str
     where: dict[str, LabelValue] = {}  # labels that the measurements must have
-    commit: str | None = None  # of the runs; otherwise that of each file's last line
-    not_commits: list[str] = []  # runs that this figure must not come from
+    commit: str | None = None  # commit of the runs; None: the latest one in each file
+    not_commits: list[str] = []  # commits whose runs are ignored
     against: str | None = None  # label of the size that a line is fitted to
     at: float | None = None  # size at which the line is evaluated
     up_to: float | None = None  # largest size that the line is fitted to
     times: float = 1.0  # factor: a change of unit, or a number of processes
-    processes: str = ""  # what the multiplication stands for, if it is more than a unit
+    processes: str = ""  # description of the factor, unless it only changes the unit
     unit: str = ""
-    budget: float | None = Field(default=None, gt=0.0)  # in the same unit
-    budget_is_least: bool = False  # whether more than the budget is better than less
+    budget: float | None = Field(default=None, gt=0.0)  # in `unit`
+    budget_is_least: bool = False  # whether the budget is a minimum instead of a maximum
     carried_by: str
-    rank: int | None = None  # order in the table of what is missing
-    missing: str = ""  # the row's title in that table
+    rank: int | None = None  # position in the table "missing", if the figure is listed there
+    missing: str = ""  # title of its row in the table "missing"
 
 
 class FigureFile(BaseModel):
--- a/scale/capacity/numbers.py
+++ b/scale/capacity/numbers.py
@@ -1,9 +1,9 @@
-"""Numbers as the capacity page shows them."""
+"""Formats numbers for the capacity page."""
 
 from __future__ import annotations
 
 _SIGNIFICANT_DIGITS = 3
-_SMALLEST_WITHOUT_FRACTION = 100.0  # three digits have no fraction from here on
+_SMALLEST_WITHOUT_FRACTION = 100.0  # from here on, three significant digits leave no fraction
 _SMALLEST_ROUNDED = 10_000.0  # from here on, digits beyond the significant ones become zeros
 
 
--- a/scale/capacity/page.py
+++ b/scale/capacity/page.py
@@ -1,4 +1,4 @@
-"""Fills the tables into the capacity page."""
+"""Fills in the tables of the capacity page."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from scale.errors import UnmatchedTableError
 from scale.results import Measurement, read_results
 
-MISSING_TABLE = "missing"  # the table of the ranked figures
+MISSING_TABLE = "missing"  # name of the table that lists the ranked figures
 _BLOCK = re.compile(r"(<!-- table: (?P<name>[a-z-]+) -->\n).*?(<!-- end of table -->)", re.DOTALL)
 
 
 def _ranked_figures(figures: Sequence[Figure]) -> list[Figure]:
-    """Return the ranked figures in order, as rows of the table of what is missing."""
+    """Return the ranked figures in order, as rows of the table "missing"."""
     ranked = sorted((figure.rank, index) for index, figure in enumerate(figures) if figure.rank is not None)
     return [
         figures[index].model_copy(
@@ -27,7 +27,7 @@
 
 
 def fill_page(text: str, figures: Sequence[Figure], folder: Path) -> str:
-    """Replace the tables between a page's marks.
+    """Replace the tables between the markers of a page.
 
     Args:
         text: The page, in Markdown.
@@ -38,7 +38,7 @@
         The page with its tables filled in.
 
     Raises:
-        UnmatchedTableError: A mark has no figures, or figures have no mark.
+        UnmatchedTableError: A marker has no figures, or figures have no marker.
         ResultsError: A results file cannot be used.
     """
     results: dict[str, Sequence[Measurement]] = {}
--- a/scale/capacity/table.py
+++ b/scale/capacity/table.py
@@ -1,4 +1,4 @@
-"""Figures as a Markdown table."""
+"""Formats figures as a Markdown table."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def _violates_budget(figure: Figure, evaluation: Evaluation) -> bool:
-    """Return whether any of the values exceeds the budget."""
+    """Return whether the worst of the values is beyond the budget."""
     if figure.budget is None:
         return False
     return (
@@ -41,7 +41,7 @@
 
 
 def format_figures(figures: Sequence[Figure], results: Results) -> str:
-    """Format a Markdown table; values that exceed their budget are bold."""
+    """Format a Markdown table; values beyond their budget are bold."""
     rows = [_HEADER, tuple("---" for _ in _HEADER)]
     for figure in figures:
         evaluation = evaluate_figure(figure, results)
--- a/scale/cli.py
+++ b/scale/cli.py
@@ -34,7 +34,7 @@
 
 
 @app.callback()
-def set_up(verbose: Annotated[bool, typer.Option(help="Log from debug level on.")] = False) -> None:
+def set_up(verbose: Annotated[bool, typer.Option(help="Log debug messages, too.")] = False) -> None:
     """Set up the logs for every command."""
     configure_logs(verbose)
 
@@ -42,7 +42,7 @@
 @app.command()
 def run(
     experiments: Annotated[list[Path], typer.Argument(help="Experiment files (TOML).")],
-    results: Annotated[Path, typer.Option(help="File that the figures are appended to, as JSON lines.")],
+    results: Annotated[Path, typer.Option(help="File to append the measurements to, as JSON lines.")],
 ) -> None:
     """Run experiments one after another."""
     loaded_experiments = [load_experiment(path) for path in experiments]
@@ -68,9 +68,9 @@
 def report(
     results: Annotated[list[Path], typer.Argument(help="Results files (JSON lines).")],
     plots: Annotated[Path | None, typer.Option(help="Folder for plots (PNG).")] = None,
-    against: Annotated[str, typer.Option(help="Label that plots have on their horizontal axis.")] = "servers",
+    against: Annotated[str, typer.Option(help="Label on the horizontal axis of the plots.")] = "servers",
 ) -> None:
-    """Print results as a table, and plot them."""
+    """Print results as a table, and optionally plot them."""
     measurements = read_results(results)
     typer.echo(format_table(measurements))
     if plots is not None:
@@ -84,14 +84,14 @@
     against: Annotated[str, typer.Option(help="Label that was varied.")] = "servers",
     at: Annotated[float, typer.Option(help="Size at which each line is evaluated.")] = 4_900.0,
 ) -> None:
-    """Fit a line through each metric against a size, and evaluate it at another size."""
+    """Fit a line to each metric against a size, and evaluate it at another size."""
     typer.echo(format_slopes(fit_slopes(read_results(results), against), at))
 
 
 @app.command()
 def page(
     path: Annotated[Path, typer.Argument(help="The page whose tables are filled in.")] = CAPACITY_PAGE,
-    figures: Annotated[Path, typer.Option(help="What each table holds (TOML).")] = FIGURES_FILE,
+    figures: Annotated[Path, typer.Option(help="Figures of each table (TOML).")] = FIGURES_FILE,
     results: Annotated[Path, typer.Option(help="Folder of the results.")] = RESULTS_FOLDER,
 ) -> None:
     """Fill in the capacity page's tables from results files."""
@@ -101,19 +101,21 @@
 
 @app.command()
 def demo(
-    duration: Annotated[float, typer.Option(min=3.0, max=60.0, help="Seconds of calls.")] = 6.0,
-    rate: Annotated[float, typer.Option(min=10.0, max=500.0, help="Calls a second.")] = 100.0,
+    duration: Annotated[
+        float, typer.Option(min=3.0, max=60.0, help="Duration of the calls in seconds.")
+    ] = 6.0,
+    rate: Annotated[float, typer.Option(min=10.0, max=500.0, help="Calls per second.")] = 100.0,
     seed: Annotated[int, typer.Option(min=0, help="Seed of arrivals and service times.")] = 1,
 ) -> None:
-    """Show one real sidecar while a server is drained and another killed; exit code 0 if all checks pass."""
+    """Run one real sidecar while a server is drained and another killed; exit with 0 if all checks pass."""
     outcome = run_demo(duration, rate, seed, typer.echo)
     typer.echo(format_outcome(outcome))
     failed_checks = outcome.failed_checks()
     for check in failed_checks:
-        typer.echo(f"FAULT: {check}")
+        typer.echo(f"CHECK FAILED: {check}")
     if failed_checks:
         raise typer.Exit(EXIT_CHECK_FAILED)
-    typer.echo("all went as it should")
+    typer.echo("all checks passed")
 
 
 def main() -> int:
@@ -122,6 +124,7 @@
     Returns:
         The exit code: 2 after bad input, which is reported in one line on standard error.
     """
+    # SIGTERM raises KeyboardInterrupt, so that the processes of an interrupted experiment are terminated.
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     try:
         app()
--- a/scale/commands.py
+++ b/scale/commands.py
@@ -1,6 +1,6 @@
-"""Commands to a process that the rig started: JSON lines over a loopback connection.
+"""Command protocol between the rig and the processes that it starts: JSON lines over a loopback connection.
 
-The process prints one line, a `Ready`, once it listens; each command then gets a response of one line.
+A process prints one line, a `Ready` message, once it listens.  It then answers each command with one line.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 from scale.errors import ProcessEndedError
 
-MAXIMUM_LINE_BYTES = 64 * 1024 * 1024  # a commit of thousands of entries is one line
+MAXIMUM_LINE_BYTES = 64 * 1024 * 1024  # a change of thousands of endpoints is one line
 _RESPONSE_TIMEOUT_S = 120.0
 
 
@@ -27,7 +27,12 @@
 
 
 class Ready(Message):
-    """What a process prints once it accepts commands."""
+    """The line that a process prints once it accepts commands.
+
+    Attributes:
+        commands: Host and port for the command connection.
+        addresses: Hosts and ports of the servers that the process runs.
+    """
 
     commands: tuple[str, int]
     addresses: list[tuple[str, int]] = []
@@ -41,11 +46,11 @@
 
 
 async def serve_commands(handle: Callable[[bytes], Message], addresses: list[tuple[str, int]]) -> None:
-    """Print a `Ready`, then serve the commands of one connection until it is closed.
+    """Print a `Ready` message, then serve the commands of one connection until it is closed.
 
     Args:
         handle: Handles one command, as a JSON line.
-        addresses: Addresses to print, for the other side to use.
+        addresses: Hosts and ports of the servers that this process runs, for the `Ready` message.
     """
     connection_closed = asyncio.Event()
 
--- a/scale/demo/__init__.py
+++ b/scale/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A first look: one real sidecar over stand-ins, with a server drained and another killed under load."""
+"""Demonstration of one real sidecar with stand-ins: under load, a server is drained and another killed."""
--- a/scale/demo/outcome.py
+++ b/scale/demo/outcome.py
@@ -11,17 +11,17 @@
 from scale.http_client import CallResult
 from scale.standins.server import ServedBody
 
-DRAINED_SERVER, KILLED_SERVER = 1, 2  # numbers of the servers
+DRAINED_SERVER, KILLED_SERVER = 1, 2  # indexes in the list of servers
 DRAIN_GRACE_S = 1.0  # drainGraceUs of the sample configuration
 _SHED_STATUSES = frozenset((HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE))
 
 
 @dataclass(frozen=True, slots=True)
 class Phase:
-    """A part of the run between two faults."""
+    """A part of the run that ends with a fault or with the run itself."""
 
     name: str
-    ends_at: float  # monotonic clock
+    ends_at: float  # seconds on the monotonic clock
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,9 +29,9 @@
     """What one server received."""
 
     name: str
-    requests: int  # attempts received to their last byte
+    requests: int  # attempts that were received completely
     rejected: int
-    last_request_at: float  # monotonic clock; 0.0 if there was none
+    last_request_at: float  # seconds on the monotonic clock; 0.0 if there was none
 
 
 @dataclass(slots=True)
@@ -41,7 +41,7 @@
     results: Sequence[CallResult]
     phases: Sequence[Phase]
     servers: Sequence[ServerOutcome]
-    drain_notified_at: float  # monotonic clock
+    drain_notified_at: float  # seconds on the monotonic clock
     exit_code: int | None  # of the sidecar after SIGTERM; None if it had to be killed
     log: Sequence[str] = field(default_factory=list)
 
@@ -58,7 +58,7 @@
         return len(self.results) - len(self.served()) - self.shed()
 
     def served_by_phase(self) -> list[Counter[str]]:
-        """Return how many calls each server served, for each phase."""
+        """Return, for each phase, how many calls each server served."""
         counters: list[Counter[str]] = [Counter() for _ in self.phases]
         for result in self.served():
             phase_index = next(
@@ -75,7 +75,7 @@
         )
 
     def failed_checks(self) -> list[str]:
-        """Return a line for each failed check; none if all passed."""
+        """Return a message for each failed check; empty if all passed."""
         drained = self.servers[DRAINED_SERVER]
         served_at_end = self.served_by_phase()[-1]
         survivors = [
--- a/scale/demo/report.py
+++ b/scale/demo/report.py
@@ -1,4 +1,4 @@
-"""The outcome of a demonstration as text."""
+"""Formats the outcome of a demonstration as text."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
         f"calls: {len(outcome.results)}, served {len(outcome.served())}, shed {outcome.shed()},"
         f" failed {outcome.failed()}; attempts that reached servers: {attempts}",
         f"{drained.name} got its last call {stopped_after_ms:.0f} ms after the registry had drained it",
-        f"time beyond the server's own: {added.percentile(50) / 1000:.2f} ms for 50 in 100 calls,"
-        f" {added.percentile(99) / 1000:.2f} ms for 99 in 100",
+        f"latency without the server's service time: {added.percentile(50) / 1000:.2f} ms at p50,"
+        f" {added.percentile(99) / 1000:.2f} ms at p99",
         f"sidecar: exit code {outcome.exit_code} after SIGTERM; its log:",
         *(f"    {line}" for line in outcome.log),
     ]
--- a/scale/demo/run.py
+++ b/scale/demo/run.py
@@ -22,10 +22,10 @@
 SERVERS = 4
 
 _SERVICE_MEAN_S = 0.005
-_SERVICE_CLASS = "read"  # of the sample configuration: safe to repeat
+_SERVICE_CLASS = "read"  # class of the sample configuration whose calls are safe to repeat
 _BUDGET_S = 2.0
 _CALL_TIMEOUT_S = 2.5
-_DRAIN_FRACTION, _KILL_FRACTION = 1 / 3, 2 / 3  # of the duration
+_DRAIN_FRACTION, _KILL_FRACTION = 1 / 3, 2 / 3  # of the duration, from its start to each fault
 _REMOVAL_DELAY_S = 0.5  # from the kill until the registry removes the server
 _STOP_TIMEOUT_S = 10.0
 
@@ -37,7 +37,7 @@
 
     Args:
         duration_s: How long calls are made, in seconds.
-        rate_per_s: Calls a second.
+        rate_per_s: Calls per second.
         seed: Seed of arrivals and service times.
         echo: Prints one line of progress.
 
@@ -50,7 +50,7 @@
 
 
 class _Demo:
-    """The parts of one run."""
+    """One run of the demonstration."""
 
     def __init__(self, folder: Path, group: ProcessGroup, listen: Address, seed: int, echo: Echo) -> None:
         self._folder = folder
@@ -72,7 +72,7 @@
         sidecar = start_sidecar(self._group, sample_config(listen, discovery), self._folder)
         self._echo(f"sidecar started: process {sidecar.pid}, listening at {format_address(listen)}")
         await asyncio.to_thread(wait_until_ready, sidecar, listen, self._folder)
-        self._echo(f"sidecar is ready; {rate_per_s:.0f} calls a second for {duration_s:.0f} s")
+        self._echo(f"sidecar is ready; {rate_per_s:.0f} calls per second for {duration_s:.0f} s")
         faults = asyncio.create_task(self._inject_faults(duration_s))
         started_at = time.monotonic()
         results = await self._send_calls(listen, poisson_arrivals(rate_per_s, duration_s, self._seed))
--- a/scale/errors.py
+++ b/scale/errors.py
@@ -12,7 +12,7 @@
 
 
 class ScaleError(Exception):
-    """Base of all errors that the user can fix; the command prints it in one line and exits with 2."""
+    """Base of the errors that the user can fix: the command line prints one line and exits with code 2."""
 
 
 # -- Experiment files ---------------------------------------------------------------------------------
@@ -56,7 +56,7 @@
 
         Args:
             error: The failed validation.
-            root: What to name if the error concerns the model rather than one key.
+            root: The name to report if the error concerns the whole model rather than one key.
         """
         first = error.errors()[0]
         key = ".".join(map(str, first["loc"])) or root
@@ -64,10 +64,10 @@
 
 
 class UnknownKindError(ExperimentError):
-    """An experiment file whose `kind` the rig does not know."""
+    """An experiment file with an unknown `kind`."""
 
     def __init__(self, known: Collection[str]) -> None:
-        """List the kinds that are known."""
+        """List the known kinds."""
         super().__init__("kind", f"must be one of {', '.join(sorted(known))}")
 
 
@@ -76,18 +76,18 @@
 
     def __init__(self, folder: Path) -> None:
         """Name the folder."""
-        super().__init__(str(folder), "holds no experiments")
+        super().__init__(str(folder), "contains no experiment files")
 
 
 class UnmatchedTableError(ExperimentError):
-    """Tables that are only on the page or only among the figures."""
+    """Tables that have a marker on the page but no figures, or figures but no marker."""
 
     def __init__(self, names: Collection[str]) -> None:
         """Name the tables."""
-        super().__init__("table", f"{', '.join(sorted(names))}: only on the page or only among the figures")
+        super().__init__("table", f"{', '.join(sorted(names))}: only on the page or only in the figures file")
 
 
-# -- Checks across several keys, raised inside pydantic validators, which need a ValueError -----------
+# -- Checks of several keys: raised in pydantic validators, so subclasses of ValueError --------------
 
 
 class FaultOrderError(ValueError):
@@ -127,10 +127,10 @@
 
 
 class UntracedCollectorError(ValueError):
-    """A garbage collector setting for a sidecar that is not traced, where nothing could apply it."""
+    """A garbage collector setting for an untraced sidecar; only the traced sidecar can apply it."""
 
     def __init__(self) -> None:
-        super().__init__("a collector other than the program's needs traced = true")
+        super().__init__('a collector other than "program" requires traced = true')
 
 
 # -- Results ------------------------------------------------------------------------------------------
@@ -157,55 +157,55 @@
 
 
 class TooFewSizesError(ValueError):
-    """Points to fit a line through that were all measured at one size."""
+    """Points for a line fit that were all measured at the same size."""
 
     def __init__(self) -> None:
-        super().__init__("two different sizes are needed for a slope")
+        super().__init__("at least two different sizes are needed to fit a line")
 
 
 # -- Processes ----------------------------------------------------------------------------------------
 
 
 class SidecarError(ScaleError):
-    """A sidecar process that did not start or stop as it should."""
+    """A sidecar process that failed to start or to stop cleanly."""
 
 
 class SidecarStartError(SidecarError):
-    """A sidecar that ended, or took too long, before it was ready."""
+    """A sidecar that exited or timed out before it was ready."""
 
     def __init__(self, log_lines: list[str]) -> None:
         """Quote the last line of its log."""
-        last_line = log_lines[-1] if log_lines else "it logged nothing"
+        last_line = log_lines[-1] if log_lines else "its log is empty"
         super().__init__(f"the sidecar did not start: {last_line}")
 
 
 class SidecarStopTimeoutError(SidecarError):
-    """A sidecar that was still running a while after SIGTERM."""
+    """A sidecar that did not exit in time after SIGTERM."""
 
     def __init__(self, timeout_s: float) -> None:
         """Report the timeout, in seconds."""
-        super().__init__(f"the sidecar did not end within {timeout_s:.0f} s of SIGTERM")
+        super().__init__(f"the sidecar did not exit within {timeout_s:.0f} s of SIGTERM")
 
 
 class SidecarExitError(SidecarError):
-    """A sidecar that ended with an exit code other than 0."""
+    """A sidecar that exited with a code other than 0."""
 
     def __init__(self, exit_code: int) -> None:
         """Report the exit code."""
-        super().__init__(f"the sidecar ended with exit code {exit_code}")
+        super().__init__(f"the sidecar exited with code {exit_code}")
 
 
 class EndpointListTimeoutError(ScaleError):
-    """Sidecars that did not all get the registry's endpoint list in time."""
+    """Sidecars that did not all receive the registry's endpoint list in time."""
 
     def __init__(self, key: str, timeout_s: float) -> None:
         """Format the message.
 
         Args:
-            key: The experiment's key that says how many sidecars there are.
+            key: The experiment's key that sets the number of sidecars.
             timeout_s: How long the rig waited for them, in seconds.
         """
-        super().__init__(f"{key}: not all of them got the endpoint list within {timeout_s:.0f} s")
+        super().__init__(f"{key}: not all sidecars received the endpoint list within {timeout_s:.0f} s")
 
 
 class RequestsInFlightTimeoutError(ScaleError):
@@ -221,4 +221,4 @@
 
     def __init__(self, pid: int) -> None:
         """Name the process by its id."""
-        super().__init__(f"process {pid} ended its command connection")
+        super().__init__(f"process {pid} closed its command connection")
--- a/scale/experiment.py
+++ b/scale/experiment.py
@@ -44,6 +44,10 @@
 def validate_experiment(model: type[AnyExperiment], content: dict[str, Any]) -> AnyExperiment:
     """Validate an experiment against its model.
 
+    Args:
+        model: The model of the kind of experiment.
+        content: The parsed experiment file.
+
     Raises:
         InvalidKeyError: A key is missing, unknown or out of range; the first such key is named.
     """
--- a/scale/histogram.py
+++ b/scale/histogram.py
@@ -16,13 +16,13 @@
     """Records times from a microsecond to an hour, to three significant digits."""
 
     def __init__(self, times_us: Iterable[float] = ()) -> None:
-        """Record some times, in microseconds."""
+        """Create a histogram of the given times, in microseconds."""
         self._histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _SIGNIFICANT_DIGITS)
         for each in times_us:
             self.add(each)
 
     def add(self, time_us: float) -> None:
-        """Record one time in microseconds; times out of range are clamped to it."""
+        """Record one time in microseconds; a time out of range is clamped to the range."""
         self._histogram.record_value(int(min(max(time_us, _LOWEST_US), _HIGHEST_US)))
 
     def add_seconds(self, time_s: float) -> None:
@@ -30,16 +30,16 @@
         self.add(round(time_s * _MICROSECONDS_PER_SECOND))
 
     def percentile(self, percentile: float) -> float:
-        """Return the time that `percentile` in 100 do not exceed, in microseconds; 0 if there is none."""
+        """Return a percentile of the recorded times in microseconds; 0 if no times were recorded."""
         return float(self._histogram.get_value_at_percentile(percentile))
 
     def percentile_seconds(self, percentile: float) -> float:
-        """Return the time that `percentile` in 100 do not exceed, in seconds; 0 if there is none."""
+        """Return a percentile of the recorded times in seconds; 0 if no times were recorded."""
         return self.percentile(percentile) / _MICROSECONDS_PER_SECOND
 
     @property
     def count(self) -> int:
-        """How many times were recorded."""
+        """The number of recorded times."""
         return int(self._histogram.get_total_count())
 
     def merge(self, other: LatencyHistogram) -> None:
@@ -52,7 +52,7 @@
 
     @classmethod
     def decode(cls, encoded: str) -> Self:
-        """Create a histogram from what `encode` returned."""
+        """Create a histogram from the result of `encode`."""
         histogram = cls()
         histogram._histogram.add(HdrHistogram.decode(encoded))
         return histogram
--- a/scale/http1.py
+++ b/scale/http1.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 messages as the rig's own client and servers write them: a head, then a body of known length.
+"""Parses and encodes the HTTP/1.1 messages of the rig: a head, then a body of known length.
 
-The rig writes both sides of each connection, so this parses no more than they write; it is small
-because its own run time is part of every measured latency.
+Only the subset of HTTP/1.1 that occurs on the rig's connections is supported.  The code is kept small because
+its own run time is part of each measured latency.
 """
 
 from __future__ import annotations
--- a/scale/http_client.py
+++ b/scale/http_client.py
@@ -1,4 +1,4 @@
-"""The load client: one call at a time on each connection, and as many connections as needed."""
+"""HTTP client that generates the load: one call at a time per connection, as many connections as needed."""
 
 from __future__ import annotations
 
@@ -9,40 +9,40 @@
 from scale.http1 import Message, MessageReader, format_request
 
 Address = tuple[str, int]
-NO_RESPONSE = 0  # in place of a status: the connection failed or the call timed out
+NO_RESPONSE = 0  # status of a call that timed out or whose connection failed
 
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
     """The result of one call; times are seconds on the monotonic clock."""
 
-    scheduled_at: float  # when it was scheduled
+    scheduled_at: float  # when the call was due to start
     sent_at: float
     ended_at: float
     status: int
     body: bytes
-    opened_connection: bool = False  # whether it opened a new connection
+    opened_connection: bool = False  # whether the call opened a new connection
 
     @property
     def latency_us(self) -> float:
-        """Microseconds from writing the request to the response's last byte."""
+        """Microseconds from the start of the call, before connecting, to the response's last byte."""
         return (self.ended_at - self.sent_at) * 1e6
 
     @property
     def start_lag_us(self) -> float:
-        """Microseconds from the scheduled start to writing the request."""
+        """Microseconds from the scheduled to the actual start of the call."""
         return (self.sent_at - self.scheduled_at) * 1e6
 
 
 class HttpClient:
-    """Calls one address over pooled connections, and opens more when all of them are busy."""
+    """Calls one address over pooled connections; opens another one when all are busy."""
 
     def __init__(self, address: Address) -> None:
         self._address = address
         self._idle: list[_ClientConnection] = []
 
     async def call(self, request: bytes, scheduled_at: float, timeout_s: float) -> CallResult:
-        """Send a request; retry it once on a new connection if a reused one was being closed.
+        """Send a request; retry it once on a new connection if the reused one has been closed.
 
         Args:
             request: The encoded request.
@@ -60,7 +60,7 @@
                 if connection is not None:
                     try:
                         response = await self._exchange(connection, request)
-                    except ConnectionError:  # it was closed between requests
+                    except ConnectionError:  # the server closed it between two requests
                         opened_connection, response = True, await self._exchange_on_new_connection(request)
                 else:
                     response = await self._exchange_on_new_connection(request)
@@ -102,7 +102,7 @@
 
 
 class _ClientConnection(asyncio.Protocol):
-    """One connection, with one request in flight at most."""
+    """One connection, with at most one request in flight."""
 
     def __init__(self) -> None:
         self._reader = MessageReader()
@@ -115,7 +115,9 @@
 
     def connection_lost(self, _exc: Exception | None) -> None:
         if self._response is not None and not self._response.done():
-            self._response.set_exception(ConnectionResetError("the connection broke"))
+            self._response.set_exception(
+                ConnectionResetError("connection lost before the response was complete")
+            )
 
     def data_received(self, data: bytes) -> None:
         for response in self._reader.feed(data):
--- a/scale/kinds.py
+++ b/scale/kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of experiment that the rig knows, by the `kind` key of an experiment file."""
+"""The kinds of experiment, selected by the `kind` key of an experiment file."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     Raises:
         UnreadableExperimentError: The file cannot be read.
         TomlSyntaxError: The file is not TOML.
-        UnknownKindError: The rig does not know the kind of experiment.
+        UnknownKindError: The kind of experiment is unknown.
         InvalidKeyError: A key is missing, unknown or out of range.
     """
     content = read_experiment_file(path)
--- a/scale/lag_probe.py
+++ b/scale/lag_probe.py
@@ -11,9 +11,9 @@
 
 
 class LagProbe:
-    """Measures how late this process's event loop runs its timers, while the block runs.
+    """Measures how late this process's event loop runs its timers while the `async with` block runs.
 
-    The loop's timers have a resolution of a millisecond, so half of one is normal in an idle loop.
+    The loop's timers have a resolution of 1 ms, so a lag of 0.5 ms is normal in an idle loop.
     """
 
     def __init__(self) -> None:
--- a/scale/latency/__init__.py
+++ b/scale/latency/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments of the kind `latency`: what one real sidecar adds to a call, and where that comes from."""
+"""Experiments of the kind `latency`: the latency that one real sidecar adds to calls, and its sources."""
--- a/scale/latency/analysis.py
+++ b/scale/latency/analysis.py
@@ -14,7 +14,7 @@
 from scale.standins.server import ServedBody
 
 PERCENTILES = (50.0, 99.0, 99.9)
-SLOWEST_PERCENTILE = 99.0  # the calls beyond it are the slowest 1 in 100
+SLOWEST_PERCENTILE = 99.0  # the calls above it are the slowest 1 in 100
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallPair:
-    """A call through the sidecar and the direct call next to it."""
+    """A call through the sidecar, and the direct call that follows it."""
 
     through_sidecar: ServedCall
     direct: ServedCall
@@ -49,7 +49,7 @@
 
 
 def parse_served_call(result: CallResult) -> ServedCall | None:
-    """Parse the body of a call; None if it was not served."""
+    """Return a call with its parsed body; None if it was not served."""
     return ServedCall(result, ServedBody.decode(result.body)) if result.status == HTTPStatus.OK else None
 
 
@@ -64,35 +64,35 @@
 
 
 def percentiles_us(values_us: Sequence[float] | FloatArray) -> dict[float, float]:
-    """Return the reported quantiles by percentage, in microseconds; empty if there are no values."""
+    """Return the values at the reported percentiles, in microseconds; empty if there are no values."""
     if not len(values_us):
         return {}
     return {percentile: float(np.percentile(values_us, percentile)) for percentile in PERCENTILES}
 
 
 def histogram_percentiles_us(calls: Sequence[ServedCall]) -> dict[float, float]:
-    """Return the reported quantiles of the calls' overheads by percentage, in microseconds."""
+    """Return the calls' overheads at the reported percentiles, in microseconds, from a histogram."""
     histogram = LatencyHistogram([call.overhead_us for call in calls])
     return {percentile: histogram.percentile(percentile) for percentile in PERCENTILES}
 
 
 @dataclass(frozen=True, slots=True)
 class OverheadSources:
-    """The sources of each call's overhead, in microseconds; they sum up to the overhead.
+    """The sources of each call's overhead, in microseconds; their sum is the overhead.
 
-    Time without the CPU inside a callback is `preempted`; collections and registry responses are CPU time.  A
-    collection triggered while a registry response is read counts as a collection.
+    Work, collections and registry responses are CPU time; the time that callbacks spend without the CPU is
+    `preempted`.  A collection during the handling of a registry response counts as a collection only.
     """
 
-    own_work: FloatArray  # callbacks of the event loop, as long as those of a typical call
-    other_work: FloatArray  # callbacks beyond that: other calls and timers that delayed this one
+    own_work: FloatArray  # event loop callbacks, up to the CPU time of a typical call
+    other_work: FloatArray  # callbacks beyond that: other calls and timers, which delayed this call
     collections: FloatArray
     registry: FloatArray
     preempted: FloatArray
     outside: FloatArray  # the kernel, the network, the client, and the sidecar's wake-up
 
     def event_loop_cpu(self) -> FloatArray:
-        """Return the event loop's CPU time during each call: about its overhead on an idle machine."""
+        """Return the event loop's CPU time during each call: about the overhead on an idle machine."""
         return self.own_work + self.other_work + self.collections + self.registry
 
     def by_name(self) -> dict[str, FloatArray]:
@@ -108,7 +108,7 @@
 
 
 def attribute_overhead(calls: Sequence[ServedCall], trace: Trace) -> OverheadSources:
-    """Split each call's overhead by what the event loop ran before and after the server's service time."""
+    """Split each call's overhead into its sources, from the spans before and after the service time."""
     sent = np.array([call.result.sent_at for call in calls])
     service_started = np.array([call.body.started_at for call in calls])
     service_ended = service_started + np.array([call.body.service_time_us for call in calls]) / 1e6
--- a/scale/latency/churn.py
+++ b/scale/latency/churn.py
@@ -1,4 +1,4 @@
-"""Changes a registry's endpoints while calls are measured."""
+"""Changes a registry's endpoint list while calls are measured."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
     """Change the endpoint list at the point's rates while the block runs.
 
     Args:
-        change_log: The registry's endpoints.
-        point: Gives the number of endpoints and the rates.
-        rng: Chooses the servers that restart.
+        change_log: The registry's change log.
+        point: The point, with the number of endpoints and the change rates.
+        rng: Selects the servers that restart.
     """
 
     def restart_server() -> None:
@@ -31,7 +31,7 @@
         change_log.restart([server_name(index)], time.time_ns() // 1_000_000)
 
     def force_snapshot() -> None:
-        """Drop the change log and commit a change, so that the watch gets a snapshot."""
+        """Drop the change log and commit a change, so that the watch receives a snapshot."""
         change_log.drop_changes()
         change_log.commit([change_log.endpoint(server_name(0))])
 
--- a/scale/latency/experiment.py
+++ b/scale/latency/experiment.py
@@ -10,25 +10,27 @@
 from scale.errors import UntracedCollectorError
 from scale.experiment import Experiment
 
-MAXIMUM_SERVERS = 4_900  # each is a listening socket of one process
+MAXIMUM_SERVERS = 4_900  # each needs a listening socket in one process
 
 
 class Collector(StrEnum):
     """The garbage collection thresholds of the sidecar."""
 
-    PROGRAM = "program"  # as the program sets them
+    PROGRAM = "program"  # as the sidecar program sets them
     DEFAULT = "default"  # the interpreter's thresholds
     OFF = "off"
 
 
 class LatencyPoint(BaseModel):
-    """One measured point; each has a sidecar of its own."""
+    """One point to measure, with a sidecar of its own."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
     servers: int = Field(ge=1, le=MAXIMUM_SERVERS)  # in the endpoint list, each with a listener
     changes_per_s: float = Field(default=0.0, ge=0.0, le=100.0)  # restarts of single servers
-    snapshots_per_s: float = Field(default=0.0, ge=0.0, le=10.0)  # the registry drops its change log
+    snapshots_per_s: float = Field(
+        default=0.0, ge=0.0, le=10.0
+    )  # the registry drops its change log, so that a watch receives a snapshot
     collector: Collector = Collector.PROGRAM
     traced: bool = False  # whether the sidecar's event loop and collections are timed from inside
 
@@ -40,10 +42,10 @@
 
 
 class LatencyExperiment(Experiment):
-    """Alternates direct calls and calls through a sidecar, for `duration_s` at each point after warm-up."""
+    """Alternates calls through a sidecar and direct calls, for `duration_s` at each point after warm-up."""
 
-    calls_per_s: float = Field(gt=0.0, le=1_000.0)  # through the sidecar, and as many direct ones
+    calls_per_s: float = Field(gt=0.0, le=1_000.0)  # through the sidecar; direct calls have the same rate
     warm_up_s: float = Field(ge=0.0, le=120.0)
     service_mean_ms: float = Field(gt=0.0, le=1_000.0)
-    budget_ms: float = Field(gt=0.0, le=1_000.0)  # what the sidecar may add
+    budget_ms: float = Field(gt=0.0, le=1_000.0)  # latency that the sidecar may add to a call
     points: list[LatencyPoint] = Field(min_length=1, max_length=100)
--- a/scale/latency/figures.py
+++ b/scale/latency/figures.py
@@ -80,7 +80,7 @@
         self._add("sidecar", "memory", after.memory_bytes / _MEBIBYTE, "MiB")
 
     def _write_added_latency(self) -> None:
-        """Write overheads, which are latencies without the server's service time."""
+        """Write the overheads, which are latencies without service times, and their differences."""
         pairs = pair_calls(self._outcome.results)
         if not pairs:
             return
--- a/scale/latency/point.py
+++ b/scale/latency/point.py
@@ -1,4 +1,4 @@
-"""Measures one point: alternating direct calls and calls through one real sidecar."""
+"""Measures one point: alternating calls through one real sidecar and direct calls."""
 
 from __future__ import annotations
 
@@ -36,9 +36,9 @@
 from scale.standins.change_log import ChangeLog, Endpoint
 from scale.standins.registry import RegistryServer
 
-DIRECT_SERVERS = 35  # that get direct calls, over pooled connections
+DIRECT_SERVERS = 35  # servers that receive direct calls, over pooled connections
 
-_SERVICE_CLASS = "read"  # of the sample configuration: safe to repeat
+_SERVICE_CLASS = "read"  # class of the sample configuration whose calls are safe to repeat
 _BUDGET_S = 2.0
 _CALL_TIMEOUT_S = 2.5
 _STOP_TIMEOUT_S = 15.0
@@ -46,13 +46,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PointOutcome:
-    """The measurements of one point, without warm-up."""
+    """The measurements of one point, without the warm-up."""
 
     results: Sequence[CallResult]  # alternating: through the sidecar, then direct
     usage_before: ResourceUsage  # of the sidecar
     usage_after: ResourceUsage
     lag: LatencyHistogram  # of the client's event loop
-    load_averages: tuple[float, float]  # of the machine, over a minute, before and after
+    load_averages: tuple[float, float]  # of the machine, over 1 minute, before and after
     counts_before: ServerCounts
     counts_after: ServerCounts
     trace: Trace | None
@@ -62,7 +62,7 @@
     """Start the processes of one point, make the calls, and end the processes.
 
     Raises:
-        SidecarError: The sidecar did not start or stop as it should.
+        SidecarError: The sidecar failed to start or to stop cleanly.
     """
     with tempfile.TemporaryDirectory() as folder, ReservedAddress() as listen, ProcessGroup() as group:
         command = python_command(
@@ -185,7 +185,7 @@
 
 @contextlib.asynccontextmanager
 async def _collection_paused() -> AsyncIterator[None]:
-    """Keep the client's own garbage collection out of the measurement."""
+    """Pause this process's garbage collection, which would distort the client's measurements."""
     gc.collect()
     gc.disable()
     try:
--- a/scale/latency/servers.py
+++ b/scale/latency/servers.py
@@ -1,6 +1,6 @@
-"""Server stand-ins in their own process, so that they delay neither the client nor the sidecar.
+"""Runs server stand-ins in their own process, so that they delay neither the client nor the sidecar.
 
-Run as `python -m scale.latency.servers`; it prints its addresses and then accepts commands.
+Run as `python -m scale.latency.servers`; it prints the addresses of the servers and then accepts commands.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
     for each in standins:
         await each.start()
     gc.freeze()
-    gc.disable()  # the process runs for one point only, and collections would distort it
+    gc.disable()  # collections would distort the measurement, and the process runs only for one point
 
     def handle(line: bytes) -> Message:
         GetServerCounts.model_validate_json(line)
@@ -62,8 +62,8 @@
 
 
 def main(
-    servers: Annotated[int, typer.Option(help="Servers, each at a port of its own.")],
-    service_mean_ms: Annotated[float, typer.Option(help="Mean service time; exponentially distributed.")],
+    servers: Annotated[int, typer.Option(help="Number of servers, each with a port of its own.")],
+    service_mean_ms: Annotated[float, typer.Option(help="Mean of the exponential service times.")],
     seed: Annotated[int, typer.Option(help="Seed of the service times.")] = 0,
 ) -> None:
     """Run server stand-ins on loopback."""
--- a/scale/latency/traced_sidecar.py
+++ b/scale/latency/traced_sidecar.py
@@ -1,7 +1,7 @@
-"""Runs the sidecar's own program with its event loop timed, and writes the trace at its end.
+"""Runs the sidecar program with its event loop timed, and writes the trace when it ends.
 
 Run as `python -m scale.latency.traced_sidecar`, with RELAY_CONFIG as for `python -m sidecar`.  The program
-itself is not changed: the timed functions are wrapped from outside.
+itself is not changed: the timed functions are wrapped at run time.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from sidecar.proxy.discovery_client import DiscoveryClient
 from sidecar.proxy.endpoint_list import EndpointList
 
-_COLLECTION_DISABLED = (0, 1, 1)  # the first threshold 0 turns collection off
+_COLLECTION_DISABLED = (0, 1, 1)  # a first threshold of 0 disables collection
 
 
 def set_collector(collector: Collector) -> None:
@@ -31,7 +31,7 @@
 
 
 def trace_registry(tracer: Tracer) -> None:
-    """Time how registry responses are read and applied."""
+    """Time the parsing and the applying of registry responses."""
     client_members, list_members = vars(DiscoveryClient), vars(EndpointList)
     timed_parse = tracer.registry.timed(client_members["_parse"].__func__)
     timed_apply = tracer.registry.timed(list_members["apply"])
@@ -41,7 +41,7 @@
 
 def main(
     trace: Annotated[Path, typer.Option(help="File that the trace is written to.")],
-    collector: Annotated[Collector, typer.Option(help="How garbage collection is set.")] = Collector.PROGRAM,
+    collector: Annotated[Collector, typer.Option(help="Garbage collection thresholds.")] = Collector.PROGRAM,
 ) -> None:
     """Run one sidecar until SIGTERM."""
     tracer = Tracer()
--- a/scale/latency/tracing.py
+++ b/scale/latency/tracing.py
@@ -1,4 +1,4 @@
-"""Traces, inside a sidecar's process, what may block its event loop; and reads such a trace.
+"""Traces, inside a sidecar's process, what may block its event loop, and reads such traces.
 
 All times are seconds on the machine's monotonic clock, so that they can be compared with the client's.
 """
@@ -21,7 +21,7 @@
 Result = TypeVar("Result")
 
 FloatArray = npt.NDArray[np.float64]
-Span = tuple[float, float, float]  # start, end, CPU seconds of the thread
+Span = tuple[float, float, float]  # start, end, and the thread's CPU seconds between them
 
 
 class SpanLog:
@@ -56,7 +56,11 @@
         gc.callbacks.append(self._record)
 
     def uninstall(self) -> None:
-        """Stop recording; raise ValueError if it was not installed."""
+        """Stop recording.
+
+        Raises:
+            ValueError: It was not installed.
+        """
         gc.callbacks.remove(self._record)
 
     def _record(self, phase: str, _info: dict[str, int]) -> None:
@@ -71,12 +75,12 @@
     """Records the spans of a sidecar's process."""
 
     def __init__(self) -> None:
-        self.callbacks = SpanLog()  # of the event loop: each blocks all others
+        self.callbacks = SpanLog()  # event loop callbacks; each blocks all others
         self.collections = CollectionLog()
-        self.registry = SpanLog()  # reading registry responses and applying them
+        self.registry = SpanLog()  # parsing and applying of registry responses
 
     def trace_event_loop(self) -> None:
-        """Time each callback of event loops, and each collection."""
+        """Record each event loop callback and each garbage collection from now on."""
         handle: Any = asyncio.Handle
         handle._run = self.callbacks.timed(handle._run)
         self.collections.install()
@@ -88,7 +92,7 @@
 
 
 class BusyTime:
-    """Sums the time of non-overlapping spans over any interval."""
+    """Computes how much of an interval is covered by non-overlapping spans."""
 
     def __init__(self, spans: list[Span]) -> None:
         ordered = np.array(sorted(spans), dtype=np.float64).reshape(-1, 3)
@@ -98,16 +102,16 @@
 
     @staticmethod
     def _cumulative(lengths: FloatArray) -> FloatArray:
-        """Return the sums up to each edge: a span's length accrues between its start and its end."""
+        """Return the cumulative length at each start and end of a span; it grows only within spans."""
         after = np.cumsum(lengths)
         return np.column_stack((after - lengths, after)).ravel()
 
     def wall_s(self, starts: FloatArray, ends: FloatArray) -> FloatArray:
-        """Return the seconds covered in each interval."""
+        """Return the wall-clock seconds of each interval that are covered by spans."""
         return self._between(self._wall, starts, ends)
 
     def cpu_s(self, starts: FloatArray, ends: FloatArray) -> FloatArray:
-        """Return the CPU seconds spent in each interval, assumed to be even over each span."""
+        """Return the CPU seconds in each interval, assuming that they are spread evenly over each span."""
         return self._between(self._cpu, starts, ends)
 
     def _between(self, cumulative: FloatArray, starts: FloatArray, ends: FloatArray) -> FloatArray:
@@ -118,7 +122,7 @@
 
 
 class Trace:
-    """A trace that was read from a file."""
+    """A recorded trace, indexed to compute the time in intervals."""
 
     def __init__(self, spans: dict[str, list[Span]]) -> None:
         self.callbacks = BusyTime(spans["callbacks"])
@@ -126,7 +130,7 @@
         self.registry = BusyTime(spans["registry"])
         self.collections_in_registry = BusyTime(_spans_within(spans["collections"], spans["registry"]))
         self.collection_count = len(spans["collections"])
-        self.registry_count = len(spans["registry"])  # two for each response: it is read, then applied
+        self.registry_count = len(spans["registry"])  # two for each response: parsed, then applied
 
     @staticmethod
     def read(path: Path) -> Trace:
--- a/scale/open_loop.py
+++ b/scale/open_loop.py
@@ -1,8 +1,8 @@
-"""Open-loop load: calls start at scheduled times, whatever the results of earlier calls.
+"""Open-loop load: calls start at scheduled times, regardless of the results of earlier calls.
 
-A slow response delays no later call, as each call takes an idle connection or opens a new one: the queueing
-that a slow callee causes is measured, not left out (no coordinated omission).  Latency counts from the moment
-the request is written; the client's own lag behind the schedule is recorded separately.
+A slow response does not delay later calls, because each call takes an idle connection or opens a new one.
+Queueing at a slow server is therefore part of the measured latency (no coordinated omission).  Latency counts
+from the actual start of a call; the client's lag behind the schedule is recorded separately.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def poisson_arrivals(rate_per_s: float, duration_s: float, seed: int) -> list[float]:
-    """Draw arrival times in seconds from 0 to the duration; reproducible for a seed."""
+    """Draw Poisson arrival times in order, in seconds from 0 to the duration; reproducible for a seed."""
     generator = np.random.default_rng(seed)
     count = generator.poisson(rate_per_s * duration_s)
     return [float(each) for each in np.sort(generator.uniform(0.0, duration_s, count))]
@@ -26,11 +26,11 @@
 async def run_open_loop(
     arrivals_s: Sequence[float], make_call: Callable[[int, float], Awaitable[CallResult]]
 ) -> list[CallResult]:
-    """Start each call at its time.
+    """Start each call at its scheduled time, and wait for all results.
 
     Args:
         arrivals_s: Start times in seconds from now, in order.
-        make_call: Makes a call, given its number and its start time on the monotonic clock.
+        make_call: Makes a call, given its number and its scheduled start on the monotonic clock.
 
     Returns:
         The results in the order of the start times.
--- a/scale/plots.py
+++ b/scale/plots.py
@@ -20,8 +20,8 @@
     """Plot each metric that was measured at two or more values of a label.
 
     Args:
-        measurements: What was measured.
-        against: The label on the horizontal axis; its values must be numbers.
+        measurements: The measurements to plot.
+        against: The label on the horizontal axis; measurements without a number there are skipped.
         folder: Where to write the plots; created if it does not exist.
 
     Returns:
--- a/scale/ports.py
+++ b/scale/ports.py
@@ -1,4 +1,4 @@
-"""Loopback ports for programs that are configured with their port."""
+"""Reserves loopback ports for programs that take their port from their configuration."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class ReservedAddress:
-    """A loopback address with a port that the kernel picked, reserved until the block is left.
+    """A loopback address with a port chosen by the kernel, reserved until the `with` block is left.
 
-    A socket stays bound to it without listening: the kernel gives the port to no other process, not even for
-    outgoing connections, but a program that binds with SO_REUSEADDR, as servers do, can listen there.  Until
-    one does, connections are refused.
+    A socket stays bound to the port without listening.  The kernel then assigns the port to no other process,
+    not even for outgoing connections, but a program that binds with SO_REUSEADDR, as servers do, can listen
+    on it.  Until one does, connections are refused.
     """
 
     def __init__(self) -> None:
--- a/scale/processes.py
+++ b/scale/processes.py
@@ -1,4 +1,4 @@
-"""Processes that an experiment starts, and ends when it is over."""
+"""Starts the processes of an experiment, and terminates them at its end."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourceUsage:
-    """Resource usage of a process up to one moment."""
+    """Resource usage of a process at one moment."""
 
-    at_s: float  # monotonic clock
+    at_s: float  # time of the reading on the monotonic clock
     cpu_s: float  # user and system time since its start
     memory_bytes: int  # resident set
 
 
 class ManagedProcess:
-    """One process that was started."""
+    """One process that the rig started."""
 
     def __init__(self, popen: subprocess.Popen[bytes]) -> None:
         self.popen = popen
@@ -32,18 +32,18 @@
 
     @property
     def pid(self) -> int:
-        """Its process id."""
+        """The process id."""
         return self.popen.pid
 
     def is_running(self) -> bool:
-        """Return whether it has not ended yet."""
+        """Return whether the process has not exited yet."""
         return self.popen.poll() is None
 
     def usage(self) -> ResourceUsage:
-        """Return its resource usage so far.
+        """Return the resource usage of the process so far.
 
         Raises:
-            psutil.NoSuchProcess: The process has ended.
+            psutil.NoSuchProcess: The process has exited.
         """
         with self._process.oneshot():
             times = self._process.cpu_times()
@@ -52,7 +52,7 @@
 
 
 class ProcessGroup:
-    """Starts processes, and ends all that still run when the block is left, also by an exception."""
+    """Starts processes, and terminates those still running when the block is left, also by an exception."""
 
     def __init__(self) -> None:
         self.processes: list[ManagedProcess] = []
@@ -78,7 +78,7 @@
             command: The program and its arguments.
             environment: All environment variables; None inherits this process's.
             stdout: Where its standard output goes, as for `subprocess.Popen`.
-            stderr: Where its standard error goes, likewise.
+            stderr: Where its standard error goes, as for `subprocess.Popen`.
 
         Raises:
             OSError: The process cannot be started.
@@ -95,7 +95,7 @@
         return process
 
     def terminate_all(self) -> None:
-        """Send SIGTERM to all, and SIGKILL to those that have not ended within 5 s."""
+        """Send SIGTERM to all running processes, and SIGKILL to those that have not exited within 5 s."""
         running = [each.popen for each in self.processes if each.is_running()]
         for popen in running:
             popen.terminate()
--- a/scale/report.py
+++ b/scale/report.py
@@ -1,4 +1,4 @@
-"""Results as a plain-text table."""
+"""Formats results as a plain-text table."""
 
 from __future__ import annotations
 
--- a/scale/results.py
+++ b/scale/results.py
@@ -30,11 +30,11 @@
     metric: str
     value: float
     unit: str
-    labels: dict[str, LabelValue] = {}  # the point that was measured: sizes, faults, the baseline's name
+    labels: dict[str, LabelValue] = {}  # the measured point: sizes, fault, policy, ...
 
 
 def current_commit(repository: Path = _REPOSITORY) -> str:
-    """Return the abbreviated commit of a checkout; "unknown" outside of git."""
+    """Return the abbreviated commit of a checkout, with "-dirty" if it has changes; "unknown" without git."""
 
     def git(*arguments: str) -> str:
         command = ["git", "-C", str(repository), *arguments]
@@ -49,7 +49,7 @@
 
 
 class ResultWriter:
-    """Appends the measurements of one experiment to a file, and flushes each at once."""
+    """Appends the measurements of one experiment to a file, and flushes each one immediately."""
 
     def __init__(self, path: Path, experiment: Experiment, commit: str | None = None) -> None:
         self._path = path
@@ -76,7 +76,7 @@
             metric: The name of the metric.
             value: Its value.
             unit: The unit of the value.
-            labels: The point that was measured.
+            labels: The measured point.
         """
         measurement = Measurement(
             experiment=self._experiment.name,
--- a/scale/sidecar_process.py
+++ b/scale/sidecar_process.py
@@ -24,7 +24,7 @@
 
 
 def sample_config(listen: Address, discovery: Address) -> dict[str, Any]:
-    """Return the sample configuration with the addresses of this run."""
+    """Return the sample configuration with the given addresses."""
     config: dict[str, Any] = json.loads(SAMPLE_CONFIG.read_text(encoding="utf-8"))
     return config | {"listen": format_address(listen), "discovery": format_address(discovery)}
 
@@ -35,7 +35,7 @@
 
 
 def write_config(config: Mapping[str, Any], folder: Path) -> Path:
-    """Write the configuration that a sidecar of this folder reads at its start and on SIGHUP."""
+    """Write the configuration file that a sidecar reads at its start and on SIGHUP; return its path."""
     path = folder / "config.json"
     path.write_text(json.dumps(config), encoding="utf-8")
     return path
@@ -44,7 +44,7 @@
 def start_sidecar(
     group: ProcessGroup, config: Mapping[str, Any], folder: Path, command: Sequence[str] = SIDECAR_COMMAND
 ) -> ManagedProcess:
-    """Start a sidecar with its configuration and log in a folder.
+    """Start a sidecar, with its configuration file and its log in a folder.
 
     Raises:
         OSError: The process cannot be started.
@@ -64,7 +64,7 @@
     """Wait until a sidecar is ready.
 
     Raises:
-        SidecarStartError: It ended first, or took longer than 15 s.
+        SidecarStartError: The sidecar exited first, or took longer than 15 s.
     """
     deadline = time.monotonic() + READY_TIMEOUT_S
     while not _is_ready(listen):
--- a/scale/slope.py
+++ b/scale/slope.py
@@ -1,4 +1,4 @@
-"""A straight line through measured points."""
+"""Fits a straight line to measured points."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 from scale.errors import TooFewSizesError
 
-MINIMUM_DISTINCT_SIZES = 2  # fewer different sizes give no line
+MINIMUM_DISTINCT_SIZES = 2  # fewer do not determine a line
 
 
 @dataclass(frozen=True, slots=True)
 class LinearFit:
-    """A straight line through measured points: value = intercept + slope * size."""
+    """A straight line fitted to measured points: value = intercept + slope * size."""
 
     slope: float
     intercept: float
     r_squared: float  # share of the variance that the line explains
-    largest_size: float  # largest size measured: beyond it the line is extrapolated
+    largest_size: float  # largest measured size; beyond it the line is extrapolated
 
     def at(self, size: float) -> float:
-        """Return the value expected at a size."""
+        """Return the value of the line at a size."""
         return self.intercept + self.slope * size
 
 
--- a/scale/slopes.py
+++ b/scale/slopes.py
@@ -1,4 +1,4 @@
-"""Lines through all metrics measured at two or more sizes, and their values at another size."""
+"""Fits lines to all metrics measured at two or more sizes, and evaluates them at another size."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     role: str
     metric: str
     unit: str
-    other_labels: str  # the labels other than the size
+    other_labels: str  # all labels but the size, as name=value
 
 
 @dataclass(frozen=True, slots=True)
 class FittedSeries:
-    """A series and its line."""
+    """A series, its number of points and the line fitted to them."""
 
     series: Series
     points: int
@@ -53,9 +53,9 @@
 
 
 def format_slopes(fitted: Sequence[FittedSeries], at: float) -> str:
-    """Format a plain-text table: slope, value at zero, fit, largest measured size, and value at `at`."""
+    """Format the lines as a plain-text table, with their values at the size `at`."""
     names = ("experiment", "commit", "role", "metric", "unit")
-    figure_names = ("per unit", "at zero", "r2", "largest", "points", f"at {at:g}")
+    figure_names = ("slope", "intercept", "r2", "largest", "points", f"at {at:g}")
     rows = [[*names, *figure_names, "other labels"]]
     for each in fitted:
         series, line = each.series, each.line
--- a/scale/suite.py
+++ b/scale/suite.py
@@ -16,7 +16,7 @@
 RESULTS_FOLDER = Path(__file__).resolve().parent.parent / "docs" / "capacity" / "results"
 TIME_LIMIT_S = 15 * 60.0  # for the complete set
 
-_SMALL_SUFFIX = "-small"  # of the names of experiments for tests, whose results are not stored
+_SMALL_SUFFIX = "-small"  # of the file names of small experiments for tests, whose results are not stored
 
 log = structlog.get_logger()
 
@@ -36,15 +36,15 @@
 def run_suite(paths: Sequence[Path], results: Path) -> float:
     """Run experiments, and write the results of each to a file of its own.
 
-    All files are validated before the first experiment runs.  The commit is read once, as the results
-    themselves may change the work tree.
+    All files are validated before the first experiment runs.  The commit is read only once,
+    because writing the results may make the work tree dirty.
 
     Args:
         paths: The experiment files.
-        results: Folder of the results; each file has its experiment file's name.
+        results: Folder of the results; each file is named after its experiment file.
 
     Returns:
-        How long they took, in seconds.
+        The elapsed time in seconds.
 
     Raises:
         ExperimentError: An experiment file cannot be used.
--- a/scale/text_table.py
+++ b/scale/text_table.py
@@ -1,4 +1,4 @@
-"""Tables in plain text."""
+"""Formats tables in plain text."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
     """Pad the cells so that columns line up, two spaces apart.
 
     Args:
-        rows: The cells; all rows have the same number.
+        rows: The cells; all rows have the same number of them.
         justify: Pads one cell to a width: `str.ljust` or `str.rjust`.
 
     Returns:
-        A line for each row, without spaces at its end.
+        One line per row, without trailing spaces.
     """
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     lines = ("  ".join(map(justify, row, widths)) for row in rows)
--- a/tests/scale/test_demo.py
+++ b/tests/scale/test_demo.py
@@ -36,7 +36,7 @@
 def test_demo_shows_calls_served_through_a_drain_and_a_kill() -> None:
     ended = subprocess.run(DEMO, capture_output=True, text=True, check=False, timeout=TIMEOUT_S)
     assert ended.returncode == 0, ended.stdout + ended.stderr
-    assert "all went as it should" in ended.stdout
+    assert "all checks passed" in ended.stdout
     assert "shed 0, failed 0" in ended.stdout
 
 
--- a/tests/scale/test_suite.py
+++ b/tests/scale/test_suite.py
@@ -27,7 +27,7 @@
 
 
 def test_folder_without_experiments_is_bad_input(tmp_path: Path) -> None:
-    with pytest.raises(ExperimentError, match="holds no experiments"):
+    with pytest.raises(ExperimentError, match="contains no experiment files"):
         suite.find_experiments(tmp_path)
 
 
--- a/typings/hdrh/histogram.pyi
+++ b/typings/hdrh/histogram.pyi
@@ -1,4 +1,4 @@
-"""Types of the parts of hdrhistogram that the rig uses; the package has none of its own."""
+"""Type stubs for the parts of hdrhistogram that the rig uses; the package ships none."""
 
 class HdrHistogram:
     def __init__(
