--- a/scale/callgraph/experiment.py
+++ b/scale/callgraph/experiment.py
@@ -37,13 +37,13 @@
     REGION_CUT = "region-cut"  # a region is partitioned from the others
 
 
-class Part(BaseModel):
+class ExperimentTable(BaseModel):
     """Base of the tables within an experiment file; unknown keys are rejected."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class Delays(Part):
+class Delays(ExperimentTable):
     """Network delays, one way."""
 
     same_zone_ms: float = Field(default=0.2, ge=0.0)
@@ -51,7 +51,7 @@
     other_region_ms: float = Field(default=3.0, ge=0.0)
 
 
-class Servers(Part):
+class Servers(ExperimentTable):
     """The servers of each service."""
 
     count: int = Field(default=6, ge=1, le=1_024)
@@ -60,7 +60,7 @@
     service_time_ms: float = Field(default=5.0, gt=0.0)  # mean; exponentially distributed
 
 
-class Calls(Part):
+class Calls(ExperimentTable):
     """The class of all root calls, and the limits on attempts at each hop."""
 
     deadline_ms: int = Field(default=1_500, ge=1)
@@ -69,7 +69,7 @@
     repeatable: bool = True  # whether the calls are idempotent
 
 
-class SlowStart(Part):
+class SlowStart(ExperimentTable):
     """Slow start of new servers, as in the sidecars' settings."""
 
     from_share: float = Field(
@@ -80,7 +80,7 @@
     overload_window_s: float = Field(default=1.0, gt=0.0)
 
 
-class Fault(Part):
+class Fault(ExperimentTable):
     """A fault; it begins and ends at seconds since the start of the run."""
 
     kind: FaultKind = FaultKind.NONE
@@ -90,7 +90,7 @@
     depth: int = Field(default=0, ge=0)  # of the service, for "errors" and "service-lost"; 0: the deepest
 
     @model_validator(mode="after")
-    def _ends_after_its_begin(self) -> Self:
+    def _check_fault_order(self) -> Self:
         if self.kind is not FaultKind.NONE and self.end_s <= self.begin_s:
             raise FaultOrderError
         return self
@@ -117,7 +117,7 @@
     fault: Fault = Fault()
 
     @model_validator(mode="after")
-    def _times_fit(self) -> Self:
+    def _check_times(self) -> Self:
         deadline_s = self.calls.deadline_ms / 1_000.0
         if self.warm_up_s + deadline_s >= self.duration_s:
             raise DurationTooShortError
--- a/scale/callgraph/faults.py
+++ b/scale/callgraph/faults.py
@@ -4,7 +4,7 @@
 
 from scale.callgraph.experiment import Fault, FaultKind
 from scale.callgraph.graph import CallGraph, Service
-from scale.callgraph.loop import MICROSECONDS, EventLoop
+from scale.callgraph.loop import MICROSECONDS_PER_SECOND, EventLoop
 from sidecar.balancer.events import RegistryUpdateKind
 
 
@@ -12,21 +12,21 @@
     """Schedule the begin and the end of a fault in virtual time."""
     if fault.kind is FaultKind.NONE:
         return
-    loop.call_at(int(fault.begin_s * MICROSECONDS), _begin_fault, graph, fault)
-    loop.call_at(int(fault.end_s * MICROSECONDS), _end_fault, graph, fault)
+    loop.call_at(int(fault.begin_s * MICROSECONDS_PER_SECOND), _begin_fault, graph, fault)
+    loop.call_at(int(fault.end_s * MICROSECONDS_PER_SECOND), _end_fault, graph, fault)
 
 
 def _begin_fault(graph: CallGraph, fault: Fault) -> None:
-    lost = graph.locations[0]
+    location = graph.locations[0]
     match fault.kind:
         case FaultKind.ERRORS:
             _set_error_share(graph.service_at(fault.depth), fault.share)
         case FaultKind.SERVICE_LOST:
             _stop_servers(graph.service_at(fault.depth))
         case FaultKind.ZONE_LOST:
-            graph.network.lost_zones.add(lost.zone)
+            graph.network.partitioned_zones.add(location.zone)
         case FaultKind.REGION_CUT:
-            graph.network.lost_regions.add(lost.region)
+            graph.network.partitioned_regions.add(location.region)
 
 
 def _end_fault(graph: CallGraph, fault: Fault) -> None:
@@ -36,9 +36,9 @@
         case FaultKind.SERVICE_LOST:
             _start_servers(graph.service_at(fault.depth))
         case FaultKind.ZONE_LOST:
-            graph.network.lost_zones.clear()
+            graph.network.partitioned_zones.clear()
         case FaultKind.REGION_CUT:
-            graph.network.lost_regions.clear()
+            graph.network.partitioned_regions.clear()
 
 
 def _set_error_share(service: Service, share: float) -> None:
@@ -50,10 +50,10 @@
     for server in service.servers.values():
         server.stop()
         for caller in service.callers:
-            caller.drop_connections(server)
+            caller.reset_connections(server)
 
 
 def _start_servers(service: Service) -> None:
     for server in service.servers.values():
         server.start()
-    service.announce(RegistryUpdateKind.DELTA)
+    service.notify_callers(RegistryUpdateKind.DELTA)
--- a/scale/callgraph/graph.py
+++ b/scale/callgraph/graph.py
@@ -8,7 +8,7 @@
 import numpy as np
 
 from scale.callgraph.experiment import CallGraphExperiment, PolicyName, SlowStart
-from scale.callgraph.loop import MICROSECONDS, EventLoop
+from scale.callgraph.loop import MICROSECONDS_PER_SECOND, EventLoop
 from scale.callgraph.network import Location, Network
 from scale.callgraph.policies import make_policy
 from scale.callgraph.server import Server
@@ -41,7 +41,7 @@
             for server in self.servers.values()
         ]
 
-    def announce(self, kind: RegistryUpdateKind) -> None:
+    def notify_callers(self, kind: RegistryUpdateKind) -> None:
         """Send a registry update with its servers to all its callers."""
         for caller in self.callers:
             caller.update_registry(kind, self.endpoints())
@@ -54,21 +54,21 @@
         self, loop: EventLoop, experiment: CallGraphExperiment, depth: int, policy: PolicyName, seed: int
     ) -> None:
         self.network = Network(experiment.delays)
-        self.locations = _locations(experiment)
+        self.locations = _make_locations(experiment)
         self._loop = loop
         self._experiment = experiment
         self._policy = policy
-        self._seeds = _seeds(np.random.SeedSequence(seed))
-        self.services = [self._make_service(number) for number in range(1, depth + 1)]
+        self._seeds = _spawn_seeds(np.random.SeedSequence(seed))
+        self.services = [self._make_service(service_depth) for service_depth in range(1, depth + 1)]
         for caller, callee in zip(self.services, self.services[1:], strict=False):
             for server in caller.servers.values():
                 server.downstream = [self._make_sidecar(server.location, callee)] * experiment.fan_out
         self.root_callers = [
-            self._make_sidecar(self.locations[number % len(self.locations)], self.services[0])
-            for number in range(experiment.root_callers)
+            self._make_sidecar(self.locations[index % len(self.locations)], self.services[0])
+            for index in range(experiment.root_callers)
         ]
         for service in self.services:
-            service.announce(RegistryUpdateKind.SNAPSHOT)
+            service.notify_callers(RegistryUpdateKind.SNAPSHOT)
 
     @property
     def deepest(self) -> Service:
@@ -81,15 +81,15 @@
 
     def _make_service(self, depth: int) -> Service:
         servers = {}
-        for number in range(self._experiment.servers.count):
+        for index in range(self._experiment.servers.count):
             # Shifted from service to service, so that no zone has the first server of each.
-            location = self.locations[(number + depth) % len(self.locations)]
-            name = f"service-{depth}-server-{number}"
+            location = self.locations[(index + depth) % len(self.locations)]
+            name = f"service-{depth}-server-{index}"
             servers[name] = Server(self._loop, name, location, self._experiment.servers, next(self._seeds))
         return Service(depth, servers, [])
 
     def _make_sidecar(self, location: Location, service: Service) -> SimulatedSidecar:
-        settings = _settings(self._experiment, location)
+        settings = _make_settings(self._experiment, location)
         seed = int(next(self._seeds).generate_state(1, np.uint64)[0]) >> (64 - _SEED_BITS)
         policy = make_policy(self._policy, settings, seed)
         upstream = UpstreamService(service.servers, _SERVICE_CLASS, settings.limits.dial_timeout_us)
@@ -98,12 +98,12 @@
         return sidecar
 
 
-def _seeds(root: np.random.SeedSequence) -> Iterator[np.random.SeedSequence]:
+def _spawn_seeds(root: np.random.SeedSequence) -> Iterator[np.random.SeedSequence]:
     while True:
         yield root.spawn(1)[0]
 
 
-def _locations(experiment: CallGraphExperiment) -> list[Location]:
+def _make_locations(experiment: CallGraphExperiment) -> list[Location]:
     return [
         Location(f"region-{region}", f"region-{region}-zone-{zone}")
         for zone in range(experiment.zones_per_region)
@@ -111,7 +111,7 @@
     ]
 
 
-def _settings(experiment: CallGraphExperiment, location: Location) -> Settings:
+def _make_settings(experiment: CallGraphExperiment, location: Location) -> Settings:
     calls = experiment.calls
     service_class = ServiceClass(
         _SERVICE_CLASS,
@@ -124,15 +124,15 @@
         zone=location.zone,
         tick_us=_TICK_US,
         discovery=Discovery.PUSHED,
-        rules=_rules(experiment.slow_start),
+        rules=_make_rules(experiment.slow_start),
         limits=Limits(max_attempts=calls.max_attempts, allow_cancel=True, dial_timeout_us=_DIAL_TIMEOUT_US),
     )
 
 
-def _rules(slow_start: SlowStart) -> Rules:
+def _make_rules(slow_start: SlowStart) -> Rules:
     return Rules(
         slow_start_from=slow_start.from_share,
-        slow_start_us=int(slow_start.duration_s * MICROSECONDS),
+        slow_start_us=int(slow_start.duration_s * MICROSECONDS_PER_SECOND),
         overload_multiple=slow_start.overload_multiple,
-        overload_window_us=int(slow_start.overload_window_s * MICROSECONDS),
+        overload_window_us=int(slow_start.overload_window_s * MICROSECONDS_PER_SECOND),
     )
--- a/scale/callgraph/loop.py
+++ b/scale/callgraph/loop.py
@@ -7,10 +7,10 @@
 from functools import partial
 from typing import TypeVarTuple
 
-MICROSECONDS = 1_000_000  # in a second
+MICROSECONDS_PER_SECOND = 1_000_000  # in a second
 
 Arguments = TypeVarTuple("Arguments")
-Scheduled = tuple[int, int, Callable[[], None]]  # due time, sequence number, callback
+ScheduledCallback = tuple[int, int, Callable[[], None]]  # due time, sequence number, callback
 
 
 class EventLoop:
@@ -18,13 +18,17 @@
 
     def __init__(self) -> None:
         self.now = 0  # microseconds since the start of the run
-        self._queue: list[Scheduled] = []
-        self._scheduled = 0
+        self._queue: list[ScheduledCallback] = []
+        self._sequence_number = 0
 
     def call_at(self, due: int, callback: Callable[[*Arguments], None], *arguments: *Arguments) -> None:
         """Run a callback at a time in microseconds; a time in the past means now."""
-        self._scheduled += 1
-        scheduled: Scheduled = (max(due, self.now), self._scheduled, partial(callback, *arguments))
+        self._sequence_number += 1
+        scheduled: ScheduledCallback = (
+            max(due, self.now),
+            self._sequence_number,
+            partial(callback, *arguments),
+        )
         heapq.heappush(self._queue, scheduled)
 
     def call_later(
--- a/scale/callgraph/measure.py
+++ b/scale/callgraph/measure.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from scale.callgraph.loop import MICROSECONDS
+from scale.callgraph.loop import MICROSECONDS_PER_SECOND
 from scale.callgraph.server import CallResult
 
 BIN_US = 250_000  # the resolution of the time to recover
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shares:
+class OutcomeShares:
     """Outcomes of the root calls offered in a window of time, as shares from 0 to 1."""
 
     offered: int
@@ -45,26 +45,26 @@
         self.calls.append(call)
         return call
 
-    def shares(self, begin: int, end: int) -> Shares:
+    def shares(self, begin: int, end: int) -> OutcomeShares:
         """Return the outcomes of the calls offered from `begin` until before `end`, in microseconds."""
         calls = [call for call in self.calls if begin <= call.offered_at < end]
         count = max(len(calls), 1)
-        return Shares(
+        return OutcomeShares(
             offered=len(calls),
-            goodput=sum(self._is_good(call) for call in calls) / count,
+            goodput=sum(self._is_served_in_time(call) for call in calls) / count,
             shed=sum(call.result is CallResult.SHED for call in calls) / count,
             failed=sum(call.result is CallResult.FAILED for call in calls) / count,
             unanswered=sum(call.result is None for call in calls) / count,
         )
 
-    def recovery_us(self, before: float, fault_end: int, end: int) -> int | None:
+    def recovery_us(self, goodput_before: float, fault_end: int, end: int) -> int | None:
         """Return the time from the fault's end until goodput has recovered, in microseconds.
 
         Goodput has recovered at the first bin that, together with the next ones, reaches
         `RECOVERY_SHARE` of the goodput before the fault.
 
         Args:
-            before: Goodput before the fault, from 0 to 1.
+            goodput_before: Goodput before the fault, from 0 to 1.
             fault_end: End of the fault, in microseconds since the start of the run.
             end: End of the measured time, on the same clock.
 
@@ -73,11 +73,11 @@
         """
         span = RECOVERY_BINS * BIN_US
         for begin in range(fault_end, end - span + 1, BIN_US):
-            if self.shares(begin, begin + span).goodput >= RECOVERY_SHARE * before:
+            if self.shares(begin, begin + span).goodput >= RECOVERY_SHARE * goodput_before:
                 return begin - fault_end
         return None
 
-    def _is_good(self, call: RootCall) -> bool:
+    def _is_served_in_time(self, call: RootCall) -> bool:
         return (
             call.result is CallResult.SERVED
             and call.ended_at is not None
@@ -87,4 +87,4 @@
 
 def to_us(seconds: float) -> int:
     """Convert seconds to microseconds, rounded down."""
-    return int(seconds * MICROSECONDS)
+    return int(seconds * MICROSECONDS_PER_SECOND)
--- a/scale/callgraph/network.py
+++ b/scale/callgraph/network.py
@@ -22,8 +22,8 @@
         self._same_zone_us = int(delays.same_zone_ms * 1_000)
         self._same_region_us = int(delays.same_region_ms * 1_000)
         self._other_region_us = int(delays.other_region_ms * 1_000)
-        self.lost_zones: set[str] = set()
-        self.lost_regions: set[str] = set()  # regions whose links to all others are lost
+        self.partitioned_zones: set[str] = set()
+        self.partitioned_regions: set[str] = set()  # regions whose links to all others are lost
 
     def delay_us(self, origin: Location, target: Location) -> int:
         """Return the one-way latency in microseconds."""
@@ -33,6 +33,6 @@
 
     def reaches(self, origin: Location, target: Location) -> bool:
         """Return whether a message sent now would arrive."""
-        if origin.zone != target.zone and self.lost_zones & {origin.zone, target.zone}:
+        if origin.zone != target.zone and self.partitioned_zones & {origin.zone, target.zone}:
             return False
-        return origin.region == target.region or not self.lost_regions & {origin.region, target.region}
+        return origin.region == target.region or not self.partitioned_regions & {origin.region, target.region}
--- a/scale/callgraph/root_load.py
+++ b/scale/callgraph/root_load.py
@@ -5,7 +5,7 @@
 import numpy as np
 
 from scale.callgraph.graph import CallGraph
-from scale.callgraph.loop import MICROSECONDS, EventLoop
+from scale.callgraph.loop import MICROSECONDS_PER_SECOND, EventLoop
 from scale.callgraph.measure import RootCall, RootCallRecorder
 from scale.callgraph.server import CallResult
 
@@ -13,23 +13,25 @@
 class RootLoad:
     """Makes root calls at random times, spread evenly over the root callers that are not partitioned."""
 
-    def __init__(self, loop: EventLoop, graph: CallGraph, rate: float, deadline_us: int, seed: int) -> None:
+    def __init__(
+        self, loop: EventLoop, graph: CallGraph, calls_per_s: float, deadline_us: int, seed: int
+    ) -> None:
         self.recorder = RootCallRecorder(deadline_us)
         self._loop = loop
         self._graph = graph
-        self._mean_gap_us = MICROSECONDS / rate
+        self._mean_interval_us = MICROSECONDS_PER_SECOND / calls_per_s
         self._deadline_us = deadline_us
         self._random = np.random.default_rng([seed, 1])
 
     def schedule_next(self) -> None:
         """Schedule the next root call."""
-        self._loop.call_later(int(self._random.exponential(self._mean_gap_us)), self._call)
+        self._loop.call_later(int(self._random.exponential(self._mean_interval_us)), self._make_call)
 
-    def _call(self) -> None:
+    def _make_call(self) -> None:
         self.schedule_next()
         callers = self._graph.root_callers
         caller = callers[int(self._random.integers(len(callers)))]
-        if caller.location.zone in self._graph.network.lost_zones:
+        if caller.location.zone in self._graph.network.partitioned_zones:
             return  # its application is in the lost zone as well
         call = self.recorder.offer(self._loop.now)
         caller.call(self._deadline_us, lambda result: self._record_end(call, result))
--- a/scale/callgraph/run.py
+++ b/scale/callgraph/run.py
@@ -12,7 +12,7 @@
 from scale.callgraph.faults import schedule_fault
 from scale.callgraph.graph import CallGraph
 from scale.callgraph.loop import EventLoop
-from scale.callgraph.measure import RootCallRecorder, Shares, to_us
+from scale.callgraph.measure import OutcomeShares, RootCallRecorder, to_us
 from scale.callgraph.root_load import RootLoad
 
 
@@ -44,29 +44,31 @@
 
     spans: Spans
     recorder: RootCallRecorder
-    received_during: list[int]  # calls that each service received during the fault
+    received_during_fault: list[int]  # calls that each service received during the fault
     digest: str  # of all root calls and of all services' counts
 
     def calls_per_root_call(self) -> list[float]:
         """Return the calls that each service received during the fault, per root call offered then."""
         offered = self.recorder.shares(self.spans.fault_begin, self.spans.fault_end).offered
-        return [received / max(offered, 1) for received in self.received_during]
+        return [received / max(offered, 1) for received in self.received_during_fault]
 
-    def during(self) -> Shares:
+    def shares_during_fault(self) -> OutcomeShares:
         """Return the outcomes of the root calls offered during the fault; of all calls if there is none."""
         return self.recorder.shares(self.spans.fault_begin, self.spans.fault_end)
 
-    def before(self) -> Shares:
+    def shares_before_fault(self) -> OutcomeShares:
         """Return the outcomes of the root calls offered after warm-up with deadlines before the fault."""
         return self.recorder.shares(self.spans.begin, self.spans.before_end)
 
-    def after(self) -> Shares:
+    def shares_after_fault(self) -> OutcomeShares:
         """Return the outcomes of the root calls offered after the fault with deadlines before the end."""
         return self.recorder.shares(self.spans.fault_end, self.spans.end)
 
     def recovery_us(self) -> int | None:
         """Return the microseconds from the fault's end to recovery; None if goodput did not recover."""
-        return self.recorder.recovery_us(self.before().goodput, self.spans.fault_end, self.spans.end)
+        return self.recorder.recovery_us(
+            self.shares_before_fault().goodput, self.spans.fault_end, self.spans.end
+        )
 
 
 def run_point(experiment: CallGraphExperiment, point: Point) -> CallGraphRun:
@@ -74,9 +76,9 @@
     loop = EventLoop()
     graph = CallGraph(loop, experiment, point.depth, point.policy, point.seed)
     load = RootLoad(
-        loop, graph, _root_rate(experiment, point), experiment.calls.deadline_ms * 1_000, point.seed
+        loop, graph, _root_calls_per_s(experiment, point), experiment.calls.deadline_ms * 1_000, point.seed
     )
-    spans = _spans(experiment, point.fault)
+    spans = _measured_spans(experiment, point.fault)
     schedule_fault(loop, graph, point.fault)
     load.schedule_next()
     loop.run_until(spans.fault_begin)
@@ -92,14 +94,14 @@
     )
 
 
-def _root_rate(experiment: CallGraphExperiment, point: Point) -> float:
+def _root_calls_per_s(experiment: CallGraphExperiment, point: Point) -> float:
     """Root calls a second: a share of the capacity of the service with the most calls per root call."""
     servers = experiment.servers
-    served_per_s = servers.count * servers.concurrency * 1_000.0 / servers.service_time_ms
-    return point.load * served_per_s / math.pow(experiment.fan_out, point.depth - 1)
+    capacity_per_s = servers.count * servers.concurrency * 1_000.0 / servers.service_time_ms
+    return point.load * capacity_per_s / math.pow(experiment.fan_out, point.depth - 1)
 
 
-def _spans(experiment: CallGraphExperiment, fault: Fault) -> Spans:
+def _measured_spans(experiment: CallGraphExperiment, fault: Fault) -> Spans:
     """Leave out the root calls whose deadlines are after the end of the run."""
     begin, end = to_us(experiment.warm_up_s), to_us(experiment.duration_s)
     deadline_us = experiment.calls.deadline_ms * 1_000
--- a/scale/callgraph/server.py
+++ b/scale/callgraph/server.py
@@ -31,8 +31,8 @@
 class Sidecar(Protocol):
     """The part of a sidecar that its application uses."""
 
-    def call(self, remaining_us: int, done: Callable[[CallResult], None]) -> None:
-        """Make a call with a deadline in microseconds; `done` is called once with its result."""
+    def call(self, remaining_us: int, on_result: Callable[[CallResult], None]) -> None:
+        """Make a call with a deadline in microseconds; `on_result` is called once with its result."""
 
 
 @dataclass(slots=True, eq=False)
--- a/scale/callgraph/sidecar.py
+++ b/scale/callgraph/sidecar.py
@@ -36,7 +36,7 @@
 class _Request:
     """A call of the application that has attempts in flight or no response yet."""
 
-    done: Callable[[CallResult], None]
+    on_result: Callable[[CallResult], None]
     attempts_sent: int = 0
     in_flight: dict[int, _Attempt] = field(default_factory=dict)  # by index
     responded: bool = False
@@ -83,11 +83,11 @@
         """Pass a registry update to the policy."""
         self._handle(RegistryUpdated(kind, endpoints, 1))
 
-    def call(self, remaining_us: int, done: Callable[[CallResult], None]) -> None:
-        """Make a call with a deadline in microseconds; `done` is called once with its result."""
-        number, self._next_request = self._next_request, self._next_request + 1
-        self._requests[number] = _Request(done)
-        self._handle(RequestArrived(number, self._upstream.service_class, None, None, remaining_us))
+    def call(self, remaining_us: int, on_result: Callable[[CallResult], None]) -> None:
+        """Make a call with a deadline in microseconds; `on_result` is called once with its result."""
+        request_number, self._next_request = self._next_request, self._next_request + 1
+        self._requests[request_number] = _Request(on_result)
+        self._handle(RequestArrived(request_number, self._upstream.service_class, None, None, remaining_us))
 
     def _handle(self, event: RegistryUpdated | RequestArrived | AttemptEnded | TimerFired) -> None:
         for action in self._policy.handle(self._loop.now, event):
@@ -109,14 +109,14 @@
             case SetTimer():
                 self._loop.call_later(action.delay_us, self._handle, TimerFired(action.token))
 
-    def _respond_to_caller(self, number: int, result: CallResult) -> None:
-        request = self._requests.get(number)
+    def _respond_to_caller(self, request_number: int, result: CallResult) -> None:
+        request = self._requests.get(request_number)
         if request is None or request.responded:
             return
         request.responded = True
         if not request.in_flight:
-            del self._requests[number]
-        request.done(result)
+            del self._requests[request_number]
+        request.on_result(result)
 
     # -- Attempts -------------------------------------------------------------------------------------
 
@@ -126,13 +126,13 @@
         attempt = _Attempt(request.attempts_sent, server, self._loop.now, server.incarnation)
         request.in_flight[attempt.index] = attempt
         request.attempts_sent += 1
-        until = max(action.deadline, self._loop.now)
-        self._loop.call_at(until, self._abort_attempt, action.request, attempt.index, Outcome.TIMED_OUT)
+        deadline = max(action.deadline, self._loop.now)
+        self._loop.call_at(deadline, self._abort_attempt, action.request, attempt.index, Outcome.TIMED_OUT)
         one_way_us = self._network.delay_us(self.location, server.location)
         if self._acquire_connection(server):
-            self._loop.call_later(one_way_us, self._deliver, action.request, attempt, until)
+            self._loop.call_later(one_way_us, self._deliver, action.request, attempt, deadline)
         else:
-            self._dial(action.request, attempt, until, one_way_us)
+            self._dial(action.request, attempt, deadline, one_way_us)
 
     def _acquire_connection(self, server: Server) -> bool:
         """Take an idle connection, if there is one to the server's current incarnation."""
@@ -144,73 +144,79 @@
         idle.count -= 1
         return True
 
-    def _dial(self, number: int, attempt: _Attempt, until: int, one_way_us: int) -> None:
+    def _dial(self, request_number: int, attempt: _Attempt, deadline: int, one_way_us: int) -> None:
         if not self._network.reaches(self.location, attempt.server.location):
             timeout_us = self._upstream.dial_timeout_us
-            self._loop.call_later(timeout_us, self._end_attempt, number, attempt, Outcome.CONNECT_FAILED)
+            self._loop.call_later(
+                timeout_us, self._end_attempt, request_number, attempt, Outcome.CONNECT_FAILED
+            )
         elif not attempt.server.is_up:
-            self._loop.call_later(2 * one_way_us, self._end_attempt, number, attempt, Outcome.CONNECT_FAILED)
+            self._loop.call_later(
+                2 * one_way_us, self._end_attempt, request_number, attempt, Outcome.CONNECT_FAILED
+            )
         else:
-            self._loop.call_later(3 * one_way_us, self._deliver, number, attempt, until)
+            self._loop.call_later(3 * one_way_us, self._deliver, request_number, attempt, deadline)
 
-    def _deliver(self, number: int, attempt: _Attempt, until: int) -> None:
+    def _deliver(self, request_number: int, attempt: _Attempt, deadline: int) -> None:
         """Deliver an attempt to its server, unless it was cancelled or the network lost it."""
         server = attempt.server
-        if not self._is_in_flight(number, attempt) or not self._network.reaches(
+        if not self._is_in_flight(request_number, attempt) or not self._network.reaches(
             self.location, server.location
         ):
             return
         if not server.is_up:
-            self._respond(number, attempt, Outcome.RESET)
+            self._send_response(request_number, attempt, Outcome.RESET)
             return
         attempt.incarnation = server.incarnation
-        attempt.call = ServerCall(lambda outcome: self._respond(number, attempt, outcome), until)
+        attempt.call = ServerCall(
+            lambda outcome: self._send_response(request_number, attempt, outcome), deadline
+        )
         server.receive(attempt.call)
 
-    def _respond(self, number: int, attempt: _Attempt, outcome: Outcome) -> None:
+    def _send_response(self, request_number: int, attempt: _Attempt, outcome: Outcome) -> None:
         """Send the server's response to the sidecar; a process that was stopped sends none."""
-        died = attempt.incarnation != attempt.server.incarnation and outcome is not Outcome.RESET
-        if died or not self._network.reaches(attempt.server.location, self.location):
+        process_stopped = attempt.incarnation != attempt.server.incarnation and outcome is not Outcome.RESET
+        if process_stopped or not self._network.reaches(attempt.server.location, self.location):
             return
         one_way_us = self._network.delay_us(attempt.server.location, self.location)
-        self._loop.call_later(one_way_us, self._end_attempt, number, attempt, outcome)
+        self._loop.call_later(one_way_us, self._end_attempt, request_number, attempt, outcome)
 
-    def drop_connections(self, server: Server) -> None:
+    def reset_connections(self, server: Server) -> None:
         """Reset the attempts in flight at a server whose process was stopped."""
-        for number, request in list(self._requests.items()):
+        for request_number, request in list(self._requests.items()):
             for attempt in list(request.in_flight.values()):
                 if attempt.server is server and attempt.call is not None:
-                    self._respond(number, attempt, Outcome.RESET)
+                    self._send_response(request_number, attempt, Outcome.RESET)
 
-    def _abort_attempt(self, number: int, index: int, outcome: Outcome) -> None:
-        request = self._requests.get(number)
+    def _abort_attempt(self, request_number: int, index: int, outcome: Outcome) -> None:
+        request = self._requests.get(request_number)
         attempt = None if request is None else request.in_flight.get(index)
         if attempt is None:
             return
         if attempt.call is not None:
             attempt.call.cancelled = True
-        self._end_attempt(number, attempt, outcome)
+        self._end_attempt(request_number, attempt, outcome)
 
-    def _is_in_flight(self, number: int, attempt: _Attempt) -> bool:
-        request = self._requests.get(number)
+    def _is_in_flight(self, request_number: int, attempt: _Attempt) -> bool:
+        request = self._requests.get(request_number)
         return request is not None and request.in_flight.get(attempt.index) is attempt
 
-    def _end_attempt(self, number: int, attempt: _Attempt, outcome: Outcome) -> None:
-        if not self._is_in_flight(number, attempt):
+    def _end_attempt(self, request_number: int, attempt: _Attempt, outcome: Outcome) -> None:
+        if not self._is_in_flight(request_number, attempt):
             return
-        request = self._requests[number]
+        request = self._requests[request_number]
         del request.in_flight[attempt.index]
         if outcome in (Outcome.SUCCEEDED, Outcome.ERROR, Outcome.REJECTED):
             self._release_connection(attempt)
         if outcome is Outcome.SUCCEEDED:
-            self._respond_to_caller(number, CallResult.SERVED)
+            self._respond_to_caller(request_number, CallResult.SERVED)
         elapsed_us = self._loop.now - attempt.sent_at
         event = AttemptEnded(
-            number, attempt.index, attempt.server.name, outcome, elapsed_us, request.responded
+            request_number, attempt.index, attempt.server.name, outcome, elapsed_us, request.responded
         )
         self._handle(event)
         if request.responded and not request.in_flight:
-            self._requests.pop(number, None)
+            self._requests.pop(request_number, None)
 
     def _release_connection(self, attempt: _Attempt) -> None:
         idle = self._idle[attempt.server.name]
--- a/scale/callgraph/sweep.py
+++ b/scale/callgraph/sweep.py
@@ -7,8 +7,8 @@
 import structlog
 
 from scale.callgraph.experiment import CallGraphExperiment, FaultKind
-from scale.callgraph.loop import MICROSECONDS
-from scale.callgraph.measure import Shares
+from scale.callgraph.loop import MICROSECONDS_PER_SECOND
+from scale.callgraph.measure import OutcomeShares
 from scale.callgraph.run import CallGraphRun, Point, points, run_point
 from scale.results import Label, ResultWriter
 
@@ -22,7 +22,7 @@
     all_points = list(points(experiment))
     for number, point in enumerate(all_points, start=1):
         run = run_point(experiment, point)
-        _write(writer, point, run)
+        _write_results(writer, point, run)
         log.info(
             "point measured",
             number=number,
@@ -35,7 +35,7 @@
         )
 
 
-def _labels(point: Point) -> dict[str, Label]:
+def _make_labels(point: Point) -> dict[str, Label]:
     labels: dict[str, Label] = {
         "policy": point.policy.value,
         "depth": point.depth,
@@ -48,20 +48,22 @@
     return labels
 
 
-def _write(writer: ResultWriter, point: Point, run: CallGraphRun) -> None:
-    labels = _labels(point)
+def _write_results(writer: ResultWriter, point: Point, run: CallGraphRun) -> None:
+    labels = _make_labels(point)
     per_root_call = run.calls_per_root_call()
     writer.add(_ROLE, "calls on the deepest service", per_root_call[-1], "calls/root call", labels)
     writer.add(_ROLE, "calls on the busiest service", max(per_root_call), "calls/root call", labels)
-    _write_shares(writer, "during", run.during(), labels)
+    _write_shares(writer, "during", run.shares_during_fault(), labels)
     if point.fault.kind is FaultKind.NONE:
         return
-    _write_shares(writer, "before", run.before(), labels)
-    _write_shares(writer, "after", run.after(), labels)
+    _write_shares(writer, "before", run.shares_before_fault(), labels)
+    _write_shares(writer, "after", run.shares_after_fault(), labels)
     _write_recovery(writer, run, labels)
 
 
-def _write_shares(writer: ResultWriter, span: str, shares: Shares, labels: Mapping[str, Label]) -> None:
+def _write_shares(
+    writer: ResultWriter, span: str, shares: OutcomeShares, labels: Mapping[str, Label]
+) -> None:
     labels = {**labels, "span": span}
     writer.add(_ROLE, "root calls offered", shares.offered, "calls", labels)
     writer.add(_ROLE, "goodput", shares.goodput, "part of offered", labels)
@@ -74,4 +76,6 @@
     recovery_us = run.recovery_us()
     recovered = recovery_us is not None
     value_us = run.spans.end - run.spans.fault_end if recovery_us is None else recovery_us
-    writer.add(_ROLE, "time to recover", value_us / MICROSECONDS, "s", {**labels, "recovered": recovered})
+    writer.add(
+        _ROLE, "time to recover", value_us / MICROSECONDS_PER_SECOND, "s", {**labels, "recovered": recovered}
+    )
--- a/tests/balancer/test_retry_depth.py
+++ b/tests/balancer/test_retry_depth.py
@@ -49,7 +49,7 @@
 
 
 def test_few_failures_are_still_retried() -> None:
-    assert run_chain(0.3).during().goodput >= 0.99
+    assert run_chain(0.3).shares_during_fault().goodput >= 0.99
 
 
 def test_short_fault_finds_no_accumulated_retry_budget() -> None:
--- a/tests/scale/test_callgraph.py
+++ b/tests/scale/test_callgraph.py
@@ -50,7 +50,7 @@
 @pytest.mark.parametrize("policy", list(PolicyName))
 def test_healthy_graph_serves_each_root_call_with_one_call_at_each_hop(policy: PolicyName) -> None:
     measured = run(policy)
-    assert measured.during().goodput == 1.0
+    assert measured.shares_during_fault().goodput == 1.0
     assert measured.calls_per_root_call() == pytest.approx([1.0, 1.0, 1.0], rel=0.02)
 
 
@@ -68,8 +68,8 @@
 
 def test_overload_fills_queues_and_servers_reject_calls() -> None:
     measured = run(PolicyName.NO_RETRY, loads=[1.5])
-    assert 0.4 < measured.during().goodput < 0.9
-    assert measured.during().failed > 0.1
+    assert 0.4 < measured.shares_during_fault().goodput < 0.9
+    assert measured.shares_during_fault().failed > 0.1
 
 
 @pytest.mark.parametrize(
@@ -83,10 +83,10 @@
 )
 def test_fault_reduces_goodput_only_while_it_lasts(kind: FaultKind, least: float, most: float) -> None:
     measured = run(PolicyName.NO_RETRY, fault={"kind": kind.value, **FAULT})
-    assert measured.before().goodput == 1.0
-    assert least <= measured.during().goodput <= most
+    assert measured.shares_before_fault().goodput == 1.0
+    assert least <= measured.shares_during_fault().goodput <= most
     assert measured.recovery_us() is not None
-    assert measured.after().goodput > 0.9
+    assert measured.shares_after_fault().goodput > 0.9
 
 
 def test_recovery_is_the_first_time_that_goodput_has_recovered() -> None:
