--- a/scale/callgraph/sweep.py
+++ b/scale/callgraph/sweep.py
@@ -10,7 +10,7 @@
 from scale.callgraph.loop import MICROSECONDS_PER_SECOND
 from scale.callgraph.measure import OutcomeShares
 from scale.callgraph.run import CallGraphRun, Point, points, run_point
-from scale.results import Label, ResultWriter
+from scale.results import LabelValue, ResultWriter
 
 _ROLE = "call graph"
 
@@ -35,8 +35,8 @@
         )
 
 
-def _make_labels(point: Point) -> dict[str, Label]:
-    labels: dict[str, Label] = {
+def _make_labels(point: Point) -> dict[str, LabelValue]:
+    labels: dict[str, LabelValue] = {
         "policy": point.policy.value,
         "depth": point.depth,
         "load": point.load,
@@ -62,7 +62,7 @@
 
 
 def _write_shares(
-    writer: ResultWriter, span: str, shares: OutcomeShares, labels: Mapping[str, Label]
+    writer: ResultWriter, span: str, shares: OutcomeShares, labels: Mapping[str, LabelValue]
 ) -> None:
     labels = {**labels, "span": span}
     writer.add(_ROLE, "root calls offered", shares.offered, "calls", labels)
@@ -71,7 +71,7 @@
     writer.add(_ROLE, "failed", shares.failed, "part of offered", labels)
 
 
-def _write_recovery(writer: ResultWriter, run: CallGraphRun, labels: Mapping[str, Label]) -> None:
+def _write_recovery(writer: ResultWriter, run: CallGraphRun, labels: Mapping[str, LabelValue]) -> None:
     """Without recovery, write the time until the end of the run, with the label `recovered=False`."""
     recovery_us = run.recovery_us()
     recovered = recovery_us is not None
--- a/scale/control/fleet.py
+++ b/scale/control/fleet.py
@@ -7,7 +7,7 @@
 
 from scale.control.experiment import ControlExperiment
 from scale.control.processes import RealSidecar, Registry, StubGroup
-from scale.processes import ManagedProcess, Usage
+from scale.processes import ManagedProcess, ResourceUsage
 from scale.standins.registry_commands import CommittedChange, Counts, ObservedDelays, TrafficTotals
 
 
@@ -15,11 +15,11 @@
 class Reading:
     """Resource usage of all processes up to one moment."""
 
-    registry: Usage
-    stubs: list[Usage]
-    real: list[Usage]
-    counts: Counts
-    real_traffic: TrafficTotals
+    registry: ResourceUsage
+    stub_processes: list[ResourceUsage]
+    real_sidecars: list[ResourceUsage]
+    registry_counts: Counts
+    real_sidecar_traffic: TrafficTotals
 
 
 @dataclass(slots=True)
@@ -29,35 +29,35 @@
     experiment: ControlExperiment
     registry: Registry
     stubs: StubGroup
-    real: list[RealSidecar]
+    real_sidecars: list[RealSidecar]
     migrated: bool = False  # whether the sidecars use their second address of the registry
 
     @property
-    def sidecars(self) -> int:
+    def sidecar_count(self) -> int:
         """How many sidecars watch the registry."""
-        return self.stubs.count + len(self.real)
+        return self.stubs.count + len(self.real_sidecars)
 
     def migrate_discovery(self) -> None:
         """Migrate all sidecars to their other address of the registry, at once."""
         self.migrated = not self.migrated
         self.stubs.migrate(self.migrated)
-        for sidecar in self.real:
+        for sidecar in self.real_sidecars:
             sidecar.migrate(self.migrated)
 
-    def real_delays(self, changes: list[CommittedChange]) -> ObservedDelays:
+    def real_sidecar_delays(self, changes: list[CommittedChange]) -> ObservedDelays:
         """Return the seconds until each real sidecar was first observed with each change."""
-        return self.registry.real_delays(changes, len(self.real), self.migrated)
+        return self.registry.real_sidecar_delays(changes, len(self.real_sidecars), self.migrated)
 
-    def read(self) -> Reading:
+    def read_usage(self) -> Reading:
         """Read the usage of all processes."""
         return Reading(
             self.registry.process.usage(),
             _usages(self.stubs.processes),
-            _usages([each.process for each in self.real]),
+            _usages([each.process for each in self.real_sidecars]),
             self.registry.counts(),
-            self.registry.real_traffic(len(self.real)),
+            self.registry.real_sidecar_traffic(len(self.real_sidecars)),
         )
 
 
-def _usages(processes: Sequence[ManagedProcess]) -> list[Usage]:
+def _usages(processes: Sequence[ManagedProcess]) -> list[ResourceUsage]:
     return [process.usage() for process in processes]
