--- a/scale/callgraph/__init__.py
+++ b/scale/callgraph/__init__.py
@@ -1,1 +1,1 @@
-"""Call graphs in virtual time: a policy decides at each hop, and servers are queues."""
+"""Simulates call graphs in virtual time: a load balancing policy at each hop, and servers with queues."""
--- a/scale/callgraph/faults.py
+++ b/scale/callgraph/faults.py
@@ -9,7 +9,7 @@
 
 
 def schedule_fault(loop: EventLoop, graph: CallGraph, fault: Fault) -> None:
-    """Schedule the begin and the end of a fault in virtual time."""
+    """Schedule the start and the end of a fault in virtual time."""
     if fault.kind is FaultKind.NONE:
         return
     loop.call_at(int(fault.begin_s * MICROSECONDS_PER_SECOND), _begin_fault, graph, fault)
--- a/scale/callgraph/graph.py
+++ b/scale/callgraph/graph.py
@@ -26,16 +26,19 @@
 class Service:
     """One service: its servers, and the sidecars that call it."""
 
-    depth: int  # 1: called by the root callers
+    depth: int  # 1 for the service that the root callers call
     servers: dict[str, Server]
     callers: list[SimulatedSidecar]
 
     def calls_received(self) -> int:
-        """Return how many calls its servers have received, rejected ones included."""
+        """Return the number of calls that its servers have received, including rejected ones."""
         return sum(server.calls_received for server in self.servers.values())
 
     def endpoints(self) -> list[Endpoint]:
-        """Return its registry entries; the registry is notified of restarts, not of faults."""
+        """Return its registry entries.
+
+        The entries reflect restarts, but no faults: stopped and partitioned servers stay listed.
+        """
         return [
             Endpoint(server.name, server.location.zone, started_at=server.started_at)
             for server in self.servers.values()
@@ -48,7 +51,7 @@
 
 
 class CallGraph:
-    """Services 1 to `depth`; each server calls the next service through its own sidecar."""
+    """A chain of services, from 1 to `depth`; each server calls the next service through its own sidecar."""
 
     def __init__(
         self, loop: EventLoop, experiment: CallGraphExperiment, depth: int, policy: PolicyName, seed: int
@@ -76,13 +79,13 @@
         return self.services[-1]
 
     def service_at(self, depth: int) -> Service:
-        """Return the service at a depth; 0 is the deepest."""
+        """Return the service at a depth; 0 means the deepest service."""
         return self.services[depth - 1]
 
     def _make_service(self, depth: int) -> Service:
         servers = {}
         for index in range(self._experiment.servers.count):
-            # Shifted from service to service, so that no zone has the first server of each.
+            # Each service starts at another location, so that its first server isn't always in the same zone.
             location = self.locations[(index + depth) % len(self.locations)]
             name = f"service-{depth}-server-{index}"
             servers[name] = Server(self._loop, name, location, self._experiment.servers, next(self._seeds))
--- a/scale/callgraph/loop.py
+++ b/scale/callgraph/loop.py
@@ -7,14 +7,14 @@
 from functools import partial
 from typing import TypeVarTuple
 
-MICROSECONDS_PER_SECOND = 1_000_000  # in a second
+MICROSECONDS_PER_SECOND = 1_000_000
 
 Arguments = TypeVarTuple("Arguments")
 ScheduledCallback = tuple[int, int, Callable[[], None]]  # due time, sequence number, callback
 
 
 class EventLoop:
-    """Runs callbacks in order of their due times; equal times run in order of scheduling."""
+    """Runs callbacks in order of their due times, and those due at the same time in order of scheduling."""
 
     def __init__(self) -> None:
         self.now = 0  # microseconds since the start of the run
@@ -22,7 +22,7 @@
         self._sequence_number = 0
 
     def call_at(self, due: int, callback: Callable[[*Arguments], None], *arguments: *Arguments) -> None:
-        """Run a callback at a time in microseconds; a time in the past means now."""
+        """Run a callback at `due`, in microseconds; a callback due in the past runs at the current time."""
         self._sequence_number += 1
         scheduled: ScheduledCallback = (
             max(due, self.now),
--- a/scale/callgraph/measure.py
+++ b/scale/callgraph/measure.py
@@ -9,12 +9,12 @@
 
 BIN_US = 250_000  # the resolution of the time to recover
 RECOVERY_SHARE = 0.95  # of the goodput before the fault
-RECOVERY_BINS = 4  # consecutive bins whose mean goodput must reach it
+RECOVERY_BINS = 4  # consecutive bins whose mean goodput must reach RECOVERY_SHARE
 
 
 @dataclass(slots=True)
 class RootCall:
-    """One call of a root caller."""
+    """One call of a root caller; times are in microseconds since the start of the run."""
 
     offered_at: int
     ended_at: int | None = None
@@ -60,16 +60,16 @@
     def recovery_us(self, goodput_before: float, fault_end: int, end: int) -> int | None:
         """Return the time from the fault's end until goodput has recovered, in microseconds.
 
-        Goodput has recovered at the first bin that, together with the next ones, reaches
-        `RECOVERY_SHARE` of the goodput before the fault.
+        Goodput has recovered at the start of the first `RECOVERY_BINS` consecutive bins whose goodput
+        is at least `RECOVERY_SHARE` of the goodput before the fault.
 
         Args:
             goodput_before: Goodput before the fault, from 0 to 1.
             fault_end: End of the fault, in microseconds since the start of the run.
-            end: End of the measured time, on the same clock.
+            end: End of the measured time, in microseconds since the start of the run.
 
         Returns:
-            The time to recover, or None if goodput did not recover before `end`.
+            The time to recover in microseconds, or None if goodput did not recover before `end`.
         """
         span = RECOVERY_BINS * BIN_US
         for begin in range(fault_end, end - span + 1, BIN_US):
--- a/scale/callgraph/network.py
+++ b/scale/callgraph/network.py
@@ -9,21 +9,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Location:
-    """Where a process runs."""
+    """The region and the zone that a process runs in."""
 
     region: str
     zone: str
 
 
 class Network:
-    """Gives the latency between two locations, and whether they can reach each other."""
+    """Latencies between locations, and partitions.
+
+    Attributes:
+        partitioned_zones: Zones without links to other zones.
+        partitioned_regions: Regions without links to other regions.
+    """
 
     def __init__(self, delays: Delays) -> None:
         self._same_zone_us = int(delays.same_zone_ms * 1_000)
         self._same_region_us = int(delays.same_region_ms * 1_000)
         self._other_region_us = int(delays.other_region_ms * 1_000)
         self.partitioned_zones: set[str] = set()
-        self.partitioned_regions: set[str] = set()  # regions whose links to all others are lost
+        self.partitioned_regions: set[str] = set()
 
     def delay_us(self, origin: Location, target: Location) -> int:
         """Return the one-way latency in microseconds."""
--- a/scale/callgraph/policies.py
+++ b/scale/callgraph/policies.py
@@ -48,7 +48,7 @@
         self._deadline_margin_us = _DEADLINE_MARGIN_TICKS * settings.tick_us
         self._candidate_count = candidate_count
         self._max_attempts = 1 + retries
-        self._in_flight: dict[str, int] = {}  # attempts by ready server
+        self._in_flight: dict[str, int] = {}  # number of attempts in flight, by ready server
         self._requests: dict[int, _BaselineRequest] = {}
 
     def handle(self, now: int, event: Event) -> list[Action]:
--- a/scale/callgraph/root_load.py
+++ b/scale/callgraph/root_load.py
@@ -32,7 +32,7 @@
         callers = self._graph.root_callers
         caller = callers[int(self._random.integers(len(callers)))]
         if caller.location.zone in self._graph.network.partitioned_zones:
-            return  # its application is in the lost zone as well
+            return  # the caller's application is in the partitioned zone, too
         call = self.recorder.offer(self._loop.now)
         caller.call(self._deadline_us, lambda result: self._record_end(call, result))
 
--- a/scale/callgraph/run.py
+++ b/scale/callgraph/run.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Point:
-    """One run of a sweep."""
+    """The parameters of one run of a sweep."""
 
     depth: int
     load: float
@@ -29,7 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Spans:
-    """The measured windows of a run, in microseconds: before, during and after the fault."""
+    """The measured windows of a run: before, during and after the fault.
+
+    All times are in microseconds since the start of the run. Without a fault, the window during the
+    fault covers all measured time.
+    """
 
     begin: int
     before_end: int
@@ -40,12 +44,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CallGraphRun:
-    """What one run measured."""
+    """The measurements of one run."""
 
     spans: Spans
     recorder: RootCallRecorder
     received_during_fault: list[int]  # calls that each service received during the fault
-    digest: str  # of all root calls and of all services' counts
+    digest: str  # SHA-256 of the root calls and of each server's count of calls
 
     def calls_per_root_call(self) -> list[float]:
         """Return the calls that each service received during the fault, per root call offered then."""
@@ -53,19 +57,19 @@
         return [received / max(offered, 1) for received in self.received_during_fault]
 
     def shares_during_fault(self) -> OutcomeShares:
-        """Return the outcomes of the root calls offered during the fault; of all calls if there is none."""
+        """Return the outcomes of the root calls offered during the fault, or of all if there is no fault."""
         return self.recorder.shares(self.spans.fault_begin, self.spans.fault_end)
 
     def shares_before_fault(self) -> OutcomeShares:
-        """Return the outcomes of the root calls offered after warm-up with deadlines before the fault."""
+        """Return the outcomes of the root calls offered after warm-up whose deadline is before the fault."""
         return self.recorder.shares(self.spans.begin, self.spans.before_end)
 
     def shares_after_fault(self) -> OutcomeShares:
-        """Return the outcomes of the root calls offered after the fault with deadlines before the end."""
+        """Return the outcomes of the root calls offered after the fault whose deadline is before the end."""
         return self.recorder.shares(self.spans.fault_end, self.spans.end)
 
     def recovery_us(self) -> int | None:
-        """Return the microseconds from the fault's end to recovery; None if goodput did not recover."""
+        """Return the microseconds from the fault's end to recovery, or None if goodput did not recover."""
         return self.recorder.recovery_us(
             self.shares_before_fault().goodput, self.spans.fault_end, self.spans.end
         )
@@ -95,14 +99,14 @@
 
 
 def _root_calls_per_s(experiment: CallGraphExperiment, point: Point) -> float:
-    """Root calls a second: a share of the capacity of the service with the most calls per root call."""
+    """Return the rate at which the deepest service, which has the most calls, gets the load of the point."""
     servers = experiment.servers
     capacity_per_s = servers.count * servers.concurrency * 1_000.0 / servers.service_time_ms
     return point.load * capacity_per_s / math.pow(experiment.fan_out, point.depth - 1)
 
 
 def _measured_spans(experiment: CallGraphExperiment, fault: Fault) -> Spans:
-    """Leave out the root calls whose deadlines are after the end of the run."""
+    """Return the measured windows, without root calls whose deadline is after the end of the run."""
     begin, end = to_us(experiment.warm_up_s), to_us(experiment.duration_s)
     deadline_us = experiment.calls.deadline_ms * 1_000
     end -= deadline_us
--- a/scale/callgraph/server.py
+++ b/scale/callgraph/server.py
@@ -15,8 +15,8 @@
 from scale.callgraph.network import Location
 from sidecar.balancer.events import Outcome
 
-_ERROR_TIME_US = 1_000  # a failing call takes this long and no place in the queue
-_SERVICE_TIME_BATCH = 256  # service times drawn at once
+_ERROR_TIME_US = 1_000  # duration of an injected error; it takes no place in the queue
+_SERVICE_TIME_BATCH = 256  # number of service times drawn at once
 
 
 @unique
@@ -37,7 +37,15 @@
 
 @dataclass(slots=True, eq=False)
 class ServerCall:
-    """A call that a server has received."""
+    """A call that a server has received.
+
+    Attributes:
+        respond: Sends the response to the caller.
+        deadline: In microseconds since the start of the run.
+        cancelled: Whether the caller has cancelled the call.
+        pending_results: Number of downstream calls without a result.
+        failed: Whether a downstream call was shed or failed.
+    """
 
     respond: Callable[[Outcome], None]
     deadline: int
@@ -49,8 +57,9 @@
 class Server:
     """One process of a service.
 
-    A queued call whose deadline has passed is dropped without a response.  A call cancelled by its caller
-    is removed from the queue; once in service it runs to its end, as servers of the protocol do.
+    A queued call whose deadline has passed is dropped without a response. A queued call that its caller
+    has cancelled is never served; a call in service runs to its end, as in
+    servers that follow the sidecar's protocol.
     """
 
     def __init__(
@@ -58,7 +67,7 @@
     ) -> None:
         self.name = name
         self.location = location
-        self.downstream: list[Sidecar] = []  # one entry for each call of its own
+        self.downstream: list[Sidecar] = []  # one entry for each downstream call that a call makes
         self.is_up = True
         self.started_at: int | None = None
         self.incarnation = 0
@@ -84,14 +93,14 @@
             call.respond(Outcome.REJECTED)
 
     def stop(self) -> None:
-        """Stop as a killed process: all calls in service or queued are lost."""
+        """Simulate a killed process: all calls in service or queued are lost."""
         self.is_up = False
         self.incarnation += 1
         self._queue.clear()
         self._in_service = 0
 
     def start(self) -> None:
-        """Start again, as a new process."""
+        """Simulate the start of a new process."""
         self.is_up = True
         self.started_at = self._loop.now
 
@@ -116,7 +125,7 @@
         self._call_downstream(call)
 
     def _call_downstream(self, call: ServerCall) -> None:
-        """Make all downstream calls at once, with the caller's remaining time."""
+        """Make all downstream calls at the same time, with the time that remains until the deadline."""
         remaining_us = call.deadline - self._loop.now
         if not self.downstream:
             call.respond(Outcome.SUCCEEDED)
@@ -126,9 +135,10 @@
                 sidecar.call(remaining_us, lambda result: self._downstream_ended(call, result))
 
     def _downstream_ended(self, call: ServerCall, result: CallResult) -> None:
-        """Respond when all results are in: 200, or 500 if any call was shed or failed.
+        """Respond once all downstream calls have ended: 200, or 500 if one was shed or failed.
 
-        A 503 without `X-Rejected` would be the same to the caller's sidecar: the call may have run.
+        A 503 without `X-Rejected` would have the same effect: the caller's sidecar assumes that the call
+        may have run.
         """
         call.pending_results -= 1
         call.failed = call.failed or result is not CallResult.SERVED
--- a/scale/callgraph/sidecar.py
+++ b/scale/callgraph/sidecar.py
@@ -1,4 +1,4 @@
-"""A simulated sidecar: turns calls and attempts into a policy's events, and performs its actions."""
+"""A simulated sidecar: turns calls and ended attempts into events of a policy, and performs its actions."""
 
 from __future__ import annotations
 
@@ -23,18 +23,26 @@
 
 @dataclass(slots=True, eq=False)
 class _Attempt:
-    """An attempt that has not ended, as seen by its sidecar."""
+    """An attempt that has not ended, as seen by its sidecar.
+
+    Attributes:
+        index: Number of the attempt within its request, from 0.
+        server: The server that the attempt is sent to.
+        sent_at: In microseconds since the start of the run.
+        incarnation: Incarnation of the server's process, as known when the attempt was sent or delivered.
+        call: The call that the server has received, or None before the attempt reaches the server.
+    """
 
     index: int
     server: Server
     sent_at: int
-    incarnation: int  # of the server's process, when it was sent
-    call: ServerCall | None = None  # once it has reached the server
+    incarnation: int
+    call: ServerCall | None = None
 
 
 @dataclass(slots=True, eq=False)
 class _Request:
-    """A call of the application that has attempts in flight or no response yet."""
+    """A call of the application that has attempts in flight, or no response yet."""
 
     on_result: Callable[[CallResult], None]
     attempts_sent: int = 0
@@ -47,7 +55,7 @@
     """Idle connections to one server."""
 
     count: int = 0
-    incarnation: int = 0  # of the process they lead to
+    incarnation: int = 0  # of the server's process
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +63,7 @@
     """The service that a sidecar calls."""
 
     servers: Mapping[str, Server]  # by name
-    service_class: str  # of all calls
+    service_class: str  # service class of all calls
     dial_timeout_us: int
 
 
@@ -102,7 +110,7 @@
             case FailRequest():
                 self._respond_to_caller(action.request, CallResult.FAILED)
             case CancelAttempt():
-                # Not at once: the policy's earlier actions are performed before the attempt ends.
+                # Deferred, so that the remaining actions of the policy are performed before the attempt ends.
                 self._loop.call_later(
                     0, self._abort_attempt, action.request, action.attempt, Outcome.CANCELLED
                 )
@@ -145,6 +153,7 @@
         return True
 
     def _dial(self, request_number: int, attempt: _Attempt, deadline: int, one_way_us: int) -> None:
+        """Open a connection for an attempt; this takes one round trip, or the dial timeout if partitioned."""
         if not self._network.reaches(self.location, attempt.server.location):
             timeout_us = self._upstream.dial_timeout_us
             self._loop.call_later(
--- a/scale/callgraph/sweep.py
+++ b/scale/callgraph/sweep.py
@@ -1,4 +1,4 @@
-"""Runs all points of an experiment on call graphs, and writes what they measure."""
+"""Runs all points of an experiment on call graphs, and writes their results."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def run_call_graphs(experiment: CallGraphExperiment, writer: ResultWriter) -> None:
-    """Run all points of an experiment, and write the figures of each as it ends."""
+    """Run all points of an experiment, and write the results of each point when it ends."""
     all_points = list(points(experiment))
     for number, point in enumerate(all_points, start=1):
         run = run_point(experiment, point)
@@ -72,7 +72,10 @@
 
 
 def _write_recovery(writer: ResultWriter, run: CallGraphRun, labels: Mapping[str, LabelValue]) -> None:
-    """Without recovery, write the time until the end of the run, with the label `recovered=False`."""
+    """Write the time to recover.
+
+    Without recovery, this is the time until the end of the run, with the label `recovered=False`.
+    """
     recovery_us = run.recovery_us()
     recovered = recovery_us is not None
     value_us = run.spans.end - run.spans.fault_end if recovery_us is None else recovery_us
