--- a/scale/callgraph/run.py
+++ b/scale/callgraph/run.py
@@ -99,7 +99,7 @@
 
 
 def _root_calls_per_s(experiment: CallGraphExperiment, point: Point) -> float:
-    """Return the rate at which the deepest service, which has the most calls, gets the load of the point."""
+    """Return the root calls per second that put the load on the deepest service, which has the most calls."""
     servers = experiment.servers
     capacity_per_s = servers.count * servers.concurrency * 1_000.0 / servers.service_time_ms
     return point.load * capacity_per_s / math.pow(experiment.fan_out, point.depth - 1)
--- a/tests/configuration/test_configuration_file.py
+++ b/tests/configuration/test_configuration_file.py
@@ -1,4 +1,4 @@
-"""The configuration file: what the errors about it say."""
+"""Error messages about the configuration file."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from sidecar.settings import ConfigurationError
 
 SETTINGS = {"lanes": [{"name": "look", "giveUpUs": 2_000_000}]}
-GOOD: dict[str, object] = {
+VALID_CONFIG: dict[str, object] = {
     "listen": "127.0.0.1:1",
     "discovery": "127.0.0.1:2",
     "settings": SETTINGS,
@@ -43,15 +43,15 @@
         ),
     ],
 )
-def test_an_error_names_the_key_as_the_file_has_it(
+def test_an_error_names_the_key_of_the_file(
     changes: dict[str, object], expected: str, tmp_path: Path
 ) -> None:
-    assert error_message(tmp_path / "config.json", json.dumps(GOOD | changes)) == expected
+    assert error_message(tmp_path / "config.json", json.dumps(VALID_CONFIG | changes)) == expected
 
 
 def test_an_error_about_an_address_of_the_environment_names_the_variable(tmp_path: Path) -> None:
-    path, without_discovery = tmp_path / "config.json", json.dumps(GOOD | {"discovery": None})
-    assert error_message(path, json.dumps(GOOD), RELAY_LISTEN="here").startswith("RELAY_LISTEN: ")
+    path, without_discovery = tmp_path / "config.json", json.dumps(VALID_CONFIG | {"discovery": None})
+    assert error_message(path, json.dumps(VALID_CONFIG), RELAY_LISTEN="here").startswith("RELAY_LISTEN: ")
     assert error_message(path, without_discovery, RELAY_DISCOVERY="here").startswith("RELAY_DISCOVERY: ")
 
 
@@ -64,6 +64,6 @@
     assert error_message(tmp_path / "config.json", "[]") == "configuration: an object is needed, not []"
 
 
-def test_without_a_file_the_variable_is_named() -> None:
+def test_a_missing_file_variable_is_named() -> None:
     with pytest.raises(ConfigurationError, match=r"^RELAY_CONFIG names no file$"):
         read_config({})
--- a/tests/configuration/test_consecutive_reloads.py
+++ b/tests/configuration/test_consecutive_reloads.py
@@ -1,4 +1,4 @@
-"""Configurations in quick succession, and files that can't be read for a moment."""
+"""Reloads in quick succession, and configuration files that are unreadable for a short time."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import pytest
 from balancer_harness import SECOND_US
 from proxy_harness import never_respond, respond_ok, running_proxy, wait_until
-from reload_stage import read_from
+from reload_support import reader_of
 from virtual_time import RegistryStandIn, advance, assert_notified_within, now_s, run_in_virtual_time
 
 from sidecar import reload
@@ -19,18 +19,18 @@
 from sidecar.reload import Applied, Rejected, Reloader, ReloadSignalHandler
 from sidecar.settings import ConfigurationError
 
-RELOADED_S = 4.0  # after SIGHUP, changes at the new address of discovery count as notified
+APPLY_LIMIT_S = 4.0  # from SIGHUP until changes at discovery's new address are applied
 RULES = {"max_poll_interval_us": 60 * SECOND_US}
 MODES = ("on_request", "pushed")
-FAULTS = [errno.ENFILE, errno.EMFILE, errno.EIO, errno.EINTR, errno.ENOENT]
+READ_ERRORS = [errno.ENFILE, errno.EMFILE, errno.EIO, errno.EINTR, errno.ENOENT]
 
 
 class FlakyFile:
-    """Stands in for the file: can't be read some times, then has the content that was put last."""
+    """A configuration file whose first reads fail; later reads return its current content."""
 
-    def __init__(self, content: Config, code: int, failures: int) -> None:
+    def __init__(self, content: Config, error_number: int, failures: int) -> None:
         self.content = content
-        self.code = code
+        self.error_number = error_number
         self.failures = failures
         self.reads = 0
 
@@ -38,29 +38,31 @@
         self.reads += 1
         if self.failures:
             self.failures -= 1
-            raise OSError(self.code, os.strerror(self.code))
+            raise OSError(self.error_number, os.strerror(self.error_number))
         return self.content
 
 
 @pytest.mark.parametrize("failures", [1, 4])
-@pytest.mark.parametrize("code", FAULTS)
-def test_a_drain_is_applied_in_time_though_the_file_is_unreadable_at_first(code: int, failures: int) -> None:
+@pytest.mark.parametrize("error_number", READ_ERRORS)
+def test_a_drain_is_applied_in_time_although_the_first_reads_of_the_file_fail(
+    error_number: int, failures: int
+) -> None:
     async def scenario() -> None:
         old, new = RegistryStandIn(), RegistryStandIn()
         await new.start()
         async with running_proxy(respond_ok, respond_ok, registry=old, rules=RULES) as proxy:
-            file = FlakyFile(replace(proxy.config, discovery=new.address), code, failures)
+            file = FlakyFile(replace(proxy.config, discovery=new.address), error_number, failures)
             signal = ReloadSignalHandler(Reloader(proxy.config, proxy.sidecar.reconfigure), file.read)
             await new.change(proxy.servers[0].entry(status="leaving"))
-            began = now_s()
+            signalled_at = now_s()
             signal.handle_signal()
-            await assert_notified_within(proxy, RELOADED_S, began)
+            await assert_notified_within(proxy, APPLY_LIMIT_S, signalled_at)
         new.stop()
 
     run_in_virtual_time(scenario())
 
 
-def test_retries_of_an_unreadable_file_end_and_leave_the_configuration() -> None:
+def test_retries_of_an_unreadable_file_end_and_keep_the_configuration() -> None:
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
             reloader = Reloader(proxy.config, proxy.sidecar.reconfigure)
@@ -93,15 +95,19 @@
     raise ConfigurationError("not JSON")
 
 
-BETWEEN = ("nothing", "a bad file", "the same file", "a drain")
+STEPS_BETWEEN = ("nothing", "a bad file", "the same file", "a drain")
 
 
 @pytest.mark.parametrize("mode", MODES)
-@pytest.mark.parametrize("between", BETWEEN)
-@pytest.mark.parametrize("apart_s", [0.0, 0.01, 1.0])
+@pytest.mark.parametrize("step_between", STEPS_BETWEEN)
+@pytest.mark.parametrize("interval_s", [0.0, 0.01, 1.0])
 @pytest.mark.parametrize("fault", [None, "silent", "partitioned", "503", "reset", "refused"])
-def test_of_consecutive_reloads_the_last_is_in_force_and_its_changes_are_applied_in_time(
-    fault: str | None, apart_s: float, between: str, mode: str, make_registry: Callable[[], RegistryStandIn]
+def test_the_last_of_consecutive_reloads_takes_effect_and_its_changes_are_applied_in_time(
+    fault: str | None,
+    interval_s: float,
+    step_between: str,
+    mode: str,
+    make_registry: Callable[[], RegistryStandIn],
 ) -> None:
     async def scenario() -> None:
         first, middle, last = make_registry(), make_registry(), make_registry()
@@ -120,22 +126,22 @@
                 replace(proxy.config, discovery=each.address) for each in (middle, first, middle, last)
             ]
             for number, config in enumerate(configs, start=1):
-                await advance(apart_s)
-                began = now_s()
-                result = reloader.reload(read_from(replace(config, version=number)))
+                await advance(interval_s)
+                signalled_at = now_s()
+                result = reloader.reload(reader_of(replace(config, version=number)))
                 assert isinstance(result, Applied)
-                if between == "a bad file":
+                if step_between == "a bad file":
                     assert isinstance(reloader.reload(read_bad_file), Rejected)
-                elif between == "the same file":
+                elif step_between == "the same file":
                     reloader.reload(lambda: reloader.active)
-                elif between == "a drain" and number == 2:
+                elif step_between == "a drain" and number == 2:
                     proxy.stop.set()
             await last.change(proxy.servers[1].entry(weight=2.0))
             await last.change(proxy.servers[0].entry(status="leaving"))
-            await assert_notified_within(proxy, RELOADED_S, began)
+            await assert_notified_within(proxy, APPLY_LIMIT_S, signalled_at)
             assert last.targets[0] == "/registry/instances"
             assert proxy.sidecar._endpoint_list.client._address == last.address
-            await wait_until(lambda: len(last.targets) > 1)  # the watch goes on there
+            await wait_until(lambda: len(last.targets) > 1)  # the watch continues at the last address
             pending.cancel()
         for each in (middle, last):
             each.stop()
--- a/tests/configuration/test_reload.py
+++ b/tests/configuration/test_reload.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from reload_stage import OTHER, changed, read_from
+from reload_support import OTHER_SETTINGS, make_settings, reader_of
 
 from sidecar.config import Config
 from sidecar.configuration import read_config
@@ -22,7 +22,7 @@
 
 @dataclass
 class RecordingApply:
-    """Stands in for a sidecar: records what is applied, and fails for some versions."""
+    """Stands in for `Sidecar.reconfigure`: records the configurations, and fails for some versions."""
 
     failing_versions: set[int | None] = field(default_factory=set)
     calls: list[tuple[Config, Config]] = field(default_factory=list)
@@ -33,15 +33,19 @@
             raise RuntimeError("a defect")
 
 
-INITIAL = Config(("127.0.0.1", 1), ("127.0.0.1", 2), 7, 256, changed(), RegistryResponse(0, True, []), 4)
+INITIAL = Config(
+    ("127.0.0.1", 1), ("127.0.0.1", 2), 7, 256, make_settings(), RegistryResponse(0, True, []), 4
+)
 
 
 def test_a_newer_version_takes_effect_and_logs_what_changed(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
     apply = RecordingApply()
     reloader = Reloader(INITIAL, apply)
-    new = replace(INITIAL, version=5, settings=OTHER, discovery=("127.0.0.1", 3), seed=8, sockets=512)
-    result = reloader.reload(read_from(new))
+    new = replace(
+        INITIAL, version=5, settings=OTHER_SETTINGS, discovery=("127.0.0.1", 3), seed=8, sockets=512
+    )
+    result = reloader.reload(reader_of(new))
     assert isinstance(result, Applied)
     assert (result.version, result.changed) == (5, ("classes", "discovery address"))
     assert result.needs_restart == ("seed", "sockets")
@@ -52,23 +56,24 @@
     assert line.endswith("changed: classes, discovery address; needs a restart: seed, sockets")
 
 
-def test_fields_that_need_a_restart_are_compared_with_the_start_not_with_the_last_reload() -> None:
+def test_fields_that_need_a_restart_are_compared_with_the_initial_configuration() -> None:
     reloader = Reloader(INITIAL, RecordingApply())
-    reloader.reload(read_from(replace(INITIAL, version=5, seed=8)))
-    result = reloader.reload(read_from(replace(INITIAL, version=6, seed=8)))
+    reloader.reload(reader_of(replace(INITIAL, version=5, seed=8)))
+    result = reloader.reload(reader_of(replace(INITIAL, version=6, seed=8)))
     assert isinstance(result, Applied)
     assert result.needs_restart == ("seed",)
-    result = reloader.reload(read_from(replace(INITIAL, version=7)))
+    result = reloader.reload(reader_of(replace(INITIAL, version=7)))
     assert isinstance(result, Applied)
     assert result.needs_restart == ()
 
 
 @pytest.mark.parametrize("version", [None, 4])
 def test_the_same_contents_change_nothing(version: int | None) -> None:
-    # Not even where the list of the start differs: whoever writes the file may put in what it knows by now.
+    # A different list of known endpoints changes nothing either: the writer of the file may include the
+    # endpoints that it knows at that time.
     start, apply = replace(INITIAL, version=version), RecordingApply()
     again = replace(start, cached_endpoints=RegistryResponse(9, True, []))
-    assert Reloader(start, apply).reload(read_from(again)) == Unchanged(version)
+    assert Reloader(start, apply).reload(reader_of(again)) == Unchanged(version)
     assert apply.calls == []
 
 
@@ -76,7 +81,7 @@
 def test_a_version_that_is_not_newer_is_rejected(version: int, caplog: pytest.LogCaptureFixture) -> None:
     apply = RecordingApply()
     reloader = Reloader(INITIAL, apply)
-    result = reloader.reload(read_from(replace(INITIAL, version=version, settings=OTHER)))
+    result = reloader.reload(reader_of(replace(INITIAL, version=version, settings=OTHER_SETTINGS)))
     assert isinstance(result, Rejected)
     assert f"version {version}" in result.reason
     assert reloader.active is INITIAL
@@ -84,25 +89,25 @@
     assert caplog.messages == [f"reload rejected; keeping the active configuration: {result.reason}"]
 
 
-def test_a_file_without_a_version_is_always_applied_and_any_version_after_it() -> None:
+def test_a_file_without_a_version_is_always_applied_and_then_any_version() -> None:
     reloader = Reloader(INITIAL, RecordingApply())
-    for version, new_settings in ((None, OTHER), (None, INITIAL.settings), (1, OTHER)):
+    for version, new_settings in ((None, OTHER_SETTINGS), (None, INITIAL.settings), (1, OTHER_SETTINGS)):
         assert isinstance(
-            reloader.reload(read_from(replace(INITIAL, version=version, settings=new_settings))), Applied
+            reloader.reload(reader_of(replace(INITIAL, version=version, settings=new_settings))), Applied
         )
 
 
 def test_a_rollback_needs_a_newer_version() -> None:
     apply = RecordingApply()
     reloader = Reloader(INITIAL, apply)
-    reloader.reload(read_from(replace(INITIAL, version=5, settings=OTHER)))
-    result = reloader.reload(read_from(replace(INITIAL, version=6)))
+    reloader.reload(reader_of(replace(INITIAL, version=5, settings=OTHER_SETTINGS)))
+    result = reloader.reload(reader_of(replace(INITIAL, version=6)))
     assert isinstance(result, Applied)
     assert result.changed == ("classes",)
     assert apply.calls[-1][1].settings == INITIAL.settings
 
 
-def test_a_bad_file_between_two_good_ones_leaves_the_previous_one_in_force(
+def test_an_invalid_file_leaves_the_previous_configuration_in_force(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     path, apply = tmp_path / "config.json", RecordingApply()
@@ -143,11 +148,11 @@
 def test_an_exception_while_applying_restores_the_previous_configuration() -> None:
     apply = RecordingApply(failing_versions={5})
     reloader = Reloader(INITIAL, apply)
-    new = replace(INITIAL, version=5, settings=OTHER)
-    assert isinstance(reloader.reload(read_from(new)), Rejected)
+    new = replace(INITIAL, version=5, settings=OTHER_SETTINGS)
+    assert isinstance(reloader.reload(reader_of(new)), Rejected)
     assert apply.calls == [(INITIAL, new), (new, INITIAL)]
     assert reloader.active is INITIAL
-    assert isinstance(reloader.reload(read_from(replace(new, version=6))), Applied)
+    assert isinstance(reloader.reload(reader_of(replace(new, version=6))), Applied)
 
 
 def test_a_reload_reads_no_entry_of_the_last_known_endpoint_list(tmp_path: Path) -> None:
--- a/tests/configuration/test_settings.py
+++ b/tests/configuration/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: what is skipped, what gets a default, and what is invalid."""
+"""Settings: skipped keys, defaults and invalid values."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as how
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from sidecar import Balancer, Settings
@@ -28,14 +28,14 @@
 MINIMAL = {"classes": [{"name": "a", "deadline_us": 1_000_000}]}
 
 
-def test_absent_keys_get_the_cautious_default() -> None:
-    given = Settings.from_mapping(MINIMAL)
-    assert given.classes[0].idempotency is Idempotency.UNSAFE
-    assert given.classes[0].latency_target_us == 1_000_000
-    assert given.discovery is Discovery.ON_REQUEST
-    assert not given.limits.allow_hedging
-    assert given.limits.max_attempts == 1
-    assert given.rules.drain_grace_us == 0
+def test_absent_keys_get_conservative_defaults() -> None:
+    settings = Settings.from_mapping(MINIMAL)
+    assert settings.classes[0].idempotency is Idempotency.UNSAFE
+    assert settings.classes[0].latency_target_us == 1_000_000
+    assert settings.discovery is Discovery.ON_REQUEST
+    assert not settings.limits.allow_hedging
+    assert settings.limits.max_attempts == 1
+    assert settings.rules.drain_grace_us == 0
 
 
 def test_unknown_keys_are_skipped_and_null_counts_as_absent() -> None:
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(
-    ("given", "key"),
+    ("mapping", "key"),
     [
         ({}, "classes"),
         ({"classes": 5}, "classes"),
@@ -64,18 +64,18 @@
         ({**MINIMAL, "prices": []}, "prices"),
     ],
 )
-def test_an_invalid_value_is_named_by_its_key(given: dict[str, Any], key: str) -> None:
+def test_an_invalid_value_is_named_by_its_key(mapping: dict[str, Any], key: str) -> None:
     with pytest.raises(ConfigurationError) as error:
-        Settings.from_mapping(given)
+        Settings.from_mapping(mapping)
     assert str(error.value).startswith(key + ":")
 
 
-values = (
+setting_values = (
     st.none() | st.booleans() | st.integers(-5, 10**9) | st.floats() | st.sampled_from(["safe", "cell", "x"])
 )
 
 
-@how(max_examples=200, deadline=None, derandomize=True)
+@hypothesis_settings(max_examples=200, deadline=None, derandomize=True)
 @given(
     st.dictionaries(
         st.sampled_from(
@@ -89,7 +89,7 @@
                 "streaming",
             ]
         ),
-        values,
+        setting_values,
     ),
     st.dictionaries(
         st.sampled_from(
@@ -102,20 +102,28 @@
                 "overload_window_us",
             ]
         ),
-        values,
+        setting_values,
     ),
 )
-def test_any_settings_give_a_working_balancer_or_an_error(kind: dict[str, Any], rest: dict[str, Any]) -> None:
+def test_any_settings_give_a_working_balancer_or_an_error(
+    service_class: dict[str, Any], limits_and_rules: dict[str, Any]
+) -> None:
     try:
-        given = Settings.from_mapping({"classes": [{"name": "a", **kind}], "limits": rest, "rules": rest})
+        settings = Settings.from_mapping(
+            {
+                "classes": [{"name": "a", **service_class}],
+                "limits": limits_and_rules,
+                "rules": limits_and_rules,
+            }
+        )
     except ValueError:
         return
-    balancer = Balancer(given, 1)
+    balancer = Balancer(settings, 1)
     assert len(balancer.handle(5_000_000, RequestArrived(1, "a", None, None, 500_000))) > 0
 
 
 @pytest.mark.parametrize(
-    ("given", "message"),
+    ("mapping", "message"),
     [
         (None, "settings: a mapping is needed"),
         ({"lanes": [{"name": "a"}]}, "settings.lanes[0].giveUpUs: a whole number from 1 is needed"),
@@ -139,11 +147,11 @@
         ),
     ],
 )
-def test_an_error_about_the_wire_s_settings_names_the_key_as_the_wire_has_it(
-    given: object, message: str
+def test_an_error_about_settings_from_the_wire_names_the_key_of_the_wire(
+    mapping: object, message: str
 ) -> None:
     with pytest.raises(ConfigurationError) as error:
-        settings_from_wire(given)
+        settings_from_wire(mapping)
     assert str(error.value) == message
 
 
@@ -157,5 +165,5 @@
     assert set(WIRE_NAMES.keys["report"]) == {"source", "columns"}
 
 
-def test_a_domain_that_is_no_object_is_skipped() -> None:
+def test_a_domain_that_is_not_an_object_is_skipped() -> None:
     assert not settings_from_wire({"lanes": [WIRE_CLASS], "domain": "search"}).warm_keys
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -12,7 +12,7 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as how
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from sidecar.settings.wire_names import settings_from_wire
@@ -120,7 +120,7 @@
     assert err.count("\n") == 1
 
 
-@how(max_examples=150, deadline=None, derandomize=True)
+@hypothesis_settings(max_examples=150, deadline=None, derandomize=True)
 @given(
     st.lists(
         st.one_of(
