--- a/scale/configuration/__init__.py
+++ b/scale/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on configuration: sidecars whose file is replaced while they run."""
+"""Configuration experiments: sidecars whose configuration file is replaced while they run."""
--- a/scale/configuration/point.py
+++ b/scale/configuration/point.py
@@ -1,4 +1,4 @@
-"""Measures one point of a configuration experiment: changes, a bad file, a rollback, and reloads."""
+"""Measures one point of a configuration experiment: changes, an invalid file, a rollback, and reloads."""
 
 from __future__ import annotations
 
@@ -22,25 +22,29 @@
 PERCENTILES = (50.0, 99.0, 100.0)
 _LOAD_TIMEOUT_S = 60.0
 _POLL_INTERVAL_S = 0.05
-_IN_FLIGHT_SERVICE_TIME_S = 0.8  # of the requests in flight while the file is replaced
+_IN_FLIGHT_SERVICE_TIME_S = 0.8  # of the requests in flight while the files are replaced
 _INVALID_CONFIGURATION = b'{"settings": {"lanes": []}}'
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """Resource usage up to one moment."""
+    """The CPU time of the sidecars and the registry's counters at one moment."""
 
-    sidecar_cpu_s: float  # of all sidecars together
+    sidecar_cpu_s: float  # sum over all sidecars
     counts: Counts
 
     def http_bytes(self) -> int:
-        """Return the bytes between the registry and all sidecars, both ways."""
+        """Return the bytes between the registry and all sidecars in both directions."""
         return self.counts.bytes_in + self.counts.bytes_out
 
 
 @dataclass(slots=True)
 class Point:
-    """One size of an experiment."""
+    """Measures one combination of sizes.
+
+    Attributes:
+        version: The version of the configuration that was written last.
+    """
 
     experiment: ConfigurationExperiment
     writer: ResultWriter
@@ -48,10 +52,10 @@
     registry: CommandClient
     sidecars: list[ConfiguredSidecar]
     labels: Mapping[str, LabelValue]
-    version: int = 1  # of the configuration that was written last
+    version: int = 1
 
     async def run(self) -> None:
-        """Wait for the endpoint list; measure changes, a bad file, a rollback and the cost of reloads."""
+        """Wait for the endpoint list, then measure changes, an invalid file, a rollback and reload costs."""
         await _wait_until(
             lambda: self._counts().watching >= len(self.sidecars),
             EndpointListTimeoutError("sidecars", _LOAD_TIMEOUT_S),
@@ -66,12 +70,12 @@
         return self.registry.request(GetCounts(), Counts)
 
     def _next_configurations(self, added_class: str) -> list[tuple[ConfiguredSidecar, bytes]]:
-        """Return the next version for each sidecar, with one class more than at the start."""
+        """Return the next configuration of each sidecar, with one class more than the initial one."""
         self.version += 1
         return [(each, each.configuration(self.version, added_class)) for each in self.sidecars]
 
     async def _replace_configurations(self, phase: str, added_class: str) -> None:
-        """Replace all files by the next version, and write the times until a class was accepted."""
+        """Replace all files by the next version, and write the times until the added class was accepted."""
         timeout_s = self.experiment.duration_s
         configurations = self._next_configurations(added_class)
         changes = (
@@ -109,7 +113,7 @@
         self._write("request in flight", "served", served / len(results), "share", "change")
 
     async def _measure_invalid_file(self) -> None:
-        """Replace all files by an invalid one: the active configuration has to stay active."""
+        """Replace all files by an invalid one, and check that the active configuration stays active."""
         for sidecar in self.sidecars:
             await asyncio.to_thread(sidecar.replace_file, _INVALID_CONFIGURATION)
         await asyncio.sleep(self.experiment.reload_interval_s)
@@ -119,11 +123,11 @@
         )
 
     async def _measure_rollback(self) -> None:
-        """Apply the content of an earlier version again, as a newer version."""
+        """Replace all files by the content of an earlier version under a newer version number."""
         await self._replace_configurations("taken back", "added-2")
 
     async def _measure_cost(self) -> None:
-        """Compare a window with reloads, and no other traffic, with an idle window of the same length."""
+        """Measure the cost of reloads: a window with reloads minus an idle window of the same length."""
         reloads, interval_s = self.experiment.metered_reloads, self.experiment.reload_interval_s
         start = self._read_usage()
         await asyncio.sleep(reloads * interval_s)
--- a/scale/configuration/sidecar.py
+++ b/scale/configuration/sidecar.py
@@ -1,4 +1,4 @@
-"""A real sidecar whose file can be replaced and whose active settings can be probed from outside."""
+"""A real sidecar whose configuration file is replaced and whose active settings are probed by requests."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from scale.processes import ProcessGroup
 from scale.sidecar_process import sample_config, start_sidecar, wait_until_ready
 
-SAMPLE_CLASSES = ("read", "update", "send")  # of the sample configuration, one per idempotency
+SAMPLE_CLASSES = ("read", "update", "send")  # the sample configuration's classes, one per idempotency
 _REQUEST_BUDGET_S = 1.5
 _CALL_TIMEOUT_S = 3.0
 _INITIAL_POLL_INTERVAL_S = 0.002
-_POLL_INTERVAL_FACTOR = 1.25  # measures a delay to a quarter of itself with few requests
+_POLL_INTERVAL_FACTOR = 1.25  # few requests, yet the error of a delay is at most about a quarter of it
 _MAXIMUM_POLL_INTERVAL_S = 0.25
 
 
@@ -34,31 +34,31 @@
         self.listen = listen
         self._config = sample_config(listen, discovery) | {"seed": f"{seed:x}", "version": 1}
         for lane in self._config["settings"]["lanes"]:
-            lane["promiseUs"] = lane["giveUpUs"]  # requests delayed for the experiment are not late
+            lane["promiseUs"] = lane["giveUpUs"]  # requests that the experiment delays must not count as late
         self.process = start_sidecar(group, self._config, folder)
         self._client = HttpClient(self.listen)
         self._call_count = 0
 
     def await_ready(self) -> None:
-        """Wait until it is ready.
+        """Wait until the sidecar is ready.
 
         Raises:
-            SidecarStartError: It ended first, or took too long.
+            SidecarStartError: The sidecar ended first, or took too long.
         """
         wait_until_ready(self.process, self.listen, self._folder)
 
     def configuration(self, version: int, added_class: str) -> bytes:
-        """Return a configuration with one idempotent class more than the sample's, as JSON."""
+        """Return the sample configuration with one more idempotent class, as JSON."""
         settings: dict[str, Any] = self._config["settings"]
         lanes = [*settings["lanes"], settings["lanes"][0] | {"name": added_class}]
         configuration = self._config | {"version": version, "settings": settings | {"lanes": lanes}}
         return json.dumps(configuration).encode()
 
     def replace_file(self, content: bytes) -> float:
-        """Replace its file atomically and send SIGHUP.
+        """Replace the configuration file atomically and send SIGHUP.
 
         Returns:
-            The moment before the replacement, in seconds on the monotonic clock.
+            The time just before the replacement, in seconds on the monotonic clock.
         """
         path = self._folder / "config.json"
         temporary_path = path.with_suffix(".new")
@@ -69,7 +69,7 @@
         return replaced_at
 
     async def call(self, service_class: str) -> CallResult:
-        """Make a request of a service class."""
+        """Send a request of a service class."""
         self._call_count += 1
         call_id = f"{self.process.pid:08x}{self._call_count:08x}"
         request = format_call(
@@ -80,17 +80,18 @@
         return await self._client.call(request, time.monotonic(), _CALL_TIMEOUT_S)
 
     async def accepts_class(self, service_class: str) -> bool:
-        """Return whether it accepts requests of a class; an unknown class is a bad request."""
+        """Return whether the sidecar accepts requests of a class; it rejects an unknown class with 400."""
         return (await self.call(service_class)).status != HTTPStatus.BAD_REQUEST
 
     async def replace_and_await(self, content: bytes, added_class: str, timeout_s: float) -> float | None:
-        """Replace its file and poll until it accepts requests of an added class.
+        """Replace the configuration file and poll until requests of an added class are accepted.
 
-        Files may be slow, so they are replaced in a thread: the event loop goes on to serve the requests in
-        flight and to poll the other sidecars.
+        File operations may block, so they run in a thread.  Meanwhile the event loop serves the requests in
+        flight and polls the other sidecars.
 
         Returns:
-            The seconds until the first request was accepted and served; None if that took too long.
+            The seconds from the replacement until the first request was accepted and served; None if that
+            took longer than `timeout_s`.
         """
         replaced_at = await asyncio.to_thread(self.replace_file, content)
         poll_interval_s = _INITIAL_POLL_INTERVAL_S
@@ -102,5 +103,5 @@
         return None
 
     def close(self) -> None:
-        """Close the connections to it."""
+        """Close the connections to the sidecar."""
         self._client.close()
--- a/scale/control/applied_log.py
+++ b/scale/control/applied_log.py
@@ -1,4 +1,4 @@
-"""The registry versions that a sidecar applied, with their times."""
+"""Records which registry versions a sidecar applied, and when."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 
 class AppliedLog:
-    """The versions that one sidecar applied, with the times; compact, as there are thousands of sidecars."""
+    """The versions that one sidecar applied, and when.
+
+    Stored in arrays to save memory, as there are thousands of sidecars.
+    """
 
     def __init__(self) -> None:
         self._versions = array("q")
@@ -19,20 +22,21 @@
         self._times_s.append(at_s)
 
     def latest_version(self) -> int:
-        """Return the version applied last; 0 before the first."""
+        """Return the version that was applied last; 0 if there is none yet."""
         return self._versions[-1] if self._versions else 0
 
     def delay_until_applied(self, version: int, committed_at_s: float) -> float | None:
         """Return how long a change took to be applied.
 
-        Versions are assumed to grow: no experiment sets the registry back.
+        This assumes that versions never decrease: no experiment resets the registry to an earlier version.
 
         Args:
             version: The version of the change.
             committed_at_s: When it was committed, in seconds on the monotonic clock.
 
         Returns:
-            The seconds until that version or a newer one was applied; None if none was yet.
+            The seconds from the commit until that version or a newer one was applied; None if that has not
+            happened yet.
         """
         index = max(bisect_left(self._versions, version), bisect_left(self._times_s, committed_at_s))
         return self._times_s[index] - committed_at_s if index < len(self._times_s) else None
--- a/scale/control/experiment.py
+++ b/scale/control/experiment.py
@@ -1,4 +1,4 @@
-"""The keys of a control plane experiment: sizes, rates and faults."""
+"""The keys of an experiment file for the control plane: sizes, rates and faults."""
 
 from __future__ import annotations
 
@@ -14,39 +14,39 @@
 MAXIMUM_SERVERS = 20_000
 MAXIMUM_STUB_SIDECARS = 10_000
 MAXIMUM_REAL_SIDECARS = 100
-BYTES_PER_ENDPOINT = 1_700  # memory of an endpoint list's entry in a stub sidecar, measured
-BYTES_PER_STUB_SIDECAR = 60_000  # memory of a stub sidecar without endpoints, measured
+BYTES_PER_ENDPOINT = 1_700  # memory of one entry of the endpoint list in a stub sidecar
+BYTES_PER_STUB_SIDECAR = 60_000  # memory of a stub sidecar with an empty endpoint list
 
 
 class FaultKind(StrEnum):
-    """Faults and maintenance while sidecars watch the registry."""
+    """Faults and maintenance operations while sidecars watch the registry."""
 
-    DISCOVERY_DOWN = "discovery_down"  # calls get 503; the change log survives
+    DISCOVERY_DOWN = "discovery_down"  # calls get 503; the change log is kept
     DISCOVERY_RESTARTED = "discovery_restarted"  # calls get 503; the change log is lost
-    DISCOVERY_OVERLOADED = "discovery_overloaded"  # calls wait, then get 503
+    DISCOVERY_OVERLOADED = "discovery_overloaded"  # calls get 503 after a delay
     DISCOVERY_MOVED = "discovery_moved"  # all sidecars migrate to another address at once
-    DISCOVERY_FAILED_OVER = "discovery_failed_over"  # open connections are blackholed; new ones work
+    DISCOVERY_FAILED_OVER = "discovery_failed_over"  # open connections are blackholed; new ones are served
     ZONE_LOST = "zone_lost"  # the servers of one zone are removed in one change
     REGION_LOST = "region_lost"  # the servers of one region are removed in one change
     RELEASE = "release"  # rolling restart of one service's servers
-    SIDECARS_RESTARTED = "sidecars_restarted"  # all stub sidecars at once
-    SIDECARS_CUT_OFF = "sidecars_cut_off"  # half of the stub sidecars are partitioned for a while
+    SIDECARS_RESTARTED = "sidecars_restarted"  # all stub sidecars restart at once, or spread over `lasts_s`
+    SIDECARS_CUT_OFF = "sidecars_cut_off"  # half of the stub sidecars are partitioned from the registry
 
 
 class Fault(BaseModel):
-    """One fault; the next one begins after this one has ended and been observed."""
+    """One fault; the next one begins once this one has ended and its recovery has been observed."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
     kind: FaultKind
     lasts_s: float = Field(default=0.0, ge=0.0, le=600.0)
-    observed_s: float = Field(default=10.0, gt=0.0, le=600.0)  # longest observation after its end
+    observed_s: float = Field(default=10.0, gt=0.0, le=600.0)  # longest wait for the recovery after its end
 
 
 class ControlExperiment(Experiment):
-    """Sidecars that watch a registry, at each combination of the sizes and rates.
+    """Sidecars that watch a registry, measured for each combination of the sizes and rates.
 
-    A stub sidecar, "hollow" in experiment files and results, is a sidecar without a front end.
+    A stub sidecar is a sidecar without a front end; experiment files and results call it "hollow".
     """
 
     servers: list[Annotated[int, Field(ge=2, le=MAXIMUM_SERVERS)]] = Field(min_length=1)
@@ -58,14 +58,16 @@
     changes_per_second: list[Annotated[float, Field(ge=0.0, le=1_000.0)]] = Field(min_length=1)
     zones: int = Field(default=18, ge=1, le=1_000)
     regions: int = Field(default=5, ge=1, le=100)
-    start_within_s: float = Field(default=3.0, ge=0.0, le=60.0)  # the stub sidecars start spread over this
-    settle_s: float = Field(default=4.0, ge=0.0, le=60.0)  # between loading the endpoint list and measuring
+    # The time over which the starts of the stub sidecars are spread.
+    start_within_s: float = Field(default=3.0, ge=0.0, le=60.0)
+    # The pause between loading the endpoint list and measuring.
+    settle_s: float = Field(default=4.0, ge=0.0, le=60.0)
     faults: tuple[Fault, ...] = ()
 
     @field_validator("stub_sidecars")
     @classmethod
     def _check_memory_limit(cls, stub_sidecars: list[int], info: ValidationInfo) -> list[int]:
-        """Limit the memory of all endpoint lists to half of the machine's."""
+        """Limit the memory of all endpoint lists to half of the machine's memory."""
         largest_list_bytes = BYTES_PER_ENDPOINT * max(info.data.get("servers", [0]))
         needed_bytes = max(stub_sidecars) * (BYTES_PER_STUB_SIDECAR + largest_list_bytes)
         if needed_bytes > psutil.virtual_memory().total / 2:
--- a/scale/control/faults.py
+++ b/scale/control/faults.py
@@ -21,20 +21,20 @@
 )
 from scale.standins.registry_state import Availability
 
-_PARTITIONED_HALF = 1  # the half of the stub sidecars that is partitioned
+_PARTITIONED_HALF = 1  # the half of the stub sidecars that a partition affects
 
 
 @dataclass(frozen=True, slots=True)
 class FaultOutcome:
-    """The changes whose propagation measures a fault."""
+    """The changes whose propagation times measure the recovery from a fault, and the affected sidecars."""
 
     changes: list[CommittedChange]
-    affected_halves: tuple[int, ...] = STUB_HALVES  # of the stub sidecars that it affected
-    affects_real_sidecars: bool = True  # whether it affected the real sidecars, too
+    affected_halves: tuple[int, ...] = STUB_HALVES  # halves of the stub sidecars
+    affects_real_sidecars: bool = True
 
 
 def inject_fault(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
-    """Inject a fault and end it, which takes the fault's `lasts_s`."""
+    """Inject a fault and end it; returns after the fault's `lasts_s`."""
     return _INJECTORS[fault.kind](fault, fleet, rng)
 
 
@@ -49,7 +49,10 @@
 
 
 def _take_discovery_down(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
-    """Take discovery down; a change is committed meanwhile, and measured from discovery's recovery."""
+    """Take discovery down or overload it.
+
+    A change is committed during the fault; its propagation is measured from the end of the fault.
+    """
     is_overload = fault.kind is FaultKind.DISCOVERY_OVERLOADED
     availability = Availability.OVERLOADED if is_overload else Availability.DOWN
     client = fleet.registry.client
@@ -71,7 +74,7 @@
 
 
 def _fail_over_discovery(_fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
-    """Move discovery's address to another machine: open connections carry nothing any more."""
+    """Fail discovery's address over to another machine: open connections no longer carry data."""
     fleet.registry.client.execute(BlackholeConnections())
     return FaultOutcome([_restart_random_server(fleet, rng)])
 
@@ -88,7 +91,7 @@
 
 
 def _lose_zones(fault: Fault, fleet: Fleet, zones: Collection[str]) -> FaultOutcome:
-    """Remove all servers of some zones in one change, and add them again in another."""
+    """Remove all servers of some zones in one change, and re-add them in another."""
     endpoints = fleet.registry.endpoints
     indexes = [index for index, endpoint in enumerate(endpoints) if endpoint.zone in zones]
     removed = fleet.registry.change(ChangeEndpoints(change="remove", indexes=indexes))
@@ -98,7 +101,7 @@
 
 
 def _perform_rolling_restart(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
-    """Drain, remove and add again each server of a service, spread over the fault's time."""
+    """Drain, remove and re-add each server of a service in turn, spread over the fault's duration."""
     service = rng.choice(fleet.registry.endpoints).group
     indexes = [index for index, each in enumerate(fleet.registry.endpoints) if each.group == service]
     started_at, changes = time.monotonic(), []
@@ -117,7 +120,10 @@
 
 
 def _partition_sidecars(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
-    """Partition half of the stub sidecars; a change made meanwhile is measured from the partition's end."""
+    """Partition half of the stub sidecars.
+
+    A change is committed during the partition; its propagation is measured from the end of the partition.
+    """
     client = fleet.registry.client
     listener = fleet.registry.stub_listener(_PARTITIONED_HALF, fleet.migrated)
     client.execute(SetPartitioned(listener=listener, partitioned=True))
--- a/scale/control/figures.py
+++ b/scale/control/figures.py
@@ -1,4 +1,4 @@
-"""Writes what the processes of a control plane experiment used, and how fast changes propagated."""
+"""Writes the results of a control plane experiment: resource usage and propagation times of changes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from scale.standins.tcp_info import SEGMENT_HEADER_BYTES
 
 PERCENTILES = (50.0, 99.0, 100.0)
-STUB_ROLE = "hollow sidecar"  # stored results use this word for a stub sidecar
+STUB_ROLE = "hollow sidecar"  # the name of a stub sidecar in stored results
 STUB_PROCESS_ROLE = "hollow process"
 
 Labels = Mapping[str, LabelValue]
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """Traffic between the registry and all sidecars in a window."""
+    """The traffic between the registry and all sidecars in a time window."""
 
     duration_s: float
     calls: int
@@ -38,7 +38,7 @@
 
     @property
     def wire_bytes(self) -> float:
-        """HTTP bytes with the headers of TCP and IP."""
+        """The HTTP bytes and the TCP and IP headers."""
         return self.http_bytes + self.segments * SEGMENT_HEADER_BYTES
 
 
@@ -58,7 +58,7 @@
 
 
 def write_usage(writer: ResultWriter, fleet: Fleet, before: Reading, after: Reading, labels: Labels) -> None:
-    """Write what each role used in a window."""
+    """Write the resource usage and traffic of each role in a time window."""
     traffic = traffic_between(before, after)
     writer.add("discovery", "cpu", _cores(before.registry, after.registry), "cores", labels)
     writer.add("discovery", "memory", after.registry.memory_bytes, "bytes", labels)
@@ -81,9 +81,8 @@
     stub_cores = sum(map(_cores, before.stub_processes, after.stub_processes)) / fleet.stubs.count
     writer.add(STUB_ROLE, "cpu", stub_cores, "cores", labels)
     busiest_cores = max(map(_cores, before.stub_processes, after.stub_processes))
-    writer.add(
-        STUB_PROCESS_ROLE, "cpu, largest", busiest_cores, "cores", labels
-    )  # near 1, the process itself delays its sidecars
+    # A process that uses nearly one core delays its own sidecars.
+    writer.add(STUB_PROCESS_ROLE, "cpu, largest", busiest_cores, "cores", labels)
     if fleet.real_sidecars:
         _write_real_sidecar_usage(writer, before, after, traffic.duration_s, labels)
     sidecar_seconds = traffic.duration_s * fleet.sidecar_count
@@ -116,7 +115,7 @@
 def write_stub_memory(
     writer: ResultWriter, fleet: Fleet, empty: Reading, full: Reading, labels: Labels
 ) -> None:
-    """Write what a stub sidecar adds to the memory of its process."""
+    """Write how much memory each stub sidecar, with its endpoint list, adds to its process."""
     growth_bytes = sum(
         after.memory_bytes - before.memory_bytes
         for before, after in zip(empty.stub_processes, full.stub_processes, strict=True)
@@ -127,7 +126,7 @@
 def _write_percentiles(
     writer: ResultWriter, role: str, histogram: LatencyHistogram, missing: int, labels: Labels
 ) -> None:
-    """Write propagation times; `missing` pairs of a change and a sidecar have none."""
+    """Write propagation times; `missing` is the number of pairs of a change and a sidecar without one."""
     writer.add(role, "in force, measured", histogram.count, "pairs", labels)
     writer.add(role, "in force, missing", missing, "pairs", labels)
     if histogram.count:
@@ -147,7 +146,7 @@
 
 
 def write_real_sidecar_delays(writer: ResultWriter, observed: ObservedDelays, labels: Labels) -> None:
-    """Write the times until changes were applied in real sidecars, as observed in their next calls."""
+    """Write the times until real sidecars were observed to have applied changes, by their next calls."""
     histogram = LatencyHistogram()
     missing = 0
     for change in observed.delays_s:
--- a/scale/control/fleet.py
+++ b/scale/control/fleet.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """Resource usage of all processes up to one moment."""
+    """The resource usage of all processes, and the registry's counters, at one moment."""
 
     registry: ResourceUsage
     stub_processes: list[ResourceUsage]
@@ -30,22 +30,22 @@
     registry: Registry
     stubs: StubGroup
     real_sidecars: list[RealSidecar]
-    migrated: bool = False  # whether the sidecars use their second address of the registry
+    migrated: bool = False  # whether the sidecars use their second registry address
 
     @property
     def sidecar_count(self) -> int:
-        """How many sidecars watch the registry."""
+        """The number of sidecars that watch the registry."""
         return self.stubs.count + len(self.real_sidecars)
 
     def migrate_discovery(self) -> None:
-        """Migrate all sidecars to their other address of the registry, at once."""
+        """Migrate all sidecars at once to their other registry address."""
         self.migrated = not self.migrated
         self.stubs.migrate(self.migrated)
         for sidecar in self.real_sidecars:
             sidecar.migrate(self.migrated)
 
     def real_sidecar_delays(self, changes: list[CommittedChange]) -> ObservedDelays:
-        """Return the seconds until each real sidecar was first observed with each change."""
+        """Return the seconds until each real sidecar was first observed to have applied each change."""
         return self.registry.real_sidecar_delays(changes, len(self.real_sidecars), self.migrated)
 
     def read_usage(self) -> Reading:
--- a/scale/control/peak_sampler.py
+++ b/scale/control/peak_sampler.py
@@ -1,4 +1,4 @@
-"""Samples the peak memory of processes."""
+"""Records the peak memory usage of processes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PeakSampler:
-    """Samples memory in a thread while the block runs, and records the peak."""
+    """Context manager that samples memory usage in a thread and records the peaks."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
@@ -39,7 +39,7 @@
             self._stub_bytes = max(self._stub_bytes, sum(each.usage().memory_bytes for each in stubs))
 
     def write(self, writer: ResultWriter, labels: Labels) -> None:
-        """Write the peaks."""
+        """Write the peaks; the value per stub sidecar includes its share of the memory of its process."""
         bytes_per_sidecar = self._stub_bytes / self._fleet.stubs.count
         writer.add("discovery", "memory, largest", self._registry_bytes, "bytes", labels)
         writer.add(STUB_ROLE, "memory, largest, with its process's", bytes_per_sidecar, "bytes", labels)
--- a/scale/control/processes.py
+++ b/scale/control/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a control plane experiment: the registry, stub sidecars and real ones."""
+"""The processes of a control plane experiment: the registry, stub sidecars and real sidecars."""
 
 from __future__ import annotations
 
@@ -38,13 +38,13 @@
     registry_command,
 )
 
-STUB_HALVES = (0, 1)  # stub sidecars use two addresses, so that one half can be partitioned
-_STUB_LISTENERS = 2 * len(STUB_HALVES)  # each half has another address to migrate to
+STUB_HALVES = (0, 1)  # each half of the stub sidecars has its own listener, so that one can be partitioned
+_STUB_LISTENERS = 2 * len(STUB_HALVES)  # each half has a second address to migrate to
 _POLL_INTERVAL_S = 0.2
 
 
 class Registry:
-    """The registry stand-in's process."""
+    """The process of the registry stand-in."""
 
     def __init__(self, group: ProcessGroup, experiment: ControlExperiment, server_count: int) -> None:
         options = RegistryOptions(
@@ -59,11 +59,11 @@
         self.endpoints: list[Endpoint] = make_endpoints(server_count, experiment.zones, experiment.seed)
 
     def stub_listener(self, half: int, migrated: bool) -> int:
-        """Return the listener that a half of the stub sidecars uses, before or after a migration."""
+        """Return the index of the listener for a half of the stub sidecars, before or after a migration."""
         return half + len(STUB_HALVES) * migrated
 
     def real_sidecar_listener(self, index: int, migrated: bool) -> int:
-        """Return the listener that only one real sidecar uses, before or after a migration."""
+        """Return the index of the listener reserved for one real sidecar, before or after a migration."""
         return _STUB_LISTENERS + 2 * index + migrated
 
     def address(self, listener: int) -> Address:
@@ -75,7 +75,7 @@
         return self.client.request(command, CommittedChange)
 
     def counts(self) -> Counts:
-        """Return its counters."""
+        """Return the registry's counters."""
         return self.client.request(GetCounts(), Counts)
 
     def real_sidecar_traffic(self, real_sidecar_count: int) -> TrafficTotals:
@@ -90,13 +90,13 @@
     def real_sidecar_delays(
         self, changes: list[CommittedChange], real_sidecar_count: int, migrated: bool
     ) -> ObservedDelays:
-        """Return the seconds until each real sidecar was first observed with each change."""
+        """Return the seconds until each real sidecar was first observed to have applied each change."""
         listeners = [self.real_sidecar_listener(index, migrated) for index in range(real_sidecar_count)]
         return self.client.request(GetObservedDelays(listeners=listeners, changes=changes), ObservedDelays)
 
 
 class StubGroup:
-    """All processes with stub sidecars."""
+    """All processes that run stub sidecars."""
 
     def __init__(
         self, group: ProcessGroup, registry: Registry, experiment: ControlExperiment, count: int
@@ -123,7 +123,7 @@
             client.execute(StartSidecars(spread_s=spread_s))
 
     def migrate(self, migrated: bool) -> None:
-        """Migrate all to their other address of the registry, or back."""
+        """Migrate all sidecars to their second registry address, or back to the first."""
         for index, client in enumerate(self._clients):
             listener = self._registry.stub_listener(index % len(STUB_HALVES), migrated)
             client.execute(MigrateDiscovery(address=self._registry.address(listener)))
@@ -176,13 +176,13 @@
         return {**self._config, "discovery": format_address(address)}
 
     def migrate(self, migrated: bool) -> None:
-        """Migrate it to its other address of the registry, or back, by a reload of its configuration."""
+        """Migrate the sidecar to its second registry address, or back, by a reload of its configuration."""
         write_config(self._config_at(migrated), self._folder)
         self.process.popen.send_signal(signal.SIGHUP)
 
 
 def wait_until(condition: Callable[[], bool], timeout_s: float) -> bool:
-    """Poll a condition until it holds; return False if it does not within `timeout_s` seconds."""
+    """Poll a condition; return whether it became true within `timeout_s` seconds."""
     deadline = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() >= deadline:
--- a/scale/control/run.py
+++ b/scale/control/run.py
@@ -37,7 +37,7 @@
 
 
 def run_control(experiment: ControlExperiment, writer: ResultWriter) -> None:
-    """Measure each combination of sizes, each with the change rates and then the faults.
+    """Measure each combination of sizes, first at each change rate and then with each fault.
 
     Raises:
         EndpointListTimeoutError: Not all sidecars got the endpoint list in time.
@@ -52,7 +52,7 @@
 def _started_fleet(experiment: ControlExperiment, server_count: int, stub_count: int) -> Iterator[Fleet]:
     with ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
-        # Reserved before the first process starts: the connections of thousands of sidecars use up ports.
+        # Reserved before any process starts, as the connections of thousands of sidecars occupy many ports.
         reserved_addresses = [stack.enter_context(ReservedAddress()) for _ in range(experiment.real_sidecars)]
         group = stack.enter_context(ProcessGroup())
         registry = Registry(group, experiment, server_count)
@@ -68,7 +68,11 @@
 
 @dataclass(slots=True)
 class Point:
-    """One size of an experiment."""
+    """Measures one combination of sizes.
+
+    Attributes:
+        server_count: The number of endpoints in the registry.
+    """
 
     experiment: ControlExperiment
     writer: ResultWriter
@@ -76,7 +80,7 @@
     server_count: int
 
     def run(self) -> None:
-        """Load the endpoint list into all sidecars, measure the change rates, then the faults."""
+        """Load the endpoint list into all sidecars, then measure each change rate and each fault."""
         rng = random.Random(self.experiment.seed)
         self._load_endpoint_list()
         for rate in self.experiment.changes_per_second:
@@ -101,10 +105,10 @@
         time.sleep(self.experiment.settle_s)
         full = self.fleet.read_usage()
         write_stub_memory(self.writer, self.fleet, empty, full, labels)
-        log.info("sidecars loaded", servers=self.server_count, sidecars=self.fleet.sidecar_count)
+        log.info("endpoint list loaded", servers=self.server_count, sidecars=self.fleet.sidecar_count)
 
     def _await_change(self, change: CommittedChange, timeout_s: float) -> bool:
-        """Wait until all sidecars, stub and real, have applied a change; return False if they do not."""
+        """Wait until all sidecars, stub and real, have applied a change; return whether they did in time."""
 
         def all_have_applied() -> bool:
             return self.fleet.stubs.have_applied(change) and self._real_sidecars_have_applied(change)
@@ -125,12 +129,14 @@
         if changes:
             self._await_change(changes[-1], _PROPAGATION_TIMEOUT_S)
             self._write_delays(changes, labels)
-        log.info("rate measured", servers=self.server_count, sidecars=self.fleet.sidecar_count, rate=rate)
+        log.info(
+            "change rate measured", servers=self.server_count, sidecars=self.fleet.sidecar_count, rate=rate
+        )
 
     def _restart_random_servers(
         self, count: int, duration_s: float, rng: random.Random
     ) -> list[CommittedChange]:
-        """Restart servers at random times in a window, and return at its end."""
+        """Restart random servers at random times in a window, and return at its end."""
         started_at = time.monotonic()
         changes = []
         for offset_s in sorted(rng.uniform(0.0, duration_s) for _ in range(count)):
--- a/scale/control/stub_commands.py
+++ b/scale/control/stub_commands.py
@@ -1,4 +1,4 @@
-"""Commands to a process of stub sidecars, and its responses."""
+"""The commands to a process of stub sidecars, and its responses."""
 
 from __future__ import annotations
 
@@ -11,44 +11,44 @@
 
 
 class StartSidecars(Message):
-    """Start or restart all sidecars, spread over a time in seconds."""
+    """Start or restart all sidecars, spread over `spread_s` seconds."""
 
     command: Literal["start"] = "start"
     spread_s: float
 
 
 class MigrateDiscovery(Message):
-    """Migrate all sidecars to another address of the registry, at once."""
+    """Migrate all sidecars at once to another address of the registry."""
 
     command: Literal["migrate"] = "migrate"
     address: tuple[str, int]
 
 
 class GetProgress(Message):
-    """Get how many sidecars have applied a change."""
+    """Get the number of sidecars that have applied a change."""
 
     command: Literal["progress"] = "progress"
     change: CommittedChange
 
 
 class Progress(Message):
-    """How many sidecars there are, and how many have applied the change."""
+    """The number of sidecars, and how many of them have applied the change."""
 
     sidecars: int
     applied: int
 
 
 class GetDelays(Message):
-    """Get the times from changes until they were applied."""
+    """Get the times from the commits of changes until the sidecars applied them."""
 
     command: Literal["delays"] = "delays"
     changes: list[CommittedChange]
 
 
 class Delays(Message):
-    """The times over all pairs of a change and a sidecar, and how many pairs are still missing."""
+    """The propagation times of all pairs of a change and a sidecar, and the number of pairs without one."""
 
-    histogram: str  # HdrHistogram's encoding, in microseconds
+    histogram: str  # an encoded HdrHistogram of microseconds
     missing: int
 
 
--- a/scale/control/stub_process.py
+++ b/scale/control/stub_process.py
@@ -1,6 +1,6 @@
-"""A process of stub sidecars, hundreds of them.
+"""Runs hundreds of stub sidecars in one process.
 
-Run as `python -m scale.control.stub_process`; it prints a `Ready` and then accepts commands.
+Run as `python -m scale.control.stub_process`; it prints a `Ready` message and then accepts commands.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from sidecar.proxy.addresses import Address, parse_address
 from sidecar.settings.wire_names import settings_from_wire
 
-_GC_THRESHOLDS = (700, 5, 2)  # as the sidecar's own program sets them
+_GC_THRESHOLDS = (700, 5, 2)  # the same as in `sidecar.__main__`
 
 
 class StubProcess:
@@ -43,7 +43,7 @@
         self._sidecars: list[StubSidecar] = []
 
     def handle(self, line: bytes) -> Message:
-        """Handle one command, as a JSON line, and return its response.
+        """Handle one command, a line of JSON, and return its response.
 
         Raises:
             ValueError: The line is not a command.
@@ -93,12 +93,12 @@
 
 
 def main(
-    count: Annotated[int, typer.Option(help="Sidecars in this process.")],
+    count: Annotated[int, typer.Option(help="Number of sidecars in this process.")],
     discovery: Annotated[str, typer.Option(help="Address of the registry, host:port.")],
     zone: Annotated[str, typer.Option(help="Zone of the sidecars.")] = "",
-    seed: Annotated[int, typer.Option(help="Seed of the sidecars.")] = 0,
+    seed: Annotated[int, typer.Option(help="Seed from which the sidecars' seeds are drawn.")] = 0,
 ) -> None:
-    """Run stub sidecars until the command connection ends."""
+    """Run stub sidecars until the command connection is closed."""
     logging.basicConfig(level=logging.ERROR)
     process = StubProcess(count, zone, seed, parse_address(discovery))
     gc.freeze()
--- a/scale/control/stub_sidecar.py
+++ b/scale/control/stub_sidecar.py
@@ -1,4 +1,4 @@
-"""A stub sidecar: the real discovery client, balancer and upstream table, without a front end."""
+"""A stub sidecar: the real discovery client, balancer and connection pool, without a front end."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from sidecar.proxy.registry_messages import RegistryResponse
 from sidecar.settings import Settings
 
-_SOCKETS_PER_SIDECAR = 480  # for servers, of a sidecar with the usual 1,024 descriptors
+_MAX_SERVER_CONNECTIONS = 480  # as of a real sidecar under the usual limit of 1,024 file descriptors
 
 
 def sidecar_settings(zone: str) -> dict[str, Any]:
-    """Return the settings of a sidecar, as in its configuration file."""
+    """Return the settings of a sidecar, in the format of its configuration file."""
     return {
         "lanes": [{"name": "look", "giveUpUs": 2_000_000, "repeat": "read_like"}],
         "bounds": {"sendCap": 3, "mayCancel": True},
@@ -31,25 +31,30 @@
 
 
 class StubSidecar:
-    """A sidecar without a front end: it watches the registry as a real one does, and serves no requests."""
+    """A sidecar without a front end: it watches the registry like a real one, but serves no requests.
+
+    Attributes:
+        applied_log: The registry versions that it applied, and when.
+        balancer: The balancer, which gets the registry's updates.
+    """
 
     def __init__(self, settings: Settings, seed: int, discovery: Address) -> None:
-        self.applied_log = AppliedLog()  # the versions it applied, with their times
+        self.applied_log = AppliedLog()
         self._clock = Clock()
         self.balancer = Balancer(settings, seed)
         limits = settings.limits
         self._pool = ConnectionPool(
-            limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, _SOCKETS_PER_SIDECAR
+            limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, _MAX_SERVER_CONNECTIONS
         )
         self._discovery = DiscoveryClient(discovery, 0, self._on_registry_response)
         self._is_stopped = False
 
     def start(self) -> None:
-        """Start with an empty cached endpoint list, and watch the registry."""
+        """Start to watch the registry, with an empty cached endpoint list."""
         self._handle(RegistryUpdated(RegistryUpdateKind.CACHED))
 
     def stop(self) -> None:
-        """Drop all calls, as a killed process does."""
+        """Abandon all calls to the registry, as a killed process does."""
         self._is_stopped = True
         self._discovery.stop()
 
@@ -67,7 +72,7 @@
             self.applied_log.add(response.version, time.monotonic())
 
     def _apply(self, response: RegistryResponse) -> None:
-        """Apply an update in the order of `Sidecar`: addresses first, then the balancer."""
+        """Apply an update in the order of `EndpointList`: first to the connection pool, then the balancer."""
         if response.is_complete:
             self._pool.retain({resolved.endpoint.name for resolved in response.endpoints})
         for resolved in response.endpoints:
--- a/scale/standins/change_log.py
+++ b/scale/standins/change_log.py
@@ -8,7 +8,7 @@
 from dataclasses import asdict, dataclass, replace
 from enum import StrEnum
 
-MAXIMUM_LOG_ENTRIES = 8_192  # entries; a delta from before the oldest becomes a snapshot
+MAXIMUM_LOG_ENTRIES = 8_192  # a caller that needs older changes gets a snapshot
 
 
 class EndpointStatus(StrEnum):
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """An entry of the registry, in the fields and units of its protocol."""
+    """An entry of the registry, with the fields and units of the registry protocol."""
 
     name: str
     address: str  # host:port
@@ -30,12 +30,12 @@
     group: int = 0
     status: EndpointStatus = EndpointStatus.ACTIVE
     weight: float = 1.0
-    since_ms: int = 0  # Unix time of its start; 0: unknown, long ago
+    since_ms: int = 0  # Unix time of the server's start; 0: unknown, treated as long ago
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """An endpoint as of the version that changed it."""
+    """An endpoint's state after a change, and the version that made the change."""
 
     version: int
     endpoint: Endpoint
@@ -43,25 +43,28 @@
 
 @dataclass(frozen=True, slots=True)
 class SerializedResponse:
-    """The body of a response, as JSON."""
+    """The JSON body of a response."""
 
     body: bytes
     is_snapshot: bool
 
 
 class ChangeLog:
-    """Endpoints by name, and a log of their changes; each commit is one version."""
+    """The endpoints and a bounded log of their changes; each commit creates one version.
+
+    Attributes:
+        on_commit: Called after each commit.
+    """
 
     def __init__(self, endpoints: Iterable[Endpoint] = (), max_length: int = MAXIMUM_LOG_ENTRIES) -> None:
         self._endpoints = {each.name: each for each in endpoints}
         self._changes: deque[Change] = deque()
         self._max_length = max_length
         self._version = 1
-        self._oldest_delta_base = 1  # the oldest version that a delta can start from
+        self._oldest_delta_base = 1  # the oldest version from which the log can produce a delta
         self._snapshot: SerializedResponse | None = None
-        self._deltas: dict[
-            int, SerializedResponse
-        ] = {}  # to the current version, by the version they start from
+        # Deltas to the current version, keyed by the version from which they start.
+        self._deltas: dict[int, SerializedResponse] = {}
         self.on_commit: Callable[[], None] = lambda: None
 
     @property
@@ -70,19 +73,23 @@
         return self._version
 
     def endpoints(self) -> list[Endpoint]:
-        """Return all endpoints that have not left, the oldest first."""
+        """Return all endpoints that have not left, in the order in which they were first added."""
         return list(self._endpoints.values())
 
     def endpoint(self, name: str) -> Endpoint:
         """Return an endpoint by its name.
 
         Raises:
-            KeyError: There is none of this name.
+            KeyError: No endpoint has this name.
         """
         return self._endpoints[name]
 
     def commit(self, changed: Iterable[Endpoint]) -> int:
-        """Commit entries as one new version and return it; without entries, nothing changes."""
+        """Commit entries as one new version.
+
+        Returns:
+            The new version; without entries nothing is committed, and this is the current version.
+        """
         entries = list(changed)
         if not entries:
             return self._version
@@ -131,7 +138,7 @@
         return self.commit(restarted)
 
     def drop_changes(self) -> None:
-        """Drop the log, as a restarted registry does: the next response to each caller is a snapshot."""
+        """Drop the log, as a restarting registry does: the next response to each caller is a snapshot."""
         self._version += 1
         self._changes.clear()
         self._oldest_delta_base = self._version
@@ -139,13 +146,13 @@
         self._deltas.clear()
 
     def snapshot(self) -> SerializedResponse:
-        """Return all endpoints, as the protocol encodes them."""
+        """Return all endpoints, encoded as in the registry protocol."""
         if self._snapshot is None:
             self._snapshot = _serialize(self._version, True, self._endpoints.values())
         return self._snapshot
 
     def delta_since(self, version: int) -> SerializedResponse:
-        """Return the changes after a version, or a snapshot if the log does not reach back that far."""
+        """Return the changes after a version, or a snapshot if the log no longer holds all of them."""
         if not self._oldest_delta_base <= version <= self._version:
             return self.snapshot()
         delta = self._deltas.get(version)
@@ -162,7 +169,10 @@
         return latest.values()
 
     def _trim(self) -> None:
-        """Drop the oldest versions, each completely: a part of a version's entries would be a wrong delta."""
+        """Drop the oldest versions until the log is short enough.
+
+        A version is dropped with all its entries: a delta with only some of them would be incomplete.
+        """
         while len(self._changes) > self._max_length:
             dropped = self._changes[0].version
             while self._changes and self._changes[0].version == dropped:
--- a/scale/standins/fleet.py
+++ b/scale/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Synthetic endpoints of a fleet, spread over zones and reproducible for a seed."""
+"""Creates the endpoints of a synthetic fleet, spread over zones and reproducible for a seed."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from scale.standins.change_log import Endpoint
 
 _PORT = 8443
-_MACHINE_TYPES = ("m1", "m2")  # types of machine
+_MACHINE_TYPES = ("m1", "m2")
 _ENDPOINTS_PER_GROUP = 35
 
 
@@ -17,13 +17,13 @@
 
 
 def make_endpoints(count: int, zones: int, seed: int, address: str | None = None) -> list[Endpoint]:
-    """Create endpoints, assigned to the zones in turn.
+    """Create endpoints, assigned to the zones round-robin.
 
     Args:
-        count: How many endpoints.
-        zones: How many zones.
-        seed: Seed of the names.
-        address: Address of all endpoints, host:port; without it each has its own, where nothing listens.
+        count: The number of endpoints.
+        zones: The number of zones.
+        seed: The seed of the random names.
+        address: The address of all endpoints, host:port; None: each has its own, at which nothing listens.
     """
     names = random.Random(seed).sample(range(2**32), count)
     return [
--- a/scale/standins/registry.py
+++ b/scale/standins/registry.py
@@ -1,7 +1,7 @@
-"""A stand-in for discovery: the registry's protocol over HTTP/1.1 on loopback, for thousands of watchers.
+"""A stand-in for discovery: serves the registry protocol over HTTP/1.1 on loopback to thousands of watchers.
 
 It serves all calls on one event loop.  Several listeners share one registry, so that sidecars can migrate
-from one address to another, and some of them can be partitioned while the others go on.
+from one address to another, and so that some sidecars can be partitioned while the others are served.
 """
 
 from __future__ import annotations
@@ -30,25 +30,25 @@
 
     @property
     def change_log(self) -> ChangeLog:
-        """The endpoints and their changes."""
+        """The log of the endpoints and their changes."""
         return self._state.change_log
 
     @property
     def counts(self) -> RegistryCounts:
-        """Counters since the registry's start."""
+        """The counters since the registry's start."""
         return self._state.counts
 
     def set_availability(self, availability: Availability) -> None:
-        """Go down, become overloaded or come back; watches end unless the registry is up."""
+        """Set whether and how calls are served; pending watches end unless the registry is up."""
         self._state.set_availability(availability)
 
     async def start(self, listeners: int = 1, observed_listeners: int = 0) -> list[Address]:
-        """Listen on loopback at ports picked by the kernel.
+        """Listen on loopback, at ports chosen by the kernel.
 
         Args:
-            listeners: How many addresses to listen at.
-            observed_listeners: How many of the last listeners record their calls.  If only one sidecar uses
-                such an address, the calls show when it had applied which version.
+            listeners: The number of addresses to listen at.
+            observed_listeners: The number of listeners, counted from the last, that record their calls.  If
+                only one sidecar uses such an address, the calls show which version it had applied, and when.
 
         Returns:
             The addresses of all listeners.
@@ -59,7 +59,7 @@
 
     async def _listen(self, records_calls: bool) -> None:
         loop = asyncio.get_running_loop()
-        created: list[Listener] = []  # filled before the loop can accept a connection
+        created: list[Listener] = []  # holds the listener before the first connection is accepted
 
         def new_connection() -> RegistryConnection:
             return RegistryConnection(self._state, created[0])
@@ -82,7 +82,7 @@
         self._listeners.clear()
 
     def observed_calls(self, listener: int) -> list[ObservedCall]:
-        """Return the calls recorded at a listener, the oldest first; empty if it records none."""
+        """Return the calls recorded at a listener, the oldest first; empty if it does not record them."""
         return list(self._listeners[listener].observed_calls or ())
 
     def traffic(self, listener: int) -> ListenerTraffic:
@@ -90,10 +90,11 @@
         return self._listeners[listener].traffic
 
     def set_partitioned(self, listener: int, partitioned: bool) -> None:
-        """Partition the callers of a listener from the registry, or end that.
+        """Start or end a network partition between the callers of a listener and the registry.
 
-        Its connections stay open, but nothing is read or written on them; they are reset at the end, as by a
-        machine that is reachable again.  Unlike in a real partition, the kernel accepts new connections.
+        During the partition the connections stay open, but calls that arrive on them are discarded and
+        pending calls get no response.  At its end the connections are reset, as by a machine that is
+        reachable again.  Unlike in a real partition, the kernel still accepts new connections.
         """
         target = self._listeners[listener]
         if target.is_partitioned and not partitioned:
@@ -102,7 +103,7 @@
         target.is_partitioned = partitioned
 
     def blackhole_connections(self) -> None:
-        """Ignore all open connections for good, as after the address has failed over to another machine."""
+        """Permanently ignore all open connections, as after a failover of the address to another machine."""
         for listener in self._listeners:
             for connection in listener.connections:
                 connection.is_blackholed = True
--- a/scale/standins/registry_commands.py
+++ b/scale/standins/registry_commands.py
@@ -1,4 +1,4 @@
-"""Commands to a registry's process, and its responses."""
+"""The commands to a registry process, and its responses."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 
 class RegistryOptions(Message):
-    """The options of a registry's process."""
+    """The options of a registry process."""
 
-    servers: int  # endpoints in the registry
-    zones: int = 1  # that they are spread over
-    seed: int = 0  # of the endpoints' names
-    endpoint_address: str | None = None  # of all endpoints, host:port; None: each has its own
-    listeners: int = 1  # addresses to listen at
-    observed_listeners: int = 0  # further addresses, each for one sidecar
+    servers: int  # number of endpoints in the registry
+    zones: int = 1  # number of zones over which the endpoints are spread
+    seed: int = 0  # seed of the endpoints' names
+    endpoint_address: str | None = None  # address of all endpoints, host:port; None: each has its own
+    listeners: int = 1  # number of addresses to listen at
+    observed_listeners: int = 0  # number of further addresses; each records the calls of one sidecar
 
 
 def registry_command(options: RegistryOptions) -> list[str]:
-    """Return the command line of a registry's process."""
+    """Return the command line of a registry process."""
     return python_command("scale.standins.registry_process", options.model_dump_json())
 
 
 class ChangeEndpoints(Message):
-    """Restart, drain, remove or add again endpoints of the synthetic fleet, by their index in it."""
+    """Restart, drain, remove or re-add endpoints of the synthetic fleet, given by their indexes in it."""
 
     command: Literal["change"] = "change"
     change: Literal["restart", "drain", "remove", "add"]
@@ -35,7 +35,7 @@
 
 
 class CommittedChange(Message):
-    """A committed change; `at_s` is the time just before, in seconds on the monotonic clock."""
+    """A committed change; `at_s` is the time just before the commit, in seconds on the monotonic clock."""
 
     version: int
     at_s: float
@@ -49,7 +49,7 @@
 
 
 class SetPartitioned(Message):
-    """Partition the callers of a listener from the registry, or end that."""
+    """Start or end a network partition between the callers of a listener and the registry."""
 
     command: Literal["partition"] = "partition"
     listener: int
@@ -57,13 +57,13 @@
 
 
 class BlackholeConnections(Message):
-    """Ignore all open connections for good, while new ones are served."""
+    """Permanently ignore all open connections, but serve new ones."""
 
     command: Literal["blackhole"] = "blackhole"
 
 
 class DropChangeLog(Message):
-    """Drop the change log, as a restarted registry does."""
+    """Drop the change log, as a restarting registry does."""
 
     command: Literal["drop_change_log"] = "drop_change_log"
 
@@ -107,7 +107,10 @@
 
 
 class GetObservedDelays(Message):
-    """Get when the only sidecar of each observed listener was first observed with each change."""
+    """Get the delays until each change was first observed at each of the listeners.
+
+    An observed listener serves one sidecar, whose calls show the version that it has applied.
+    """
 
     command: Literal["observed"] = "observed"
     listeners: list[int]
@@ -115,7 +118,7 @@
 
 
 class ObservedDelays(Message):
-    """For each change, the seconds until each sidecar was observed with it; None: not yet."""
+    """The delays in seconds, one list per change with one entry per listener; None: not observed."""
 
     delays_s: list[list[float | None]]
 
--- a/scale/standins/registry_connection.py
+++ b/scale/standins/registry_connection.py
@@ -1,4 +1,4 @@
-"""Connections to the registry: each reads calls and responds to them, one at a time."""
+"""Connections to the registry, and the listeners that accept them."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from scale.standins.registry_state import Availability, RegistryState
 from scale.standins.tcp_info import count_segments
 
-OVERLOAD_DELAY_S = 2.0  # how long an overloaded registry delays a 503
+OVERLOAD_DELAY_S = 2.0  # how long an overloaded registry delays its 503
 _MAXIMUM_HEAD_BYTES = 8 * 1024
-_WRITE_CHUNK_BYTES = 64 * 1024  # written at once: bounds the memory of a slow reader's response
-_SAMPLING_INTERVAL = 16  # TCP segments are counted on one of so many connections
+_WRITE_CHUNK_BYTES = 64 * 1024  # limits how much of a response is buffered for a slow reader
+_SAMPLING_INTERVAL = 16  # TCP segments are counted on one in this many connections
 
 
 @dataclass(frozen=True, slots=True)
 class ObservedCall:
     """A call that shows which version its caller has applied."""
 
-    at_s: float  # monotonic clock, which all processes of the machine share
-    after: int
+    at_s: float  # seconds on the monotonic clock, which all processes of the machine share
+    after: int  # the version that the caller has applied
 
 
 @dataclass(slots=True)
@@ -41,23 +41,23 @@
     server: asyncio.Server
     address: Address
     is_partitioned: bool = False
-    observed_calls: list[ObservedCall] | None = None  # its calls; None if they are not recorded
+    observed_calls: list[ObservedCall] | None = None  # None: calls are not recorded
     traffic: ListenerTraffic = field(default_factory=ListenerTraffic)
     connections: set[RegistryConnection] = field(default_factory=set)
 
 
 class RegistryConnection(asyncio.Protocol):
-    """One connection: reads calls and responds to them, one at a time."""
+    """One connection; reads calls and responds to them one at a time."""
 
     def __init__(self, state: RegistryState, listener: Listener) -> None:
-        self.is_blackholed = False  # whether all input is ignored, and nothing is written
+        self.is_blackholed = False  # if set, all input is ignored and nothing is written
         self._state = state
         self._listener = listener
         self._transport: asyncio.Transport | None = None
         self._unparsed = b""
         self._current_call: Call | None = None
         self._response_timer: asyncio.TimerHandle | None = None
-        self._unwritten = memoryview(b"")  # the unwritten rest of a response
+        self._unwritten = memoryview(b"")  # the rest of the current response's body
         self._is_sampled = False
         self._can_write = True
 
@@ -72,7 +72,7 @@
         self._is_sampled = counts.connections % _SAMPLING_INTERVAL == 0
 
     def data_received(self, data: bytes) -> None:
-        """Read the calls received, unless the listener is partitioned."""
+        """Read calls; data is discarded while the connection is blackholed or the listener partitioned."""
         self._state.counts.bytes_in += len(data)
         self._listener.traffic.http_bytes += len(data)
         if self.is_blackholed or self._listener.is_partitioned:
@@ -82,7 +82,7 @@
 
     def _read_call(self) -> None:
         if self._current_call is not None:
-            return  # calls on a connection are served in order
+            return  # a call on a connection is served only after the response to the previous one
         head, end, rest = self._unparsed.partition(b"\r\n\r\n")
         if not end:
             if len(self._unparsed) > _MAXIMUM_HEAD_BYTES:
@@ -187,7 +187,7 @@
             self._continue_writing()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Remove the connection and its watch."""
+        """Remove the connection and its pending watch."""
         if self._is_sampled:
             self._count_segments()
         self._listener.connections.discard(self)
@@ -197,7 +197,10 @@
         self._unwritten = memoryview(b"")
 
     def _count_segments(self) -> None:
-        """Count the segments so far, which leaves out a few of the close in progress."""
+        """Add the segments of this connection to the counters.
+
+        The few segments that the close in progress still exchanges are not included.
+        """
         assert self._transport is not None
         segments = count_segments(self._transport.get_extra_info("socket"))
         if segments is not None:
--- a/scale/standins/registry_process.py
+++ b/scale/standins/registry_process.py
@@ -1,4 +1,4 @@
-"""The registry stand-in in its own process, so that its CPU time and memory are measured separately.
+"""Runs the registry stand-in in its own process, so that its CPU time and memory can be measured separately.
 
 Run as `python -m scale.standins.registry_process`; it prints its addresses and then accepts commands.
 """
@@ -41,7 +41,7 @@
         self._initial_endpoints = server.change_log.endpoints()
 
     def handle(self, line: bytes) -> Message:
-        """Handle one command, as a JSON line, and return its response.
+        """Handle one command, a line of JSON, and return its response.
 
         Raises:
             ValueError: The line is not a command.
--- a/scale/standins/registry_protocol.py
+++ b/scale/standins/registry_protocol.py
@@ -1,4 +1,4 @@
-"""The registry's protocol: parses the head of a request."""
+"""Parses the requests of the registry protocol."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 class Call:
     """A parsed request."""
 
-    after: int | None  # version to send the changes after; None: a snapshot
-    wait_ms: int
+    after: int | None  # the response contains the changes after this version; None: a snapshot
+    wait_ms: int  # how long to wait for a change if there is none
     keep_alive: bool
 
 
 class MalformedCallError(Exception):
-    """A request that this registry rejects, with the status of the response."""
+    """A request that the registry rejects; carries the status of the response."""
 
     def __init__(self, status: HTTPStatus) -> None:
         super().__init__(status.phrase)
@@ -32,10 +32,10 @@
 
 
 def parse_call(head: bytes) -> Call:
-    """Parse a request's head, without its blank line.
+    """Parse the head of a request, without the blank line at its end.
 
     Raises:
-        MalformedCallError: The request is not the protocol's GET.
+        MalformedCallError: The request is not a GET as the protocol defines it.
     """
     request_line, *header_lines = head.split(b"\r\n")
     request_match = _REQUEST_LINE.fullmatch(request_line)
--- a/scale/standins/registry_state.py
+++ b/scale/standins/registry_state.py
@@ -13,8 +13,8 @@
     """Whether and how the registry serves calls."""
 
     UP = "up"
-    DOWN = "down"  # watches end, and each call gets 503 at once
-    OVERLOADED = "overloaded"  # calls wait, then get 503
+    DOWN = "down"  # pending watches end, and each call immediately gets 503
+    OVERLOADED = "overloaded"  # pending watches end, and each call gets 503 after a delay
 
 
 @dataclass(slots=True)
@@ -25,13 +25,13 @@
     calls: int = 0
     snapshots: int = 0  # responses with all endpoints
     deltas: int = 0  # responses with at least one changed entry
-    empty: int = 0  # watches that ended without a change
+    empty: int = 0  # responses without entries: nothing had changed
     unavailable: int = 0  # responses with 503
     malformed: int = 0  # responses with 400, 404, 405 and 431
-    bytes_in: int = 0  # HTTP, without the headers of TCP and IP
+    bytes_in: int = 0  # HTTP bytes, without TCP and IP headers
     bytes_out: int = 0
     sampled_connections: int = 0
-    sampled_segments: int = 0  # TCP segments, both ways, on the sampled connections
+    sampled_segments: int = 0  # TCP segments in both directions on the sampled connections
     watching: int = 0  # pending watches
 
 
@@ -58,7 +58,7 @@
         return self._availability
 
     def set_availability(self, availability: Availability) -> None:
-        """Go down, become overloaded or come back; watches end unless the registry is up."""
+        """Set whether and how calls are served; pending watches end unless the registry is up."""
         self._availability = availability
         if availability is not Availability.UP:
             self._complete_watches()
@@ -69,11 +69,11 @@
             watch.complete_watch()
 
     def add_watch(self, watch: Watch) -> None:
-        """Add a watch that waits for the next change."""
+        """Add a watch, to be completed at the next change."""
         self._watches[watch] = None
         self.counts.watching = len(self._watches)
 
     def remove_watch(self, watch: Watch) -> None:
-        """Remove a watch that waits no longer; does nothing if it did not wait."""
+        """Remove a watch; does nothing if it is not pending."""
         self._watches.pop(watch, None)
         self.counts.watching = len(self._watches)
--- a/scale/standins/server.py
+++ b/scale/standins/server.py
@@ -1,8 +1,8 @@
 """A server stand-in: HTTP/1.1 on a loopback port, as the protocol describes the servers of a service.
 
-Each connection carries one request at a time.  The body of a 200 response tells the server's name, the number
-of the request on its connection, and its service time: the caller can separate the server's own time, and the
-cost of a new connection, from the latency added by the sidecar.
+Each connection carries one request at a time.  The body of a 200 response contains the server's name, the
+number of the request on its connection, and the service time.  With these the caller can separate the
+server's own time, and the cost of a new connection, from the latency added by the sidecar.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
     """How a server responds to requests."""
 
     SERVE = auto()  # 200 after the service time
-    ERROR = auto()  # 500 after the service time: it may have run
-    REJECT = auto()  # 503 with X-Rejected at once: it never ran
+    ERROR = auto()  # 500 after the service time: the request may have been executed
+    REJECT = auto()  # immediate 503 with X-Rejected: the request was not executed
     HANG = auto()  # no response; connections stay open
     DRAIN = auto()  # requests in flight are served; new ones are rejected, and their connections closed
 
@@ -42,14 +42,14 @@
     """Counters since a server's start."""
 
     connections: int = 0
-    requests: int = 0  # calls received to their last byte; probes are counted separately
+    requests: int = 0  # calls that were received completely; probes are counted separately
     served: int = 0
     errors: int = 0
     rejected: int = 0
-    hung: int = 0
+    hung: int = 0  # requests that will get no response
     abandoned: int = 0  # the caller closed the connection before the response
     overlapping: int = 0  # requests received while their connection had one in flight, which is not allowed
-    without_id: int = 0
+    without_id: int = 0  # requests without X-Call-Id
     probes: int = 0
 
 
@@ -60,7 +60,7 @@
     server: str
     connection_request_number: int  # 1 for the first request of its connection
     started_at: float  # when the request was received, in seconds on the machine's monotonic clock
-    service_time_us: float  # from then to the response
+    service_time_us: float  # from `started_at` to the response
 
     def encode(self) -> bytes:
         """Encode the body as JSON."""
@@ -92,14 +92,14 @@
         self.mode = ServerMode.SERVE
         self.counters = ServerCounters()
         self.address: tuple[str, int] = ("127.0.0.1", 0)
-        self.last_request_at = 0.0  # monotonic clock
+        self.last_request_at = 0.0  # seconds on the monotonic clock
         self.allow_probes = allow_probes
         self.service_time_s = service_time_s
         self.connections: set[ServerConnection] = set()
         self._listener: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen on a port picked by the kernel."""
+        """Listen on a port chosen by the kernel."""
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
             lambda: ServerConnection(self), self.address[0], 0, backlog=_BACKLOG
@@ -107,17 +107,17 @@
         self.address = self._listener.sockets[0].getsockname()[:2]
 
     def drain(self) -> None:
-        """Serve the requests in flight, and reject new ones."""
+        """Finish the requests in flight, and reject new ones."""
         self.mode = ServerMode.DRAIN
 
     def kill(self) -> None:
-        """Stop as a killed process does: connections are reset, and new ones refused."""
+        """Stop as a killed process does: reset open connections and refuse new ones."""
         self.close()
         for connection in list(self.connections):
             connection.reset()
 
     def close(self) -> None:
-        """Stop listening; open connections stay."""
+        """Stop listening; open connections stay open."""
         if self._listener is not None:
             self._listener.close()
             self._listener = None
