--- a/tests/configuration/test_settings.py
+++ b/tests/configuration/test_settings.py
@@ -105,20 +105,12 @@
         setting_values,
     ),
 )
-def test_any_settings_give_a_working_balancer_or_an_error(
-    service_class: dict[str, Any], limits_and_rules: dict[str, Any]
-) -> None:
+def test_any_settings_give_a_working_balancer_or_an_error(kind: dict[str, Any], rest: dict[str, Any]) -> None:
     try:
-        settings = Settings.from_mapping(
-            {
-                "classes": [{"name": "a", **service_class}],
-                "limits": limits_and_rules,
-                "rules": limits_and_rules,
-            }
-        )
+        given = Settings.from_mapping({"classes": [{"name": "a", **kind}], "limits": rest, "rules": rest})
     except ValueError:
         return
-    balancer = Balancer(settings, 1)
+    balancer = Balancer(given, 1)
     assert len(balancer.handle(5_000_000, RequestArrived(1, "a", None, None, 500_000))) > 0
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def make_registry(monkeypatch: pytest.MonkeyPatch) -> Callable[[], RegistryStandIn]:
-    """Creates registry stand-ins; connections dialed to a partitioned one are never established."""
+    """Return a factory of registry stand-ins; connections to a partitioned one are never established."""
     registries: list[RegistryStandIn] = []
     connect = server_connection.connect
 
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: what it accepts, what it rejects, and that replies are deterministic."""
+"""The adapter of the simulator: valid and invalid input, and deterministic replies."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from sidecar.settings.wire_names import settings_from_wire
 from sidecar.simulator.adapter import run
 
-BOOT: dict[str, Any] = {
+SETTINGS: dict[str, Any] = {
     "bounds": {"sendCap": 3, "secondCopies": True, "mayCancel": True, "streamsPerConn": 1},
     "discovery": "on_request",
     "guarantees": {"askWithinUs": 10_000_000, "coldFrom": 0.3, "coldUs": 8_000_000},
@@ -35,11 +35,17 @@
 ]
 
 
-def begin(who: str = "sidecar-1", boot: Any = None) -> list[list[Any]]:
-    return [["BEGIN", who, 7, BOOT if boot is None else boot], PAGE, ["TARGETS", who, "cached", 0, 1]]
+def begin(instance: str = "sidecar-1", settings: Any = None) -> list[list[Any]]:
+    """Return the messages that start an instance and pass its endpoints."""
+    return [
+        ["BEGIN", instance, 7, SETTINGS if settings is None else settings],
+        PAGE,
+        ["TARGETS", instance, "cached", 0, 1],
+    ]
 
 
 def play(*batches: list[list[Any]]) -> tuple[int, list[list[Any]], str]:
+    """Run the adapter on batches of messages; return its exit code, replies and standard error."""
     lines = []
     for index, batch in enumerate(batches):
         lines += [["FRAME", 1_000_000 + 5_000 * index], *batch, ["COMMIT"]]
@@ -47,6 +53,7 @@
 
 
 def play_text(text: str) -> tuple[int, list[list[Any]], str]:
+    """Run the adapter on a text; return its exit code, replies and standard error."""
     out, err = io.StringIO(), io.StringIO()
     code = run(io.StringIO(text), out, err)
     return code, [json.loads(each) for each in out.getvalue().splitlines()], err.getvalue()
@@ -66,7 +73,7 @@
     assert sends[0][3] in ("10.0.0.1:80", "10.0.0.2:80")
 
 
-def test_a_stopped_instance_may_begin_again_in_the_same_batch_with_nothing_learned() -> None:
+def test_a_stopped_instance_may_begin_again_in_the_same_batch_without_its_former_state() -> None:
     work = ["WORK_ITEM", "sidecar-1", 5, "look", None, None, 900_000, None, 0]
     end = ["ATTEMPT_END", "sidecar-1", 5, 0, "10.0.0.1:80", "delivered", 100, True, {"util": 0.5}]
     code, reply, _ = play(begin(), [work, ["EXIT", "sidecar-1"], *begin()], [end])
@@ -79,7 +86,7 @@
     work = [["WORK_ITEM", f"sidecar-{n}", n, "look", None, None, 900_000, None, 0] for n in (1, 2)]
     batch = [
         *begin(),
-        ["BEGIN", "sidecar-2", 8, BOOT],
+        ["BEGIN", "sidecar-2", 8, SETTINGS],
         other,
         ["TARGETS", "sidecar-2", "cached", 0, 1],
         *work,
@@ -153,12 +160,12 @@
     assert (code == 0) == (err == "")
 
 
-def test_the_same_events_give_the_same_actions_whatever_the_hash_seed() -> None:
-    script = [["FRAME", 1_000_000], *begin(), ["COMMIT"]]
+def test_the_same_events_give_the_same_actions_with_any_hash_seed() -> None:
+    messages = [["FRAME", 1_000_000], *begin(), ["COMMIT"]]
     for number in range(60):
         work = ["WORK_ITEM", "sidecar-1", number, "look", None, None, 900_000, None, 0]
-        script += [["FRAME", 1_000_000 + 5_000 * number], work, ["COMMIT"]]
-    text = "".join(json.dumps(each) + "\n" for each in script)
+        messages += [["FRAME", 1_000_000 + 5_000 * number], work, ["COMMIT"]]
+    text = "".join(json.dumps(each) + "\n" for each in messages)
     replies = [
         subprocess.run(
             [sys.executable, "-m", "sidecar.simulator"],
@@ -176,10 +183,10 @@
 
 
 def test_rules_prices_and_warm_keys_of_the_wire_reach_the_settings() -> None:
-    lane = {**BOOT["lanes"][0], "byArrival": True}
+    lane = {**SETTINGS["lanes"][0], "byArrival": True}
     read = settings_from_wire(
         {
-            **BOOT,
+            **SETTINGS,
             "lanes": [lane],
             "guarantees": {"lateShedding": True, "turnGapUs": 100_000},
             "prices": {"connection": 0.08, "handshake": 0.07, "lateFail": 0.05},
@@ -193,19 +200,19 @@
     assert read.rules.late_shedding
     assert read.rules.key_cooldown_us == 100_000
     assert (read.prices.connection, read.prices.handshake) == (0.08, 0.07)
-    plain = settings_from_wire(BOOT)
+    plain = settings_from_wire(SETTINGS)
     assert not (plain.classes[0].ordered_by_key)
     assert not (plain.warm_keys)
     assert not (plain.rules.late_shedding)
 
 
 def test_an_invalid_rule_is_named_by_its_key() -> None:
-    for boot, key in (
-        ({**BOOT, "guarantees": {"lateShedding": "yes"}}, "guarantees.lateShedding"),
-        ({**BOOT, "guarantees": {"turnGapUs": -1}}, "guarantees.turnGapUs"),
-        ({**BOOT, "domain": {"warmKeys": 3}}, "domain.warmKeys"),
+    for settings, key in (
+        ({**SETTINGS, "guarantees": {"lateShedding": "yes"}}, "guarantees.lateShedding"),
+        ({**SETTINGS, "guarantees": {"turnGapUs": -1}}, "guarantees.turnGapUs"),
+        ({**SETTINGS, "domain": {"warmKeys": 3}}, "domain.warmKeys"),
     ):
-        code, _, err = play(begin(boot=boot))
+        code, _, err = play(begin(settings=settings))
         assert code == 2
         assert err.startswith(f"line 2: settings.{key}: ")
         assert err.count("\n") == 1
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -1,4 +1,4 @@
-"""The codec: each message by its values, each action to the byte, and typed errors."""
+"""The codec: decoded messages, exact encodings of actions, and typed errors."""
 
 from __future__ import annotations
 
@@ -83,11 +83,11 @@
         (("MEMO", "a", 2, "00ff"), MessageReceived(2, b"\x00\xff")),
     ],
 )
-def test_an_event_is_decoded_by_its_values(values: tuple[object, ...], event: Event) -> None:
+def test_an_event_is_decoded_from_its_values(values: tuple[object, ...], event: Event) -> None:
     assert decode(*values) == EventReceived("a", event)
 
 
-def test_other_messages_are_decoded_by_their_values() -> None:
+def test_other_messages_are_decoded_from_their_values() -> None:
     entries = [["s:1", "east", "box", 3, "draining", 2, 7], ["s:2", "", "", 0, "gone", 0.5, 0]]
     endpoints = [
         Endpoint("s:1", "east", "box", 3, ServerState.DRAINING, 2.0, 7),
@@ -118,11 +118,11 @@
         (Log("gr\u00fcn"), '["REMARK","a","gr\\u00fcn"]'),
     ],
 )
-def test_an_action_is_encoded_to_the_byte(action: Action, line: str) -> None:
+def test_an_action_has_an_exact_encoding(action: Action, line: str) -> None:
     assert encode_action("a", action) == line
 
 
-def test_a_defect_is_encoded_with_a_limited_text() -> None:
+def test_an_internal_error_is_encoded_with_a_truncated_text() -> None:
     assert encode_internal_error("a", KeyError("x")) == '["INTERNAL_ERROR", "a", "KeyError: \'x\'"]'
     assert len(json.loads(encode_internal_error("a", ValueError("x" * 9_000)))[2]) == 500
 
--- a/tests/test_decision_digest.py
+++ b/tests/test_decision_digest.py
@@ -1,4 +1,4 @@
-"""The recorder of decisions: one seed gives one digest."""
+"""Decision digests are determined by the seed."""
 
 from __future__ import annotations
 
--- a/tests/test_deploy_file.py
+++ b/tests/test_deploy_file.py
@@ -1,4 +1,4 @@
-"""The deploy file names the modules that there are."""
+"""The deploy file names the existing modules of the package."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     assert set(DEPLOY_FILE["policy"]) == modules_below("sidecar/balancer")
 
 
-def test_policy_and_node_name_all_of_the_package_but_the_simulator_s_adapter() -> None:
+def test_policy_and_node_name_all_modules_except_the_simulator_adapter() -> None:
     node = {path for each in DEPLOY_FILE["node"] for path in (modules_below(each) or {each})}
     named = node | set(DEPLOY_FILE["policy"])
     assert named == modules_below("sidecar") - modules_below("sidecar/simulator")
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""README's example runs as it is written."""
+"""The example in README.md runs as it is written."""
 
 from __future__ import annotations
 
