--- a/scale/configuration/point.py
+++ b/scale/configuration/point.py
@@ -72,15 +72,13 @@
     def _next_configurations(self, added_class: str) -> list[tuple[ConfiguredSidecar, bytes]]:
         """Return the next configuration of each sidecar, with one class more than the initial one."""
         self.version += 1
-        return [(each, each.configuration(self.version, added_class)) for each in self.sidecars]
+        return [(each, each.configuration_with_class(self.version, added_class)) for each in self.sidecars]
 
     async def _replace_configurations(self, phase: str, added_class: str) -> None:
         """Replace all files by the next version, and write the times until the added class was accepted."""
         timeout_s = self.experiment.duration_s
         configurations = self._next_configurations(added_class)
-        changes = (
-            each.replace_and_await(content, added_class, timeout_s) for each, content in configurations
-        )
+        changes = (each.replace_and_wait(content, added_class, timeout_s) for each, content in configurations)
         delays = [delay for delay in await asyncio.gather(*changes) if delay is not None]
         share = len(delays) / len(self.sidecars)
         self._write("configuration", f"in force within {timeout_s:g} s", share, "share", phase)
@@ -113,7 +111,7 @@
         self._write("request in flight", "served", served / len(results), "share", "change")
 
     async def _measure_invalid_file(self) -> None:
-        """Replace all files by an invalid one, and check that the active configuration stays active."""
+        """Replace all files by an invalid one, and measure how many sidecars keep their configuration."""
         for sidecar in self.sidecars:
             await asyncio.to_thread(sidecar.replace_file, _INVALID_CONFIGURATION)
         await asyncio.sleep(self.experiment.reload_interval_s)
@@ -127,7 +125,7 @@
         await self._replace_configurations("taken back", "added-2")
 
     async def _measure_cost(self) -> None:
-        """Measure the cost of reloads: a window with reloads minus an idle window of the same length."""
+        """Compare a window with reloads, but no other traffic, with an idle window of the same length."""
         reloads, interval_s = self.experiment.metered_reloads, self.experiment.reload_interval_s
         start = self._read_usage()
         await asyncio.sleep(reloads * interval_s)
@@ -139,11 +137,11 @@
         end = self._read_usage()
         reload_count = reloads * len(self.sidecars)
         cpu_s = (end.sidecar_cpu_s - idle.sidecar_cpu_s) - (idle.sidecar_cpu_s - start.sidecar_cpu_s)
-        received_bytes = (end.http_bytes() - idle.http_bytes()) - (idle.http_bytes() - start.http_bytes())
+        registry_bytes = (end.http_bytes() - idle.http_bytes()) - (idle.http_bytes() - start.http_bytes())
         snapshots = end.counts.snapshots - idle.counts.snapshots
         self._write("sidecar", "cpu of a reload", cpu_s / reload_count, "s", "metered")
         self._write(
-            "sidecar", "registry bytes of a reload", received_bytes / reload_count, "bytes", "metered"
+            "sidecar", "registry bytes of a reload", registry_bytes / reload_count, "bytes", "metered"
         )
         self._write("discovery", "whole lists for a reload", snapshots / reload_count, "answers", "metered")
 
--- a/scale/configuration/run.py
+++ b/scale/configuration/run.py
@@ -52,7 +52,7 @@
             for index, address in enumerate(listen_addresses)
         ]
         for each in sidecars:
-            each.await_ready()
+            each.wait_until_ready()
         point = Point(
             experiment, writer, server, client, sidecars, {"servers": server_count, "sidecars": sidecar_count}
         )
--- a/scale/configuration/sidecar.py
+++ b/scale/configuration/sidecar.py
@@ -39,7 +39,7 @@
         self._client = HttpClient(self.listen)
         self._call_count = 0
 
-    def await_ready(self) -> None:
+    def wait_until_ready(self) -> None:
         """Wait until the sidecar is ready.
 
         Raises:
@@ -47,7 +47,7 @@
         """
         wait_until_ready(self.process, self.listen, self._folder)
 
-    def configuration(self, version: int, added_class: str) -> bytes:
+    def configuration_with_class(self, version: int, added_class: str) -> bytes:
         """Return the sample configuration with one more idempotent class, as JSON."""
         settings: dict[str, Any] = self._config["settings"]
         lanes = [*settings["lanes"], settings["lanes"][0] | {"name": added_class}]
@@ -83,7 +83,7 @@
         """Return whether the sidecar accepts requests of a class; it rejects an unknown class with 400."""
         return (await self.call(service_class)).status != HTTPStatus.BAD_REQUEST
 
-    async def replace_and_await(self, content: bytes, added_class: str, timeout_s: float) -> float | None:
+    async def replace_and_wait(self, content: bytes, added_class: str, timeout_s: float) -> float | None:
         """Replace the configuration file and poll until requests of an added class are accepted.
 
         File operations may block, so they run in a thread.  Meanwhile the event loop serves the requests in
--- a/scale/control/faults.py
+++ b/scale/control/faults.py
@@ -103,11 +103,11 @@
 def _perform_rolling_restart(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
     """Drain, remove and re-add each server of a service in turn, spread over the fault's duration."""
     service = rng.choice(fleet.registry.endpoints).group
-    indexes = [index for index, each in enumerate(fleet.registry.endpoints) if each.group == service]
+    indexes = [index for index, endpoint in enumerate(fleet.registry.endpoints) if endpoint.group == service]
     started_at, changes = time.monotonic(), []
     steps = [(index, step) for index in indexes for step in ("drain", "remove", "add")]
-    for number, (index, step) in enumerate(steps):
-        time.sleep(max(started_at + fault.lasts_s * number / len(steps) - time.monotonic(), 0.0))
+    for step_number, (index, step) in enumerate(steps):
+        time.sleep(max(started_at + fault.lasts_s * step_number / len(steps) - time.monotonic(), 0.0))
         command = ChangeEndpoints.model_validate({"change": step, "indexes": [index]})
         changes.append(fleet.registry.change(command))
     return FaultOutcome(changes)
--- a/scale/control/figures.py
+++ b/scale/control/figures.py
@@ -22,7 +22,7 @@
 Labels = Mapping[str, LabelValue]
 
 
-def _cores(before: ResourceUsage, after: ResourceUsage) -> float:
+def _cores_used(before: ResourceUsage, after: ResourceUsage) -> float:
     return (after.cpu_s - before.cpu_s) / (after.at_s - before.at_s)
 
 
@@ -60,7 +60,7 @@
 def write_usage(writer: ResultWriter, fleet: Fleet, before: Reading, after: Reading, labels: Labels) -> None:
     """Write the resource usage and traffic of each role in a time window."""
     traffic = traffic_between(before, after)
-    writer.add("discovery", "cpu", _cores(before.registry, after.registry), "cores", labels)
+    writer.add("discovery", "cpu", _cores_used(before.registry, after.registry), "cores", labels)
     writer.add("discovery", "memory", after.registry.memory_bytes, "bytes", labels)
     writer.add("discovery", "calls", traffic.calls / traffic.duration_s, "1/s", labels)
     writer.add("discovery", "http bytes", traffic.http_bytes / traffic.duration_s, "bytes/s", labels)
@@ -78,9 +78,9 @@
         "answers",
         labels,
     )
-    stub_cores = sum(map(_cores, before.stub_processes, after.stub_processes)) / fleet.stubs.count
+    stub_cores = sum(map(_cores_used, before.stub_processes, after.stub_processes)) / fleet.stubs.count
     writer.add(STUB_ROLE, "cpu", stub_cores, "cores", labels)
-    busiest_cores = max(map(_cores, before.stub_processes, after.stub_processes))
+    busiest_cores = max(map(_cores_used, before.stub_processes, after.stub_processes))
     # A process that uses nearly one core delays its own sidecars.
     writer.add(STUB_PROCESS_ROLE, "cpu, largest", busiest_cores, "cores", labels)
     if fleet.real_sidecars:
@@ -99,7 +99,7 @@
     writer: ResultWriter, before: Reading, after: Reading, duration_s: float, labels: Labels
 ) -> None:
     role = "real sidecar"
-    cores = list(map(_cores, before.real_sidecars, after.real_sidecars))
+    cores = list(map(_cores_used, before.real_sidecars, after.real_sidecars))
     memory = [usage.memory_bytes for usage in after.real_sidecars]
     calls = after.real_sidecar_traffic.calls - before.real_sidecar_traffic.calls
     http_bytes = after.real_sidecar_traffic.http_bytes - before.real_sidecar_traffic.http_bytes
--- a/scale/control/processes.py
+++ b/scale/control/processes.py
@@ -104,12 +104,12 @@
         self.count = count
         self._registry = registry
         self.processes: list[ManagedProcess] = []
-        for first in range(0, count, experiment.stubs_per_process):
+        for first_sidecar in range(0, count, experiment.stubs_per_process):
             index = len(self.processes)
             discovery = registry.address(registry.stub_listener(index % len(STUB_HALVES), migrated=False))
             command = python_command(
                 "scale.control.stub_process",
-                *("--count", min(experiment.stubs_per_process, count - first)),
+                *("--count", min(experiment.stubs_per_process, count - first_sidecar)),
                 *("--discovery", format_address(discovery)),
                 *("--zone", zone_name(index % experiment.zones)),
                 *("--seed", experiment.seed + index),
@@ -136,7 +136,7 @@
         return all(each.applied == each.sidecars for each in progress)
 
     def delays(self, changes: list[CommittedChange], halves: tuple[int, ...] = STUB_HALVES) -> list[Delays]:
-        """Return the times until the sidecars of these halves applied changes, by process."""
+        """Return the times until the sidecars of these halves applied changes, one entry per process."""
         return [client.request(GetDelays(changes=changes), Delays) for client in self._clients_of(halves)]
 
     def _clients_of(self, halves: tuple[int, ...]) -> list[CommandClient]:
--- a/scale/control/run.py
+++ b/scale/control/run.py
@@ -100,14 +100,14 @@
         labels = self._labels("start")
         empty = self.fleet.read_usage()
         self.fleet.stubs.start(self.experiment.start_within_s)
-        if not self._await_change(CommittedChange(version=1, at_s=0.0), _LOAD_TIMEOUT_S):
+        if not self._wait_for_change(CommittedChange(version=1, at_s=0.0), _LOAD_TIMEOUT_S):
             raise EndpointListTimeoutError("hollow_sidecars", _LOAD_TIMEOUT_S)
         time.sleep(self.experiment.settle_s)
         full = self.fleet.read_usage()
         write_stub_memory(self.writer, self.fleet, empty, full, labels)
         log.info("endpoint list loaded", servers=self.server_count, sidecars=self.fleet.sidecar_count)
 
-    def _await_change(self, change: CommittedChange, timeout_s: float) -> bool:
+    def _wait_for_change(self, change: CommittedChange, timeout_s: float) -> bool:
         """Wait until all sidecars, stub and real, have applied a change; return whether they did in time."""
 
         def all_have_applied() -> bool:
@@ -127,7 +127,7 @@
         after = self.fleet.read_usage()
         write_usage(self.writer, self.fleet, before, after, labels)
         if changes:
-            self._await_change(changes[-1], _PROPAGATION_TIMEOUT_S)
+            self._wait_for_change(changes[-1], _PROPAGATION_TIMEOUT_S)
             self._write_delays(changes, labels)
         log.info(
             "change rate measured", servers=self.server_count, sidecars=self.fleet.sidecar_count, rate=rate
@@ -157,12 +157,12 @@
     def _measure_fault(self, fault: Fault, rng: random.Random) -> None:
         labels = self._labels(str(fault.kind))
         before = self.fleet.read_usage()
-        with PeakSampler(self.fleet) as peak:
+        with PeakSampler(self.fleet) as peak_sampler:
             outcome = inject_fault(fault, self.fleet, rng)
             recovered = wait_until(lambda: self._has_recovered(outcome), fault.observed_s)
         after = self.fleet.read_usage()
         write_usage(self.writer, self.fleet, before, after, labels)
-        peak.write(self.writer, labels)
+        peak_sampler.write(self.writer, labels)
         write_stub_delays(
             self.writer, self.fleet.stubs.delays(outcome.changes, outcome.affected_halves), labels
         )
