--- a/scale/http_client.py
+++ b/scale/http_client.py
@@ -17,7 +17,7 @@
     """The result of one call; times are seconds on the monotonic clock."""
 
     scheduled_at: float  # when the call was due to start
-    sent_at: float
+    sent_at: float  # when the call started, before connecting
     ended_at: float
     status: int
     body: bytes
--- a/scale/latency/experiment.py
+++ b/scale/latency/experiment.py
@@ -28,9 +28,8 @@
 
     servers: int = Field(ge=1, le=MAXIMUM_SERVERS)  # in the endpoint list, each with a listener
     changes_per_s: float = Field(default=0.0, ge=0.0, le=100.0)  # restarts of single servers
-    snapshots_per_s: float = Field(
-        default=0.0, ge=0.0, le=10.0
-    )  # the registry drops its change log, so that a watch receives a snapshot
+    # The rate at which the registry drops its change log, so that a watch receives a snapshot.
+    snapshots_per_s: float = Field(default=0.0, ge=0.0, le=10.0)
     collector: Collector = Collector.PROGRAM
     traced: bool = False  # whether the sidecar's event loop and collections are timed from inside
 
--- a/scale/latency/tracing.py
+++ b/scale/latency/tracing.py
@@ -59,7 +59,7 @@
         """Stop recording.
 
         Raises:
-            ValueError: It was not installed.
+            ValueError: Recording was not installed.
         """
         gc.callbacks.remove(self._record)
 
--- a/scale/suite.py
+++ b/scale/suite.py
@@ -36,8 +36,8 @@
 def run_suite(paths: Sequence[Path], results: Path) -> float:
     """Run experiments, and write the results of each to a file of its own.
 
-    All files are validated before the first experiment runs.  The commit is read only once,
-    because writing the results may make the work tree dirty.
+    All files are validated before the first experiment runs.  The commit is read only once, because
+    writing the results may make the work tree dirty.
 
     Args:
         paths: The experiment files.
