--- a/tests/proxy/test_wall_clock_steps.py
+++ b/tests/proxy/test_wall_clock_steps.py
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize("span_s", STEPS_S)
 def test_clock_runs_on_through_a_step(span_s: float, step: Step) -> None:
     clock = Clock()
-    before_us, began_us = clock.now(), time.monotonic_ns() // 1000
+    began_us, before_us = time.monotonic_ns() // 1000, clock.now()
     step(span_s)
     after_us, ended_us = clock.now(), time.monotonic_ns() // 1000
     assert 0 <= after_us - before_us <= ended_us - began_us + 1
