--- a/tests/scale/test_callgraph.py
+++ b/tests/scale/test_callgraph.py
@@ -1,4 +1,4 @@
-"""Call graphs in virtual time: the same result every time, and what faults do to the calls."""
+"""Call graphs in virtual time: deterministic results, and the effect of faults on calls."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     return run_point(experiment, Point(first.depth, first.load, first.fault, policy, first.seed))
 
 
-def test_same_seed_gives_the_same_run_and_another_seed_another() -> None:
+def test_runs_are_determined_by_the_seed() -> None:
     fault = {"kind": "errors", "share": 0.5, **FAULT}
     assert run(fault=fault).digest == run(fault=fault).digest
     assert run(fault=fault).digest != run(fault=fault, seed=6).digest
@@ -54,12 +54,13 @@
     assert measured.calls_per_root_call() == pytest.approx([1.0, 1.0, 1.0], rel=0.02)
 
 
-def test_each_hop_calls_the_next_as_often_as_the_fan_out_says() -> None:
+def test_each_hop_makes_as_many_calls_as_the_fan_out() -> None:
     assert run(fan_out=2).calls_per_root_call() == pytest.approx([1.0, 2.0, 4.0], rel=0.05)
 
 
 def test_fixed_retries_multiply_from_hop_to_hop_while_all_calls_fail() -> None:
-    changes = {"fault": {"kind": "errors", **FAULT}, "loads": [0.05]}  # 9 times this is no overload
+    # The load is so low that 9 times as many calls do not overload a service.
+    changes = {"fault": {"kind": "errors", **FAULT}, "loads": [0.05]}
     retrying = run(PolicyName.FIXED_RETRIES, **changes).calls_per_root_call()
     assert retrying == pytest.approx([3.0, 9.0, 27.0], rel=0.05)
     single = run(PolicyName.NO_RETRY, **changes).calls_per_root_call()
@@ -73,7 +74,7 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "least", "most"),
+    ("kind", "minimum", "maximum"),
     [
         (FaultKind.ERRORS, 0.0, 0.05),
         (FaultKind.SERVICE_LOST, 0.0, 0.05),
@@ -81,15 +82,15 @@
         (FaultKind.REGION_CUT, 0.05, 0.95),
     ],
 )
-def test_fault_reduces_goodput_only_while_it_lasts(kind: FaultKind, least: float, most: float) -> None:
+def test_fault_reduces_goodput_only_while_it_lasts(kind: FaultKind, minimum: float, maximum: float) -> None:
     measured = run(PolicyName.NO_RETRY, fault={"kind": kind.value, **FAULT})
     assert measured.shares_before_fault().goodput == 1.0
-    assert least <= measured.shares_during_fault().goodput <= most
+    assert minimum <= measured.shares_during_fault().goodput <= maximum
     assert measured.recovery_us() is not None
     assert measured.shares_after_fault().goodput > 0.9
 
 
-def test_recovery_is_the_first_time_that_goodput_has_recovered() -> None:
+def test_recovery_time_ends_when_goodput_has_recovered() -> None:
     recorder = RootCallRecorder(deadline_us=1_000)
     for offered_at in range(0, 4_000_000, 10_000):
         call = recorder.offer(offered_at)
@@ -100,7 +101,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "complaint"),
+    ("changes", "key"),
     [
         ({"depths": [17]}, "depths"),
         ({"policies": ["best"]}, "policies.0"),
@@ -109,8 +110,8 @@
         ({"servers": {"count": 0}}, "servers.count"),
     ],
 )
-def test_bad_call_graph_is_rejected_naming_the_key(changes: dict[str, Any], complaint: str) -> None:
-    with pytest.raises(ExperimentError, match=complaint):
+def test_invalid_call_graph_experiment_is_rejected_naming_the_key(changes: dict[str, Any], key: str) -> None:
+    with pytest.raises(ExperimentError, match=key):
         validate_experiment(CallGraphExperiment, {**SMALL, **changes})
 
 
@@ -122,7 +123,7 @@
     assert Fault(share=0.0) in {point.fault for point in swept}
 
 
-def test_small_experiment_writes_the_same_figures_every_time(tmp_path: Path) -> None:
+def test_small_experiment_writes_the_same_results_every_time(tmp_path: Path) -> None:
     experiment = load_experiment(EXPERIMENTS / "callgraph-small.toml")
     paths = [tmp_path / "first.jsonl", tmp_path / "second.jsonl"]
     for path in paths:
--- a/tests/scale/test_capacity.py
+++ b/tests/scale/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page's tables: which measurements a figure takes, and what it makes of them."""
+"""The tables of the capacity page: the measurements that a figure selects, and their evaluation."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 BYTES = Figure(
     table="day", what="bytes", results=["small"], role="sidecar", metric="bytes", carried_by="`net/`"
 )
-MARKS = "before\n<!-- table: day -->\nformer\n<!-- end of table -->\nafter\n"
+PAGE_WITH_MARKS = "before\n<!-- table: day -->\nformer\n<!-- end of table -->\nafter\n"
 
 
 def measured(value: float, commit: str = "new", seed: int = 3, **labels: LabelValue) -> Measurement:
@@ -35,14 +35,14 @@
     )
 
 
-def test_last_run_of_a_file_counts_unless_a_commit_is_given() -> None:
+def test_figure_uses_the_last_run_of_a_file_unless_a_commit_is_given() -> None:
     measurements = [measured(1.0, "old"), measured(2.0, "new")]
     latest = evaluate_figure(BYTES, {"small": measurements})
-    former = evaluate_figure(BYTES.model_copy(update={"commit": "old"}), {"small": measurements})
+    earlier = evaluate_figure(BYTES.model_copy(update={"commit": "old"}), {"small": measurements})
     assert latest is not None
     assert (latest.value, latest.runs) == (2.0, "small, new, seed 3")
-    assert former is not None
-    assert (former.value, former.runs) == (1.0, "small, old, seed 3")
+    assert earlier is not None
+    assert (earlier.value, earlier.runs) == (1.0, "small, old, seed 3")
 
 
 def test_figure_after_a_change_is_not_taken_from_the_run_before_it() -> None:
@@ -74,7 +74,7 @@
     assert evaluation.runs == "small, new, seed 3; again, older, seed 4"
 
 
-def test_line_is_fitted_within_bounds_and_says_where_it_is_extrapolated() -> None:
+def test_line_is_fitted_up_to_the_bound_and_the_extrapolation_is_stated() -> None:
     figure = BYTES.model_copy(update={"against": "servers", "at": 100.0, "up_to": 20.0, "times": 2.0})
     measurements = [measured(10.0 + 3.0 * size, servers=size) for size in (10, 20)]
     evaluation = evaluate_figure(figure, {"small": [*measurements, measured(9_000.0, servers=30)]})
@@ -111,17 +111,17 @@
     assert format_number(value) == text
 
 
-def test_page_is_filled_between_its_marks_alone(tmp_path: Path) -> None:
+def test_only_the_text_between_the_marks_of_a_page_is_replaced(tmp_path: Path) -> None:
     (tmp_path / "small.jsonl").write_text(measured(2.0).model_dump_json() + "\n")
-    filled = fill_page(MARKS, [BYTES], tmp_path)
+    filled = fill_page(PAGE_WITH_MARKS, [BYTES], tmp_path)
     assert "former" not in filled
     assert filled.startswith("before\n<!-- table: day -->\n| what |")
     assert filled.endswith("| `net/` |\n<!-- end of table -->\nafter\n")
     assert fill_page(filled, [BYTES], tmp_path) == filled
 
 
-def test_ranked_figures_have_a_table_of_their_own(tmp_path: Path) -> None:
-    marks = MARKS + MARKS.replace("day", "missing")
+def test_ranked_figures_have_a_separate_table(tmp_path: Path) -> None:
+    marks = PAGE_WITH_MARKS + PAGE_WITH_MARKS.replace("day", "missing")
     later = BYTES.model_copy(update={"rank": 2, "missing": "later"})
     first = BYTES.model_copy(update={"rank": 1, "missing": "first"})
     missing = fill_page(marks, [later, first, BYTES], tmp_path).partition("<!-- table: missing -->")[2]
@@ -131,10 +131,10 @@
 
 def test_mark_without_figures_is_an_error(tmp_path: Path) -> None:
     with pytest.raises(ExperimentError, match="night"):
-        fill_page(MARKS + MARKS.replace("day", "night"), [BYTES], tmp_path)
+        fill_page(PAGE_WITH_MARKS + PAGE_WITH_MARKS.replace("day", "night"), [BYTES], tmp_path)
 
 
-def test_key_that_is_not_known_is_named(tmp_path: Path) -> None:
+def test_unknown_key_is_named(tmp_path: Path) -> None:
     path = tmp_path / "figures.toml"
     path.write_text("[[figures]]\ntabel = 1\n")
     with pytest.raises(ExperimentError, match=r"^figures\.0\."):
--- a/tests/scale/test_configuration.py
+++ b/tests/scale/test_configuration.py
@@ -1,4 +1,4 @@
-"""Experiments on configuration: counts and shares, never times."""
+"""Configuration experiments; the tests check counts and shares, but no times."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
     ("change", "key"),
     [({"sidecars": [0]}, "sidecars.0"), ({"servers": []}, "servers"), ({"changes": 0}, "changes")],
 )
-def test_bad_size_is_rejected_naming_the_key(change: dict[str, object], key: str) -> None:
-    given = {
+def test_invalid_size_is_rejected_naming_the_key(change: dict[str, object], key: str) -> None:
+    valid = {
         "name": "a",
         "kind": "configuration",
         "seed": 1,
@@ -38,7 +38,7 @@
         "sidecars": [1],
     }
     with pytest.raises(ExperimentError, match=f"^{key}: "):
-        validate_experiment(ConfigurationExperiment, {**given, **change})
+        validate_experiment(ConfigurationExperiment, {**valid, **change})
 
 
 def test_small_run_measures_each_phase(tmp_path: Path) -> None:
@@ -47,6 +47,6 @@
     subprocess.run(command, cwd=ROOT, check=True, timeout=60.0, capture_output=True)
     values = {(each.labels["phase"], each.metric): each.value for each in read_results([results])}
     assert values[("change", "in force within 30 s")] == values[("taken back", "in force within 30 s")] == 1.0
-    assert values[("change", "served")] == 1.0  # what was in flight as the file was replaced
+    assert values[("change", "served")] == 1.0  # the requests in flight when the file was replaced
     assert values[("bad file", "classes as before")] == 1.0
     assert values[("metered", "whole lists for a reload")] == 0.0
--- a/tests/scale/test_control.py
+++ b/tests/scale/test_control.py
@@ -1,4 +1,4 @@
-"""Control plane experiments: counts and orders, never times."""
+"""Control plane experiments; the tests check counts and orders, but no times."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     for version, at_s in ((1, 10.0), (4, 12.0), (4, 20.0), (5, 21.0)):
         log.add(version, at_s)
     assert log.delay_until_applied(2, 11.5) == 0.5  # applied together with later changes
-    assert log.delay_until_applied(4, 15.0) == 5.0  # the snapshot was sent again
+    assert log.delay_until_applied(4, 15.0) == 5.0  # the same version was applied again, from a snapshot
     assert log.delay_until_applied(5, 15.0) == 6.0
     assert log.delay_until_applied(6, 15.0) is None
     assert log.latest_version() == 5
@@ -45,7 +45,7 @@
 
 async def check_stub_sidecar() -> None:
     log = ChangeLog(make_endpoints(3, zones=1, seed=5))
-    stays, *leave = [each.name for each in log.endpoints()]
+    remaining, *leaving = [each.name for each in log.endpoints()]
     server = RegistryServer(log)
     [first, second] = await server.start(listeners=2)
     sidecar = StubSidecar(settings_from_wire(sidecar_settings("z00")), 1, first)
@@ -53,21 +53,21 @@
         async with asyncio.timeout(TIMEOUT_S):
             sidecar.start()
             await wait_until(lambda: sidecar.applied_log.latest_version() >= 1)
-            log.drain(leave)
+            log.drain(leaving)
             await wait_until(lambda: sidecar.applied_log.latest_version() >= 2)
             for request in range(8):
-                assert sent_to(sidecar, request) == [stays]
+                assert servers_of_request(sidecar, request) == [remaining]
             sidecar.migrate(second)
-            log.remove([stays])
+            log.remove([remaining])
             await wait_until(lambda: sidecar.applied_log.latest_version() >= 3)
-            assert sent_to(sidecar, 8) == []
+            assert servers_of_request(sidecar, 8) == []
             assert server.counts.snapshots == 2  # at the start and after the migration
     finally:
         sidecar.stop()
         await server.stop()
 
 
-def sent_to(sidecar: StubSidecar, request: int) -> list[str]:
+def servers_of_request(sidecar: StubSidecar, request: int) -> list[str]:
     arrived = RequestArrived(request, "look", None, None, 1_000_000)
     return [
         action.server
@@ -80,7 +80,7 @@
     asyncio.run(check_stub_sidecar())
 
 
-GIVEN: Mapping[str, Any] = {
+VALID_EXPERIMENT: Mapping[str, Any] = {
     "name": "a",
     "kind": "control",
     "seed": 1,
@@ -101,9 +101,9 @@
         ({"servers": "many"}, "servers"),
     ],
 )
-def test_bad_size_or_fault_is_rejected_naming_the_key(change: dict[str, Any], key: str) -> None:
+def test_invalid_size_or_fault_is_rejected_naming_the_key(change: dict[str, Any], key: str) -> None:
     with pytest.raises(ExperimentError, match=f"^{key}: "):
-        validate_experiment(ControlExperiment, {**GIVEN, **change})
+        validate_experiment(ControlExperiment, {**VALID_EXPERIMENT, **change})
 
 
 def test_every_control_experiment_can_be_read() -> None:
@@ -148,9 +148,9 @@
     assert ran.returncode == 0, ran.stderr
     results = read_results([path])
 
-    pairs = "in force, measured"
-    assert value(results, "steady", "hollow sidecar", pairs, rate=20.0) == 8 * 10
-    assert value(results, "steady", "real sidecar", pairs, rate=20.0) == 10
+    pairs_measured = "in force, measured"
+    assert value(results, "steady", "hollow sidecar", pairs_measured, rate=20.0) == 8 * 10
+    assert value(results, "steady", "real sidecar", pairs_measured, rate=20.0) == 10
     for phase in (
         "discovery_down",
         "discovery_restarted",
@@ -158,19 +158,18 @@
         "discovery_failed_over",
         "sidecars_restarted",
     ):
-        assert value(results, phase, "hollow sidecar", pairs) == 8
+        assert value(results, phase, "hollow sidecar", pairs_measured) == 8
     for phase in ("zone_lost", "region_lost"):
-        assert value(results, phase, "hollow sidecar", pairs) == 2 * 8
-    assert value(results, "release", "hollow sidecar", pairs) == 3 * 35 * 8
-    assert value(results, "release", "real sidecar", pairs) == 3 * 35
-    assert value(results, "sidecars_cut_off", "hollow sidecar", pairs) == 4
+        assert value(results, phase, "hollow sidecar", pairs_measured) == 2 * 8
+    assert value(results, "release", "hollow sidecar", pairs_measured) == 3 * 35 * 8
+    assert value(results, "release", "real sidecar", pairs_measured) == 3 * 35
+    assert value(results, "sidecars_cut_off", "hollow sidecar", pairs_measured) == 4
     missing = [each.value for each in results if each.metric == "in force, missing"]
     assert missing
     assert set(missing) == {0.0}
 
-    assert (
-        value(results, "release", "real sidecar", "http bytes in the window") > 35 * 100
-    )  # each server's entry
+    # These include an entry for each of the 35 servers.
+    assert value(results, "release", "real sidecar", "http bytes in the window") > 35 * 100
     snapshots = "snapshots"
     for phase in ("discovery_restarted", "discovery_moved"):
         # Each sidecar fetches a snapshot, and another if a call timed out on a busy machine.
--- a/tests/scale/test_demo.py
+++ b/tests/scale/test_demo.py
@@ -1,4 +1,4 @@
-"""The demonstration, and the sample configuration that it starts the sidecar from."""
+"""The demonstration, and the sample configuration of its sidecar."""
 
 from __future__ import annotations
 
@@ -28,20 +28,20 @@
 from scale.standins.server import ServedBody
 from sidecar.configuration import read_config
 
-DEMO = [sys.executable, "-m", "scale", "demo", "--duration", "4", "--rate", "30"]
+DEMO_COMMAND = [sys.executable, "-m", "scale", "demo", "--duration", "4", "--rate", "30"]
 CONFIGURATION_PAGE = SAMPLE_CONFIG.parents[2] / "docs" / "CONFIGURATION.md"
 TIMEOUT_S = 60.0
 
 
 def test_demo_shows_calls_served_through_a_drain_and_a_kill() -> None:
-    ended = subprocess.run(DEMO, capture_output=True, text=True, check=False, timeout=TIMEOUT_S)
+    ended = subprocess.run(DEMO_COMMAND, capture_output=True, text=True, check=False, timeout=TIMEOUT_S)
     assert ended.returncode == 0, ended.stdout + ended.stderr
     assert "all went as it should" in ended.stdout
     assert "shed 0, failed 0" in ended.stdout
 
 
-def test_interrupted_demo_ends_its_sidecar() -> None:
-    demo = subprocess.Popen(DEMO, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True)
+def test_interrupted_demo_stops_its_sidecar() -> None:
+    demo = subprocess.Popen(DEMO_COMMAND, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True)
     try:
         assert demo.stdout is not None
         first_line = demo.stdout.readline()
@@ -60,7 +60,7 @@
 
 
 def outcome(**changes: Any) -> DemoOutcome:
-    """A run in which all went well: three phases of a second each, every server called as it should be."""
+    """Return the outcome of a run without faults: three phases of one second each."""
     calls = [
         *(result(f"s-{number}", 0.5) for number in range(SERVERS)),
         *(result(name, 1.5) for name in ("s-0", "s-2", "s-3")),
@@ -68,8 +68,13 @@
     ]
     phases = [Phase("all up", 1.0), Phase("drained", 2.0), Phase("killed", 3.0)]
     servers = [ServerOutcome(f"s-{number}", 3, 0, 1.0) for number in range(SERVERS)]
-    given: dict[str, Any] = {"results": calls, "phases": phases, "servers": servers, "drain_notified_at": 1.0}
-    return DemoOutcome(**(given | {"exit_code": 0, "log": ["drained"]} | changes))
+    arguments: dict[str, Any] = {
+        "results": calls,
+        "phases": phases,
+        "servers": servers,
+        "drain_notified_at": 1.0,
+    }
+    return DemoOutcome(**(arguments | {"exit_code": 0, "log": ["drained"]} | changes))
 
 
 def test_outcome_without_fault_is_shown_as_a_table() -> None:
@@ -96,8 +101,9 @@
 
 
 def test_program_starts_from_the_sample_configuration(tmp_path: Path) -> None:
-    with ReservedAddress() as listen, ReservedAddress() as nowhere, ProcessGroup() as group:
-        sidecar = start_sidecar(group, sample_config(listen.address, nowhere.address), tmp_path)
+    # No registry listens at the address of discovery.
+    with ReservedAddress() as listen, ReservedAddress() as discovery, ProcessGroup() as group:
+        sidecar = start_sidecar(group, sample_config(listen.address, discovery.address), tmp_path)
         wait_until_ready(sidecar, listen.address, tmp_path)
     assert sidecar.popen.returncode == 0
 
@@ -119,11 +125,12 @@
     assert settings.rules.drain_grace_us == 1_000_000
 
 
-def keys_of(given: object) -> set[str]:
-    if isinstance(given, dict):
-        return set(given).union(*(keys_of(each) for each in given.values()))
-    if isinstance(given, list):
-        return set().union(*(keys_of(each) for each in given))
+def keys_of(value: object) -> set[str]:
+    """Return the keys of all mappings within a value."""
+    if isinstance(value, dict):
+        return set(value).union(*(keys_of(each) for each in value.values()))
+    if isinstance(value, list):
+        return set().union(*(keys_of(each) for each in value))
     return set()
 
 
--- a/tests/scale/test_latency.py
+++ b/tests/scale/test_latency.py
@@ -1,4 +1,4 @@
-"""Latency experiments: points, figures computed from calls, and a small run on real sockets."""
+"""Latency experiments: points, the analysis of calls, and a small run on real sockets."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 TIMEOUT_S = 60.0
 EXPERIMENTS = Path(__file__).resolve().parents[2] / "scale" / "experiments"
-GIVEN: dict[str, Any] = {
+VALID_EXPERIMENT: dict[str, Any] = {
     "name": "a",
     "kind": "latency",
     "seed": 1,
@@ -49,9 +49,9 @@
         ({"points": [{"servers": 1, "speed": 3}]}, "points.0.speed"),
     ],
 )
-def test_bad_point_is_rejected_naming_the_key(changes: dict[str, Any], key: str) -> None:
+def test_invalid_point_is_rejected_naming_the_key(changes: dict[str, Any], key: str) -> None:
     with pytest.raises(ExperimentError, match=f"^{key}: "):
-        validate_experiment(LatencyExperiment, GIVEN | changes)
+        validate_experiment(LatencyExperiment, VALID_EXPERIMENT | changes)
 
 
 @pytest.mark.parametrize("path", sorted(EXPERIMENTS.glob("latency-*.toml")), ids=lambda path: path.stem)
@@ -66,7 +66,7 @@
     request_number: int = 2,
     status: int = 200,
 ) -> CallResult:
-    """A call whose service started 1 ms after it was sent."""
+    """Return a call that the server started to serve 1 ms after it was sent."""
     body = ServedBody("s-0", request_number, sent_at + 0.001, service_time_us).encode()
     return CallResult(sent_at, sent_at, sent_at + latency_us / 1e6, status, body)
 
@@ -75,7 +75,7 @@
     return [each for each in map(parse_served_call, results) if each is not None]
 
 
-def test_pairs_hold_calls_that_were_both_served() -> None:
+def test_only_calls_that_were_both_served_are_paired() -> None:
     results = [
         make_call(0, 100, 900),
         make_call(0, 300, 500),
@@ -95,15 +95,15 @@
 
 
 def test_overhead_is_attributed_to_its_sources() -> None:
-    """Calls of 5 ms with a service time of 2 ms from 1 ms on: the sidecar has 1 ms before, 2 ms after."""
+    """Each call takes 5 ms: 1 ms in the sidecar, 2 ms of service time, and 2 ms in the sidecar."""
     calls = served_calls(*(make_call(at, 2_000, 5_000) for at in (0.0, 10.0, 20.0, 30.0, 40.0)))
     own = [(at + 0.0002, at + 0.0005, 0.0003) for at in (0.0, 10.0, 20.0, 30.0, 40.0)]
     trace = Trace(
         {
             "callbacks": [
                 *own,
-                (10.003, 10.0045, 0.0015),  # a collection of 1 ms and 0.5 ms of work for others
-                (20.003, 20.004, 0.0004),  # 0.6 ms without the CPU, 0.4 ms of work for others
+                (10.003, 10.0045, 0.0015),  # a garbage collection of 1 ms, and 0.5 ms of work for other calls
+                (20.003, 20.004, 0.0004),  # 0.6 ms preempted, and 0.4 ms of work for other calls
                 (30.0035, 30.0045, 0.001),  # reads a registry response
                 (40.0015, 40.0025, 0.001),  # during the service time: it delayed no call
             ],
@@ -182,7 +182,7 @@
     assert len({each.labels["source"] for each in sources}) == len(sources) == 6
 
 
-def test_interrupted_run_ends_its_processes(tmp_path: Path) -> None:
+def test_interrupted_run_stops_its_processes(tmp_path: Path) -> None:
     experiment = EXPERIMENTS / "latency-small.toml"
     command = [
         sys.executable,
@@ -199,7 +199,7 @@
         assert run.stderr is not None
         while b"point started" not in run.stderr.readline():
             assert run.poll() is None
-        while len(started) < 2:  # the servers and the sidecar
+        while len(started) < 2:  # the process of the servers, and the sidecar
             assert run.poll() is None
             started = psutil.Process(run.pid).children()
         run.send_signal(signal.SIGINT)
--- a/tests/scale/test_ports.py
+++ b/tests/scale/test_ports.py
@@ -1,4 +1,4 @@
-"""Reserved loopback ports."""
+"""Reservation of loopback ports."""
 
 from __future__ import annotations
 
--- a/tests/scale/test_registry_standin.py
+++ b/tests/scale/test_registry_standin.py
@@ -1,4 +1,4 @@
-"""The stand-in for discovery, against the registry's protocol."""
+"""The registry stand-in follows the protocol of the registry."""
 
 from __future__ import annotations
 
@@ -23,7 +23,9 @@
 
 
 @contextlib.asynccontextmanager
-async def registry(log: ChangeLog, listeners: int = 1) -> AsyncIterator[tuple[RegistryServer, list[Address]]]:
+async def running_registry(
+    log: ChangeLog, listeners: int = 1
+) -> AsyncIterator[tuple[RegistryServer, list[Address]]]:
     server = RegistryServer(log)
     try:
         async with asyncio.timeout(TIMEOUT_S):
@@ -38,7 +40,7 @@
     return reader, writer
 
 
-def call(query: str = "", close: bool = True) -> str:
+def format_call(query: str = "", close: bool = True) -> str:
     connection = "Connection: close\r\n" if close else ""
     return f"GET /registry/instances{query} HTTP/1.1\r\nHost: d\r\n{connection}\r\n"
 
@@ -50,8 +52,8 @@
     return int(head.split(" ")[1]), json.loads(body) if body else None
 
 
-async def request(address: Address, query: str = "") -> tuple[int, Any]:
-    reader, writer = await send(address, call(query))
+async def send_call(address: Address, query: str = "") -> tuple[int, Any]:
+    reader, writer = await send(address, format_call(query))
     try:
         response = await read_response(reader)
         assert await reader.read() == b""  # closed, as requested
@@ -60,7 +62,7 @@
         writer.close()
 
 
-async def until_watching(server: RegistryServer, count: int) -> None:
+async def wait_until_watching(server: RegistryServer, count: int) -> None:
     await wait_until(lambda: server.counts.watching == count)
 
 
@@ -70,8 +72,8 @@
 
 async def check_snapshot_and_delta() -> None:
     log = ChangeLog(ENDPOINTS)
-    async with registry(log) as (server, [address]):
-        status, payload = await request(address)
+    async with running_registry(log) as (server, [address]):
+        status, payload = await send_call(address)
         assert (status, payload["index"], payload["snapshot"], names(payload)) == (
             200,
             1,
@@ -87,12 +89,12 @@
         log.drain(["s-1"])
         log.remove(["s-1"])
         log.restart(["s-2"], since_ms=7)
-        _, payload = await request(address, "?after=1&wait_ms=60000")
+        _, payload = await send_call(address, "?after=1&wait_ms=60000")
         assert (payload["index"], payload["snapshot"], sorted(names(payload))) == (4, False, ["s-1", "s-2"])
         by_name = {each["name"]: each for each in payload["endpoints"]}
         assert by_name["s-1"]["status"] == "left"
         assert by_name["s-2"]["since_ms"] == 7
-        assert (await request(address))[1]["endpoints"] == [by_name["s-2"]]
+        assert (await send_call(address))[1]["endpoints"] == [by_name["s-2"]]
         counts = server.counts
         assert (counts.calls, counts.connections, counts.snapshots, counts.deltas) == (3, 3, 2, 1)
         assert counts.bytes_out > counts.bytes_in > 0
@@ -104,28 +106,28 @@
 
 async def check_watch() -> None:
     log = ChangeLog(ENDPOINTS)
-    async with registry(log) as (server, [address]):
-        watch = asyncio.create_task(request(address, "?after=1&wait_ms=60000"))
-        await until_watching(server, 1)
+    async with running_registry(log) as (server, [address]):
+        watch = asyncio.create_task(send_call(address, "?after=1&wait_ms=60000"))
+        await wait_until_watching(server, 1)
         log.add(Endpoint("s-3", "10.0.0.3:80"))
         status, payload = await watch
         assert (status, payload["index"], names(payload)) == (200, 2, ["s-3"])
-        status, payload = await request(address, "?after=2&wait_ms=1")  # nothing new: it ends by itself
+        status, payload = await send_call(address, "?after=2&wait_ms=1")  # no change: the watch times out
         assert (status, payload) == (200, {"index": 2, "snapshot": False, "endpoints": []})
         assert (server.counts.empty, server.counts.watching) == (1, 0)
 
 
-def test_watch_waits_for_a_change_or_its_time() -> None:
+def test_watch_waits_for_a_change_or_its_timeout() -> None:
     asyncio.run(check_watch())
 
 
-def test_log_that_does_not_reach_back_gives_a_snapshot() -> None:
+def test_change_log_without_the_changes_since_a_version_gives_a_snapshot() -> None:
     log = ChangeLog(ENDPOINTS, max_length=3)
     for since_ms in (1, 2, 3, 4):
         log.restart(["s-1"], since_ms)
     assert not log.delta_since(2).is_snapshot
     assert log.delta_since(1).is_snapshot
-    assert log.delta_since(log.version + 1).is_snapshot  # of a registry that was set back
+    assert log.delta_since(log.version + 1).is_snapshot  # a version of a registry that was rolled back
     log.commit(ENDPOINTS * 2)  # more than the log holds
     assert log.delta_since(log.version - 1).is_snapshot
     assert not log.delta_since(log.version).is_snapshot
@@ -138,7 +140,7 @@
     assert not log.delta_since(log.version).is_snapshot
 
 
-def test_responses_are_serialized_once_a_version() -> None:
+def test_responses_are_serialized_once_per_version() -> None:
     log = ChangeLog(ENDPOINTS)
     assert log.snapshot() is log.snapshot()
     first = log.snapshot()
@@ -149,14 +151,14 @@
 
 
 async def check_outage() -> None:
-    async with registry(ChangeLog(ENDPOINTS)) as (server, [address]):
-        watch = asyncio.create_task(request(address, "?after=1&wait_ms=60000"))
-        await until_watching(server, 1)
+    async with running_registry(ChangeLog(ENDPOINTS)) as (server, [address]):
+        watch = asyncio.create_task(send_call(address, "?after=1&wait_ms=60000"))
+        await wait_until_watching(server, 1)
         server.set_availability(Availability.DOWN)
         assert (await watch)[0] == 503
-        assert (await request(address))[0] == 503
+        assert (await send_call(address))[0] == 503
         server.set_availability(Availability.UP)
-        assert (await request(address))[0] == 200
+        assert (await send_call(address))[0] == 200
         assert server.counts.unavailable == 2
 
 
@@ -165,18 +167,19 @@
 
 
 async def check_partition() -> None:
-    async with registry(ChangeLog(ENDPOINTS), listeners=2) as (server, [first, second]):
+    async with running_registry(ChangeLog(ENDPOINTS), listeners=2) as (server, [first, second]):
         server.set_partitioned(1, True)
-        reader, writer = await send(second, call())
-        assert (await request(first))[0] == 200
+        reader, writer = await send(second, format_call())
+        assert (await send_call(first))[0] == 200
         server.set_partitioned(1, False)
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
             await read_response(reader)
-        assert (await request(second))[0] == 200
+        assert (await send_call(second))[0] == 200
+        # The call during the partition was never read.
         assert (server.traffic(0).calls, server.traffic(1).calls) == (
             1,
             1,
-        )  # the call during the partition was never read
+        )
         writer.close()
 
 
@@ -186,13 +189,13 @@
 
 async def check_blackholed() -> None:
     log = ChangeLog(ENDPOINTS)
-    async with registry(log) as (server, [address]):
-        _, writer = await send(address, call("?after=1&wait_ms=60000"))
-        await until_watching(server, 1)
+    async with running_registry(log) as (server, [address]):
+        _, writer = await send(address, format_call("?after=1&wait_ms=60000"))
+        await wait_until_watching(server, 1)
         server.blackhole_connections()
         log.restart(["s-1"], 5)
-        assert (await request(address, "?after=1"))[1]["index"] == 2
-        assert server.counts.deltas == 1  # and none to the watch
+        assert (await send_call(address, "?after=1"))[1]["index"] == 2
+        assert server.counts.deltas == 1  # the blackholed watch got no delta
         writer.close()
 
 
@@ -202,8 +205,8 @@
 
 async def check_reused_connection() -> None:
     log = ChangeLog(make_endpoints(4_900, zones=18, seed=1))
-    async with registry(log) as (server, [address]):
-        reader, writer = await send(address, call(close=False) + call("?after=1", close=False))
+    async with running_registry(log) as (server, [address]):
+        reader, writer = await send(address, format_call(close=False) + format_call("?after=1", close=False))
         _, payload = await read_response(reader)
         assert len(set(names(payload))) == len({each["address"] for each in payload["endpoints"]}) == 4_900
         assert (await read_response(reader))[1]["endpoints"] == []
@@ -223,15 +226,15 @@
         ("GET /registry/instances HTTP/1.1\r\n\r\n", 400),
         ("GET /registry/instances HTTP/1.1\r\nHost: d\r\nContent-Length: 1\r\n\r\n", 400),
         ("nonsense\r\n\r\n", 400),
-        (call("?after=x"), 400),
-        (call("?wait_ms=5"), 400),
-        (call("?after=1&wait_ms=-5"), 400),
+        (format_call("?after=x"), 400),
+        (format_call("?wait_ms=5"), 400),
+        (format_call("?after=1&wait_ms=-5"), 400),
         ("GET /" + "x" * 9_000, 431),
     ],
 )
-def test_anything_else_is_rejected(text: str, status: int) -> None:
+def test_malformed_and_unsupported_requests_are_rejected(text: str, status: int) -> None:
     async def check() -> None:
-        async with registry(ChangeLog()) as (server, [address]):
+        async with running_registry(ChangeLog()) as (server, [address]):
             reader, writer = await send(address, text)
             assert (await read_response(reader))[0] == status
             assert server.counts.malformed == 1
--- a/tests/scale/test_rig.py
+++ b/tests/scale/test_rig.py
@@ -1,4 +1,4 @@
-"""The rig's own parts: experiment files, results, slopes, processes and the command line."""
+"""The common parts of the rig: experiment files, results, slopes, processes and the command line."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize(
-    ("given", "key"),
+    ("mapping", "key"),
     [
         ({"name": "a", "kind": "control", "seed": -1, "duration_s": 1}, "seed"),
         ({"name": "a", "kind": "control", "seed": 1, "duration_s": 0}, "duration_s"),
@@ -29,9 +29,9 @@
         ({"name": "a", "kind": "control", "seed": 1, "duration_s": 1, "size": 3}, "size"),
     ],
 )
-def test_bad_experiment_is_rejected_naming_the_key(given: dict[str, object], key: str) -> None:
+def test_invalid_experiment_is_rejected_naming_the_key(mapping: dict[str, object], key: str) -> None:
     with pytest.raises(ExperimentError, match=f"^{key}: "):
-        validate_experiment(Experiment, given)
+        validate_experiment(Experiment, mapping)
 
 
 def test_file_that_is_not_toml_is_rejected_in_one_line(tmp_path: Path) -> None:
@@ -56,7 +56,7 @@
     assert [plot.name for plot in plots] == ["sidecar-cpu.png"]
 
 
-def test_line_that_is_no_measurement_is_named(tmp_path: Path) -> None:
+def test_line_that_is_not_a_measurement_is_named_by_its_number(tmp_path: Path) -> None:
     path = tmp_path / "results.jsonl"
     path.write_text('{"value": 1}\n')
     with pytest.raises(ResultsError, match=r"results\.jsonl:1: "):
@@ -72,7 +72,7 @@
         fit_line([2, 2], [1, 3])
 
 
-def test_processes_are_ended_when_an_experiment_fails() -> None:
+def test_processes_are_stopped_when_an_experiment_fails() -> None:
     group = ProcessGroup()
     process = group.start(WAIT_FOREVER, stdout=subprocess.PIPE)
     output = process.popen.stdout
@@ -87,7 +87,7 @@
     output.close()
 
 
-def test_bad_experiment_file_ends_the_command_with_one_line_and_exit_code_2(tmp_path: Path) -> None:
+def test_invalid_experiment_file_gives_a_one_line_error_and_exit_code_2(tmp_path: Path) -> None:
     path = tmp_path / "experiment.toml"
     path.write_text('name = "a"\nkind = "nothing"\nseed = 1\nduration_s = 1\n')
     command = [sys.executable, "-m", "scale", "run", str(path), "--results", str(tmp_path / "out.jsonl")]
--- a/tests/scale/test_server_standin.py
+++ b/tests/scale/test_server_standin.py
@@ -38,8 +38,8 @@
     return await client.call(request, 0.0, timeout_s)
 
 
-def run(scene: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    asyncio.run(scene())
+def run(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
+    asyncio.run(scenario())
 
 
 def test_messages_are_parsed_from_any_fragments() -> None:
@@ -54,7 +54,7 @@
 
 
 def test_connection_is_reused_and_its_calls_are_counted() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with running_server() as (server, client):
             bodies = [ServedBody.decode((await call(client)).body) for _ in range(3)]
             assert [each.connection_request_number for each in bodies] == [1, 2, 3]
@@ -62,7 +62,7 @@
             assert server.counters.connections == 1
             assert server.counters.served == 3
 
-    run(scene)
+    run(scenario)
 
 
 @pytest.mark.parametrize(
@@ -70,18 +70,18 @@
     [(ServerMode.ERROR, 500, "errors"), (ServerMode.REJECT, 503, "rejected")],
 )
 def test_mode_decides_the_response(mode: ServerMode, status: int, counter: str) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with running_server() as (server, client):
             server.mode = mode
             assert (await call(client)).status == status
             assert getattr(server.counters, counter) == 1
             assert server.counters.served == 0
 
-    run(scene)
+    run(scenario)
 
 
 def test_draining_server_serves_requests_in_flight_and_rejects_new_ones() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with running_server(service_s=0.05) as (server, client):
             in_flight = asyncio.create_task(call(client))
             await wait_until(lambda: server.counters.requests == 1)
@@ -90,11 +90,11 @@
             assert (await in_flight).status == 200
             assert (server.counters.rejected, server.counters.served) == (1, 1)
 
-    run(scene)
+    run(scenario)
 
 
 def test_hanging_server_keeps_the_connection_and_counts_the_abandoned_call() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with running_server() as (server, client):
             server.mode = ServerMode.HANG
             in_flight = asyncio.create_task(call(client))
@@ -103,11 +103,11 @@
             await wait_until(lambda: server.counters.abandoned == 1)
             assert (await call(client, timeout_s=0.01)).status == NO_RESPONSE
 
-    run(scene)
+    run(scenario)
 
 
 def test_killed_server_resets_its_connections_and_refuses_new_ones() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with running_server(service_s=TIMEOUT_S) as (server, client):
             in_flight = asyncio.create_task(call(client))
             await wait_until(lambda: server.counters.requests == 1)
@@ -116,13 +116,13 @@
             assert (await call(client)).status == NO_RESPONSE
             assert server.counters.requests == 1
 
-    run(scene)
+    run(scenario)
 
 
 def test_probe_is_served_only_where_probes_are_allowed() -> None:
     probe = format_request("GET", "/health/live", {"Host": "s"})
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with running_server() as (server, client):
             assert (await call(client, probe)).status == 404
             server.allow_probes = True
@@ -132,16 +132,16 @@
             assert server.counters.probes == 2
             assert server.counters.requests == 0
 
-    run(scene)
+    run(scenario)
 
 
 def test_request_over_a_busy_connection_breaks_the_protocol() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with running_server(service_s=TIMEOUT_S) as (server, client):
             assert (await call(client, CALL + CALL)).status == NO_RESPONSE
             assert server.counters.overlapping == 1
 
-    run(scene)
+    run(scenario)
 
 
 def test_service_times_and_arrivals_repeat_for_a_seed() -> None:
@@ -157,7 +157,7 @@
 def test_open_loop_waits_for_no_response() -> None:
     started: list[int] = []
 
-    async def scene() -> None:
+    async def scenario() -> None:
         last_started = asyncio.Event()
 
         async def make_call(number: int, scheduled_at: float) -> CallResult:
@@ -172,7 +172,7 @@
         assert started == [0, 1, 2]
         assert len(results) == 3
 
-    run(scene)
+    run(scenario)
 
 
 def test_histogram_gives_quantiles_to_three_digits() -> None:
--- a/tests/scale/test_suite.py
+++ b/tests/scale/test_suite.py
@@ -1,4 +1,4 @@
-"""The complete set of experiments: which files belong to it, and where their results go."""
+"""The experiment suite: its experiment files, and the files of its results."""
 
 from __future__ import annotations
 
@@ -11,13 +11,15 @@
 from scale.experiment import Experiment
 from scale.results import ResultWriter, read_results
 
-SAMPLE = 'name = "{name}"\nkind = "latency"\nseed = 1\nduration_s = 1\ncalls_per_s = 9\nwarm_up_s = 0\n'
-REST = "service_mean_ms = 1\nbudget_ms = 1\npoints = [{servers = 1}]\n"
+EXPERIMENT_HEAD = (
+    'name = "{name}"\nkind = "latency"\nseed = 1\nduration_s = 1\ncalls_per_s = 9\nwarm_up_s = 0\n'
+)
+EXPERIMENT_TAIL = "service_mean_ms = 1\nbudget_ms = 1\npoints = [{servers = 1}]\n"
 
 
 def write_experiments(folder: Path, *names: str) -> None:
     for name in names:
-        (folder / f"{name}.toml").write_text(SAMPLE.format(name=name) + REST)
+        (folder / f"{name}.toml").write_text(EXPERIMENT_HEAD.format(name=name) + EXPERIMENT_TAIL)
 
 
 def test_small_experiments_are_left_out(tmp_path: Path) -> None:
@@ -26,7 +28,7 @@
     assert all(not path.stem.endswith("-small") for path in suite.find_experiments())
 
 
-def test_folder_without_experiments_is_bad_input(tmp_path: Path) -> None:
+def test_folder_without_experiments_is_an_error(tmp_path: Path) -> None:
     with pytest.raises(ExperimentError, match="holds no experiments"):
         suite.find_experiments(tmp_path)
 
@@ -34,7 +36,7 @@
 def test_each_experiment_has_a_file_and_all_have_one_commit(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    commits = iter(["abc", "abc-dirty"])  # the results of the first change the work tree
+    commits = iter(["abc", "abc-dirty"])  # the results of the first experiment change the work tree
     monkeypatch.setattr(suite, "current_commit", lambda: next(commits))
 
     def run(_experiment: Experiment, writer: ResultWriter) -> None:
@@ -48,7 +50,7 @@
         assert (figure.experiment, figure.commit) == (name, "abc")
 
 
-def test_nothing_runs_where_one_file_is_bad(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_nothing_runs_if_one_file_is_invalid(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     ran: list[str] = []
     monkeypatch.setattr(suite, "run_experiment", lambda experiment, _writer: ran.append(experiment.name))
     write_experiments(tmp_path, "a", "b")
