--- a/scale/standins/registry_connection.py
+++ b/scale/standins/registry_connection.py
@@ -31,7 +31,7 @@
     """The traffic of one listener since the start."""
 
     calls: int = 0
-    http_bytes: int = 0  # both ways, without the headers of TCP and IP
+    http_bytes: int = 0  # in both directions, without TCP and IP headers
 
 
 @dataclass(slots=True)
@@ -146,14 +146,14 @@
     def _write(self, status: HTTPStatus, body: bytes) -> None:
         assert self._transport is not None
         assert self._current_call is not None
-        close = b"" if self._current_call.keep_alive else b"Connection: close\r\n"
-        head = b"HTTP/1.1 %d %b\r\nContent-Type: application/json\r\n%bContent-Length: %d\r\n\r\n"
-        written = head % (status, status.phrase.encode(), close, len(body))
-        self._state.counts.bytes_out += len(written) + len(body)
-        self._listener.traffic.http_bytes += len(written) + len(body)
-        first_part_bytes = _WRITE_CHUNK_BYTES - len(written)
+        close_header = b"" if self._current_call.keep_alive else b"Connection: close\r\n"
+        head_format = b"HTTP/1.1 %d %b\r\nContent-Type: application/json\r\n%bContent-Length: %d\r\n\r\n"
+        encoded_head = head_format % (status, status.phrase.encode(), close_header, len(body))
+        self._state.counts.bytes_out += len(encoded_head) + len(body)
+        self._listener.traffic.http_bytes += len(encoded_head) + len(body)
+        first_part_bytes = _WRITE_CHUNK_BYTES - len(encoded_head)
         self._unwritten = memoryview(body)[first_part_bytes:]
-        self._transport.write(written + body[:first_part_bytes])
+        self._transport.write(encoded_head + body[:first_part_bytes])
         self._continue_writing()
 
     def _continue_writing(self) -> None:
