--- a/scale/callgraph/measure.py
+++ b/scale/callgraph/measure.py
@@ -23,10 +23,18 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeShares:
-    """Outcomes of the root calls offered in a window of time, as shares from 0 to 1."""
+    """Outcomes of the root calls offered in a window of time.
+
+    Attributes:
+        offered: Number of root calls.
+        goodput: Share of the calls served before their deadline, from 0 to 1.
+        shed: Share of the calls that were shed, from 0 to 1.
+        failed: Share of the calls that failed, from 0 to 1.
+        unanswered: Share of the calls without a result, from 0 to 1.
+    """
 
     offered: int
-    goodput: float  # served before the deadline
+    goodput: float
     shed: float
     failed: float
     unanswered: float
@@ -60,8 +68,8 @@
     def recovery_us(self, goodput_before: float, fault_end: int, end: int) -> int | None:
         """Return the time from the fault's end until goodput has recovered, in microseconds.
 
-        Goodput has recovered at the start of the first `RECOVERY_BINS` consecutive bins whose goodput
-        is at least `RECOVERY_SHARE` of the goodput before the fault.
+        Goodput has recovered at the start of the first `RECOVERY_BINS` consecutive bins whose mean
+        goodput is at least `RECOVERY_SHARE` of the goodput before the fault.
 
         Args:
             goodput_before: Goodput before the fault, from 0 to 1.
--- a/scale/callgraph/policies.py
+++ b/scale/callgraph/policies.py
@@ -21,7 +21,7 @@
 )
 from sidecar.settings import Settings
 
-_DEADLINE_MARGIN_TICKS = 2  # an attempt ends this many ticks before the caller's deadline
+_DEADLINE_MARGIN_TICKS = 2  # from the deadline of an attempt to the caller's deadline
 _BASELINE_RETRIES = 2
 
 
@@ -52,7 +52,7 @@
         self._requests: dict[int, _BaselineRequest] = {}
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Handle one event; unknown kinds are ignored."""
+        """Handle one event; other kinds of event are ignored."""
         match event:
             case RegistryUpdated():
                 self._update_endpoints(event)
--- a/scale/callgraph/root_load.py
+++ b/scale/callgraph/root_load.py
@@ -11,7 +11,7 @@
 
 
 class RootLoad:
-    """Makes root calls at random times, spread evenly over the root callers that are not partitioned."""
+    """Makes root calls at random times from random root callers; those in a partitioned zone make none."""
 
     def __init__(
         self, loop: EventLoop, graph: CallGraph, calls_per_s: float, deadline_us: int, seed: int
--- a/scale/callgraph/server.py
+++ b/scale/callgraph/server.py
@@ -58,8 +58,8 @@
     """One process of a service.
 
     A queued call whose deadline has passed is dropped without a response. A queued call that its caller
-    has cancelled is never served; a call in service runs to its end, as in
-    servers that follow the sidecar's protocol.
+    has cancelled is never served; a call in service runs to its end, as in servers that follow
+    the sidecar's protocol.
     """
 
     def __init__(
@@ -125,7 +125,10 @@
         self._call_downstream(call)
 
     def _call_downstream(self, call: ServerCall) -> None:
-        """Make all downstream calls at the same time, with the time that remains until the deadline."""
+        """Make all downstream calls at the same time, with the time that remains until the deadline.
+
+        Without remaining time, the server sends no response.
+        """
         remaining_us = call.deadline - self._loop.now
         if not self.downstream:
             call.respond(Outcome.SUCCEEDED)
