--- a/tests/configuration/test_consecutive_reloads.py
+++ b/tests/configuration/test_consecutive_reloads.py
@@ -120,7 +120,7 @@
         ) as proxy:
             await wait_until(lambda: first.targets)
             pending = asyncio.create_task(proxy.send_request(kind="pay", body=b"x", budget="500"))
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             reloader = Reloader(proxy.config, proxy.sidecar.reconfigure)
             configs = [
                 replace(proxy.config, discovery=each.address) for each in (middle, first, middle, last)
--- a/tests/configuration/test_reload_while_serving.py
+++ b/tests/configuration/test_reload_while_serving.py
@@ -104,7 +104,7 @@
     async def scenario() -> None:
         async with reload_harness() as harness:
             harness.proxy.discovery.responses.put_nowait(encode_response(503))
-            await wait_until(lambda: harness.proxy.discovery.called(1))
+            await wait_until(lambda: harness.proxy.discovery.has_calls(1))
             harness.proxy.discovery.stop()
             assert isinstance(harness.reload(settings=OTHER_SETTINGS), Applied)
             assert await harness.status("added") == 200
@@ -118,13 +118,13 @@
     async def scenario() -> None:
         async with reload_harness() as harness:
             discovery, sidecar = harness.proxy.discovery, harness.proxy.sidecar
-            await wait_until(lambda: discovery.called(1))
+            await wait_until(lambda: discovery.has_calls(1))
             watch = sidecar._endpoint_list.client._watch
             assert isinstance(harness.reload(**changes), Applied if changes else Unchanged)
             assert sidecar._endpoint_list.client._watch is watch
             # The watch that was open before the reload receives a change made after it.
             discovery.push_update(42, [harness.proxy.servers[0].entry(status="leaving")])
-            await wait_until(lambda: discovery.called(2))
+            await wait_until(lambda: discovery.has_calls(2))
             assert discovery.targets[1].startswith("/registry/instances?after=42&")
             assert await harness.status("look") == 503
             assert not harness.proxy.servers[0].requests
@@ -137,9 +137,9 @@
         new_discovery = FakeDiscovery()
         await new_discovery.start()
         async with reload_harness() as harness:
-            await wait_until(lambda: harness.proxy.discovery.called(1))
+            await wait_until(lambda: harness.proxy.discovery.has_calls(1))
             harness.reload(settings=OTHER_SETTINGS, discovery=new_discovery.address)
-            await wait_until(lambda: new_discovery.called(1))
+            await wait_until(lambda: new_discovery.has_calls(1))
             assert new_discovery.targets == ["/registry/instances"]
             assert await harness.status("added") == 200
             assert len(harness.proxy.discovery.targets) == 1
@@ -153,12 +153,12 @@
     async def scenario() -> None:
         async with reload_harness(discovery=old_mode) as harness:
             discovery = harness.proxy.discovery
-            await wait_until(lambda: discovery.called(1))
+            await wait_until(lambda: discovery.has_calls(1))
             assert isinstance(harness.reload(settings=make_settings(discovery=new_mode)), Applied)
             discovery.responses.put_nowait(encode_response(503))
-            await wait_until(lambda: discovery.called(2))  # both modes retry a failed call
+            await wait_until(lambda: discovery.has_calls(2))  # both modes retry a failed call
             discovery.push_update(42, [harness.proxy.servers[0].entry(status="leaving")])
-            await wait_until(lambda: discovery.called(3))
+            await wait_until(lambda: discovery.has_calls(3))
             assert await harness.status("look") == 503
 
     run_scenario(scenario())
@@ -192,7 +192,7 @@
             [idle] = harness.proxy.sidecar._pool.servers[server.name].idle_connections
             assert idle.close_timer.when() == pytest.approx(idle_since + 0.9 * 400.0)
             harness.reload(settings=make_settings(limits=LIMITS | {"idle_close_us": 1}))
-            await wait_until(lambda: server.closed == 1)
+            await wait_until(lambda: server.closed_by_peer == 1)
             assert await harness.status("look") == 200
 
     run_scenario(scenario())
--- a/tests/proxy/faulty_sockets.py
+++ b/tests/proxy/faulty_sockets.py
@@ -13,18 +13,18 @@
 Failures = Iterator[int | None]  # what a system call fails with, call by call; None: it works
 
 
-def named(code: object) -> str:
+def errno_name(code: object) -> str:
     return errno.errorcode[code] if isinstance(code, int) else str(code)
 
 
-def failing(code: int, times: int) -> Failures:
+def fail_times(code: int, times: int) -> Failures:
     for _ in range(times):
         yield code
     while True:
         yield None
 
 
-def fail(failures: Failures) -> None:
+def raise_next_failure(failures: Failures) -> None:
     code = next(failures)
     if code is not None:
         raise OSError(code, os.strerror(code))
@@ -33,50 +33,50 @@
 class FaultySocket(socket.socket):
     """A socket whose system calls fail as a script says."""
 
-    connects: Failures = failing(0, 0)
-    options: Failures = failing(0, 0)
-    sends: Failures = failing(0, 0)
-    reads: Failures = failing(0, 0)
-    closes: Failures = failing(0, 0)
-    shutdowns: Failures = failing(0, 0)
-    send_most = read_most = 1 << 30  # bytes that one call takes or gives
+    connect_failures: Failures = fail_times(0, 0)
+    setsockopt_failures: Failures = fail_times(0, 0)
+    send_failures: Failures = fail_times(0, 0)
+    read_failures: Failures = fail_times(0, 0)
+    close_failures: Failures = fail_times(0, 0)
+    shutdown_failures: Failures = fail_times(0, 0)
+    max_send_bytes = max_read_bytes = 1 << 30  # bytes that one call takes or gives
 
     def connect(self, address: Any) -> None:
-        fail(self.connects)
+        raise_next_failure(self.connect_failures)
         super().connect(address)
 
     def setsockopt(self, *given: Any) -> None:
-        fail(self.options)
+        raise_next_failure(self.setsockopt_failures)
         super().setsockopt(*given)
 
     def send(self, data: Any, *flags: int) -> int:
-        fail(self.sends)
-        return super().send(memoryview(data)[: self.send_most], *flags)
+        raise_next_failure(self.send_failures)
+        return super().send(memoryview(data)[: self.max_send_bytes], *flags)
 
     def recv_into(self, buffer: Any, *given: int) -> int:
-        fail(self.reads)
-        return super().recv_into(memoryview(buffer)[: self.read_most], *given)
+        raise_next_failure(self.read_failures)
+        return super().recv_into(memoryview(buffer)[: self.max_read_bytes], *given)
 
     def shutdown(self, how: int) -> None:
-        fail(self.shutdowns)
+        raise_next_failure(self.shutdown_failures)
         super().shutdown(how)
 
     def close(self) -> None:
         is_open = self.fileno() >= 0
         super().close()
         if is_open:
-            fail(self.closes)
+            raise_next_failure(self.close_failures)
 
 
-def use_faulty(
-    monkeypatch: pytest.MonkeyPatch, sockets: Failures | None = None, **calls: Failures | int
+def use_faulty_sockets(
+    monkeypatch: pytest.MonkeyPatch, socket_failures: Failures | None = None, **calls: Failures | int
 ) -> None:
     """Let dials use sockets whose calls fail so, all together by one script for each call."""
     faulty = type("Faulty", (FaultySocket,), calls)
 
     def new_socket(_: object) -> socket.socket:
-        if sockets is not None:
-            fail(sockets)
+        if socket_failures is not None:
+            raise_next_failure(socket_failures)
         made: socket.socket = faulty(socket.AF_INET, socket.SOCK_STREAM)
         return made
 
--- a/tests/proxy/race_stage.py
+++ b/tests/proxy/race_helpers.py
@@ -17,7 +17,7 @@
 from sidecar.proxy.addresses import Address
 from sidecar.proxy.server_connection import ServerConnection
 
-LATER = time.monotonic() + 3600.0  # as the event loop counts
+FAR_DEADLINE = time.monotonic() + 3600.0  # as the event loop counts
 _FIN_WAIT2 = 5  # as TCP_INFO tells it: the other side's kernel has the end
 
 
@@ -31,7 +31,7 @@
     def send(self, data: bytes) -> None:
         self._sock.sendall(data)
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         self._sock.shutdown(socket.SHUT_WR)
         deadline = time.monotonic() + TIMEOUT_S
         while self._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] != _FIN_WAIT2:
@@ -41,7 +41,7 @@
         self._sock.close()
 
 
-def connection_of(proxy: ProxyHarness, ident: str) -> ServerConnection:
+def connection_of_request(proxy: ProxyHarness, ident: str) -> ServerConnection:
     """The connection that a request's attempt is out on."""
     (live,) = [each for each in proxy.sidecar._active if each.client_request.request_id == ident]
     (exchange,) = live.in_flight.values()
@@ -50,7 +50,7 @@
     return exchange.connection
 
 
-async def rested_everywhere(proxy: ProxyHarness) -> None:
+async def open_reusable_connections(proxy: ProxyHarness) -> None:
     """Let each server have a connection that carries nothing: what is sent next is written at once."""
     proxy.sidecar._pool._idle_connections.reuse_delay_s = 0.0
     while not all(each.writers for each in proxy.servers):
--- a/tests/proxy/test_attempt_outcomes.py
+++ b/tests/proxy/test_attempt_outcomes.py
@@ -36,7 +36,7 @@
             sent = request("amend", "/api/7f3a?q=1", b"\0body\xff", X_Caller="acme")
             status, headers, got = await send_request(proxy.sidecar.frontend.address, sent)
             assert (status, headers["content-type"], got) == (200, "x/y", body)
-            ((first, given, there),) = proxy.sent()
+            ((first, given, there),) = proxy.server_requests()
             assert first == "POST /api/7f3a?q=1 HTTP/1.1"
             assert there == b"\0body\xff"
             assert given["x-call-id"] == "9b1f03aa5c7e2d41"
@@ -77,7 +77,7 @@
             got, _, body = await proxy.send_request(kind="pay", body=b"x")
             assert got == status
             assert (body == b"served") == (status == 200)
-            assert len(proxy.sent()) == attempts
+            assert len(proxy.server_requests()) == attempts
 
     run_scenario(scenario())
 
@@ -104,7 +104,7 @@
     async def scenario() -> None:
         async with running_proxy(lambda *_: cut) as proxy:
             asking = asyncio.create_task(proxy.send_request(kind="pay", body=b"x"))
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             await asyncio.sleep(0)
             server = proxy.servers[0]
             await wait_until(lambda: server.writers)
@@ -142,7 +142,7 @@
             monkeypatch.setattr(proxy.sidecar._balancer, "handle", handle)
             assert (await proxy.send_request(kind="pay", body=b"x"))[0] == 500  # it may have run
             assert [each.outcome for each in heard if isinstance(each, AttemptEnded)] == [Outcome.ERROR]
-            await wait_until(lambda: proxy.servers[0].closed == 1)
+            await wait_until(lambda: proxy.servers[0].closed_by_peer == 1)
             proxy.servers[0].script = respond_ok
             assert (await proxy.send_request())[0] == 200
             assert len(proxy.servers[0].writers) == 2
@@ -171,8 +171,8 @@
             status, _, _ = await proxy.send_request(kind="pay", body=b"x", budget="0.6")
             assert status == 500
             assert loop.time() - began > 0.3
-            await wait_until(lambda: proxy.servers[0].closed == 1)
-            assert len(proxy.sent()) == 1
+            await wait_until(lambda: proxy.servers[0].closed_by_peer == 1)
+            assert len(proxy.server_requests()) == 1
 
     run_scenario(scenario())
 
@@ -241,7 +241,7 @@
         await wait_until(lambda: server.requests)
         pool.cancel(exchange)
         pool.cancel(exchange)
-        await wait_until(lambda: server.closed == 1)
+        await wait_until(lambda: server.closed_by_peer == 1)
         assert outcomes == [Outcome.CANCELLED]
         assert pool.open_connections == 0
         server.stop()
--- a/tests/proxy/test_client_connections.py
+++ b/tests/proxy/test_client_connections.py
@@ -87,7 +87,7 @@
         async with running_proxy(never_respond) as proxy:
             reader, writer = await proxy.connect()
             writer.write(request("pay", body=b"held"))
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             writer.write(pipelined)
             (connection,) = proxy.sidecar.frontend.connections
             await wait_until(lambda: connection.state is ConnectionState.READING_PIPELINED)
@@ -97,7 +97,7 @@
             ending = await asyncio.wait_for(reader.read(), TIMEOUT_S)
             assert ending.partition(b"\r\n")[0] in (b"HTTP/1.1 408 ", b"")
             assert bool(ending) is (pipelined == PIPELINED["half a request"])
-            assert len(proxy.sent()) == 1
+            assert len(proxy.server_requests()) == 1
             writer.close()
 
     run_in_virtual_time(scenario())
@@ -109,14 +109,14 @@
         async with running_proxy(never_respond) as proxy:
             reader, writer = await proxy.connect()
             writer.write(request("pay", body=b"held"))
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             began = now_s()
             writer.write(pipelined)
             status, headers, _ = await read_response(reader)
             assert (status, headers["connection"]) == (500, "close")
             assert await wait_for_eof(reader)
             assert now_s() < began + BAD_PEER_S
-            await wait_until(lambda: proxy.servers[0].closed == 1)  # nothing waits for the attempt
+            await wait_until(lambda: proxy.servers[0].closed_by_peer == 1)  # nothing waits for the attempt
             assert (await proxy.send_request(kind="look", path="/health/ready"))[0] == 200
             writer.close()
 
@@ -128,7 +128,7 @@
         async with running_proxy(lambda *_: None) as proxy:
             client = socket.create_connection(proxy.sidecar.frontend.address)
             client.sendall(request("pay", body=b"held", Connection="close"))
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             (connection,) = proxy.sidecar.frontend.connections
             held = connection._request
             assert held is not None
--- a/tests/proxy/test_client_disconnect_races.py
+++ b/tests/proxy/test_client_disconnect_races.py
@@ -21,7 +21,7 @@
     running_proxy,
     wait_until,
 )
-from race_stage import LATER, Client, connection_of, rested_everywhere
+from race_helpers import FAR_DEADLINE, Client, connection_of_request, open_reusable_connections
 
 from sidecar.balancer.events import Outcome, ServerState
 from sidecar.proxy import connection_dialer, server_connection
@@ -42,11 +42,11 @@
             queued = Client(address, request(X_Call_Id="queued"))
             unread.send(request(X_Call_Id="unread"))
             for each in (queued, unread):
-                each.leave()
+                each.disconnect()
             proxy.sidecar.frontend._resume_accepting()
             assert (await proxy.send_request(X_Call_Id="next"))[0] == 200  # it was queued behind them
             await wait_until(lambda: not proxy.sidecar._active)
-            assert [head["x-call-id"] for _, head, _ in proxy.sent()] == ["next"]
+            assert [head["x-call-id"] for _, head, _ in proxy.server_requests()] == ["next"]
             for each in (queued, unread):
                 each.close()
 
@@ -69,11 +69,11 @@
             monkeypatch.setattr(connection_dialer, "connect", held_up)
             client = Client(proxy.sidecar.frontend.address, request("pay", body=b"x"))
             await dialled.wait()
-            client.leave()
+            client.disconnect()
             go_on.set()  # the dial is next in the loop, ahead of what the client's socket holds
             await wait_until(lambda: not proxy.sidecar._active)
             assert (await proxy.send_request(kind="pay", body=b"next", X_Call_Id="next"))[0] == 200
-            assert [body for _, _, body in proxy.sent()] == [b"next"]
+            assert [body for _, _, body in proxy.server_requests()] == [b"next"]
             # The connection was kept for others, and is counted once.
             assert proxy.sidecar._pool.open_connections == len(
                 proxy.sidecar._pool.servers["s-0"].idle_connections
@@ -86,17 +86,19 @@
 def test_client_disconnects_as_its_request_is_retried() -> None:
     async def scenario() -> None:
         async with running_proxy(respond_ok, respond_ok) as proxy:
-            await rested_everywhere(proxy)
+            await open_reusable_connections(proxy)
             for each in proxy.servers:
                 each.script = never_respond
-            before = len(proxy.sent())
+            before = len(proxy.server_requests())
             client = Client(proxy.sidecar.frontend.address, request())
-            await wait_until(lambda: len(proxy.sent()) == before + 1)
-            client.leave()
-            connection_of(proxy, "9b1f03aa5c7e2d41").data_received(reject())  # read before the client's end
+            await wait_until(lambda: len(proxy.server_requests()) == before + 1)
+            client.disconnect()
+            connection_of_request(proxy, "9b1f03aa5c7e2d41").data_received(
+                reject()
+            )  # read before the client's end
             await wait_until(lambda: not proxy.sidecar._active)
             assert (await proxy.send_request(path="/health/ready"))[0] == 200  # the loop has had its turns
-            assert len(proxy.sent()) == before + 1
+            assert len(proxy.server_requests()) == before + 1
             client.close()
 
     run_scenario(scenario())
@@ -109,13 +111,13 @@
         async with running_proxy(never_respond, classes=classes) as proxy:
             proxy.sidecar._pool._idle_connections.reuse_delay_s = 0.0  # what is free is used at once
             first = Client(proxy.sidecar.frontend.address, request(X_Call_Id="first"))
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             second = Client(proxy.sidecar.frontend.address, request(X_Call_Id="second"))
             await wait_until(lambda: len(proxy.sidecar._active) == 2)
-            second.leave()
-            connection_of(proxy, "first").data_received(respond_ok())
+            second.disconnect()
+            connection_of_request(proxy, "first").data_received(respond_ok())
             await wait_until(lambda: not proxy.sidecar._active)
-            assert [head["x-call-id"] for _, head, _ in proxy.sent()] == ["first"]
+            assert [head["x-call-id"] for _, head, _ in proxy.server_requests()] == ["first"]
             first.close()
             second.close()
 
@@ -138,7 +140,7 @@
             orders = [data, None if left else data]
             heard: list[Outcome] = []
             exchange = servers.send(
-                "s", DeferredRequest(lambda _: orders.pop(0)), LATER, lambda end, _: heard.append(end)
+                "s", DeferredRequest(lambda _: orders.pop(0)), FAR_DEADLINE, lambda end, _: heard.append(end)
             )
             accepted, _ = await loop.sock_accept(listener)
             with accepted:
@@ -191,14 +193,14 @@
         async with running_proxy(holds_probes, holds_probes, report=report, **changes) as proxy:
             proxy.sidecar._pool._idle_connections.reuse_delay_s = 0.0  # what was probed is written at once
             client = Client(proxy.sidecar.frontend.address, request(budget="500"))
-            await wait_until(lambda: len(proxy.sent()) == 2)
+            await wait_until(lambda: len(proxy.server_requests()) == 2)
             if leaves:
-                client.leave()
+                client.disconnect()
             for probed in made:
                 if not probed.is_idle() and probed.request_written:  # read before the client's end
                     probed.data_received(encode_response(200, b'{"inflight": 1}'))
             await wait_until(lambda: not proxy.sidecar._active)
-            begun = [first for first, _, _ in proxy.sent() if "/stats" not in first]
+            begun = [first for first, _, _ in proxy.server_requests() if "/stats" not in first]
             assert len(begun) == (not leaves)
             client.close()
 
--- a/tests/proxy/test_connection_reuse.py
+++ b/tests/proxy/test_connection_reuse.py
@@ -120,7 +120,7 @@
             loop = asyncio.get_running_loop()
             timer = proxy.sidecar._pool.servers["s-0"].idle_connections[0].close_timer
             assert timer.when() - loop.time() < 0.95
-            await wait_until(lambda: proxy.servers[0].closed == 1)
+            await wait_until(lambda: proxy.servers[0].closed_by_peer == 1)
 
     run_scenario(scenario())
 
@@ -133,7 +133,7 @@
         pool.update("s", server.address, None, ServerState.READY)
         assert await outcome_of(pool) is Outcome.SUCCEEDED
         pool.update("s", server.address, 5, ServerState.READY)
-        await wait_until(lambda: server.closed == 1)
+        await wait_until(lambda: server.closed_by_peer == 1)
         assert await outcome_of(pool) is Outcome.SUCCEEDED
         assert len(server.writers) == 2
         other = FakeServer("s", respond_ok)
--- a/tests/proxy/test_dedup_window.py
+++ b/tests/proxy/test_dedup_window.py
@@ -57,7 +57,7 @@
         async with running_proxy(reset_connection, reset_connection) as proxy:
             asked = asyncio.create_task(proxy.send_request(kind="amend", body=b"x", budget="500"))
             await dialled.wait()
-            ((_, head, _),) = proxy.sent()
+            ((_, head, _),) = proxy.server_requests()
             (first,) = [each for each in proxy.servers if each.requests]
             for each in proxy.servers:
                 each.script = respond_ok
@@ -67,12 +67,14 @@
             status, _, body = await asked
             if late:
                 assert (status, body) == (500, b"")
-                assert len(proxy.sent()) == 1
+                assert len(proxy.server_requests()) == 1
                 (kept,) = proxy.sidecar._pool.servers[other_than(proxy, first)].idle_connections
                 assert kept.connection.is_idle()  # the connection serves others
             else:
                 assert (status, body) == (200, b"served")
-                assert [each["x-call-id"] for _, each, _ in proxy.sent()] == [head["x-call-id"]] * 2
+                assert [each["x-call-id"] for _, each, _ in proxy.server_requests()] == [
+                    head["x-call-id"]
+                ] * 2
 
     run_scenario(scenario())
 
--- a/tests/proxy/test_dialing.py
+++ b/tests/proxy/test_dialing.py
@@ -9,7 +9,7 @@
 
 import pytest
 from balancer_harness import SECOND_US
-from faulty_sockets import Failures, failing, named, use_faulty
+from faulty_sockets import Failures, errno_name, fail_times, use_faulty_sockets
 from pool_requests import outcome_of
 from proxy_harness import (
     LIMITS,
@@ -65,50 +65,58 @@
     run_scenario(scenario())
 
 
-@pytest.mark.parametrize("code", _LOCAL, ids=named)
+@pytest.mark.parametrize("code", _LOCAL, ids=errno_name)
 def test_dial_that_fails_for_a_local_cause_is_retried(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    use_faulty(monkeypatch, connects=failing(code, 3))
+    use_faulty_sockets(monkeypatch, connect_failures=fail_times(code, 3))
     dial(Outcome.SUCCEEDED)
 
 
-@pytest.mark.parametrize("code", _LOCAL, ids=named)
+@pytest.mark.parametrize("code", _LOCAL, ids=errno_name)
 def test_server_is_not_blamed_for_a_persistent_local_failure(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    use_faulty(monkeypatch, connects=failing(code, 10**9))
+    use_faulty_sockets(monkeypatch, connect_failures=fail_times(code, 10**9))
     dial(Outcome.NOT_SENT, dial_timeout_s=0.1)
 
 
-@pytest.mark.parametrize("code", _NO_SOCKET, ids=named)
+@pytest.mark.parametrize("code", _NO_SOCKET, ids=errno_name)
 @pytest.mark.parametrize(("times", "expected"), [(3, Outcome.SUCCEEDED), (10**9, Outcome.NOT_SENT)])
 def test_lack_of_sockets_is_not_a_failure_of_the_server(
     code: int, times: int, expected: Outcome, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    use_faulty(monkeypatch, sockets=failing(code, times))
+    use_faulty_sockets(monkeypatch, socket_failures=fail_times(code, times))
     dial(expected, dial_timeout_s=TIMEOUT_S if expected is Outcome.SUCCEEDED else 0.1)
 
 
-@pytest.mark.parametrize("code", _OF_THE_SERVER, ids=named)
+@pytest.mark.parametrize("code", _OF_THE_SERVER, ids=errno_name)
 def test_dial_that_fails_for_a_cause_of_the_server_is_not_retried(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    use_faulty(monkeypatch, connects=failing(code, 1))
+    use_faulty_sockets(monkeypatch, connect_failures=fail_times(code, 1))
     dial(Outcome.CONNECT_FAILED)
 
 
-@pytest.mark.parametrize("code", [errno.ENOBUFS, errno.ENOMEM, errno.EINVAL], ids=named)
+@pytest.mark.parametrize("code", [errno.ENOBUFS, errno.ENOMEM, errno.EINVAL], ids=errno_name)
 def test_socket_that_cannot_be_configured_is_replaced_by_another(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    use_faulty(monkeypatch, options=failing(code, 2))
+    use_faulty_sockets(monkeypatch, setsockopt_failures=fail_times(code, 2))
     dial(Outcome.SUCCEEDED)
 
 
-@pytest.mark.parametrize("code", [errno.EIO, errno.EINTR], ids=named)
+@pytest.mark.parametrize("code", [errno.EIO, errno.EINTR], ids=errno_name)
 def test_failure_to_close_a_socket_changes_no_outcome(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    use_faulty(monkeypatch, connects=failing(errno.EADDRNOTAVAIL, 2), closes=failing(code, 10**9))
+    use_faulty_sockets(
+        monkeypatch,
+        connect_failures=fail_times(errno.EADDRNOTAVAIL, 2),
+        close_failures=fail_times(code, 10**9),
+    )
     dial(Outcome.SUCCEEDED)
-    use_faulty(monkeypatch, connects=failing(errno.ECONNREFUSED, 1), closes=failing(code, 10**9))
+    use_faulty_sockets(
+        monkeypatch,
+        connect_failures=fail_times(errno.ECONNREFUSED, 1),
+        close_failures=fail_times(code, 10**9),
+    )
     dial(Outcome.CONNECT_FAILED)
 
 
@@ -124,7 +132,7 @@
 def test_request_of_a_dial_that_fails_locally_is_never_written_and_ends_with_its_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    use_faulty(monkeypatch, connects=failing(errno.EADDRNOTAVAIL, 10**9))
+    use_faulty_sockets(monkeypatch, connect_failures=fail_times(errno.EADDRNOTAVAIL, 10**9))
 
     async def scenario(end: Callable[[ConnectionPool], None], expected: Outcome, seconds: float) -> None:
         servers = ConnectionPool(TIMEOUT_S, 60.0, 10)
@@ -150,7 +158,7 @@
             tries.append(None)
             yield errno.EADDRNOTAVAIL
 
-    use_faulty(monkeypatch, connects=counted())
+    use_faulty_sockets(monkeypatch, connect_failures=counted())
     dial(Outcome.NOT_SENT, dial_timeout_s=0.3)
     assert 2 <= len(tries) <= 6  # at 0, 10, 30, 70, 150 and 310 ms at the earliest
 
@@ -163,12 +171,12 @@
     async def scenario() -> None:
         async with running_proxy(respond_ok, respond_ok, limits=limits) as proxy:
             with monkeypatch.context() as patched:
-                use_faulty(patched, connects=failing(errno.EADDRNOTAVAIL, 10**9))
+                use_faulty_sockets(patched, connect_failures=fail_times(errno.EADDRNOTAVAIL, 10**9))
                 for _ in range(8):
                     assert (await proxy.send_request(kind="pay", body=b"x"))[0] == 503  # it never ran
             known = proxy.sidecar._balancer._context.registry.servers.values()
             assert [(each.consecutive_failures, each.ejected_until) for each in known] == [(0, None)] * 2
-            assert not proxy.sent()
+            assert not proxy.server_requests()
             assert not proxy.sidecar._active
             assert (await proxy.send_request(kind="pay", body=b"x"))[0] == 200
 
@@ -176,11 +184,11 @@
 
 
 # Guards discovery's calls, which have retries of their own.
-@pytest.mark.parametrize("code", [*_LOCAL, *_OF_THE_SERVER], ids=named)
+@pytest.mark.parametrize("code", [*_LOCAL, *_OF_THE_SERVER], ids=errno_name)
 def test_connect_without_a_given_socket_raises_an_os_error(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    use_faulty(monkeypatch, connects=failing(code, 1))
+    use_faulty_sockets(monkeypatch, connect_failures=fail_times(code, 1))
 
     async def scenario() -> None:
         server = FakeServer("s", respond_ok)
--- a/tests/proxy/test_disconnected_clients.py
+++ b/tests/proxy/test_disconnected_clients.py
@@ -25,9 +25,9 @@
         async with running_proxy(never_respond) as proxy:
             _, writer = await proxy.connect()
             writer.write(request("pay", body=b"x"))
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             writer.close()
-            await wait_until(lambda: proxy.servers[0].closed == 1)
+            await wait_until(lambda: proxy.servers[0].closed_by_peer == 1)
             assert not proxy.sidecar._active  # the late outcome reached the module, and nothing is kept
 
     run_scenario(scenario())
@@ -44,7 +44,7 @@
                 each.sendall(request(path="/api/2", X_Call_Id="gone"))
                 each.close()  # before the loop has had a turn
             assert (await proxy.send_request(path="/api/3", X_Call_Id="next"))[0] == 200
-            assert [first.split(" ")[1] for first, _, _ in proxy.sent()] == ["/api/1", "/api/3"]
+            assert [first.split(" ")[1] for first, _, _ in proxy.server_requests()] == ["/api/1", "/api/3"]
 
     run_scenario(scenario())
 
@@ -77,7 +77,7 @@
             _, writer = await asyncio.open_connection(sock=slow, limit=16)
             data = b"".join(request(X_Call_Id=f"{number}") for number in range(50))
             writer.write(data)  # and it reads nothing
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             assert len((await proxy.send_request())[2]) == 60_000
             await wait_until(lambda: not proxy.sidecar.frontend.connections)  # and its place is free again
             writer.close()
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -143,7 +143,7 @@
                 return server.state is ServerState.DRAINING
 
             proxy.discovery.responses.put_nowait(None)
-            await wait_until(lambda: "left 1" in proxy.discovery.call_log)
+            await wait_until(lambda: "closed 1" in proxy.discovery.call_log)
             await wait_until(is_told)
             assert proxy.discovery.call_log[:2] == ["call 1", "call 2"]
 
@@ -215,7 +215,7 @@
             new = old.entry(name="s-new", since_ms=1_000)
             proxy.discovery.push_update(42, [new])
             await wait_until(lambda: list(proxy.sidecar._balancer._context.registry.servers) == ["s-new"])
-            await wait_until(lambda: old.closed == 1)
+            await wait_until(lambda: old.closed_by_peer == 1)
             proxy.discovery.push_update(43, [new, old.entry()], snapshot=True)
             await wait_until(lambda: len(proxy.discovery.targets) == 3)
             assert (
@@ -238,7 +238,7 @@
             servers = proxy.sidecar._balancer._context.registry.servers
             await wait_until(lambda: "s-0" not in servers or servers["s-0"].state is ServerState.DRAINING)
             assert (await proxy.send_request())[0] == 503
-            assert not proxy.sent()
+            assert not proxy.server_requests()
 
     run_scenario(scenario())
 
--- a/tests/proxy/test_drain_races.py
+++ b/tests/proxy/test_drain_races.py
@@ -26,7 +26,7 @@
         async with running_proxy(never_respond, sockets=66) as proxy:  # room for one client
             held, held_writer = await proxy.connect()
             held_writer.write(request("pay", body=b"held", budget="500"))
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             await wait_until(lambda: proxy.sidecar.frontend._accepting)
             waiting, waiting_writer = await proxy.connect()
             waiting_writer.write(request("pay", body=b"waits", budget="500", X_Call_Id="waits"))
--- a/tests/proxy/test_endpoint_list_races.py
+++ b/tests/proxy/test_endpoint_list_races.py
@@ -15,7 +15,7 @@
     running_proxy,
     wait_until,
 )
-from race_stage import LATER
+from race_helpers import FAR_DEADLINE
 
 from sidecar.balancer.events import Outcome, ServerState
 from sidecar.proxy.addresses import Address
@@ -29,21 +29,21 @@
 def test_slow_snapshot_arrives_after_the_delta_of_a_watch() -> None:
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
-            await wait_until(lambda: proxy.discovery.called(1))
+            await wait_until(lambda: proxy.discovery.has_calls(1))
             proxy.sidecar._endpoint_list.client.fetch()
-            await wait_until(lambda: proxy.discovery.called(2))
+            await wait_until(lambda: proxy.discovery.has_calls(2))
             (server,) = proxy.servers
             state = proxy.sidecar._balancer._context.registry.servers["s-0"]
             proxy.discovery.push_update(43, [server.entry(status="leaving")])  # to the watch
             await wait_until(lambda: state.state is ServerState.DRAINING)
-            await wait_until(lambda: proxy.discovery.called(3))  # it goes on
+            await wait_until(lambda: proxy.discovery.has_calls(3))  # it goes on
             proxy.discovery.push_update(
                 42, [server.entry()], snapshot=True
             )  # to the fetch, which was called before it
             await wait_until(lambda: not proxy.sidecar._endpoint_list.client._fetches)
             assert state.state is ServerState.DRAINING
             proxy.discovery.push_update(44, [])
-            await wait_until(lambda: proxy.discovery.called(4))
+            await wait_until(lambda: proxy.discovery.has_calls(4))
             watched = [each.split("&")[0] for each in proxy.discovery.targets if "after" in each]
             assert watched == [f"/registry/instances?after={index}" for index in (41, 43, 44)]
 
@@ -56,7 +56,7 @@
             servers = ConnectionPool(600.0, 600.0, 10)
             servers.update("s", address, None, ServerState.READY)
             heard: list[Outcome] = []
-            servers.send("s", EncodedRequest(b""), LATER, lambda outcome, _: heard.append(outcome))
+            servers.send("s", EncodedRequest(b""), FAR_DEADLINE, lambda outcome, _: heard.append(outcome))
             servers.update("s", ("127.0.0.1", 9), None, ServerState.READY)
             assert heard == [Outcome.NOT_SENT]  # which is no strike against the server
             await wait_until(lambda: servers.open_connections == 0)
--- a/tests/proxy/test_hedging_races.py
+++ b/tests/proxy/test_hedging_races.py
@@ -5,7 +5,7 @@
 import pytest
 from proxy_harness import LIMITS, never_respond, run_scenario, running_proxy, wait_until
 from proxy_harness import request as request_bytes
-from race_stage import Client, rested_everywhere
+from race_helpers import Client, open_reusable_connections
 
 from sidecar.balancer.policy.hedging import HedgingPolicy
 from sidecar.balancer.state import Attempt, Request
@@ -23,15 +23,15 @@
             if not dialled:
                 for each in proxy.servers:
                     each.script = lambda *_: b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-                await rested_everywhere(proxy)
+                await open_reusable_connections(proxy)
                 for each in proxy.servers:
                     each.script = never_respond
-            before = len(proxy.sent())
+            before = len(proxy.server_requests())
             hedged: list[int] = []
 
             def is_hedge_due(detector: HedgingPolicy, request: Request, attempt: Attempt) -> bool:
                 if leaves and not hedged:
-                    client.leave()  # its end is in the kernel, and unread, as the hedge is sent
+                    client.disconnect()  # its end is in the kernel, and unread, as the hedge is sent
                 hedged.append(attempt.index)
                 return len(hedged) == 1
 
@@ -41,9 +41,9 @@
             if leaves:
                 await wait_until(lambda: not proxy.sidecar._active)
             else:
-                await wait_until(lambda: len(proxy.sent()) == before + 2)
+                await wait_until(lambda: len(proxy.server_requests()) == before + 2)
             assert (await proxy.send_request(path="/health/ready"))[0] == 200  # the loop has had its turns
-            assert len(proxy.sent()) == before + (1 if leaves else 2)
+            assert len(proxy.server_requests()) == before + (1 if leaves else 2)
             client.close()
 
     run_scenario(scenario())
--- a/tests/proxy/test_new_connection_responses.py
+++ b/tests/proxy/test_new_connection_responses.py
@@ -42,7 +42,7 @@
             status, headers, _ = await read_response(reader)
             assert (status, headers["connection"]) == (503, "close")
             assert await wait_for_eof(reader)
-            assert not proxy.sent()
+            assert not proxy.server_requests()
             writer.close()
 
     run_in_virtual_time(scenario())
--- a/tests/proxy/test_overload_detection.py
+++ b/tests/proxy/test_overload_detection.py
@@ -34,7 +34,7 @@
             held = [await asyncio.open_connection(*address) for _ in range(40)]
             for number, (_, writer) in enumerate(held):
                 writer.write(request(X_Call_Id=f"held-{number}", budget="500"))
-            await wait_until(lambda: len(proxy.sent()) == len(held))
+            await wait_until(lambda: len(proxy.server_requests()) == len(held))
 
             def lags() -> bool:
                 time.sleep(0.15)  # longer than it takes to the next sweep
@@ -47,7 +47,7 @@
             assert (status, headers["retry-after"], headers["connection"]) == (503, "0.750", "close")
             assert await wait_for_eof(reader)
             writer.close()
-            assert len(proxy.sent()) == len(held)
+            assert len(proxy.server_requests()) == len(held)
             for _, writer in held:
                 writer.close()
             await wait_until(lambda: not proxy.sidecar.frontend.table.is_overloaded())
--- a/tests/proxy/test_pipelined_client_races.py
+++ b/tests/proxy/test_pipelined_client_races.py
@@ -22,7 +22,7 @@
     """Send a request that is held at its server, and then more than is kept."""
     reader, writer = await proxy.connect()
     writer.write(held)
-    await wait_until(proxy.sent)
+    await wait_until(proxy.server_requests)
     ahead = request("pay", body=bytes(60_000), X_Call_Id="ahead")
     writer.write(ahead * 50)  # more than the kernel holds
     return reader, writer
@@ -33,9 +33,9 @@
         async with running_proxy(never_respond) as proxy:
             _, writer = await flood(proxy, request("pay", body=b"held", budget="500"))
             writer.close()  # its end comes behind all that
-            await wait_until(lambda: proxy.servers[0].closed == 1)
+            await wait_until(lambda: proxy.servers[0].closed_by_peer == 1)
             assert not proxy.sidecar._active
-            assert len(proxy.sent()) == 1
+            assert len(proxy.server_requests()) == 1
 
     run_scenario(scenario())
 
@@ -50,7 +50,7 @@
             status, headers, body = await read_response(reader)
             assert (status, headers["connection"], body) == (200, "close", b"served")
             assert await wait_for_eof(reader)
-            assert len(proxy.sent()) == 1
+            assert len(proxy.server_requests()) == 1
             writer.close()
 
     run_scenario(scenario())
@@ -67,7 +67,7 @@
             status, headers, _ = await read_response(reader)
             assert (status, headers["connection"]) == (500, "close")
             assert await wait_for_eof(reader)
-            await wait_until(lambda: proxy.servers[0].closed == 1)
+            await wait_until(lambda: proxy.servers[0].closed_by_peer == 1)
             writer.close()
 
     run_scenario(scenario())
--- a/tests/proxy/test_process_lifecycle.py
+++ b/tests/proxy/test_process_lifecycle.py
@@ -252,10 +252,10 @@
                 path.write_text(replaced(now), encoding="utf-8")
                 process.send_signal(signal.SIGHUP)
                 # The complete list is asked for: what was heard elsewhere may be behind, or ahead.
-                await wait_until(partial(now.called, 1))
+                await wait_until(partial(now.has_calls, 1))
                 assert now.targets == ["/registry/instances"]
                 now.push_update(number, [server.entry()], snapshot=True)
-                await wait_until(partial(now.called, 2))
+                await wait_until(partial(now.has_calls, 2))
                 assert now.targets[1].startswith(f"/registry/instances?after={number}&wait_ms=")
             assert (await send_request(listen, request()))[0] == 200
             assert len(old.targets) == 1
@@ -384,10 +384,10 @@
             await wait_until(lambda: down.targets)
             entries = [server.entry(), *(server.entry(name=each, address=each) for each in listed)]
             down.push_update(2, entries, snapshot=True)
-            await wait_until(lambda: down.called(2))
+            await wait_until(lambda: down.has_calls(2))
             leaving = [each | {"status": "leaving"} for each in entries[1:]]
             down.push_update(3, leaving)
-            await wait_until(lambda: down.called(3))
+            await wait_until(lambda: down.has_calls(3))
             assert (await send_request(listen, request("pay")))[
                 2
             ] == b"served"  # of all, the one that is left
--- a/tests/proxy/test_registry_races.py
+++ b/tests/proxy/test_registry_races.py
@@ -54,7 +54,7 @@
 
 def has_sent(proxy: ProxyHarness, count: int) -> bool:
     """Whether so many requests have come to servers."""
-    return len(proxy.sent()) == count
+    return len(proxy.server_requests()) == count
 
 
 async def hold_at_first(proxy: ProxyHarness) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -65,7 +65,7 @@
     for number in range(200):
         reader, writer = await proxy.connect()
         writer.write(request("pay", body=b"held", budget="500", X_Call_Id=f"held-{number}"))
-        await wait_until(partial(has_sent, proxy, len(proxy.sent()) + 1))
+        await wait_until(partial(has_sent, proxy, len(proxy.server_requests()) + 1))
         if len(first.requests) > before:
             return reader, writer
         assert (await read_response(reader))[0] == 200
@@ -191,16 +191,20 @@
             if drained_first:
                 proxy.discovery.push_update(42, [first.entry(status="leaving")])
                 await wait_until(lambda: states["s-0"].state is ServerState.DRAINING)
-                await wait_until(lambda: first.closed == len(first.writers) - 1)  # none at rest is kept
+                await wait_until(
+                    lambda: first.closed_by_peer == len(first.writers) - 1
+                )  # none at rest is kept
             proxy.discovery.push_update(43, [second.entry()], snapshot=True)
             await gone_within(proxy, NOTIFIED_WITHIN_S, now_s())
-            await wait_until(lambda: first.closed == len(first.writers) - 1)
+            await wait_until(lambda: first.closed_by_peer == len(first.writers) - 1)
             first.script = respond_ok  # it still listens, and would answer
             await nothing_more_reaches_the_first(proxy)
             first.writers[-1].write(encode_response(200, b"late"))
             assert (await read_response(reader))[2] == b"late"
             await wait_until(lambda: not proxy.sidecar._active)
-            await wait_until(lambda: first.closed == len(first.writers))  # no connection to it is kept
+            await wait_until(
+                lambda: first.closed_by_peer == len(first.writers)
+            )  # no connection to it is kept
             writer.close()
 
     run_in_virtual_time(scenario())
@@ -211,7 +215,7 @@
         async with running_proxy(never_respond, never_respond) as proxy:
             safe = asyncio.create_task(proxy.send_request(kind="look", budget="500"))
             unsafe = asyncio.create_task(proxy.send_request(kind="pay", body=b"x", budget="500"))
-            await wait_until(lambda: len(proxy.sent()) == 2)
+            await wait_until(lambda: len(proxy.server_requests()) == 2)
             survivor = FakeServer("s-2", respond_ok)
             await survivor.start()
             proxy.discovery.push_update(42, [survivor.entry()], snapshot=True)
@@ -268,7 +272,7 @@
         ) as proxy:
             registry.listed = [each.entry() for each in proxy.servers]
             await wait_until(
-                partial(registry.called, 2)
+                partial(registry.has_calls, 2)
             )  # a watch has ended by its time, and the next is out
             await registry.change(proxy.servers[0].entry(status="leaving"))
             await gone_within(proxy, NOTIFIED_WITHIN_S, now_s())
--- a/tests/proxy/test_remaining_time.py
+++ b/tests/proxy/test_remaining_time.py
@@ -55,7 +55,7 @@
         async with running_proxy(respond_ok, limits=limits) as proxy:
             monkeypatch.setattr(connection_dialer, "connect", slow)
             assert (await proxy.send_request(budget=str(_BUDGET_S)))[0] == 200
-            ((_, head, _),) = proxy.sent()
+            ((_, head, _),) = proxy.server_requests()
             assert 0.0 < told(head) <= _BUDGET_S - _HELD_S
 
     run_scenario(scenario())
@@ -65,7 +65,7 @@
     async def scenario() -> None:
         async with running_proxy(never_respond, never_respond) as proxy:
             asking = asyncio.create_task(proxy.send_request(kind="pay", body=b"x", budget=str(_BUDGET_S)))
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             (first,) = (each for each in proxy.servers if each.requests)
             (second,) = (each for each in proxy.servers if not each.requests)
             second.script = respond_ok
@@ -118,12 +118,12 @@
 async def answered_in_time(proxy: ProxyHarness, kind: str, budget_s: float, most: int = 1) -> int:
     """Ask; check that the answer comes in time, and that what may run once is sent `most` times at most."""
     loop = asyncio.get_running_loop()
-    before, began = len(proxy.sent()), loop.time()
+    before, began = len(proxy.server_requests()), loop.time()
     status, _, _ = await proxy.send_request(
         kind=kind, body=b"" if kind == "look" else b"x", budget=f"{budget_s}"
     )
     assert loop.time() - began < budget_s + _ANSWER_SLACK_S
-    sent = [head for _, head, _ in proxy.sent()[before:]]
+    sent = [head for _, head, _ in proxy.server_requests()[before:]]
     if kind == "pay":
         assert len(sent) <= most
     assert len(sent) <= LIMITS["max_attempts"]
--- a/tests/proxy/test_request_crossings.py
+++ b/tests/proxy/test_request_crossings.py
@@ -135,7 +135,7 @@
                 assert (status, body) == (200, b"served")
                 assert met == [1]
                 last = f"{proxy._requests_sent:016x}"
-                sent = [each for _, head, each in proxy.sent() if head["x-call-id"] == last]
+                sent = [each for _, head, each in proxy.server_requests() if head["x-call-id"] == last]
                 assert sent == [bytes(60_000)]
             await dying
 
@@ -229,7 +229,7 @@
             assert now_s() - began < BAD_PEER_S
             assert await wait_for_eof(reader)
             slow.cancel()
-            assert len(proxy.sent()) == used
+            assert len(proxy.server_requests()) == used
             writer.close()
 
     run_in_virtual_time(scenario())
@@ -293,7 +293,7 @@
             try:
                 status, headers, body = await read_response(reader)
             except (asyncio.IncompleteReadError, ConnectionError):
-                assert "crossing" not in [head["x-call-id"] for _, head, _ in proxy.sent()]
+                assert "crossing" not in [head["x-call-id"] for _, head, _ in proxy.server_requests()]
                 assert how != "half a request"
                 assert how == "idle" or after_s > 0.5
             else:
@@ -309,7 +309,7 @@
         async with running_proxy(never_respond) as proxy:
             reader, writer = await new_connection(proxy)
             writer.write(request("pay", body=b"first", budget="500", X_Call_Id="first"))
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             proxy.stop.set()
             await wait_until(lambda: proxy.sidecar.frontend.draining)
             proxy.servers[0].script = respond_ok
@@ -319,7 +319,7 @@
             assert (status, headers["connection"], body) == (200, "close", b"served")
             assert await wait_for_eof(reader)
             await wait_until(lambda: proxy.sidecar.frontend.has_no_connections())
-            assert [head["x-call-id"] for _, head, _ in proxy.sent()] == ["first"]
+            assert [head["x-call-id"] for _, head, _ in proxy.server_requests()] == ["first"]
             writer.close()
 
     run_in_virtual_time(scenario())
@@ -330,7 +330,7 @@
         async with running_proxy(never_respond) as proxy:
             reader, writer = await new_connection(proxy)
             writer.write(request("pay", body=b"first", budget="500", X_Call_Id="first") + CROSSING)
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             proxy.stop.set()
             await wait_until(lambda: proxy.sidecar.frontend.draining)
             proxy.servers[0].script = respond_ok
@@ -341,7 +341,7 @@
             assert (status, headers["connection"], body) == (200, "close", b"served")
             assert await wait_for_eof(reader)
             await wait_until(lambda: proxy.sidecar.frontend.has_no_connections())
-            assert [head["x-call-id"] for _, head, _ in proxy.sent()] == ["first", "crossing"]
+            assert [head["x-call-id"] for _, head, _ in proxy.server_requests()] == ["first", "crossing"]
             writer.close()
 
     run_in_virtual_time(scenario())
--- a/tests/proxy/test_request_ids.py
+++ b/tests/proxy/test_request_ids.py
@@ -24,15 +24,15 @@
         async with running_proxy(lambda *_: None) as proxy:
             reader, writer = await proxy.connect()
             writer.write(request("pay", body=b"first", X_Call_Id="one"))
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             assert (await proxy.send_request(kind="pay", body=b"second", X_Call_Id="one"))[0] == 409
             proxy.servers[0].writers[0].write(encode_response(200, b"the first's"))
             assert (await read_response(reader))[2] == b"the first's"
-            assert [body for _, _, body in proxy.sent()] == [b"first"]
+            assert [body for _, _, body in proxy.server_requests()] == [b"first"]
             proxy.servers[0].script = respond_ok
             # An unsafe request was forwarded, and its client may not have the response: rejected even then.
             assert (await proxy.send_request(kind="pay", body=b"third", X_Call_Id="one"))[0] == 409
-            assert [body for _, _, body in proxy.sent()] == [b"first"]
+            assert [body for _, _, body in proxy.server_requests()] == [b"first"]
             for kind, ident in (("pay", "other"), ("look", "safe"), ("look", "safe")):
                 assert (await proxy.send_request(kind=kind, X_Call_Id=ident))[0] == 200
             writer.close()
@@ -71,7 +71,7 @@
         async with running_proxy(lambda *_: None) as proxy:
             _, writer = await proxy.connect()
             writer.write(request("pay", body=b"first", X_Call_Id="one"))
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             monkeypatch.setattr(ConnectionTable, "is_overloaded", lambda _: True)
             assert (await proxy.send_request(kind="pay", X_Call_Id="other"))[0] == 503
             assert (await proxy.send_request(kind="pay", X_Call_Id="one"))[0] == 409
--- a/tests/proxy/test_request_parsing.py
+++ b/tests/proxy/test_request_parsing.py
@@ -73,7 +73,7 @@
             await asyncio.wait_for(reader.read(), TIMEOUT_S)  # to the end of the connection
             writer.close()
             assert (await proxy.send_request())[0] == 200  # and the sidecar goes on
-            assert len(proxy.sent()) == 1
+            assert len(proxy.server_requests()) == 1
 
     run_scenario(scenario())
 
@@ -88,7 +88,7 @@
             assert b" 100 " in await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), TIMEOUT_S)
             writer.write(data[head:])
             assert (await read_response(reader))[0] == 200
-            assert proxy.sent()[0][2] == BIG[:-1]
+            assert proxy.server_requests()[0][2] == BIG[:-1]
             writer.close()
 
     run_scenario(scenario())
--- a/tests/proxy/test_request_wait.py
+++ b/tests/proxy/test_request_wait.py
@@ -98,7 +98,7 @@
             client.send(request(budget=f"{BUDGET_S}"))
             clock.skip(STALL_S)
             assert await client.read_status() == 200
-            assert forwarded_budget_s(proxy.sent()[0][1]) <= BUDGET_S - STALL_S
+            assert forwarded_budget_s(proxy.server_requests()[0][1]) <= BUDGET_S - STALL_S
 
     play_with_stalls(scenario)
 
@@ -114,7 +114,7 @@
             await asyncio.sleep(0.01)  # the loop polls meanwhile, but not for new connections
             proxy.sidecar.frontend._resume_accepting()
             assert await client.read_status() == 200
-            assert forwarded_budget_s(proxy.sent()[0][1]) <= BUDGET_S - STALL_S
+            assert forwarded_budget_s(proxy.server_requests()[0][1]) <= BUDGET_S - STALL_S
 
     play_with_stalls(scenario)
 
@@ -128,7 +128,7 @@
             client.send(request(budget=f"{BUDGET_S}"))
             clock.skip(STALL_S)
             assert await client.read_status() == 200
-            assert forwarded_budget_s(proxy.sent()[0][1]) <= BUDGET_S - STALL_S
+            assert forwarded_budget_s(proxy.server_requests()[0][1]) <= BUDGET_S - STALL_S
 
     play_with_stalls(scenario)
 
@@ -137,15 +137,15 @@
     async def scenario(clock: Clock) -> None:
         async with running_proxy(never_respond) as proxy, connected(proxy) as client:
             client.send(request(X_Call_Id="first"))
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             client.send(request(X_Call_Id="second", budget=f"{BUDGET_S}"))
             (connection,) = proxy.sidecar.frontend.connections
             await wait_until(connection.has_partial_request)
             clock.skip(STALL_S)
             proxy.servers[0].script = respond_ok
             proxy.servers[0].writers[0].write(encode_response(200, b"late"))
-            await wait_until(lambda: len(proxy.sent()) == 2)
-            assert forwarded_budget_s(proxy.sent()[1][1]) <= BUDGET_S - STALL_S
+            await wait_until(lambda: len(proxy.server_requests()) == 2)
+            assert forwarded_budget_s(proxy.server_requests()[1][1]) <= BUDGET_S - STALL_S
 
     play_with_stalls(scenario)
 
@@ -157,7 +157,7 @@
             client.send(request(kind, budget=f"{STALL_S / 2}"))
             clock.skip(STALL_S)
             assert await client.read_status() == 503
-            assert not proxy.sent()
+            assert not proxy.server_requests()
 
     play_with_stalls(scenario)
 
@@ -168,7 +168,7 @@
             sent_at = clock()
             client.send(request(budget=f"{BUDGET_S}"))
             clock.skip(STALL_S)
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             (live,) = proxy.sidecar._active
             due = proxy.sidecar._clock.to_loop_time(live.deadline_us)
             assert due <= sent_at + BUDGET_S + ALLOWED_S
@@ -183,10 +183,10 @@
             await asyncio.sleep(0.01)
             client.send(request(budget=f"{BUDGET_S}"))
             assert await client.read_status() == 200
-            assert forwarded_budget_s(proxy.sent()[0][1]) > BUDGET_S - STALL_S / 2
+            assert forwarded_budget_s(proxy.server_requests()[0][1]) > BUDGET_S - STALL_S / 2
             # And on a connection that is new after the stall.
             assert (await proxy.send_request(budget=f"{BUDGET_S}"))[0] == 200
-            assert forwarded_budget_s(proxy.sent()[1][1]) > BUDGET_S - STALL_S / 2
+            assert forwarded_budget_s(proxy.server_requests()[1][1]) > BUDGET_S - STALL_S / 2
 
     play_with_stalls(scenario)
 
--- a/tests/proxy/test_response_races.py
+++ b/tests/proxy/test_response_races.py
@@ -18,7 +18,7 @@
     running_proxy,
     wait_until,
 )
-from race_stage import LATER
+from race_helpers import FAR_DEADLINE
 
 from sidecar.balancer.events import Outcome, ServerState
 from sidecar.proxy.connection_pool import ConnectionPool
@@ -60,7 +60,7 @@
             slow.setblocking(False)
             await asyncio.get_running_loop().sock_connect(slow, proxy.sidecar.frontend.address)
             slow.send(request(budget="500"))
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             (connection,) = proxy.sidecar.frontend.connections
             connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             proxy.servers[0].script = respond_ok
@@ -95,7 +95,7 @@
     upstream.update("s", server.address, None, ServerState.READY)
     heard: list[Outcome] = []
     get = encode_message(b"GET /api/1 HTTP/1.1", [(b"Host", b"x")])
-    exchange = upstream.send("s", EncodedRequest(get), LATER, lambda outcome, _: heard.append(outcome))
+    exchange = upstream.send("s", EncodedRequest(get), FAR_DEADLINE, lambda outcome, _: heard.append(outcome))
     await wait_until(lambda: server.requests)
     assert exchange.connection is not None
     return upstream, exchange, exchange.connection, heard
@@ -153,7 +153,10 @@
         timer = upstream.servers["s"].idle_connections[0].close_timer
         server.script = never_respond
         upstream.send(
-            "s", EncodedRequest(b"GET / HTTP/1.1\r\n\r\n"), LATER, lambda outcome, _: heard.append(outcome)
+            "s",
+            EncodedRequest(b"GET / HTTP/1.1\r\n\r\n"),
+            FAR_DEADLINE,
+            lambda outcome, _: heard.append(outcome),
         )
         timer._run()  # it was due in the same turn of the loop
         await wait_until(lambda: len(server.requests) == 2)
@@ -172,7 +175,9 @@
         upstream, _, connection, heard = await written(server)
         await wait_until(lambda: heard)
         upstream._idle_connections.reuse_delay_s = 0.0
-        upstream.send("s", DeferredRequest(lambda _: None), LATER, lambda outcome, _: heard.append(outcome))
+        upstream.send(
+            "s", DeferredRequest(lambda _: None), FAR_DEADLINE, lambda outcome, _: heard.append(outcome)
+        )
         assert heard == [Outcome.SUCCEEDED, Outcome.NOT_SENT]
         assert not upstream.servers["s"].idle_connections
         assert not connection.is_idle()
@@ -193,7 +198,7 @@
 
         def send(name: str) -> None:
             get = encode_message(b"GET / HTTP/1.1", [(b"Host", b"x")])
-            servers.send(name, EncodedRequest(get), LATER, lambda outcome, _: heard.append(outcome))
+            servers.send(name, EncodedRequest(get), FAR_DEADLINE, lambda outcome, _: heard.append(outcome))
 
         send("a")
         await wait_until(lambda: heard)
--- a/tests/proxy/test_responses_without_length.py
+++ b/tests/proxy/test_responses_without_length.py
@@ -40,13 +40,13 @@
     async def scenario() -> None:
         async with running_proxy(never_respond) as proxy:
             asking = asyncio.create_task(proxy.send_request(kind="pay", body=b"x"))
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             (writer,) = proxy.servers[0].writers
             writer.write(head + body)
             writer.close()
             status, _, got = await asking
             assert (status, got) == (200, body)
-            assert len(proxy.sent()) == 1
+            assert len(proxy.server_requests()) == 1
 
     run_scenario(scenario())
 
@@ -82,7 +82,7 @@
     async def scenario(is_read_before: bool) -> None:
         async with running_proxy(never_respond) as proxy:
             asking = asyncio.create_task(proxy.send_request(kind="pay", body=b"x"))
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             (writer,) = proxy.servers[0].writers
             writer.write(_HEAD + body)
             await writer.drain()
@@ -96,7 +96,7 @@
                 await wait_until(lambda: reader._head is not None and len(reader._body) == len(body))
             reset(writer)
             assert (await asking)[0] == 500
-            assert len(proxy.sent()) == 1
+            assert len(proxy.server_requests()) == 1
 
     run_scenario(scenario(True))
     run_scenario(scenario(False))
@@ -125,11 +125,11 @@
     async def scenario() -> None:
         async with running_proxy(never_respond) as proxy:
             asking = asyncio.create_task(proxy.send_request(kind="pay", body=b"x"))
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             proxy.servers[0].writers[0].write(_HEAD + b"all of it")
             proxy.servers[0].stop()
             assert (await asking)[0] == 500
-            assert len(proxy.sent()) == 1
+            assert len(proxy.server_requests()) == 1
 
     run_scenario(scenario())
 
@@ -139,13 +139,13 @@
     async def scenario() -> None:
         async with running_proxy(never_respond) as proxy:
             asking = asyncio.create_task(proxy.send_request(kind="pay", body=b"x"))
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             (writer,) = proxy.servers[0].writers
             writer.write(_HEAD + bytes(MAX_RESPONSE_BODY_BYTES + 1))
             if ends:
                 writer.close()
             assert (await asking)[0] == 500
-            assert len(proxy.sent()) == 1
+            assert len(proxy.server_requests()) == 1
 
     run_scenario(scenario())
 
@@ -166,12 +166,12 @@
     async def scenario() -> None:
         async with running_proxy(never_respond) as proxy:
             asking = asyncio.create_task(proxy.send_request(kind="pay", body=b"x"))
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             (writer,) = proxy.servers[0].writers
             writer.write(cut)
             writer.close()
             assert (await asking)[0] == 500
-            assert len(proxy.sent()) == 1
+            assert len(proxy.server_requests()) == 1
 
     run_scenario(scenario())
 
@@ -183,7 +183,7 @@
         pool = ConnectionPool(0.1, 60.0, 10)  # the dial limit bounds an answer that has begun
         pool.update("s", server.address, None, ServerState.READY)
         assert await send_one(pool) == (Outcome.ERROR, None)
-        await wait_until(lambda: server.closed == 1 and pool.open_connections == 0)
+        await wait_until(lambda: server.closed_by_peer == 1 and pool.open_connections == 0)
         server.stop()
 
     run_scenario(scenario())
--- a/tests/proxy/test_socket_errors.py
+++ b/tests/proxy/test_socket_errors.py
@@ -7,7 +7,7 @@
 import itertools
 
 import pytest
-from faulty_sockets import Failures, failing, named, use_faulty
+from faulty_sockets import Failures, errno_name, fail_times, use_faulty_sockets
 from pool_requests import outcome_of
 from proxy_harness import (
     TIMEOUT_S,
@@ -45,65 +45,69 @@
         servers.close_idle("s")
         await wait_until(lambda: servers.open_connections == 0)
         if expected is not Outcome.RESET:
-            await wait_until(lambda: server.closed == 1)  # all that was sent has been read
+            await wait_until(lambda: server.closed_by_peer == 1)  # all that was sent has been read
             assert len(server.requests) == received
         server.stop()
 
     run_scenario(scenario())
 
 
-@pytest.mark.parametrize("code", _BROKEN, ids=named)
+@pytest.mark.parametrize("code", _BROKEN, ids=errno_name)
 @pytest.mark.parametrize(("body", "sends"), [(b"", 0), (_LONG, 0), (_LONG, 1)])
 def test_failed_write_before_the_last_byte_proves_that_the_request_never_ran(
     body: bytes, sends: int, code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    use_faulty(monkeypatch, sends=working_then(code, sends))
+    use_faulty_sockets(monkeypatch, send_failures=working_then(code, sends))
     attempt(Outcome.CONNECT_FAILED, 0, body)
 
 
-@pytest.mark.parametrize("code", _BROKEN, ids=named)
+@pytest.mark.parametrize("code", _BROKEN, ids=errno_name)
 def test_short_write_does_not_count_as_the_last_byte(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    use_faulty(monkeypatch, sends=working_then(code, 3), send_most=9)
+    use_faulty_sockets(monkeypatch, send_failures=working_then(code, 3), max_send_bytes=9)
     attempt(Outcome.CONNECT_FAILED, 0)
 
 
-@pytest.mark.parametrize("code", _BROKEN, ids=named)
+@pytest.mark.parametrize("code", _BROKEN, ids=errno_name)
 def test_failed_read_after_the_last_byte_is_a_reset(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    use_faulty(monkeypatch, reads=working_then(code, 0))
+    use_faulty_sockets(monkeypatch, read_failures=working_then(code, 0))
     attempt(Outcome.RESET, 1)
-    use_faulty(monkeypatch, reads=working_then(code, 1), read_most=30)  # in the middle of the answer
+    use_faulty_sockets(
+        monkeypatch, read_failures=working_then(code, 1), max_read_bytes=30
+    )  # in the middle of the answer
     attempt(Outcome.RESET, 1)
 
 
-@pytest.mark.parametrize("code", [errno.EINTR, errno.EAGAIN], ids=named)
+@pytest.mark.parametrize("code", [errno.EINTR, errno.EAGAIN], ids=errno_name)
 @pytest.mark.parametrize("body", [b"", _LONG])
 def test_interrupted_system_calls_are_retried(
     body: bytes, code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    use_faulty(monkeypatch, sends=failing(code, 2), reads=failing(code, 2))
+    use_faulty_sockets(monkeypatch, send_failures=fail_times(code, 2), read_failures=fail_times(code, 2))
     attempt(Outcome.SUCCEEDED, 1, body)
 
 
 @pytest.mark.parametrize("body", [b"", _LONG])
 def test_short_reads_and_writes_lose_nothing(body: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    use_faulty(monkeypatch, send_most=19, read_most=3)
+    use_faulty_sockets(monkeypatch, max_send_bytes=19, max_read_bytes=3)
     attempt(Outcome.SUCCEEDED, 1, body, encode_response(200, bytes(999)))
 
 
-@pytest.mark.parametrize("code", [errno.ENOBUFS, errno.ENOMEM], ids=named)
+@pytest.mark.parametrize("code", [errno.ENOBUFS, errno.ENOMEM], ids=errno_name)
 @pytest.mark.parametrize(("body", "sends"), [(b"", 0), (_LONG, 0), (_LONG, 1)])
 def test_write_that_fails_for_a_local_cause_is_not_a_failure_of_the_server(
     body: bytes, sends: int, code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    use_faulty(monkeypatch, sends=working_then(code, sends))
+    use_faulty_sockets(monkeypatch, send_failures=working_then(code, sends))
     attempt(Outcome.NOT_SENT, 0, body)
 
 
-@pytest.mark.parametrize("code", [errno.ENOTCONN, errno.EIO], ids=named)
+@pytest.mark.parametrize("code", [errno.ENOTCONN, errno.EIO], ids=errno_name)
 def test_attempt_is_cancelled_even_if_shutdown_and_close_fail(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    use_faulty(monkeypatch, shutdowns=working_then(code, 0), closes=working_then(code, 0))
+    use_faulty_sockets(
+        monkeypatch, shutdown_failures=working_then(code, 0), close_failures=working_then(code, 0)
+    )
 
     async def scenario() -> None:
         server = FakeServer("s", never_respond)
@@ -118,7 +122,7 @@
         )
         await wait_until(lambda: server.requests)
         servers.cancel(exchange)
-        await wait_until(lambda: server.closed == 1 and servers.open_connections == 0)
+        await wait_until(lambda: server.closed_by_peer == 1 and servers.open_connections == 0)
         assert outcomes == [Outcome.CANCELLED]
         server.stop()
 
--- a/tests/proxy/test_stalled_clients.py
+++ b/tests/proxy/test_stalled_clients.py
@@ -53,7 +53,7 @@
             assert b"HTTP/1.1 408 " in got
             assert (b"HTTP/1.1 100 " in got) is (b"Expect" in stop and b"\r\n\r\n" in stop)
             await wait_until(proxy.sidecar.frontend.has_no_connections)
-            assert len(proxy.sent()) == earlier
+            assert len(proxy.server_requests()) == earlier
             writer.close()
 
     run_in_virtual_time(scenario())
@@ -84,7 +84,7 @@
         async with running_proxy(never_respond) as proxy:
             reader, writer = await proxy.connect()
             writer.write(request("pay", body=b"held"))
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             began = now_s()
             writer.write(stop)
             (connection,) = proxy.sidecar.frontend.connections
@@ -95,7 +95,7 @@
             assert (status, body) == (200, b"served")
             assert b"HTTP/1.1 408 " in await asyncio.wait_for(reader.read(), TIMEOUT_S)
             assert now_s() < began + BAD_PEER_S
-            assert len(proxy.sent()) == 1
+            assert len(proxy.server_requests()) == 1
             writer.close()
 
     run_in_virtual_time(scenario())
@@ -106,7 +106,7 @@
         async with running_proxy(never_respond) as proxy:
             reader, writer = await proxy.connect()
             writer.write(request("pay", body=b"held", X_Call_Id="held"))
-            await wait_until(proxy.sent)
+            await wait_until(proxy.server_requests)
             writer.write(WHOLE[:30])
             (connection,) = proxy.sidecar.frontend.connections
             await wait_until(connection.has_partial_request)
@@ -117,7 +117,7 @@
             writer.write(WHOLE[30:])
             assert (await read_response(reader))[0] == 200
             assert await wait_for_eof(reader)  # it rested for long enough
-            assert len(proxy.sent()) == 2
+            assert len(proxy.server_requests()) == 2
             writer.close()
 
     run_in_virtual_time(scenario())
--- a/tests/proxy/test_wall_clock_steps.py
+++ b/tests/proxy/test_wall_clock_steps.py
@@ -50,11 +50,11 @@
             assert (await proxy.send_request())[0] == 200
             proxy.servers[0].script = never_respond
             asked = asyncio.create_task(proxy.send_request(kind="pay", body=b"x", budget="0.4"))
-            await wait_until(lambda: len(proxy.sent()) == 2)
+            await wait_until(lambda: len(proxy.server_requests()) == 2)
             if not before:
                 step(span_s)
             assert (await asked)[0] == 500
-            assert float(proxy.sent()[1][1]["x-budget"]) <= 0.4
+            assert float(proxy.server_requests()[1][1]["x-budget"]) <= 0.4
 
     run_scenario(scenario())
 
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -111,7 +111,7 @@
         self.script = script
         self.requests: list[tuple[str, Headers, bytes]] = []
         self.writers: list[asyncio.StreamWriter] = []
-        self.closed = 0  # connections that the peer closed
+        self.closed_by_peer = 0  # connections that the peer closed
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.append(writer)
@@ -127,7 +127,7 @@
                     if b"Connection: close" in reply:
                         return
         except (asyncio.IncompleteReadError, ConnectionError):
-            self.closed += 1
+            self.closed_by_peer += 1
         except asyncio.CancelledError:
             pass  # the test is over
         finally:
@@ -167,15 +167,15 @@
             reply = await self.responses.get()
             if reply is None:
                 await reader.read()
-                self.call_log.append(f"left {number}")
+                self.call_log.append(f"closed {number}")
                 return
             writer.write(reply)
             await writer.drain()
             self._responded_at = loop.time()
         writer.close()
 
-    def called(self, times: int) -> bool:
-        return len(self.targets) >= times
+    def has_calls(self, count: int) -> bool:
+        return len(self.targets) >= count
 
     def push_update(self, index: int, entries: list[Any], snapshot: bool = False) -> None:
         payload = {"index": index, "snapshot": snapshot, "endpoints": entries}
@@ -193,7 +193,7 @@
         self.stop = asyncio.Event()
         self._requests_sent = 0
 
-    def sent(self) -> list[tuple[str, Headers, bytes]]:
+    def server_requests(self) -> list[tuple[str, Headers, bytes]]:
         """All requests that reached servers, by server."""
         return [request for server in self.servers for request in server.requests]
 
