--- a/tests/configuration/test_consecutive_reloads.py
+++ b/tests/configuration/test_consecutive_reloads.py
@@ -52,10 +52,10 @@
         await new.start()
         async with running_proxy(respond_ok, respond_ok, registry=old, rules=RULES) as proxy:
             file = FlakyFile(replace(proxy.config, discovery=new.address), error_number, failures)
-            signal = ReloadSignalHandler(Reloader(proxy.config, proxy.sidecar.reconfigure), file.read)
+            handler = ReloadSignalHandler(Reloader(proxy.config, proxy.sidecar.reconfigure), file.read)
             await new.change(proxy.servers[0].entry(status="leaving"))
             signalled_at = now_s()
-            signal.handle_signal()
+            handler.handle_signal()
             await assert_notified_within(proxy, APPLY_LIMIT_S, signalled_at)
         new.stop()
 
@@ -80,10 +80,10 @@
         async with running_proxy(respond_ok) as proxy:
             reloader = Reloader(proxy.config, proxy.sidecar.reconfigure)
             file = FlakyFile(proxy.config, errno.EIO, failures=1)
-            signal = ReloadSignalHandler(reloader, file.read)
-            signal.handle_signal()
+            handler = ReloadSignalHandler(reloader, file.read)
+            handler.handle_signal()
             file.content = replace(proxy.config, version=5)
-            signal.handle_signal()
+            handler.handle_signal()
             await advance(5.0)
             assert file.reads == 2
             assert reloader.active.version == 5
--- a/tests/configuration/test_reload.py
+++ b/tests/configuration/test_reload.py
@@ -71,9 +71,9 @@
 def test_the_same_contents_change_nothing(version: int | None) -> None:
     # A different list of known endpoints changes nothing either: the writer of the file may include the
     # endpoints that it knows at that time.
-    start, apply = replace(INITIAL, version=version), RecordingApply()
-    again = replace(start, cached_endpoints=RegistryResponse(9, True, []))
-    assert Reloader(start, apply).reload(reader_of(again)) == Unchanged(version)
+    initial, apply = replace(INITIAL, version=version), RecordingApply()
+    same = replace(initial, cached_endpoints=RegistryResponse(9, True, []))
+    assert Reloader(initial, apply).reload(reader_of(same)) == Unchanged(version)
     assert apply.calls == []
 
 
@@ -112,7 +112,7 @@
 ) -> None:
     path, apply = tmp_path / "config.json", RecordingApply()
     lanes = [WIRE_CLASS]
-    given: dict[str, Any] = {
+    valid_config: dict[str, Any] = {
         "listen": "127.0.0.1:1",
         "discovery": "127.0.0.1:2",
         "settings": {"lanes": lanes},
@@ -121,27 +121,27 @@
     def read() -> Config:
         return read_config({"RELAY_CONFIG": str(path)})
 
-    def put(content: object) -> ReloadResult:
+    def write_and_reload(content: object) -> ReloadResult:
         path.write_text(content if isinstance(content, str) else json.dumps(content), encoding="utf-8")
         return reloader.reload(read)
 
-    path.write_text(json.dumps(given | {"version": 1}), encoding="utf-8")
+    path.write_text(json.dumps(valid_config | {"version": 1}), encoding="utf-8")
     reloader = Reloader(read(), apply)
-    assert isinstance(put(given | {"version": 2, "discovery": "127.0.0.1:3"}), Applied)
+    assert isinstance(write_and_reload(valid_config | {"version": 2, "discovery": "127.0.0.1:3"}), Applied)
     for bad in (
         "",
-        json.dumps(given)[:-9],
+        json.dumps(valid_config)[:-9],
         "[" * 100_000,
-        given | {"version": 9, "settings": {"lanes": []}},
-        given | {"version": 9, "settings": {"lanes": lanes, "bounds": {"sendCap": "many"}}},
-        *(given | {"version": version} for version in ("9", 9.5, True, -1)),
+        valid_config | {"version": 9, "settings": {"lanes": []}},
+        valid_config | {"version": 9, "settings": {"lanes": lanes, "bounds": {"sendCap": "many"}}},
+        *(valid_config | {"version": version} for version in ("9", 9.5, True, -1)),
     ):
-        assert isinstance(put(bad), Rejected)
+        assert isinstance(write_and_reload(bad), Rejected)
     path.unlink()
     assert isinstance(reloader.reload(read), Rejected)
     assert len(caplog.messages) == 10
     assert len(apply.calls) == 1
-    assert isinstance(put(given | {"version": 3, "discovery": "127.0.0.1:4"}), Applied)
+    assert isinstance(write_and_reload(valid_config | {"version": 3, "discovery": "127.0.0.1:4"}), Applied)
     assert [each.discovery[1] for pair in apply.calls for each in pair] == [2, 3, 3, 4]
 
 
@@ -157,16 +157,16 @@
 
 def test_a_reload_reads_no_entry_of_the_last_known_endpoint_list(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    given = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": {"lanes": [WIRE_CLASS]}}
-    line = {"name": "s-0", "address": "127.0.0.1:3", "status": "active"}
+    valid_config = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": {"lanes": [WIRE_CLASS]}}
+    entry = {"name": "s-0", "address": "127.0.0.1:3", "status": "active"}
 
-    def entries(known: object, with_entries: bool) -> int:
-        path.write_text(json.dumps(given | {"known": known}), encoding="utf-8")
+    def count_entries(known: object, with_entries: bool) -> int:
+        path.write_text(json.dumps(valid_config | {"known": known}), encoding="utf-8")
         config = read_config({"RELAY_CONFIG": str(path)}, with_known_endpoints=with_entries)
         return len(config.cached_endpoints.endpoints)
 
-    known = {"index": 1, "snapshot": True, "endpoints": [line]}
-    assert [entries(known, with_entries) for with_entries in (True, False)] == [1, 0]
+    known = {"index": 1, "snapshot": True, "endpoints": [entry]}
+    assert [count_entries(known, with_entries) for with_entries in (True, False)] == [1, 0]
     invalid_lists: list[object] = [
         [],
         {"index": 1},
@@ -175,4 +175,4 @@
     ]
     for invalid in invalid_lists:
         with pytest.raises(ConfigurationError):
-            entries(invalid, with_entries=False)
+            count_entries(invalid, with_entries=False)
--- a/tests/configuration/test_reload_while_serving.py
+++ b/tests/configuration/test_reload_while_serving.py
@@ -69,9 +69,9 @@
             assert (await pending)[::2] == (200, b"served")
             # A request that must run once only is rejected if its id is repeated. Whether it must is decided
             # by the class that it arrived with, although that class is removed.
-            again = {"kind": "added", "method": "GET", "X_Call_Id": f"{1:016x}", "budget": "0.001"}
-            repeated = (await harness.proxy.send_request(**again))[0]
-            assert (repeated == 409) == (kind != "look")
+            repeated_request = {"kind": "added", "method": "GET", "X_Call_Id": f"{1:016x}", "budget": "0.001"}
+            status = (await harness.proxy.send_request(**repeated_request))[0]
+            assert (status == 409) == (kind != "look")
             assert not harness.proxy.sidecar._active
 
     run_scenario(scenario())
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -19,10 +19,10 @@
     registries: list[RegistryStandIn] = []
     connect = server_connection.connect
 
-    async def dial(address: Address, body_most: int) -> ServerConnection:
+    async def dial(address: Address, max_body_bytes: int) -> ServerConnection:
         if any(each.address == address and each.fault == "partitioned" for each in registries):
             await asyncio.Event().wait()
-        return await connect(address, body_most)
+        return await connect(address, max_body_bytes)
 
     def make() -> RegistryStandIn:
         registries.append(RegistryStandIn())
--- a/tests/scale/test_control.py
+++ b/tests/scale/test_control.py
@@ -133,7 +133,7 @@
     assert "at 100" in format_slopes([fitted], 100.0).splitlines()[0]
 
 
-def value(results: list[Measurement], phase: str, role: str, metric: str, rate: float = 0.0) -> float:
+def find_value(results: list[Measurement], phase: str, role: str, metric: str, rate: float = 0.0) -> float:
     labels = {"servers": 36, "sidecars": 9, "changes_per_second": rate, "phase": phase}
     [found] = [
         each.value for each in results if (each.role, each.metric, each.labels) == (role, metric, labels)
@@ -149,8 +149,8 @@
     results = read_results([path])
 
     pairs_measured = "in force, measured"
-    assert value(results, "steady", "hollow sidecar", pairs_measured, rate=20.0) == 8 * 10
-    assert value(results, "steady", "real sidecar", pairs_measured, rate=20.0) == 10
+    assert find_value(results, "steady", "hollow sidecar", pairs_measured, rate=20.0) == 8 * 10
+    assert find_value(results, "steady", "real sidecar", pairs_measured, rate=20.0) == 10
     for phase in (
         "discovery_down",
         "discovery_restarted",
@@ -158,24 +158,24 @@
         "discovery_failed_over",
         "sidecars_restarted",
     ):
-        assert value(results, phase, "hollow sidecar", pairs_measured) == 8
+        assert find_value(results, phase, "hollow sidecar", pairs_measured) == 8
     for phase in ("zone_lost", "region_lost"):
-        assert value(results, phase, "hollow sidecar", pairs_measured) == 2 * 8
-    assert value(results, "release", "hollow sidecar", pairs_measured) == 3 * 35 * 8
-    assert value(results, "release", "real sidecar", pairs_measured) == 3 * 35
-    assert value(results, "sidecars_cut_off", "hollow sidecar", pairs_measured) == 4
+        assert find_value(results, phase, "hollow sidecar", pairs_measured) == 2 * 8
+    assert find_value(results, "release", "hollow sidecar", pairs_measured) == 3 * 35 * 8
+    assert find_value(results, "release", "real sidecar", pairs_measured) == 3 * 35
+    assert find_value(results, "sidecars_cut_off", "hollow sidecar", pairs_measured) == 4
     missing = [each.value for each in results if each.metric == "in force, missing"]
     assert missing
     assert set(missing) == {0.0}
 
     # These include an entry for each of the 35 servers.
-    assert value(results, "release", "real sidecar", "http bytes in the window") > 35 * 100
+    assert find_value(results, "release", "real sidecar", "http bytes in the window") > 35 * 100
     snapshots = "snapshots"
     for phase in ("discovery_restarted", "discovery_moved"):
         # Each sidecar fetches a snapshot, and another if a call timed out on a busy machine.
-        assert value(results, phase, "discovery", snapshots) >= 9
-    assert value(results, "sidecars_restarted", "discovery", snapshots) >= 8
+        assert find_value(results, phase, "discovery", snapshots) >= 9
+    assert find_value(results, "sidecars_restarted", "discovery", snapshots) >= 8
     for phase in ("discovery_down", "zone_lost", "region_lost", "release", "sidecars_cut_off"):
-        assert value(results, phase, "discovery", snapshots) == 0
-    assert value(results, "discovery_down", "discovery", "refused") >= 1
-    assert value(results, "release", "discovery", "refused") == 0
+        assert find_value(results, phase, "discovery", snapshots) == 0
+    assert find_value(results, "discovery_down", "discovery", "refused") >= 1
+    assert find_value(results, "release", "discovery", "refused") == 0
--- a/tests/scale/test_latency.py
+++ b/tests/scale/test_latency.py
@@ -155,7 +155,7 @@
     assert all(ended >= started_at for started_at, ended, _ in tracer.collections.spans)
 
 
-def figures(measurements: Sequence[Measurement], servers: int) -> dict[str, float]:
+def values_by_metric(measurements: Sequence[Measurement], servers: int) -> dict[str, float]:
     return {each.metric: each.value for each in measurements if each.labels["servers"] == servers}
 
 
@@ -165,7 +165,7 @@
         run_experiment(experiment, writer)
     measurements = read_results([tmp_path / "results.jsonl"])
     for servers in (4, 40):
-        at_point = figures(measurements, servers)
+        at_point = values_by_metric(measurements, servers)
         assert at_point["calls"] > 0
         assert at_point["direct calls"] in (
             at_point["calls"],
@@ -175,7 +175,7 @@
         assert at_point["requests"] >= at_point["calls"] + at_point["direct calls"]
         assert at_point["overlapping requests"] == 0
         assert at_point["overhead p50"] <= at_point["overhead p99"] <= at_point["overhead p99.9"]
-    traced = figures(measurements, 40)
+    traced = values_by_metric(measurements, 40)
     assert traced["garbage collections"] == 0
     assert traced["registry calls timed"] > 0
     sources = [each for each in measurements if each.metric == "mean time of all calls"]
--- a/tests/scale/test_server_standin.py
+++ b/tests/scale/test_server_standin.py
@@ -38,7 +38,7 @@
     return await client.call(request, 0.0, timeout_s)
 
 
-def run(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
+def run_scenario(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
     asyncio.run(scenario())
 
 
@@ -62,7 +62,7 @@
             assert server.counters.connections == 1
             assert server.counters.served == 3
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -77,7 +77,7 @@
             assert getattr(server.counters, counter) == 1
             assert server.counters.served == 0
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_draining_server_serves_requests_in_flight_and_rejects_new_ones() -> None:
@@ -90,7 +90,7 @@
             assert (await in_flight).status == 200
             assert (server.counters.rejected, server.counters.served) == (1, 1)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_hanging_server_keeps_the_connection_and_counts_the_abandoned_call() -> None:
@@ -103,7 +103,7 @@
             await wait_until(lambda: server.counters.abandoned == 1)
             assert (await call(client, timeout_s=0.01)).status == NO_RESPONSE
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_killed_server_resets_its_connections_and_refuses_new_ones() -> None:
@@ -116,7 +116,7 @@
             assert (await call(client)).status == NO_RESPONSE
             assert server.counters.requests == 1
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_probe_is_served_only_where_probes_are_allowed() -> None:
@@ -132,7 +132,7 @@
             assert server.counters.probes == 2
             assert server.counters.requests == 0
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_request_over_a_busy_connection_breaks_the_protocol() -> None:
@@ -141,7 +141,7 @@
             assert (await call(client, CALL + CALL)).status == NO_RESPONSE
             assert server.counters.overlapping == 1
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_service_times_and_arrivals_repeat_for_a_seed() -> None:
@@ -172,7 +172,7 @@
         assert started == [0, 1, 2]
         assert len(results) == 3
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_histogram_gives_quantiles_to_three_digits() -> None:
