--- a/tests/balancer/ready_balancer.py
+++ b/tests/balancer/ready_balancer.py
@@ -10,9 +10,9 @@
 from sidecar.settings import Settings
 
 
-def ready_harness(servers: int, given: Settings | None = None, seed: int = 7) -> BalancerHarness:
+def ready_harness(servers: int, initial_settings: Settings | None = None, seed: int = 7) -> BalancerHarness:
     """A harness whose balancer knows so many ready servers."""
-    harness = BalancerHarness(given, seed=seed)
+    harness = BalancerHarness(initial_settings, seed=seed)
     harness.update_servers(server_names(servers))
     return harness
 
@@ -58,7 +58,7 @@
             harness.handle(HealthCheckEnded(server, Outcome.SUCCEEDED, 2 * MILLISECOND_US, report))
 
 
-def two_zones(servers_each: int) -> list[Endpoint]:
+def endpoints_in_two_zones(servers_each: int) -> list[Endpoint]:
     """So many servers in the local zone, and as many in another one."""
     servers = server_names(2 * servers_each)
     return [
--- a/tests/balancer/test_admission.py
+++ b/tests/balancer/test_admission.py
@@ -12,26 +12,26 @@
 from sidecar.balancer.events import Outcome
 
 
-@pytest.mark.parametrize(("at_once", "counted"), [(1, False), (8, False), (0, True)])
+@pytest.mark.parametrize(("others_per_step", "is_counted"), [(1, False), (8, False), (0, True)])
 def test_an_overdue_attempt_indicates_overload_unless_it_was_lost_or_its_server_hangs(
-    at_once: int, counted: bool
+    others_per_step: int, is_counted: bool
 ) -> None:
     harness = ready_harness(4)
     harness.serve_requests(60)
     overdue = harness.send_request("pay")
     for _ in range(20):  # one at a time, they go to other servers; many at once overtake it
-        others = [harness.send_request() for _ in range(at_once)]
+        others = [harness.send_request() for _ in range(others_per_step)]
         harness.advance(50 * MILLISECOND_US)
         for each in others:
             harness.end_attempt(each)
-    assert harness.balancer._requests[overdue].attempts[0].counted_as_late is counted
+    assert harness.balancer._requests[overdue].attempts[0].counted_as_late is is_counted
 
 
-def overload_servers(harness: BalancerHarness, spans: int) -> None:
+def overload_servers(harness: BalancerHarness, ticks: int) -> None:
     """Send far more requests than the servers can answer, so that responses become ever later."""
     harness.update_servers(server_names(4))
     in_flight: list[int] = []
-    for tick in range(spans):
+    for tick in range(ticks):
         harness.advance(10 * MILLISECOND_US)
         for name in ("look", "pay"):
             request = harness.send_request(name)
@@ -126,7 +126,7 @@
     assert not harness.actions_of(RejectRequest)
 
 
-def count_shed_with_late_responses(cores: float) -> int:
+def count_shed_with_late_responses(utilization: float) -> int:
     harness = ready_harness(8)
     rejected = 0
     for _ in range(300):
@@ -134,7 +134,7 @@
         request = harness.send_request()
         if harness.attempts(request):
             harness.advance(550 * MILLISECOND_US)
-            harness.end_attempt(request, attempt=0, report={"util": cores})
+            harness.end_attempt(request, attempt=0, report={"util": utilization})
         else:
             rejected += 1
     return rejected
@@ -176,16 +176,16 @@
     # Guards against lag of the balancer, hung connections and a few slow servers, which look like overload.
     harness = ready_harness(4)
     in_flight: list[int] = []
-    for count in range(800):
+    for step in range(800):
         harness.advance(20 * MILLISECOND_US)
         in_flight.append(harness.send_request())
-        if len(in_flight) > min(3 + count // 10, 30):  # in the end 600 ms each, past the target of 500 ms
+        if len(in_flight) > min(3 + step // 10, 30):  # in the end 600 ms each, past the target of 500 ms
             harness.end_attempt(in_flight.pop(0), report={"util": 0.2})
     assert harness.balancer._context.load.mean > 20.0
     assert harness.actions_of(RejectRequest) == []
 
 
-def test_late_responses_at_low_traffic_shed_load_until_time_passes() -> None:
+def test_shedding_after_late_responses_at_low_traffic_ends_as_time_passes() -> None:
     harness = ready_harness(4)
     for _ in range(30):
         request = harness.send_request("look")
--- a/tests/balancer/test_backoff.py
+++ b/tests/balancer/test_backoff.py
@@ -33,7 +33,7 @@
     assert not is_backed_off(server, make_request(context, "pay"), context.now)
 
 
-def test_the_backoff_is_the_longest_where_the_request_can_not_be_retried() -> None:
+def test_the_backoff_is_the_longest_where_the_request_cannot_be_retried() -> None:
     context = make_context()
     server = context.registry.ready[0]
     request = make_request(context, "pay")
--- a/tests/balancer/test_cpu_utilization.py
+++ b/tests/balancer/test_cpu_utilization.py
@@ -39,7 +39,7 @@
     assert tracker.excess() == pytest.approx(1.0, abs=0.001)
 
 
-def test_missing_reports_say_nothing_where_no_server_reports() -> None:
+def test_missing_reports_are_ignored_where_no_server_reports_its_utilization() -> None:
     tracker = CpuUtilizationTracker()
     tracker.observe_missing_report()
     assert tracker.utilization is None
--- a/tests/balancer/test_deadlines.py
+++ b/tests/balancer/test_deadlines.py
@@ -20,10 +20,10 @@
     harness = ready_harness(5)
     request = harness.send_request("look", remaining_us=300 * MILLISECOND_US)
     harness.advance(300 * MILLISECOND_US)
-    answers = len(harness.actions_of(RejectRequest))
+    rejections = len(harness.actions_of(RejectRequest))
     harness.end_attempt(request, Outcome.CANCELLED, answered=True)
     harness.advance(5 * SECOND_US)
-    assert answers == 1
+    assert rejections == 1
     assert len(harness.actions_of(RejectRequest)) == 1
     assert len([1 for at, _ in harness.attempts(request) if at > START_US + 300 * MILLISECOND_US]) == 0
 
--- a/tests/balancer/test_health_checks.py
+++ b/tests/balancer/test_health_checks.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from balancer_harness import MILLISECOND_US, BalancerHarness, server_names, settings
-from ready_balancer import LOAD_PROBING, answer_health_checks, ready_harness, two_zones
+from ready_balancer import LOAD_PROBING, answer_health_checks, endpoints_in_two_zones, ready_harness
 
 from sidecar.balancer.actions import CheckHealth, RejectRequest
 
@@ -78,7 +78,7 @@
 
 def test_the_local_zone_is_selected_first_until_loaded_where_crossing_zones_is_expensive() -> None:
     harness = BalancerHarness(settings(**LOAD_PROBING, prices={"cross_zone": 0.1}))
-    harness.update_servers(two_zones(3))
+    harness.update_servers(endpoints_in_two_zones(3))
     local = set(server_names(3))
     for _ in range(20):
         for load in (0.0, 3.0):
--- a/tests/balancer/test_idempotency.py
+++ b/tests/balancer/test_idempotency.py
@@ -37,15 +37,15 @@
     assert targets[0] != targets[1]
 
 
-def two_cells() -> list[Endpoint]:
+def endpoints_in_two_cells() -> list[Endpoint]:
     return [Endpoint(name, zone="east", cell=index % 2) for index, name in enumerate(server_names(8))]
 
 
 def test_retries_with_an_idempotency_key_stay_in_the_cell() -> None:
     for seed in range(20):
         harness = BalancerHarness(seed=seed)
-        harness.update_servers(two_cells())
-        cell_of = {each.name: each.cell for each in two_cells()}
+        harness.update_servers(endpoints_in_two_cells())
+        cell_of = {each.name: each.cell for each in endpoints_in_two_cells()}
         request = harness.send_request("amend")
         for _ in range(3):
             harness.advance(10 * MILLISECOND_US)
@@ -57,7 +57,7 @@
 
 def test_a_request_is_not_retried_after_its_deduplication_window() -> None:
     harness = BalancerHarness()
-    harness.update_servers(two_cells())
+    harness.update_servers(endpoints_in_two_cells())
     request = harness.send_request("amend", remaining_us=4 * SECOND_US)
     harness.advance(2 * SECOND_US)
     harness.end_attempt(request, Outcome.RESET)
@@ -68,7 +68,7 @@
 def test_every_attempt_must_be_written_within_the_deduplication_window() -> None:
     # A connection may be established long after the decision: the proxy has to know the end of the window.
     harness = BalancerHarness()
-    harness.update_servers(two_cells())
+    harness.update_servers(endpoints_in_two_cells())
     request = harness.send_request("amend", remaining_us=4 * SECOND_US)
     harness.end_attempt(request, Outcome.REJECTED)  # it never ran
     harness.advance(100 * MILLISECOND_US)
@@ -76,9 +76,9 @@
     harness.end_attempt(request, Outcome.CONNECT_FAILED)  # nor then
     harness.advance(500 * MILLISECOND_US)
     harness.end_attempt(request, Outcome.RESET)
-    ends = [send.write_by for _, send in harness.attempts(request)]
+    write_deadlines = [send.write_by for _, send in harness.attempts(request)]
     assert (
-        ends
+        write_deadlines
         == [START_US + 2 * SECOND_US - 5 * MILLISECOND_US] * 2
         + [sent_at + 2 * SECOND_US - 5 * MILLISECOND_US] * 2
     )
@@ -98,8 +98,8 @@
 def test_retries_after_late_shedding_stay_in_the_cell_and_the_deduplication_window() -> None:
     for seed in range(20):
         harness = BalancerHarness(settings(rules={"late_shedding": True}), seed=seed)
-        harness.update_servers(two_cells())
-        cell_of = {each.name: each.cell for each in two_cells()}
+        harness.update_servers(endpoints_in_two_cells())
+        cell_of = {each.name: each.cell for each in endpoints_in_two_cells()}
         request = harness.send_request("amend", remaining_us=4 * SECOND_US)
         for _ in range(2):
             harness.advance(10 * MILLISECOND_US)
@@ -134,6 +134,6 @@
     start_attempt(context, request, first)
     assert is_deduplicated_at(request, first)
     assert not is_deduplicated_at(request, other)
-    forgotten_at = context.now + request.service_class.dedup_window_us
-    assert may_retry(request, forgotten_at - 6 * MILLISECOND_US, 5 * MILLISECOND_US)
-    assert not may_retry(request, forgotten_at - 5 * MILLISECOND_US, 5 * MILLISECOND_US)
+    window_end = context.now + request.service_class.dedup_window_us
+    assert may_retry(request, window_end - 6 * MILLISECOND_US, 5 * MILLISECOND_US)
+    assert not may_retry(request, window_end - 5 * MILLISECOND_US, 5 * MILLISECOND_US)
--- a/tests/balancer/test_invariants.py
+++ b/tests/balancer/test_invariants.py
@@ -81,7 +81,7 @@
 
     service_class: ServiceClass
     deadline: int
-    may_be_late: bool  # it arrived too close to its deadline
+    may_be_answered_late: bool  # it arrived too close to its deadline
     max_attempts: int
     allow_hedging: bool
     never_ran_outcomes: set[Outcome]
@@ -101,7 +101,7 @@
         self.requests: dict[int, RequestRecord] = {}
         self.health_checks: list[tuple[str, int]] = []
         self.listed: dict[str, Endpoint] = {}
-        self.next = 1
+        self.next_number = 1
 
     def apply_permissions(self, permissions: Permissions) -> None:
         ordered, late_shedding = permissions.ordered_classes, permissions.late_shedding
@@ -179,10 +179,10 @@
 
     def check_key_order(self, number: int) -> None:
         key = self.requests[number].ordered_key
-        for before, request in self.requests.items():
-            if before < number and request.ordered_key == key:
-                assert request.completed, "overtook a request with its key"
-                for each in request.attempts:
+        for other_number, other in self.requests.items():
+            if other_number < number and other.ordered_key == key:
+                assert other.completed, "overtook a request with its key"
+                for each in other.attempts:
                     assert not each.pending, "concurrent with an attempt with its key"
                     if each.outcome in MAY_STILL_RUN:
                         assert self.now >= each.ended_at + KEY_COOLDOWN_US, "no cooldown of the key"
@@ -190,7 +190,7 @@
     def check_final_response(self, action: RejectRequest | FailRequest) -> None:
         request = self.requests[action.request]
         assert not request.completed, "two final responses"
-        assert self.now < request.deadline or request.may_be_late, "answered after the deadline"
+        assert self.now < request.deadline or request.may_be_answered_late, "answered after the deadline"
         service_class = request.service_class
         if isinstance(action, RejectRequest) and service_class.idempotency is not Idempotency.SAFE:
             may_have_run = any(each.may_have_run for each in request.attempts)
@@ -209,12 +209,12 @@
             assert server.in_flight == in_flight[name], "the count of requests in flight is off"
 
     def arrive(self, name: str, remaining_us: int, key: int | None) -> None:
-        number, self.next = self.next, self.next + 1
+        number, self.next_number = self.next_number, self.next_number + 1
         service_class = self.service_classes[name]
         self.requests[number] = RequestRecord(
             service_class=service_class,
             deadline=self.now + remaining_us,
-            may_be_late=remaining_us <= 2 * TICK_US,
+            may_be_answered_late=remaining_us <= 2 * TICK_US,
             max_attempts=self.settings.limits.max_attempts,
             allow_hedging=self.settings.limits.allow_hedging,
             never_ran_outcomes=self.never_ran_outcomes,
@@ -264,8 +264,8 @@
             self.listed[endpoint.name] = endpoint
         self.play(RegistryUpdated(kind, endpoints, 1))
 
-    def wait(self, span_us: int) -> None:
-        until = self.now + span_us
+    def wait(self, duration_us: int) -> None:
+        until = self.now + duration_us
         while self.timers and min(self.timers)[0] <= until:
             due = min(self.timers)
             self.timers.remove(due)
--- a/tests/balancer/test_key_order.py
+++ b/tests/balancer/test_key_order.py
@@ -26,8 +26,10 @@
 def test_requests_with_one_key_are_sent_in_order_one_at_a_time_across_classes() -> None:
     harness = harness_with_ordered_keys()
     requests = [harness.send_request(name, key=5) for name in ("save", "mark", "save")]
-    for at, request in enumerate(requests):
-        assert [len(harness.attempts(each)) for each in requests] == [1] * (at + 1) + [0] * (2 - at)
+    for position, request in enumerate(requests):
+        assert [len(harness.attempts(each)) for each in requests] == [1] * (position + 1) + [0] * (
+            2 - position
+        )
         harness.advance(10 * MILLISECOND_US)
         harness.end_attempt(request)
 
--- a/tests/balancer/test_long_lists.py
+++ b/tests/balancer/test_long_lists.py
@@ -15,12 +15,12 @@
 REQUESTS = 320
 
 
-def two_zones(count: int) -> list[Endpoint]:
+def endpoints_in_two_zones(count: int) -> list[Endpoint]:
     zones = ("east", "west")
     return [Endpoint(f"10.1.{number // 250}.{number % 250}:80", zones[number % 2]) for number in range(count)]
 
 
-def servers_weighed(count: int, changes: int = 0) -> int:
+def count_servers_weighed(count: int, changes: int = 0) -> int:
     """How many servers are iterated over to weigh the other zones, over all requests."""
     weighed_counts = []
     weight_by_latency = ZonePreference.weight_by_latency
@@ -30,7 +30,7 @@
         return weight_by_latency(ready)
 
     harness = BalancerHarness(settings(prices={"cross_zone": 0.05}))
-    endpoints = two_zones(count)
+    endpoints = endpoints_in_two_zones(count)
     harness.update_servers(endpoints)
     with patch.object(ZonePreference, "weight_by_latency", staticmethod(counting)):
         for _ in range(max(changes, 1)):
@@ -42,24 +42,24 @@
 
 @pytest.mark.parametrize("count", [20, 200, 399])
 def test_with_a_short_endpoint_list_zones_are_weighed_for_each_request(count: int) -> None:
-    assert servers_weighed(count) == REQUESTS * count
+    assert count_servers_weighed(count) == REQUESTS * count
 
 
 @pytest.mark.parametrize("count", [400, 800, 3_200])
 def test_with_a_long_endpoint_list_zones_are_not_weighed_for_each_request(count: int) -> None:
-    assert servers_weighed(count) <= REQUESTS * 200 + count
+    assert count_servers_weighed(count) <= REQUESTS * 200 + count
 
 
 def test_each_change_of_a_long_endpoint_list_weighs_the_zones_again() -> None:
-    assert servers_weighed(3_200, changes=REQUESTS) == REQUESTS * 3_200
+    assert count_servers_weighed(3_200, changes=REQUESTS) == REQUESTS * 3_200
 
 
 def test_servers_in_slow_start_cost_one_pass_over_the_list_per_change_not_per_request() -> None:
     harness = BalancerHarness(settings())
-    harness.update_servers(two_zones(1_000))
+    harness.update_servers(endpoints_in_two_zones(1_000))
     harness.serve_requests(20)
     slow_start = harness.balancer._slow_start
-    restarted = [replace(each, started_at=harness.now) for each in two_zones(1_000)[:500]]
+    restarted = [replace(each, started_at=harness.now) for each in endpoints_in_two_zones(1_000)[:500]]
     harness.update_servers(restarted, RegistryUpdateKind.DELTA)
     servers_checked = 0
     is_warming_up = Server.is_warming_up
@@ -79,7 +79,7 @@
 
 def test_reference_servers_are_updated_when_a_server_begins_or_ends_slow_start() -> None:
     harness = BalancerHarness(settings())
-    harness.update_servers(two_zones(6))
+    harness.update_servers(endpoints_in_two_zones(6))
     slow_start, servers = harness.balancer._slow_start, harness.balancer._context.registry.ready
     reference_counts = []
     for number in range(4):
--- a/tests/balancer/test_outliers.py
+++ b/tests/balancer/test_outliers.py
@@ -93,13 +93,13 @@
     harness = ready_harness(1)
     for _ in range(6):
         harness.serve_requests(60)
-        old = harness.send_request("pay", remaining_us=SECOND_US)
+        earlier = harness.send_request("pay", remaining_us=SECOND_US)
         harness.advance(900 * MILLISECOND_US)
-        new = harness.send_request("pay")
+        later = harness.send_request("pay")
         harness.advance(50 * MILLISECOND_US)
-        harness.end_attempt(new)
+        harness.end_attempt(later)
         harness.advance(30 * MILLISECOND_US)
-        harness.end_attempt(old, Outcome.TIMED_OUT, answered=False)
+        harness.end_attempt(earlier, Outcome.TIMED_OUT, answered=False)
     assert not any("ejected" in each.text for each in harness.actions_of(Log))
 
 
@@ -139,10 +139,10 @@
     outliers = OutlierDetector(context, SlowStart(context))
     server = context.registry.ready[0]
     record_failures(context, outliers, server, FAILURES_TO_EJECT)
-    waits = []
+    ejection_times = []
     for _ in range(6):
         assert server.ejected_until is not None
-        waits.append((server.ejected_until - context.now) / TARGET_US)
+        ejection_times.append((server.ejected_until - context.now) / TARGET_US)
         context.clock.now = server.ejected_until
         request = make_request(context)
         assert outliers.half_open_candidate(request) is server
@@ -150,8 +150,8 @@
         assert outliers.half_open_candidate(make_request(context)) is None
         context.load.change_attempts(server, -1)
         outliers.attempt_ended(request, server.half_open_attempt, Outcome.ERROR)
-    for wait, targets in zip(waits, [2, 4, 8, 16, 16, 16], strict=True):
-        assert 0.75 * targets <= wait <= 1.25 * targets
+    for ejection_time, targets in zip(ejection_times, [2, 4, 8, 16, 16, 16], strict=True):
+        assert 0.75 * targets <= ejection_time <= 1.25 * targets
 
 
 def test_the_ejected_fraction_of_servers_is_bounded() -> None:
--- a/tests/balancer/test_overload_recovery.py
+++ b/tests/balancer/test_overload_recovery.py
@@ -30,17 +30,17 @@
 )
 
 SERVERS = 12
-CORES = 4
-LOAD = 0.6  # of the capacity of the servers
-WORK_TARGETS = 0.04  # mean service time, in latency targets
+CORES_PER_SERVER = 4
+UTILIZATION = 0.6  # of the capacity of the servers
+SERVICE_TIME_TARGETS = 0.04  # mean service time, in latency targets
 WARM_UP_TARGETS = 6.0
 FAULT_TARGETS = 6.0
 LONG_FAULT_TARGETS = 12.0
 MAX_SEND_GAP_TARGETS = 2.0  # by each balancer, also while servers hang
 RECOVERY_TARGETS = 4.0  # from the end of the fault until the capacity is used again
 MEASURED_TARGETS = 3.0
-SLOWDOWN = 50.0  # of the servers during the fault
-MIN_ADMITTED = 0.9  # of the requests, once recovered
+SERVICE_TIME_FACTOR = 50.0  # of the servers during the fault
+MIN_TIMELY_FRACTION = 0.9  # of the requests, once recovered
 
 
 @dataclass(slots=True)
@@ -50,7 +50,7 @@
     request: int
     balancer: int
     sent_at: int
-    until: int
+    deadline: int
 
 
 @dataclass(slots=True)
@@ -65,7 +65,7 @@
 class QueueServer:
     """Serves jobs in order of arrival, one a core, and drops those past their deadline."""
 
-    free_cores: int = CORES
+    free_cores: int = CORES_PER_SERVER
     waiting: deque[Job] = field(default_factory=deque)
 
 
@@ -83,52 +83,54 @@
         self.fault_at = START_US + int(WARM_UP_TARGETS * target_us)
         self.fault_end_at = self.fault_at + int(fault_targets * target_us)
         self.end_at = self.fault_end_at + int((RECOVERY_TARGETS + MEASURED_TARGETS) * target_us)
-        self.order = itertools.count()
-        self.agenda: list[tuple[int, int, int, Event | JobDone]] = []
-        self.arrived: dict[int, int] = {}
-        self.answered: dict[int, tuple[int, Outcome | None]] = {}  # None: rejected or failed
+        self.sequence = itertools.count()
+        self.event_queue: list[tuple[int, int, int, Event | JobDone]] = []
+        self.arrival_times: dict[int, int] = {}
+        self.final_responses: dict[int, tuple[int, Outcome | None]] = {}  # None: rejected or failed
         self.in_flight: set[int] = set()
-        self.sent: list[list[int]] = [[] for _ in range(balancers)]
+        self.send_times: list[list[int]] = [[] for _ in range(balancers)]
 
-    def add(self, at: int, balancer: int, event: Event | JobDone) -> None:
-        heapq.heappush(self.agenda, (at, next(self.order), balancer, event))
+    def schedule(self, at: int, balancer: int, event: Event | JobDone) -> None:
+        heapq.heappush(self.event_queue, (at, next(self.sequence), balancer, event))
 
-    def play(self) -> None:
+    def run(self) -> None:
         listed = [Endpoint(name, zone="east") for name in self.servers]
         for index in range(len(self.balancers)):
-            self.add(START_US, index, RegistryUpdated(RegistryUpdateKind.SNAPSHOT, listed, 1))
-        mean_gap_us = WORK_TARGETS * self.target_us / (LOAD * SERVERS * CORES)
-        moment, ident = float(START_US), 0
-        while (moment := moment + self.random.expovariate(1.0 / mean_gap_us)) < self.end_at:
-            ident += 1
-            self.arrived[ident] = int(moment)
-            arrival = RequestArrived(ident, "look", None, None, self.deadline_us)
-            self.add(int(moment), self.random.randrange(len(self.balancers)), arrival)
-        while self.agenda:
-            now, _, balancer, event = heapq.heappop(self.agenda)
+            self.schedule(START_US, index, RegistryUpdated(RegistryUpdateKind.SNAPSHOT, listed, 1))
+        mean_gap_us = SERVICE_TIME_TARGETS * self.target_us / (UTILIZATION * SERVERS * CORES_PER_SERVER)
+        arrival_time, request_id = float(START_US), 0
+        while (arrival_time := arrival_time + self.random.expovariate(1.0 / mean_gap_us)) < self.end_at:
+            request_id += 1
+            self.arrival_times[request_id] = int(arrival_time)
+            arrival = RequestArrived(request_id, "look", None, None, self.deadline_us)
+            self.schedule(int(arrival_time), self.random.randrange(len(self.balancers)), arrival)
+        while self.event_queue:
+            now, _, balancer, event = heapq.heappop(self.event_queue)
             if isinstance(event, JobDone):
-                self.core_freed(now, event)
+                self.finish_job(now, event)
                 continue
             if isinstance(event, AttemptEnded):
                 if event.request not in self.in_flight:
                     continue
                 self.in_flight.discard(event.request)
-                self.answered[event.request] = (now, event.outcome)
+                self.final_responses[event.request] = (now, event.outcome)
             for action in self.balancers[balancer].handle(now, event):
-                self.carry_out(now, balancer, action)
+                self.execute(now, balancer, action)
 
-    def carry_out(self, now: int, balancer: int, action: Action) -> None:
+    def execute(self, now: int, balancer: int, action: Action) -> None:
         if isinstance(action, SetTimer):
-            self.add(now + action.delay_us, balancer, TimerFired(action.token))
+            self.schedule(now + action.delay_us, balancer, TimerFired(action.token))
         elif isinstance(action, (RejectRequest, FailRequest)):
-            self.answered.setdefault(action.request, (now, None))
+            self.final_responses.setdefault(action.request, (now, None))
         elif isinstance(action, SendAttempt):
             job = Job(action.request, balancer, now, action.deadline)
             self.in_flight.add(job.request)
-            self.sent[balancer].append(now)
-            left_us = job.until - now
-            expired = AttemptEnded(job.request, 0, action.server, Outcome.TIMED_OUT, left_us, answered=True)
-            self.add(job.until, balancer, expired)
+            self.send_times[balancer].append(now)
+            remaining_us = job.deadline - now
+            timeout = AttemptEnded(
+                job.request, 0, action.server, Outcome.TIMED_OUT, remaining_us, answered=True
+            )
+            self.schedule(job.deadline, balancer, timeout)
             server = self.servers[action.server]
             server.waiting.append(job)
             self.start_work(now, action.server)
@@ -137,42 +139,46 @@
         server = self.servers[name]
         while server.free_cores and server.waiting:
             job = server.waiting.popleft()
-            if job.until <= now:
+            if job.deadline <= now:
                 continue
             server.free_cores -= 1
-            work_us = self.random.expovariate(1.0 / (WORK_TARGETS * self.target_us))
+            service_time_us = self.random.expovariate(1.0 / (SERVICE_TIME_TARGETS * self.target_us))
             if self.fault_at <= now < self.fault_end_at:
-                work_us = min(work_us * SLOWDOWN, self.fault_end_at - now + work_us)
-            self.add(now + int(work_us), job.balancer, JobDone(name, job))
+                service_time_us = min(
+                    service_time_us * SERVICE_TIME_FACTOR, self.fault_end_at - now + service_time_us
+                )
+            self.schedule(now + int(service_time_us), job.balancer, JobDone(name, job))
 
-    def core_freed(self, now: int, done: JobDone) -> None:
+    def finish_job(self, now: int, done: JobDone) -> None:
         self.servers[done.server].free_cores += 1
         job = done.job
-        if now < job.until:
+        if now < job.deadline:
             elapsed_us = now - job.sent_at
             answer = AttemptEnded(job.request, 0, done.server, Outcome.SUCCEEDED, elapsed_us, answered=True)
-            self.add(now, job.balancer, answer)
+            self.schedule(now, job.balancer, answer)
         self.start_work(now, done.server)
 
     def longest_send_gap_us(self, balancer: int) -> int:
         """The longest time in the fault for which a balancer sent nothing."""
-        before = [at for at in self.sent[balancer] if at < self.fault_at]
-        during = [at for at in self.sent[balancer] if self.fault_at <= at < self.fault_end_at]
+        before = [at for at in self.send_times[balancer] if at < self.fault_at]
+        during = [at for at in self.send_times[balancer] if self.fault_at <= at < self.fault_end_at]
         moments = [before[-1], *during, self.fault_end_at]
         return max(later - earlier for earlier, later in itertools.pairwise(moments))
 
     def timely_fraction(self, since: int, until: int) -> float:
         """The part of the requests that came in this span and were answered within the target."""
-        came = [ident for ident, at in self.arrived.items() if since <= at < until]
-        in_time = 0
-        for ident in came:
-            at, outcome = self.answered[ident]
-            in_time += outcome is Outcome.SUCCEEDED and at - self.arrived[ident] <= self.target_us
-        return in_time / len(came)
-
-
-def settings(target_us: int, deadline_us: int, fleet: int) -> Settings:
-    look = {
+        arrived = [request_id for request_id, at in self.arrival_times.items() if since <= at < until]
+        timely_count = 0
+        for request_id in arrived:
+            at, outcome = self.final_responses[request_id]
+            timely_count += (
+                outcome is Outcome.SUCCEEDED and at - self.arrival_times[request_id] <= self.target_us
+            )
+        return timely_count / len(arrived)
+
+
+def settings(target_us: int, deadline_us: int, sidecar_count: int) -> Settings:
+    request_class = {
         "name": "look",
         "deadline_us": deadline_us,
         "latency_target_us": target_us,
@@ -183,9 +189,9 @@
     rules = {"overload_window_us": target_us}  # arrivals are averaged over twice as long
     return Settings.from_mapping(
         {
-            "classes": [look],
+            "classes": [request_class],
             "zone": "east",
-            "sidecar_count": fleet,
+            "sidecar_count": sidecar_count,
             "limits": limits,
             "rules": rules,
             "discovery": "pushed",
@@ -202,11 +208,11 @@
     balancers: int, deadline_targets: int, fault_targets: float, target_us: int
 ) -> None:
     fleet = Fleet(balancers, target_us, deadline_targets, fault_targets)
-    fleet.play()
+    fleet.run()
     settled_at = fleet.fault_at - int(WARM_UP_TARGETS / 2 * target_us)
     recovered_at = fleet.fault_end_at + int(RECOVERY_TARGETS * target_us)
-    assert fleet.timely_fraction(settled_at, fleet.fault_at) >= MIN_ADMITTED
-    assert fleet.timely_fraction(recovered_at, fleet.end_at) >= MIN_ADMITTED
+    assert fleet.timely_fraction(settled_at, fleet.fault_at) >= MIN_TIMELY_FRACTION
+    assert fleet.timely_fraction(recovered_at, fleet.end_at) >= MIN_TIMELY_FRACTION
 
 
 @pytest.mark.parametrize("target_us", [100 * MILLISECOND_US, 2_500 * MILLISECOND_US])
@@ -215,6 +221,6 @@
     balancers: int, target_us: int
 ) -> None:
     fleet = Fleet(balancers, target_us, 4, LONG_FAULT_TARGETS)
-    fleet.play()
+    fleet.run()
     longest_us = max(fleet.longest_send_gap_us(each) for each in range(balancers))
     assert longest_us <= MAX_SEND_GAP_TARGETS * target_us
--- a/tests/balancer/test_retries.py
+++ b/tests/balancer/test_retries.py
@@ -27,15 +27,15 @@
     assert len(harness.attempts()) <= 400 * 1.25 + 10
 
 
-@pytest.mark.parametrize("kind", ["look", "pay"])
-def test_a_server_that_refuses_connections_costs_no_request(kind: str) -> None:
+@pytest.mark.parametrize("class_name", ["look", "pay"])
+def test_a_server_that_refuses_connections_fails_no_request(class_name: str) -> None:
     harness = ready_harness(4)
     serve_one_at_a_time(harness, 20)
-    requests = [harness.send_request(kind) for _ in range(12)]
-    stopped = harness.server_of(requests[0])
+    requests = [harness.send_request(class_name) for _ in range(12)]
+    refusing = harness.server_of(requests[0])
     failed_connects = 0
     for request in requests:
-        if harness.server_of(request) == stopped:
+        if harness.server_of(request) == refusing:
             harness.end_attempt(request, Outcome.CONNECT_FAILED)
             failed_connects += 1
     for request in requests:
--- a/tests/balancer/test_retry_depth.py
+++ b/tests/balancer/test_retry_depth.py
@@ -52,7 +52,7 @@
     assert run_chain(0.3).during().goodput >= 0.99
 
 
-def test_short_fault_finds_no_accumulated_retry_budget() -> None:
+def test_retry_budget_accumulated_before_a_short_fault_does_not_multiply_calls() -> None:
     result = run_chain(1.0, fault_end_s=4.0)
     assert result.calls_per_root_call()[-1] <= MAX_CALLS_PER_ROOT_CALL
     assert recovered_within(result, 2 * DEADLINE_US)
--- a/tests/balancer/test_selection.py
+++ b/tests/balancer/test_selection.py
@@ -60,8 +60,8 @@
     for _ in range(200):
         request = harness.send_request()
         harness.end_attempt(request)
-    first = Counter(each.server for _, each in harness.attempts()[:40])
-    assert first[server_names(8)[0]] > 40 / 8
+    early = Counter(each.server for _, each in harness.attempts()[:40])
+    assert early[server_names(8)[0]] > 40 / 8
 
 
 def test_a_cancelled_attempt_counts_as_load_for_a_while() -> None:
@@ -83,16 +83,16 @@
 
 def test_fast_errors_do_not_attract_more_requests() -> None:
     harness = ready_harness(6)
-    bad = server_names(6)[2]
+    failing = server_names(6)[2]
     for _ in range(300):
         harness.advance(10 * MILLISECOND_US)
         request = harness.send_request("pay")
-        if harness.server_of(request) == bad:
+        if harness.server_of(request) == failing:
             harness.end_attempt(request, Outcome.ERROR)
         else:
             harness.advance(40 * MILLISECOND_US)
             harness.end_attempt(request)
-    assert sum(1 for _, each in harness.attempts() if each.server == bad) < 300 / 6
+    assert sum(1 for _, each in harness.attempts() if each.server == failing) < 300 / 6
 
 
 def test_expensive_requests_avoid_slow_servers_more_than_cheap_ones(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -117,15 +117,15 @@
 
 def test_a_server_with_intermittent_fast_errors_is_selected_less() -> None:
     harness = ready_harness(12)
-    bad = server_names(12)[3]
+    failing = server_names(12)[3]
     errors = 0
     for _ in range(1_200):
         request = harness.send_request("pay")
         target = harness.server_of(request)
-        harness.advance(5 * MILLISECOND_US if target == bad else 40 * MILLISECOND_US)
-        errors += target == bad
-        harness.end_attempt(request, Outcome.ERROR if target == bad and errors % 2 else Outcome.SUCCEEDED)
-    assert sum(1 for _, each in harness.attempts()[400:] if each.server == bad) < 0.5 * 800 / 12
+        harness.advance(5 * MILLISECOND_US if target == failing else 40 * MILLISECOND_US)
+        errors += target == failing
+        harness.end_attempt(request, Outcome.ERROR if target == failing and errors % 2 else Outcome.SUCCEEDED)
+    assert sum(1 for _, each in harness.attempts()[400:] if each.server == failing) < 0.5 * 800 / 12
 
 
 def test_a_rejection_at_capacity_backs_off_that_class_only() -> None:
@@ -150,12 +150,12 @@
     at_capacity = harness.server_of(request)
     harness.end_attempt(request, Outcome.REJECTED, report={"util": 0.3})
     harness.end_attempt(request)
-    for wait, selected in ((100 * MILLISECOND_US, False), (20 * SECOND_US, True)):
-        harness.advance(wait)
+    for wait_us, is_selected in ((100 * MILLISECOND_US, False), (20 * SECOND_US, True)):
+        harness.advance(wait_us)
         targets = {
             harness.server_of(harness.send_request("amend")) for _ in range(4)
         }  # each to the least loaded
-        assert (at_capacity in targets) is selected
+        assert (at_capacity in targets) is is_selected
         for number in range(harness.attempts()[-1][1].request - 3, harness.attempts()[-1][1].request + 1):
             harness.end_attempt(number)
 
--- a/tests/balancer/test_service_catalog.py
+++ b/tests/balancer/test_service_catalog.py
@@ -24,14 +24,14 @@
     assert CATALOG.total_share == 4.0
 
 
-def test_of_an_unknown_class_the_least_is_assumed() -> None:
+def test_an_unknown_class_gets_the_strictest_assumptions() -> None:
     assert CATALOG.class_named("read", 5) is CLASSES[0]
     unknown = CATALOG.class_named("other", 0)
     assert unknown == ServiceClass("other", deadline_us=1, latency_target_us=1, ordered_by_key=True)
 
 
 @pytest.mark.parametrize(
-    ("traffic_key", "named"),
+    ("traffic_key", "is_known"),
     [
         (TrafficKey("read", None), True),
         (TrafficKey("read", "t1"), True),
@@ -39,5 +39,7 @@
         (TrafficKey("other", "t1"), False),
     ],
 )
-def test_a_traffic_key_is_named_where_both_its_parts_are(traffic_key: TrafficKey, named: bool) -> None:
-    assert CATALOG.has_traffic_key(traffic_key) is named
+def test_a_traffic_key_is_known_where_its_class_and_tenant_are(
+    traffic_key: TrafficKey, is_known: bool
+) -> None:
+    assert CATALOG.has_traffic_key(traffic_key) is is_known
--- a/tests/balancer/test_settings_bound.py
+++ b/tests/balancer/test_settings_bound.py
@@ -11,7 +11,7 @@
 SECOND_US = 1_000_000
 
 
-def test_tables_lose_the_entries_that_are_not_kept() -> None:
+def test_entries_that_are_no_longer_kept_are_removed_from_tables() -> None:
     kept = {"read", "batch"}
     bound = SettingsBoundState()
     table: dict[str, int] = bound.new_table(lambda name: name in kept)
@@ -23,7 +23,7 @@
     assert table == {"read": 1}
 
 
-def test_rates_go_on_at_their_value_over_their_new_span() -> None:
+def test_a_rate_keeps_its_value_when_its_span_changes() -> None:
     span_us = 4.0 * SECOND_US
     bound = SettingsBoundState()
     rate = bound.new_rate(lambda: span_us)
--- a/tests/balancer/test_settings_changed.py
+++ b/tests/balancer/test_settings_changed.py
@@ -11,7 +11,7 @@
 from sidecar.balancer.actions import CancelAttempt, FailRequest, Log, RejectRequest, WatchRegistry
 from sidecar.balancer.events import ClientDisconnected, Endpoint, Outcome, SettingsChanged
 
-COUNT = 1_024
+ENTRY_COUNT = 1_024
 
 
 def change_settings(harness: BalancerHarness, **changes: Any) -> None:
@@ -60,10 +60,10 @@
     request = harness.send_request("amend", remaining_us=4 * SECOND_US)
     change_settings(harness, classes=[SAFE])
     harness.end_attempt(request, Outcome.RESET)
-    [(first_at, _), (_, again)] = harness.attempts(request)
+    [(first_at, _), (_, retry)] = harness.attempts(request)
     # Its deduplication window.
-    assert again.write_by is not None
-    assert again.write_by <= first_at + 2 * SECOND_US
+    assert retry.write_by is not None
+    assert retry.write_by <= first_at + 2 * SECOND_US
     harness.end_attempt(request)
     assert not harness.balancer._requests
 
@@ -95,13 +95,19 @@
     harness.serve_requests(60)
     context, balancer = harness.balancer._context, harness.balancer
     weights = {name: server.latency_weight for name, server in context.registry.servers.items()}
-    budget, usual = balancer._retry_budget._tokens, dict(balancer._latency._usual_latency_us)
-    ratio, arrivals = balancer._limit.latency.median, balancer._slow_start.arrivals.per_us(harness.now)
+    retry_tokens, usual_latency_us = balancer._retry_budget._tokens, dict(balancer._latency._usual_latency_us)
+    median_ratio, arrival_rate = (
+        balancer._limit.latency.median,
+        balancer._slow_start.arrivals.per_us(harness.now),
+    )
     change_settings(harness, classes=[SAFE | {"priority_weight": 5}, UNSAFE, KEYED])
     assert {name: server.latency_weight for name, server in context.registry.servers.items()} == weights
-    assert (balancer._retry_budget._tokens, balancer._latency._usual_latency_us) == (budget, usual)
-    assert balancer._limit.latency.median == ratio
-    assert balancer._slow_start.arrivals.per_us(harness.now) == arrivals
+    assert (balancer._retry_budget._tokens, balancer._latency._usual_latency_us) == (
+        retry_tokens,
+        usual_latency_us,
+    )
+    assert balancer._limit.latency.median == median_ratio
+    assert balancer._slow_start.arrivals.per_us(harness.now) == arrival_rate
     harness.send_request()
     [traffic] = balancer._admission._priorities._traffic.values()
     assert traffic.service_class.priority_weight == 5
@@ -149,7 +155,7 @@
     assert len(harness.actions_of(WatchRegistry)) == 1
 
 
-def test_a_shortened_deadline_is_not_taken_for_queueing_in_a_stall() -> None:
+def test_a_shortened_deadline_is_not_mistaken_for_queueing_in_a_stall() -> None:
     harness = ready_harness(6)
     harness.serve_requests(5)
     harness.send_request()  # while it is in flight, a stall is noticed
@@ -162,12 +168,12 @@
 
 def test_changing_a_thousand_classes_tenants_and_servers_is_deterministic() -> None:
     def run() -> list[Any]:
-        harness = ready_harness(COUNT)
+        harness = ready_harness(ENTRY_COUNT)
         for turn in range(3):
-            classes = [SAFE | {"name": f"c{turn}-{number}"} for number in range(COUNT)]
-            tenants = [{"name": f"t{number}"} for number in range(COUNT)]
+            classes = [SAFE | {"name": f"c{turn}-{number}"} for number in range(ENTRY_COUNT)]
+            tenants = [{"name": f"t{number}"} for number in range(ENTRY_COUNT)]
             change_settings(harness, classes=classes, tenants=tenants)
-            for number in range(0, COUNT, 64):
+            for number in range(0, ENTRY_COUNT, 64):
                 harness.send_request(f"c{turn}-{number}", tenant=f"t{number}")
         return harness.action_log
 
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -18,22 +18,22 @@
 def test_a_server_in_slow_start_gets_no_more_than_its_quota(interval_us: int, burst: int) -> None:
     harness = ready_harness(6)
     harness.serve_requests(300, interval_us=10 * MILLISECOND_US)
-    warm_per_s = 100 / 6
-    began = harness.now
-    warming_up = Endpoint("10.0.0.6:80", zone="east", started_at=began)
+    warm_rate_per_s = 100 / 6
+    began_at = harness.now
+    warming_up = Endpoint("10.0.0.6:80", zone="east", started_at=began_at)
     harness.update_servers([warming_up], RegistryUpdateKind.DELTA)
-    while harness.now < began + 10 * SECOND_US:
+    while harness.now < began_at + 10 * SECOND_US:
         requests = [harness.send_request() for _ in range(burst)]
         harness.advance(interval_us)
         for each in requests:
             if harness.attempts(each):
                 harness.end_attempt(each)
-    times = [at for at, each in harness.attempts() if each.server == "10.0.0.6:80" and at >= began]
-    for end in times:
-        capacity_share = 0.2 + 0.8 * max(end - 2 * SECOND_US - began, 0) / (10 * SECOND_US)
-        inside = sum(1 for at in times if end - 2 * SECOND_US < at <= end)
-        assert inside <= max(1.0, 3 * capacity_share * warm_per_s * 2)
-    assert times or burst == 1  # one at a time, the fastest server of the subset takes all
+    send_times = [at for at, each in harness.attempts() if each.server == "10.0.0.6:80" and at >= began_at]
+    for end in send_times:
+        capacity_share = 0.2 + 0.8 * max(end - 2 * SECOND_US - began_at, 0) / (10 * SECOND_US)
+        sent_in_window = sum(1 for at in send_times if end - 2 * SECOND_US < at <= end)
+        assert sent_in_window <= max(1.0, 3 * capacity_share * warm_rate_per_s * 2)
+    assert send_times or burst == 1  # one at a time, the fastest server of the subset takes all
 
 
 def test_warm_capacity_is_measured_by_cost_not_by_request_count() -> None:
@@ -94,8 +94,8 @@
     slow_start = SlowStart(context)
     warming_up = context.registry.ready[0]
     slow_start.start(warming_up, context.now)
-    seen = []
+    shares = []
     for _ in range(3):
-        seen.append(slow_start.capacity_share(warming_up))
+        shares.append(slow_start.capacity_share(warming_up))
         context.clock.now += context.settings.rules.slow_start_us // 2
-    assert seen == pytest.approx([0.2, 0.6, 1.0])
+    assert shares == pytest.approx([0.2, 0.6, 1.0])
--- a/tests/balancer/test_slow_start_fleet.py
+++ b/tests/balancer/test_slow_start_fleet.py
@@ -45,7 +45,7 @@
 RESTART_INTERVAL_US = 2_500 * MILLISECOND_US
 
 
-def settings(fleet: int) -> Settings:
+def settings(sidecar_count: int) -> Settings:
     request_class = {
         "name": "look",
         "deadline_us": 2 * SECOND_US,
@@ -58,7 +58,7 @@
         {
             "classes": [request_class],
             "zone": "east",
-            "sidecar_count": fleet,
+            "sidecar_count": sidecar_count,
             "limits": limits,
             "rules": SLOW_START_RULES,
         }
@@ -70,9 +70,9 @@
     if traffic in EXTRA_TRAFFIC:
         yield from arrivals(fleet, "even", rng)
         share, span_us = EXTRA_TRAFFIC[traffic]
-        extra = random.Random(f"{traffic} {fleet}")
+        extra_rng = random.Random(f"{traffic} {fleet}")
         for _ in range(int(share * FLEET_REQUESTS_PER_S * span_us / SECOND_US)):
-            yield SERVER_START_US + extra.randrange(span_us), extra.randrange(fleet)
+            yield SERVER_START_US + extra_rng.randrange(span_us), extra_rng.randrange(fleet)
         return
     if traffic in ("idle, then even", "idle, then synchronized"):  # no requests before the server's start
         later = arrivals(fleet, traffic.removeprefix("idle, then "), rng)
@@ -153,7 +153,7 @@
 
     For N under 30 the rule allows N + 3 x root of N + 3; all cases are checked by the stricter form.
     """
-    worst = 0.0
+    largest = 0.0
     for first, since in enumerate(sent):
         share = (
             SLOW_START_RULES["slow_start_from"]
@@ -167,8 +167,8 @@
             / SECOND_US
         )
         count = sum(at < since + SLOW_START_RULES["overload_window_us"] for at in sent[first:])
-        worst = max(worst, count / (budget + 2.0 * math.sqrt(budget) + 2.0))
-    return worst
+        largest = max(largest, count / (budget + 2.0 * math.sqrt(budget) + 2.0))
+    return largest
 
 
 def assert_within_budget(sent: dict[str, list[int]]) -> list[list[int]]:
--- a/tests/balancer/test_stalls.py
+++ b/tests/balancer/test_stalls.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from balancer_harness import MILLISECOND_US, SECOND_US, BalancerHarness, server_names, settings
-from ready_balancer import LOAD_PROBING, answer_health_checks, ready_harness, two_zones
+from ready_balancer import LOAD_PROBING, answer_health_checks, endpoints_in_two_zones, ready_harness
 
 from sidecar.balancer.actions import Log
 from sidecar.balancer.events import Outcome
 
 
-def stall(harness: BalancerHarness, span_us: int) -> None:
+def stall(harness: BalancerHarness, duration_us: int) -> None:
     """Stall the balancer; then the timers that became due fire at once."""
-    harness.now += span_us
+    harness.now += duration_us
     harness.advance(0)
 
 
@@ -19,7 +19,7 @@
     return {each.name: each.latency_weight for each in harness.balancer._context.registry.ready}
 
 
-def test_a_stall_of_the_balancer_is_not_blamed_on_servers() -> None:
+def test_a_stall_of_the_balancer_is_not_attributed_to_servers() -> None:
     harness = ready_harness(4)
     harness.serve_requests(200)
     weights = latency_weights(harness)
@@ -60,7 +60,7 @@
 
 def test_selection_after_a_stall_uses_all_zones_without_health_checks() -> None:
     harness = BalancerHarness(settings(**LOAD_PROBING, prices={"cross_zone": 0.1}))
-    harness.update_servers(two_zones(3))
+    harness.update_servers(endpoints_in_two_zones(3))
     first = harness.send_request()
     answer_health_checks(harness, {})
     harness.now += 1 * SECOND_US
--- a/tests/balancer/test_start_times.py
+++ b/tests/balancer/test_start_times.py
@@ -73,8 +73,8 @@
     harness = serving_harness()
     started_at = harness.now + step_us
     apply_delta(harness, restarted_endpoint(started_at))
-    for passed_us in range(0, SLOW_START_US, 2 * SECOND_US):
-        assert capacity_share(harness) == pytest.approx(0.2 + 0.8 * passed_us / SLOW_START_US)
+    for elapsed_us in range(0, SLOW_START_US, 2 * SECOND_US):
+        assert capacity_share(harness) == pytest.approx(0.2 + 0.8 * elapsed_us / SLOW_START_US)
         apply_delta(harness, restarted_endpoint(started_at))  # the same process, notified again
         harness.update_servers([*server_names(4), restarted_endpoint(started_at)])
         harness.advance(2 * SECOND_US)
--- a/tests/balancer/test_subsetting.py
+++ b/tests/balancer/test_subsetting.py
@@ -26,16 +26,16 @@
 
 
 def test_low_traffic_balancers_use_different_subsets() -> None:
-    first: set[str] = set()
+    used: set[str] = set()
     for seed in range(12):
         harness = ready_harness(60, seed=seed)
         serve_one_at_a_time(harness, 20)
-        first |= {each.server for _, each in harness.attempts()}
-    assert len(first) > 25
+        used |= {each.server for _, each in harness.attempts()}
+    assert len(used) > 25
 
 
 def test_latency_weights_adapt_faster_at_low_traffic() -> None:
-    def change(interval_us: int, service_time_us: int, one_at_a_time: bool) -> float:
+    def latency_weight_change(interval_us: int, service_time_us: int, one_at_a_time: bool) -> float:
         harness = ready_harness(4)
         if one_at_a_time:
             serve_one_at_a_time(harness, 400, service_time_us, interval_us)
@@ -49,7 +49,7 @@
         return server.latency_weight - before
 
     assert (
-        change(400 * MILLISECOND_US, 60 * MILLISECOND_US, True)
-        > 2 * change(5 * MILLISECOND_US, 60 * MILLISECOND_US, False)
+        latency_weight_change(400 * MILLISECOND_US, 60 * MILLISECOND_US, True)
+        > 2 * latency_weight_change(5 * MILLISECOND_US, 60 * MILLISECOND_US, False)
         > 0.0
     )
--- a/tests/balancer/test_timers.py
+++ b/tests/balancer/test_timers.py
@@ -19,17 +19,17 @@
 def test_a_host_timer_is_set_only_where_the_pending_one_fires_too_late() -> None:
     queue = TimerQueue()
 
-    def always(due: int, _: Timer) -> int:
+    def keep_due_time(due: int, _: Timer) -> int:
         return due
 
     queue.add(50, KeyCooldownOver(1))
-    timer = queue.arm(20, always)
+    timer = queue.arm(20, keep_due_time)
     assert timer is not None
     assert timer.delay_us == 30
     queue.add(70, KeyCooldownOver(2))
-    assert queue.arm(20, always) is None
+    assert queue.arm(20, keep_due_time) is None
     queue.add(40, KeyCooldownOver(3))
-    timer = queue.arm(20, always)
+    timer = queue.arm(20, keep_due_time)
     assert timer is not None
     assert timer.delay_us == 20
 
--- a/tests/balancer/test_zone_affinity.py
+++ b/tests/balancer/test_zone_affinity.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from balancer_harness import MILLISECOND_US, BalancerHarness, server_names, settings
-from ready_balancer import two_zones
+from ready_balancer import endpoints_in_two_zones
 
 
 def cross_zone_ratio(harness: BalancerHarness, local_us: int, remote_us: int) -> float:
     """The part of the requests sent to the other zone, with these latencies in either."""
-    harness.update_servers(two_zones(4))
+    harness.update_servers(endpoints_in_two_zones(4))
     local = set(server_names(8)[:4])
     for _ in range(600):
         request = harness.send_request()
--- a/tests/balancer_harness.py
+++ b/tests/balancer_harness.py
@@ -52,7 +52,7 @@
 
 def settings(**changes: Any) -> Settings:
     """Settings of a permissive deployment; `limits` and `rules` are merged, the rest replaced."""
-    given: dict[str, Any] = {
+    mapping: dict[str, Any] = {
         "classes": [SAFE, UNSAFE, KEYED],
         "zone": "east",
         "tick_us": 5 * MILLISECOND_US,
@@ -67,8 +67,8 @@
         },
     }
     for key, value in changes.items():
-        given[key] = {**given[key], **value} if isinstance(given.get(key), dict) else value
-    return Settings.from_mapping(given)
+        mapping[key] = {**mapping[key], **value} if isinstance(mapping.get(key), dict) else value
+    return Settings.from_mapping(mapping)
 
 
 def server_names(count: int) -> list[str]:
@@ -78,9 +78,9 @@
 class BalancerHarness:
     """Passes events to one balancer and records its actions; due timers fire as the time advances."""
 
-    def __init__(self, given: Settings | None = None, seed: int = 7, now: int = START_US) -> None:
+    def __init__(self, initial_settings: Settings | None = None, seed: int = 7, now: int = START_US) -> None:
         self.now = now
-        self.balancer = Balancer(given or settings(), seed)
+        self.balancer = Balancer(initial_settings or settings(), seed)
         self.action_log: list[tuple[int, Action]] = []
         self._timers: list[tuple[int, str]] = []
         self._next_request_id = 1
--- a/tests/decision_digest.py
+++ b/tests/decision_digest.py
@@ -49,7 +49,7 @@
     TimerFired,
 )
 
-START = 50 * SECOND_US
+START_US = 50 * SECOND_US
 # By position, as names may change.
 ACTION_KINDS = {kind: number for number, kind in enumerate(get_args(Action))}
 ZONES = ("east", "west", "north")
@@ -62,7 +62,7 @@
 
     server: str
     sent_at: int
-    until: int
+    deadline: int
 
 
 @dataclass
@@ -75,7 +75,7 @@
 
 # Scheduled items of the simulated world: events, and items that depend on what happened until they are due.
 @dataclass
-class AttemptEnding:
+class AttemptEndDue:
     """An attempt ends when this is due."""
 
     request: int
@@ -84,7 +84,7 @@
 
 
 @dataclass
-class ResponseStarting:
+class ResponseStartDue:
     """The response of an attempt starts when this is due."""
 
     request: int
@@ -92,7 +92,7 @@
 
 
 @dataclass
-class WorldStep:
+class RandomStep:
     """The next random step of the world: arrivals, changes of servers and stalls."""
 
 
@@ -101,260 +101,265 @@
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self._scenario = scenario
-        self._random = random.Random(f"{scenario.name} {seed}")
+        self._rng = random.Random(f"{scenario.name} {seed}")
         self._balancer = Balancer(Settings.from_mapping(scenario.settings), seed)
         self._classes = [str(each["name"]) for each in scenario.settings["classes"]]
-        self._target_us = int(scenario.settings["classes"][0]["latency_target_us"])
+        self._latency_target_us = int(scenario.settings["classes"][0]["latency_target_us"])
         self._digest = hashlib.sha256()
-        self._now = START
-        self._due: list[tuple[int, int, Event | AttemptEnding | ResponseStarting | WorldStep]] = []
-        self._order = 0
+        self._now = START_US
+        self._scheduled: list[tuple[int, int, Event | AttemptEndDue | ResponseStartDue | RandomStep]] = []
+        self._schedule_count = 0
         self._requests: dict[int, SimulatedRequest] = {}
         self._endpoints: dict[str, Endpoint] = {}
-        self._speed: dict[str, float] = {}
-        self._hung: set[str] = set()
-        self._failing: set[str] = set()
+        self._service_time_factors: dict[str, float] = {}
+        self._hung_servers: set[str] = set()
+        self._failing_servers: set[str] = set()
         self._in_flight: Counter[str] = Counter()
-        self._surge_until = 0
-        self.events = 0
-        self.handle_seconds = 0.0
-        self.actions: Counter[str] = Counter()
+        self._surge_ends_at = 0
+        self.event_count = 0
+        self.handle_cpu_s = 0.0
+        self.action_counts: Counter[str] = Counter()
 
-    def run(self, events: int) -> str:
+    def run(self, event_count: int) -> str:
         """Simulate so many events and return the digest of the actions."""
-        for number in range(self._scenario.servers):
+        for number in range(self._scenario.server_count):
             self._add_server(f"s{number}")
         names = list(self._endpoints)
-        self._hung.update(names[: self._scenario.hung])
-        self._failing.update(names[: self._scenario.failing])
-        self._play(RegistryUpdated(RegistryUpdateKind.CACHED, list(self._endpoints.values()), 0))
-        self._schedule(0, WorldStep())
-        while self.events < events:
-            due, _, what = heapq.heappop(self._due)
+        self._hung_servers.update(names[: self._scenario.hung_servers])
+        self._failing_servers.update(names[: self._scenario.failing_servers])
+        self._handle(RegistryUpdated(RegistryUpdateKind.CACHED, list(self._endpoints.values()), 0))
+        self._schedule(0, RandomStep())
+        while self.event_count < event_count:
+            due, _, item = heapq.heappop(self._scheduled)
             self._now = max(self._now, due)
-            match what:
-                case AttemptEnding():
-                    self._end(what)
-                case ResponseStarting():
-                    self._start(what)
-                case WorldStep():
-                    self._step()
+            match item:
+                case AttemptEndDue():
+                    self._end_attempt(item)
+                case ResponseStartDue():
+                    self._start_response(item)
+                case RandomStep():
+                    self._take_random_step()
                 case RegistryUpdated():
-                    self._refresh(what)
+                    self._update_registry(item)
                 case _:
-                    self._play(what)
+                    self._handle(item)
         return self._digest.hexdigest()
 
-    def _schedule(self, wait_us: float, what: Event | AttemptEnding | ResponseStarting | WorldStep) -> None:
-        self._order += 1
-        heapq.heappush(self._due, (self._now + int(wait_us), self._order, what))
+    def _schedule(self, delay_us: float, item: Event | AttemptEndDue | ResponseStartDue | RandomStep) -> None:
+        self._schedule_count += 1
+        heapq.heappush(self._scheduled, (self._now + int(delay_us), self._schedule_count, item))
 
-    def _play(self, event: Event) -> None:
-        began = time.process_time()
+    def _handle(self, event: Event) -> None:
+        started_at = time.process_time()
         actions = self._balancer.handle(self._now, event)
-        self.handle_seconds += time.process_time() - began
-        self.events += 1
+        self.handle_cpu_s += time.process_time() - started_at
+        self.event_count += 1
         for action in actions:
-            self.actions[type(action).__name__] += 1
+            self.action_counts[type(action).__name__] += 1
             values = () if isinstance(action, Log) else astuple(action)
             self._digest.update(f"{self._now} {ACTION_KINDS[type(action)]} {values!r}\n".encode())
-            self._carry_out(action)
+            self._execute(action)
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case SendAttempt():
-                self._send(action)
+                self._start_attempt(action)
             case RejectRequest() | FailRequest():
                 self._requests[action.request].answered = True
             case CancelAttempt():
                 self._schedule(
-                    self._random.randrange(3 * MILLISECOND_US),
-                    AttemptEnding(*_key(action), Outcome.CANCELLED),
+                    self._rng.randrange(3 * MILLISECOND_US),
+                    AttemptEndDue(*_attempt_key(action), Outcome.CANCELLED),
                 )
             case SetTimer():
                 self._schedule(action.delay_us, TimerFired(action.token))
             case CheckHealth():
-                self._probe(action.server)
+                self._check_health(action.server)
             case WatchRegistry():
-                failed = self._random.random() < 0.4
+                failed = self._rng.random() < 0.4
                 kind = RegistryUpdateKind.FAILED if failed else RegistryUpdateKind.SNAPSHOT
-                if self._random.random() < 0.8:
-                    self._schedule(self._random.randrange(300 * MILLISECOND_US), RegistryUpdated(kind))
+                if self._rng.random() < 0.8:
+                    self._schedule(self._rng.randrange(300 * MILLISECOND_US), RegistryUpdated(kind))
             case _:
                 pass
 
-    def _send(self, send: SendAttempt) -> None:
+    def _start_attempt(self, send: SendAttempt) -> None:
         request = self._requests[send.request]
         index = len(request.attempts)
         request.attempts.append(SentAttempt(send.server, self._now, send.deadline))
         self._in_flight[send.server] += 1
-        chance = self._random.random()
+        chance = self._rng.random()
         congestion = 1.0 + 0.15 * self._in_flight[send.server]
-        took = (
-            self._scenario.service_us
-            * self._speed[send.server]
+        duration_us = (
+            self._scenario.service_time_us
+            * self._service_time_factors[send.server]
             * congestion
-            * (0.4 + self._random.expovariate(1.0))
+            * (0.4 + self._rng.expovariate(1.0))
         )
-        if send.server in self._hung or chance < 0.004:
-            outcome, took = Outcome.TIMED_OUT, float(send.deadline - self._now)
-        elif send.server in self._failing or chance < 0.03:
-            outcome = self._random.choice(FAILURES)
-            took *= 0.1
-        elif took > send.deadline - self._now:
-            outcome, took = Outcome.TIMED_OUT, float(send.deadline - self._now)
+        if send.server in self._hung_servers or chance < 0.004:
+            outcome, duration_us = Outcome.TIMED_OUT, float(send.deadline - self._now)
+        elif send.server in self._failing_servers or chance < 0.03:
+            outcome = self._rng.choice(FAILURES)
+            duration_us *= 0.1
+        elif duration_us > send.deadline - self._now:
+            outcome, duration_us = Outcome.TIMED_OUT, float(send.deadline - self._now)
         else:
             outcome = Outcome.SUCCEEDED
             if chance > 0.9:
-                self._schedule(0.7 * took, ResponseStarting(send.request, index))
-        self._schedule(took, AttemptEnding(send.request, index, outcome))
+                self._schedule(0.7 * duration_us, ResponseStartDue(send.request, index))
+        self._schedule(duration_us, AttemptEndDue(send.request, index, outcome))
 
-    def _end(self, ending: AttemptEnding) -> None:
+    def _end_attempt(self, ending: AttemptEndDue) -> None:
         request = self._requests[ending.request]
         attempt = request.attempts[ending.attempt]
-        if attempt.until < 0:
+        if attempt.deadline < 0:
             return
-        attempt.until = -1
+        attempt.deadline = -1
         self._in_flight[attempt.server] -= 1
         if ending.outcome is Outcome.SUCCEEDED:
             request.answered = True
-        elapsed = self._now - attempt.sent_at
+        elapsed_us = self._now - attempt.sent_at
         report = None
-        if self._scenario.reports and self._random.random() < 0.9:
-            report = {"util": round(0.2 + 0.1 * self._in_flight[attempt.server] * self._random.random(), 3)}
-        self._play(
+        if self._scenario.has_load_reports and self._rng.random() < 0.9:
+            report = {"util": round(0.2 + 0.1 * self._in_flight[attempt.server] * self._rng.random(), 3)}
+        self._handle(
             AttemptEnded(
                 ending.request,
                 ending.attempt,
                 attempt.server,
                 ending.outcome,
-                elapsed,
+                elapsed_us,
                 request.answered,
                 report,
             )
         )
 
-    def _start(self, starting: ResponseStarting) -> None:
+    def _start_response(self, starting: ResponseStartDue) -> None:
         request = self._requests[starting.request]
         attempt = request.attempts[starting.attempt]
-        if attempt.until >= 0 and not request.answered:
-            elapsed = self._now - attempt.sent_at
-            self._play(ResponseStarted(starting.request, starting.attempt, attempt.server, elapsed))
+        if attempt.deadline >= 0 and not request.answered:
+            elapsed_us = self._now - attempt.sent_at
+            self._handle(ResponseStarted(starting.request, starting.attempt, attempt.server, elapsed_us))
 
-    def _probe(self, server: str) -> None:
-        took = self._random.randrange(1, 6 * MILLISECOND_US)
-        if server in self._hung or self._random.random() < 0.03:
+    def _check_health(self, server: str) -> None:
+        duration_us = self._rng.randrange(1, 6 * MILLISECOND_US)
+        if server in self._hung_servers or self._rng.random() < 0.03:
             self._schedule(
-                took + 300 * MILLISECOND_US,
-                HealthCheckEnded(server, Outcome.TIMED_OUT, took + 300 * MILLISECOND_US),
+                duration_us + 300 * MILLISECOND_US,
+                HealthCheckEnded(server, Outcome.TIMED_OUT, duration_us + 300 * MILLISECOND_US),
             )
             return
-        load = float(self._in_flight[server] + self._random.randrange(6))
-        report = None if self._random.random() < 0.05 else {"inflight": load}
-        self._schedule(took, HealthCheckEnded(server, Outcome.SUCCEEDED, took, report))
+        load = float(self._in_flight[server] + self._rng.randrange(6))
+        report = None if self._rng.random() < 0.05 else {"inflight": load}
+        self._schedule(duration_us, HealthCheckEnded(server, Outcome.SUCCEEDED, duration_us, report))
 
-    def _refresh(self, update: RegistryUpdated) -> None:
+    def _update_registry(self, update: RegistryUpdated) -> None:
         if update.kind is RegistryUpdateKind.SNAPSHOT:
-            update.endpoints = [each for each in self._endpoints.values() if self._random.random() < 0.98]
-        self._play(update)
+            update.endpoints = [each for each in self._endpoints.values() if self._rng.random() < 0.98]
+        self._handle(update)
 
-    def _step(self) -> None:
+    def _take_random_step(self) -> None:
         """Take one random step and schedule the next."""
-        chance = self._random.random()
-        surging = self._now < self._surge_until
+        chance = self._rng.random()
+        surging = self._now < self._surge_ends_at
         if chance < 0.015:
             self._change_servers()
         elif chance < 0.019:
-            self._now += int(self._target_us * self._random.choice((0.2, 0.6, 2.0)))  # the balancer stalls
-            for _ in range(self._random.randrange(6)):
-                self._arrive()
+            self._now += int(
+                self._latency_target_us * self._rng.choice((0.2, 0.6, 2.0))
+            )  # the balancer stalls
+            for _ in range(self._rng.randrange(6)):
+                self._send_request()
         elif chance < 0.024:
-            self._surge_until = self._now + 6 * self._target_us
+            self._surge_ends_at = self._now + 6 * self._latency_target_us
         elif chance < 0.034:
-            for _ in range(self._random.randrange(2, 25)):
-                self._arrive()
+            for _ in range(self._rng.randrange(2, 25)):
+                self._send_request()
         elif chance < 0.05:
             self._disconnect_client()
         else:
-            self._arrive()
+            self._send_request()
         self._schedule(
-            self._random.expovariate((4.0 if surging else 1.0) / self._scenario.every_us), WorldStep()
+            self._rng.expovariate((4.0 if surging else 1.0) / self._scenario.arrival_interval_us),
+            RandomStep(),
         )
 
-    def _arrive(self) -> None:
+    def _send_request(self) -> None:
         number = len(self._requests) + 1
         self._requests[number] = SimulatedRequest()
-        name = self._random.choice(self._classes) if self._random.random() < 0.99 else "unheard-of"
-        cost = self._random.choice(
+        name = self._rng.choice(self._classes) if self._rng.random() < 0.99 else "unheard-of"
+        cost_us = self._rng.choice(
             (None, 2 * MILLISECOND_US, 10 * MILLISECOND_US, 10 * MILLISECOND_US, 80 * MILLISECOND_US)
         )
-        key = self._random.choice((None, 1, 2, 3, self._random.randrange(1_000)))
-        remaining = int(self._target_us * self._random.choice((0.02, 0.6, 1.5, 3.0, 4.0, 4.0)))
-        tenant = self._random.choice(self._scenario.tenants)
-        self._play(RequestArrived(number, name, tenant, key, remaining, cost))
+        key = self._rng.choice((None, 1, 2, 3, self._rng.randrange(1_000)))
+        remaining_us = int(self._latency_target_us * self._rng.choice((0.02, 0.6, 1.5, 3.0, 4.0, 4.0)))
+        tenant = self._rng.choice(self._scenario.tenants)
+        self._handle(RequestArrived(number, name, tenant, key, remaining_us, cost_us))
 
     def _disconnect_client(self) -> None:
-        number = self._random.randrange(max(len(self._requests) - 40, 0), len(self._requests) + 1)
+        number = self._rng.randrange(max(len(self._requests) - 40, 0), len(self._requests) + 1)
         request = self._requests.get(number)
         if request is not None and not request.answered:
             request.answered = True
-            self._play(ClientDisconnected(number))
+            self._handle(ClientDisconnected(number))
 
     def _change_servers(self) -> None:
-        name = self._random.choice(list(self._endpoints))
+        name = self._rng.choice(list(self._endpoints))
         endpoint = self._endpoints[name]
-        match self._random.randrange(9):
+        match self._rng.randrange(9):
             case 0:
-                self._hung ^= {name}
+                self._hung_servers ^= {name}
             case 1:
-                self._failing ^= {name}
+                self._failing_servers ^= {name}
             case 2:
-                self._speed[name] = self._random.choice((0.3, 1.0, 1.0, 5.0))
+                self._service_time_factors[name] = self._rng.choice((0.3, 1.0, 1.0, 5.0))
             case 3 | 4:
-                state = self._random.choice((ServerState.READY, ServerState.DRAINING, ServerState.REMOVED))
-                self._endpoints[name] = self._listed(name, state, endpoint.started_at)
+                state = self._rng.choice((ServerState.READY, ServerState.DRAINING, ServerState.REMOVED))
+                self._endpoints[name] = self._endpoint(name, state, endpoint.started_at)
             case 5 | 6:
-                self._endpoints[name] = self._listed(name, ServerState.READY, self._now - 2 * MILLISECOND_US)
-                self._hung.discard(name)
-                self._failing.discard(name)
+                self._endpoints[name] = self._endpoint(
+                    name, ServerState.READY, self._now - 2 * MILLISECOND_US
+                )
+                self._hung_servers.discard(name)
+                self._failing_servers.discard(name)
             case 7:
                 self._add_server(f"n{self._now}")
             case _:
-                self._hung.clear()
-                self._failing.clear()
-        changed = [self._endpoints[name], self._endpoints[self._random.choice(list(self._endpoints))]]
-        if self._random.random() < 0.3:
-            self._refresh(RegistryUpdated(RegistryUpdateKind.SNAPSHOT, (), self.events))
-        elif self._random.random() < 0.15:
-            self._play(RegistryUpdated(RegistryUpdateKind.FAILED))
+                self._hung_servers.clear()
+                self._failing_servers.clear()
+        changed = [self._endpoints[name], self._endpoints[self._rng.choice(list(self._endpoints))]]
+        if self._rng.random() < 0.3:
+            self._update_registry(RegistryUpdated(RegistryUpdateKind.SNAPSHOT, (), self.event_count))
+        elif self._rng.random() < 0.15:
+            self._handle(RegistryUpdated(RegistryUpdateKind.FAILED))
         else:
-            self._play(RegistryUpdated(RegistryUpdateKind.DELTA, changed, self.events))
+            self._handle(RegistryUpdated(RegistryUpdateKind.DELTA, changed, self.event_count))
 
     def _add_server(self, name: str) -> None:
-        self._endpoints[name] = self._listed(name, ServerState.READY, None)
-        self._speed[name] = self._random.choice((0.7, 1.0, 1.0, 1.3, 3.0))
+        self._endpoints[name] = self._endpoint(name, ServerState.READY, None)
+        self._service_time_factors[name] = self._rng.choice((0.7, 1.0, 1.0, 1.3, 3.0))
 
-    def _listed(self, name: str, state: ServerState, started_at: int | None) -> Endpoint:
+    def _endpoint(self, name: str, state: ServerState, started_at: int | None) -> Endpoint:
         number = sum(name.encode())
-        nominal = (1.0, 1.0, 2.0, 0.0)[number % 4]
-        return Endpoint(name, ZONES[number % 3], "box", number % 2, state, nominal, started_at)
+        capacity_weight = (1.0, 1.0, 2.0, 0.0)[number % 4]
+        return Endpoint(name, ZONES[number % 3], "box", number % 2, state, capacity_weight, started_at)
 
 
-def _key(action: CancelAttempt) -> tuple[int, int]:
+def _attempt_key(action: CancelAttempt) -> tuple[int, int]:
     return action.request, action.attempt
 
 
 def main() -> None:
     """Print, for each setting, the digest and the counts of actions; then the events per CPU second."""
     events = int(sys.argv[1]) if len(sys.argv) > 1 else 4_000
-    total, seconds = 0, 0.0
+    total_events, cpu_seconds = 0, 0.0
     for scenario in SCENARIOS:
         recorder = Recorder(scenario, seed=11)
         digest = recorder.run(events)
-        total += recorder.events
-        seconds += recorder.handle_seconds
-        print(scenario.name, digest, dict(sorted(recorder.actions.items())))
-    print(f"{total} events, {total / seconds:.0f} a second of CPU time", file=sys.stderr)
+        total_events += recorder.event_count
+        cpu_seconds += recorder.handle_cpu_s
+        print(scenario.name, digest, dict(sorted(recorder.action_counts.items())))
+    print(f"{total_events} events, {total_events / cpu_seconds:.0f} a second of CPU time", file=sys.stderr)
 
 
 if __name__ == "__main__":
--- a/tests/decision_scenarios.py
+++ b/tests/decision_scenarios.py
@@ -30,11 +30,13 @@
         {**common, "name": "pay", "idempotency": "unsafe", "priority_weight": 10},
     ]
     keyed = {**common, "idempotency": "keyed", "priority_weight": 3}
-    classes.extend({**keyed, "name": scope, "dedup_scope": scope} for scope in ("all", "zone", "cell"))
+    classes.extend(
+        {**keyed, "name": dedup_scope, "dedup_scope": dedup_scope} for dedup_scope in ("all", "zone", "cell")
+    )
     return classes
 
 
-PERMISSIVE = {"max_attempts": 5, "allow_hedging": True, "allow_cancel": True}
+PERMISSIVE_LIMITS = {"max_attempts": 5, "allow_hedging": True, "allow_cancel": True}
 RULES = {
     "slow_start_from": 0.2,
     "slow_start_us": 5 * SECOND_US,
@@ -42,15 +44,15 @@
     "overload_window_us": 2 * SECOND_US,
     "max_poll_interval_us": 4 * SECOND_US,
 }
-BASE: dict[str, Any] = {
+BASE_SETTINGS: dict[str, Any] = {
     "classes": service_classes(500 * MILLISECOND_US),
     "zone": "east",
     "tick_us": 5 * MILLISECOND_US,
-    "limits": PERMISSIVE,
+    "limits": PERMISSIVE_LIMITS,
     "rules": RULES,
 }
-PROBES = {
-    "limits": {**PERMISSIVE, "allow_probes": True},
+PROBE_SETTINGS = {
+    "limits": {**PERMISSIVE_LIMITS, "allow_probes": True},
     "report": {"source": "probes", "columns": ["inflight"]},
 }
 
@@ -61,48 +63,56 @@
 
     name: str
     settings: dict[str, Any]
-    servers: int = 12
-    service_us: int = 60 * MILLISECOND_US
-    every_us: int = 6 * MILLISECOND_US
-    reports: bool = False
+    server_count: int = 12
+    service_time_us: int = 60 * MILLISECOND_US
+    arrival_interval_us: int = 6 * MILLISECOND_US
+    has_load_reports: bool = False
     tenants: tuple[str | None, ...] = (None,)
-    hung: int = 0  # servers that hang from the start
-    failing: int = 0  # servers that fail every request from the start
+    hung_servers: int = 0  # servers that hang from the start
+    failing_servers: int = 0  # servers that fail every request from the start
 
 
 SCENARIOS = (
-    Scenario("permissive", BASE),
-    Scenario("cautious", {**BASE, "limits": {"max_attempts": 2}}, service_us=150 * MILLISECOND_US),
-    Scenario("no-hedging", {**BASE, "limits": {**PERMISSIVE, "allow_hedging": False}}),
-    Scenario("pushed", {**BASE, "discovery": "pushed", "rules": {**RULES, "late_shedding": True}}),
-    Scenario("overloaded", BASE, servers=4, service_us=200 * MILLISECOND_US, every_us=5 * MILLISECOND_US),
+    Scenario("permissive", BASE_SETTINGS),
+    Scenario(
+        "cautious", {**BASE_SETTINGS, "limits": {"max_attempts": 2}}, service_time_us=150 * MILLISECOND_US
+    ),
+    Scenario("no-hedging", {**BASE_SETTINGS, "limits": {**PERMISSIVE_LIMITS, "allow_hedging": False}}),
+    Scenario("pushed", {**BASE_SETTINGS, "discovery": "pushed", "rules": {**RULES, "late_shedding": True}}),
+    Scenario(
+        "overloaded",
+        BASE_SETTINGS,
+        server_count=4,
+        service_time_us=200 * MILLISECOND_US,
+        arrival_interval_us=5 * MILLISECOND_US,
+    ),
     Scenario(
         "sparse",
-        {**BASE, "sidecar_count": 50},
-        servers=8,
-        every_us=350 * MILLISECOND_US,
-        service_us=250 * MILLISECOND_US,
+        {**BASE_SETTINGS, "sidecar_count": 50},
+        server_count=8,
+        arrival_interval_us=350 * MILLISECOND_US,
+        service_time_us=250 * MILLISECOND_US,
     ),
     Scenario(
         "sparse-reports",
-        BASE,
-        servers=8,
-        every_us=350 * MILLISECOND_US,
-        service_us=300 * MILLISECOND_US,
-        reports=True,
+        BASE_SETTINGS,
+        server_count=8,
+        arrival_interval_us=350 * MILLISECOND_US,
+        service_time_us=300 * MILLISECOND_US,
+        has_load_reports=True,
     ),
-    Scenario("probes", {**BASE, **PROBES}, every_us=40 * MILLISECOND_US),
+    Scenario("probes", {**BASE_SETTINGS, **PROBE_SETTINGS}, arrival_interval_us=40 * MILLISECOND_US),
     Scenario(
         "probes-priced",
-        {**BASE, **PROBES, "prices": {"cross_zone": 0.1, "probe": 0.002, "handshake": 0.08}},
-        servers=30,
-        every_us=20 * MILLISECOND_US,
-        service_us=120 * MILLISECOND_US,
+        {**BASE_SETTINGS, **PROBE_SETTINGS, "prices": {"cross_zone": 0.1, "probe": 0.002, "handshake": 0.08}},
+        server_count=30,
+        arrival_interval_us=20 * MILLISECOND_US,
+        service_time_us=120 * MILLISECOND_US,
     ),
     Scenario(
         "ordered",
         {
-            **BASE,
+            **BASE_SETTINGS,
             "classes": service_classes(500 * MILLISECOND_US, ordered=True),
             "rules": {**RULES, "key_cooldown_us": 80 * MILLISECOND_US},
         },
@@ -110,57 +120,72 @@
     Scenario(
         "ordered-probes",
         {
-            **BASE,
-            **PROBES,
+            **BASE_SETTINGS,
+            **PROBE_SETTINGS,
             "classes": service_classes(500 * MILLISECOND_US, ordered=True, late_weight=0.5),
             "rules": {**RULES, "key_cooldown_us": 80 * MILLISECOND_US},
         },
-        every_us=30 * MILLISECOND_US,
+        arrival_interval_us=30 * MILLISECOND_US,
     ),
     Scenario(
         "tenants",
         {
-            **BASE,
+            **BASE_SETTINGS,
             "tenants": [{"name": "a", "share": 1}, {"name": "b", "share": 3}],
             "over_share_weight": 0.2,
         },
-        servers=5,
-        service_us=120 * MILLISECOND_US,
-        reports=True,
+        server_count=5,
+        service_time_us=120 * MILLISECOND_US,
+        has_load_reports=True,
         tenants=("a", "b", "c", None),
     ),
-    Scenario("reports", {**BASE, "prices": {"cross_zone": 0.03}}, servers=6, reports=True),
+    Scenario(
+        "reports", {**BASE_SETTINGS, "prices": {"cross_zone": 0.03}}, server_count=6, has_load_reports=True
+    ),
     Scenario(
         "connections",
-        {**BASE, "sidecar_count": 100, "prices": {"connection": 0.08, "handshake": 0.08, "cross_zone": 0.03}},
-        every_us=15 * MILLISECOND_US,
+        {
+            **BASE_SETTINGS,
+            "sidecar_count": 100,
+            "prices": {"connection": 0.08, "handshake": 0.08, "cross_zone": 0.03},
+        },
+        arrival_interval_us=15 * MILLISECOND_US,
     ),
     Scenario(
         "seconds",
         {
-            **BASE,
+            **BASE_SETTINGS,
             "classes": service_classes(4 * SECOND_US, late_weight=0.3),
-            "limits": {**PERMISSIVE, "retry_after": True, "max_retry_after_us": 200 * MILLISECOND_US},
+            "limits": {**PERMISSIVE_LIMITS, "retry_after": True, "max_retry_after_us": 200 * MILLISECOND_US},
         },
-        service_us=600 * MILLISECOND_US,
-        every_us=30 * MILLISECOND_US,
+        service_time_us=600 * MILLISECOND_US,
+        arrival_interval_us=30 * MILLISECOND_US,
     ),
     Scenario(
         "100-ms",
-        {**BASE, "classes": service_classes(100 * MILLISECOND_US)},
-        service_us=15 * MILLISECOND_US,
-        every_us=4 * MILLISECOND_US,
+        {**BASE_SETTINGS, "classes": service_classes(100 * MILLISECOND_US)},
+        service_time_us=15 * MILLISECOND_US,
+        arrival_interval_us=4 * MILLISECOND_US,
+    ),
+    Scenario(
+        "200-servers",
+        {**BASE_SETTINGS, "sidecar_count": 20},
+        server_count=200,
+        arrival_interval_us=3 * MILLISECOND_US,
     ),
-    Scenario("200-servers", {**BASE, "sidecar_count": 20}, servers=200, every_us=3 * MILLISECOND_US),
     Scenario(
         "silent-servers",
-        {**BASE, "limits": {**PERMISSIVE, "allow_hedging": False}},
-        every_us=12 * MILLISECOND_US,
-        service_us=40 * MILLISECOND_US,
-        hung=2,
+        {**BASE_SETTINGS, "limits": {**PERMISSIVE_LIMITS, "allow_hedging": False}},
+        arrival_interval_us=12 * MILLISECOND_US,
+        service_time_us=40 * MILLISECOND_US,
+        hung_servers=2,
     ),
     Scenario(
-        "failing-servers", BASE, every_us=12 * MILLISECOND_US, service_us=40 * MILLISECOND_US, failing=3
+        "failing-servers",
+        BASE_SETTINGS,
+        arrival_interval_us=12 * MILLISECOND_US,
+        service_time_us=40 * MILLISECOND_US,
+        failing_servers=3,
     ),
-    Scenario("3-servers", BASE, servers=3, every_us=20 * MILLISECOND_US),
+    Scenario("3-servers", BASE_SETTINGS, server_count=3, arrival_interval_us=20 * MILLISECOND_US),
 )
