--- a/scale/capacity/page.py
+++ b/scale/capacity/page.py
@@ -1,4 +1,4 @@
-"""Fills the tables into the capacity page."""
+"""Fills in the tables of the capacity page."""
 
 from __future__ import annotations
 
@@ -11,21 +11,23 @@
 from scale.errors import UnmatchedTableError
 from scale.results import Measurement, read_results
 
-MISSING = "missing"  # the table of the ranked figures
+MISSING_TABLE = "missing"  # name of the table that lists the ranked figures
 _BLOCK = re.compile(r"(<!-- table: (?P<name>[a-z-]+) -->\n).*?(<!-- end of table -->)", re.DOTALL)
 
 
 def _ranked_figures(figures: Sequence[Figure]) -> list[Figure]:
-    """Return the ranked figures in order, as rows of the table of what is missing."""
+    """Return the ranked figures in order, as rows of the table "missing"."""
     ranked = sorted((figure.rank, index) for index, figure in enumerate(figures) if figure.rank is not None)
     return [
-        figures[index].model_copy(update={"table": MISSING, "what": f"{rank}. {figures[index].missing}"})
+        figures[index].model_copy(
+            update={"table": MISSING_TABLE, "what": f"{rank}. {figures[index].missing}"}
+        )
         for rank, index in ranked
     ]
 
 
 def fill_page(text: str, figures: Sequence[Figure], folder: Path) -> str:
-    """Replace the tables between a page's marks.
+    """Replace the tables between the markers of a page.
 
     Args:
         text: The page, in Markdown.
@@ -36,7 +38,7 @@
         The page with its tables filled in.
 
     Raises:
-        UnmatchedTableError: A mark has no figures, or figures have no mark.
+        UnmatchedTableError: A marker has no figures, or figures have no marker.
         ResultsError: A results file cannot be used.
     """
     results: dict[str, Sequence[Measurement]] = {}
@@ -44,10 +46,10 @@
         path = folder / f"{name}.jsonl"
         results[name] = read_results([path]) if path.exists() else []
     displayed = [*figures, *_ranked_figures(figures)]
-    marked = {match["name"] for match in _BLOCK.finditer(text)}
-    known = {figure.table for figure in displayed}
-    if marked != known:
-        raise UnmatchedTableError(marked ^ known)
+    marked_tables = {match["name"] for match in _BLOCK.finditer(text)}
+    figure_tables = {figure.table for figure in displayed}
+    if marked_tables != figure_tables:
+        raise UnmatchedTableError(marked_tables ^ figure_tables)
 
     def fill(match: re.Match[str]) -> str:
         selected = [figure for figure in displayed if figure.table == match["name"]]
--- a/scale/commands.py
+++ b/scale/commands.py
@@ -1,6 +1,6 @@
-"""Commands to a process that the rig started: JSON lines over a loopback connection.
+"""Command protocol between the rig and the processes that it starts: JSON lines over a loopback connection.
 
-The process prints one line, a `Ready`, once it listens; each command then gets a response of one line.
+A process prints one line, a `Ready` message, once it listens.  It then answers each command with one line.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 from scale.errors import ProcessEndedError
 
-MAXIMUM_LINE_BYTES = 64 * 1024 * 1024  # a commit of thousands of entries is one line
+MAXIMUM_LINE_BYTES = 64 * 1024 * 1024  # a change of thousands of endpoints is one line
 _RESPONSE_TIMEOUT_S = 120.0
 
 
@@ -27,7 +27,12 @@
 
 
 class Ready(Message):
-    """What a process prints once it accepts commands."""
+    """The line that a process prints once it accepts commands.
+
+    Attributes:
+        commands: Host and port for the command connection.
+        addresses: Hosts and ports of the servers that the process runs.
+    """
 
     commands: tuple[str, int]
     addresses: list[tuple[str, int]] = []
@@ -41,13 +46,13 @@
 
 
 async def serve_commands(handle: Callable[[bytes], Message], addresses: list[tuple[str, int]]) -> None:
-    """Print a `Ready`, then serve the commands of one connection until it is closed.
+    """Print a `Ready` message, then serve the commands of one connection until it is closed.
 
     Args:
         handle: Handles one command, as a JSON line.
-        addresses: Addresses to print, for the other side to use.
+        addresses: Hosts and ports of the servers that this process runs, for the `Ready` message.
     """
-    ended = asyncio.Event()
+    connection_closed = asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -56,13 +61,13 @@
                 await writer.drain()
         finally:
             writer.close()
-            ended.set()
+            connection_closed.set()
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0, limit=MAXIMUM_LINE_BYTES)
     try:
         host, port = server.sockets[0].getsockname()
         print(Ready(commands=(host, port), addresses=addresses).model_dump_json(), flush=True)
-        await ended.wait()
+        await connection_closed.wait()
     finally:
         server.close()
 
--- a/scale/control/stub_process.py
+++ b/scale/control/stub_process.py
@@ -1,6 +1,6 @@
-"""A process of stub sidecars, hundreds of them.
+"""Runs hundreds of stub sidecars in one process.
 
-Run as `python -m scale.control.stub_process`; it prints a `Ready` and then accepts commands.
+Run as `python -m scale.control.stub_process`; it prints a `Ready` message and then accepts commands.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from sidecar.proxy.addresses import Address, parse_address
 from sidecar.settings.wire_names import settings_from_wire
 
-_GC_THRESHOLDS = (700, 5, 2)  # as the sidecar's own program sets them
+_GC_THRESHOLDS = (700, 5, 2)  # the same as in `sidecar.__main__`
 
 
 class StubProcess:
@@ -37,13 +37,13 @@
 
     def __init__(self, count: int, zone: str, seed: int, discovery: Address) -> None:
         self._settings = settings_from_wire(sidecar_settings(zone))
-        self._random = random.Random(seed)
+        self._rng = random.Random(seed)
         self._discovery = discovery
         self._count = count
         self._sidecars: list[StubSidecar] = []
 
     def handle(self, line: bytes) -> Message:
-        """Handle one command, as a JSON line, and return its response.
+        """Handle one command, a line of JSON, and return its response.
 
         Raises:
             ValueError: The line is not a command.
@@ -66,15 +66,17 @@
         for sidecar in self._sidecars:
             sidecar.stop()
         self._sidecars = [
-            StubSidecar(self._settings, self._random.getrandbits(64), self._discovery)
+            StubSidecar(self._settings, self._rng.getrandbits(64), self._discovery)
             for _ in range(self._count)
         ]
         loop = asyncio.get_running_loop()
         for sidecar in self._sidecars:
-            loop.call_later(spread_s * self._random.random(), sidecar.start)
+            loop.call_later(spread_s * self._rng.random(), sidecar.start)
 
     def _progress(self, change: CommittedChange) -> Progress:
-        delays = [each.applied.delay_until_applied(change.version, change.at_s) for each in self._sidecars]
+        delays = [
+            each.applied_log.delay_until_applied(change.version, change.at_s) for each in self._sidecars
+        ]
         return Progress(sidecars=len(delays), applied=sum(delay is not None for delay in delays))
 
     def _delays(self, changes: list[CommittedChange]) -> Delays:
@@ -82,7 +84,7 @@
         missing = 0
         for change in changes:
             for sidecar in self._sidecars:
-                delay_s = sidecar.applied.delay_until_applied(change.version, change.at_s)
+                delay_s = sidecar.applied_log.delay_until_applied(change.version, change.at_s)
                 if delay_s is None:
                     missing += 1
                 else:
@@ -91,12 +93,12 @@
 
 
 def main(
-    count: Annotated[int, typer.Option(help="Sidecars in this process.")],
+    count: Annotated[int, typer.Option(help="Number of sidecars in this process.")],
     discovery: Annotated[str, typer.Option(help="Address of the registry, host:port.")],
     zone: Annotated[str, typer.Option(help="Zone of the sidecars.")] = "",
-    seed: Annotated[int, typer.Option(help="Seed of the sidecars.")] = 0,
+    seed: Annotated[int, typer.Option(help="Seed from which the sidecars' seeds are drawn.")] = 0,
 ) -> None:
-    """Run stub sidecars until the command connection ends."""
+    """Run stub sidecars until the command connection is closed."""
     logging.basicConfig(level=logging.ERROR)
     process = StubProcess(count, zone, seed, parse_address(discovery))
     gc.freeze()
--- a/scale/results.py
+++ b/scale/results.py
@@ -13,7 +13,7 @@
 from scale.errors import InvalidMeasurementError, UnreadableResultsError
 from scale.experiment import Experiment
 
-Label = str | float | int | bool
+LabelValue = str | float | int | bool
 _REPOSITORY = Path(__file__).resolve().parent.parent
 
 
@@ -30,11 +30,11 @@
     metric: str
     value: float
     unit: str
-    labels: dict[str, Label] = {}  # the point that was measured: sizes, faults, the baseline's name
+    labels: dict[str, LabelValue] = {}  # the measured point: sizes, fault, policy, ...
 
 
 def current_commit(repository: Path = _REPOSITORY) -> str:
-    """Return the abbreviated commit of a checkout; "unknown" outside of git."""
+    """Return the abbreviated commit of a checkout, with "-dirty" if it has changes; "unknown" without git."""
 
     def git(*arguments: str) -> str:
         command = ["git", "-C", str(repository), *arguments]
@@ -42,14 +42,14 @@
 
     try:
         commit = git("rev-parse", "--short=9", "HEAD")
-        changed = git("status", "--porcelain", "--untracked-files=no")
+        local_changes = git("status", "--porcelain", "--untracked-files=no")
     except (OSError, subprocess.CalledProcessError):
         return "unknown"
-    return f"{commit}-dirty" if changed else commit
+    return f"{commit}-dirty" if local_changes else commit
 
 
 class ResultWriter:
-    """Appends the measurements of one experiment to a file, and flushes each at once."""
+    """Appends the measurements of one experiment to a file, and flushes each one immediately."""
 
     def __init__(self, path: Path, experiment: Experiment, commit: str | None = None) -> None:
         self._path = path
@@ -62,12 +62,12 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self, exc_type: type[BaseException] | None, exc: BaseException | None, traceback: TracebackType | None
     ) -> None:
         self._file.close()
 
     def add(
-        self, role: str, metric: str, value: float, unit: str, labels: Mapping[str, Label] | None = None
+        self, role: str, metric: str, value: float, unit: str, labels: Mapping[str, LabelValue] | None = None
     ) -> None:
         """Write one measurement.
 
@@ -76,7 +76,7 @@
             metric: The name of the metric.
             value: Its value.
             unit: The unit of the value.
-            labels: The point that was measured.
+            labels: The measured point.
         """
         measurement = Measurement(
             experiment=self._experiment.name,
