--- a/scale/capacity/evaluation.py
+++ b/scale/capacity/evaluation.py
@@ -9,25 +9,34 @@
 from scale.capacity.figures import Figure
 from scale.capacity.numbers import format_number
 from scale.results import Measurement
-from scale.slope import Slope, fit_slope
+from scale.slope import LinearFit, fit_line
 
-Results = Mapping[str, Sequence[Measurement]]  # by the name of their file
+Results = Mapping[str, Sequence[Measurement]]  # measurements by the name of their results file
 
 
 @dataclass(frozen=True, slots=True)
 class Evaluation:
-    """The value of a figure, with its range and where it comes from."""
+    """The value of a figure, with its range and its origin.
+
+    Attributes:
+        value: The median of the measured values, or the value of a fitted line.
+        minimum: The smallest of the values.
+        maximum: The largest of the values.
+        derivation: How the value was computed, as shown on the capacity page.
+        runs: The results files, commits and seeds of the measurements, as shown on the capacity page.
+        is_lower_bound: Whether a run ended before the timed event.
+    """
 
     value: float
     minimum: float
     maximum: float
     derivation: str
-    run: str
-    is_lower_bound: bool = False  # whether the run ended before the timed event
+    runs: str
+    is_lower_bound: bool = False
 
 
 def evaluate_figure(figure: Figure, results: Results) -> Evaluation | None:
-    """Evaluate a figure from its files' measurements; None if no run has measured it."""
+    """Evaluate a figure from its files' measurements; None if there are none, or only one size for a line."""
     selected: list[Measurement] = []
     runs = []
     for name in figure.results:
@@ -42,8 +51,8 @@
     values = [each.value * figure.times for each in selected]
     derivation = "measured" if len(values) == 1 else f"measured, median of {len(values)}"
     if figure.processes:
-        one = format_number(statistics.median(values) / figure.times)
-        derivation = f"worked out: {one} {selected[0].unit} x {figure.processes}"
+        single_value = format_number(statistics.median(values) / figure.times)
+        derivation = f"worked out: {single_value} {selected[0].unit} x {figure.processes}"
     is_lower_bound = any(each.labels.get("recovered") is False for each in selected)
     return Evaluation(
         statistics.median(values), min(values), max(values), derivation, "; ".join(runs), is_lower_bound
@@ -73,23 +82,23 @@
 
 
 def _evaluate_line(
-    figure: Figure, against: str, at: float, selected: Sequence[Measurement], run: str
+    figure: Figure, against: str, at: float, selected: Sequence[Measurement], runs: str
 ) -> Evaluation | None:
     sizes = [float(each.labels[against]) for each in selected]
     if len(set(sizes)) == 1:
         return None
-    slope = fit_slope(sizes, [each.value for each in selected])
-    value = slope.at(at) * figure.times
-    return Evaluation(value, value, value, _describe_line(figure, slope, against, at, selected[0].unit), run)
+    fit = fit_line(sizes, [each.value for each in selected])
+    value = fit.at(at) * figure.times
+    return Evaluation(value, value, value, _describe_line(figure, fit, against, at, selected[0].unit), runs)
 
 
-def _describe_line(figure: Figure, slope: Slope, against: str, at: float, unit: str) -> str:
-    measured_range = f"measured to {format_number(slope.largest)}"
-    if at > slope.largest:
+def _describe_line(figure: Figure, fit: LinearFit, against: str, at: float, unit: str) -> str:
+    measured_range = f"measured to {format_number(fit.largest_size)}"
+    if at > fit.largest_size:
         measured_range += ", beyond that extrapolated"
     name = against.replace("_", " ")
-    line = f"{format_number(slope.per_unit)} x {format_number(at)} {name}"
-    line += f" {'-' if slope.at_zero < 0.0 else '+'} {format_number(abs(slope.at_zero))} {unit}"
+    line = f"{format_number(fit.slope)} x {format_number(at)} {name}"
+    line += f" {'-' if fit.intercept < 0.0 else '+'} {format_number(abs(fit.intercept))} {unit}"
     if figure.processes:
         line = f"({line}) x {figure.processes}"
-    return f"worked out: {line}; {measured_range}, r2 {slope.r_squared:.2f}"
+    return f"worked out: {line}; {measured_range}, r2 {fit.r_squared:.2f}"
--- a/scale/cli.py
+++ b/scale/cli.py
@@ -21,20 +21,20 @@
 from scale.report import format_table
 from scale.results import ResultWriter, read_results
 from scale.slopes import fit_slopes, format_slopes
-from scale.suite import EXPERIMENTS, RESULTS, TIME_LIMIT_S, find_experiments, run_suite
+from scale.suite import EXPERIMENTS_FOLDER, RESULTS_FOLDER, TIME_LIMIT_S, find_experiments, run_suite
 
-EXIT_FAULT = 1
+EXIT_CHECK_FAILED = 1
 EXIT_BAD_INPUT = 2
 
-PAGE = RESULTS.parent.parent / "CAPACITY.md"
-FIGURES = RESULTS.parent / "figures.toml"
+CAPACITY_PAGE = RESULTS_FOLDER.parent.parent / "CAPACITY.md"
+FIGURES_FILE = RESULTS_FOLDER.parent / "figures.toml"
 
 app = typer.Typer(no_args_is_help=True, add_completion=False, help="Measure the sidecar at fleet size.")
 log = structlog.get_logger()
 
 
 @app.callback()
-def common(verbose: Annotated[bool, typer.Option(help="Log from debug level on.")] = False) -> None:
+def set_up(verbose: Annotated[bool, typer.Option(help="Log debug messages, too.")] = False) -> None:
     """Set up the logs for every command."""
     configure_logs(verbose)
 
@@ -42,11 +42,11 @@
 @app.command()
 def run(
     experiments: Annotated[list[Path], typer.Argument(help="Experiment files (TOML).")],
-    results: Annotated[Path, typer.Option(help="File that the figures are appended to, as JSON lines.")],
+    results: Annotated[Path, typer.Option(help="File to append the measurements to, as JSON lines.")],
 ) -> None:
     """Run experiments one after another."""
-    checked = [load_experiment(path) for path in experiments]
-    for experiment in checked:
+    loaded_experiments = [load_experiment(path) for path in experiments]
+    for experiment in loaded_experiments:
         log.info("experiment started", experiment=experiment.name, kind=experiment.kind, seed=experiment.seed)
         with ResultWriter(results, experiment) as writer:
             run_experiment(experiment, writer)
@@ -55,22 +55,22 @@
 
 @app.command()
 def suite(
-    results: Annotated[Path, typer.Option(help="Folder of the results, one file each.")] = RESULTS,
-    experiments: Annotated[Path, typer.Option(help="Folder of the experiment files.")] = EXPERIMENTS,
+    results: Annotated[Path, typer.Option(help="Folder of the results, one file each.")] = RESULTS_FOLDER,
+    experiments: Annotated[Path, typer.Option(help="Folder of the experiment files.")] = EXPERIMENTS_FOLDER,
 ) -> None:
     """Run the complete set of experiments, without the small ones for tests."""
     elapsed_s = run_suite(find_experiments(experiments), results)
-    note = log.warning if elapsed_s > TIME_LIMIT_S else log.info
-    note("suite ended", elapsed_s=round(elapsed_s, 1), limit_s=TIME_LIMIT_S, results=str(results))
+    log_message = log.warning if elapsed_s > TIME_LIMIT_S else log.info
+    log_message("suite ended", elapsed_s=round(elapsed_s, 1), limit_s=TIME_LIMIT_S, results=str(results))
 
 
 @app.command()
 def report(
     results: Annotated[list[Path], typer.Argument(help="Results files (JSON lines).")],
     plots: Annotated[Path | None, typer.Option(help="Folder for plots (PNG).")] = None,
-    against: Annotated[str, typer.Option(help="Label that plots have on their horizontal axis.")] = "servers",
+    against: Annotated[str, typer.Option(help="Label on the horizontal axis of the plots.")] = "servers",
 ) -> None:
-    """Print results as a table, and plot them."""
+    """Print results as a table, and optionally plot them."""
     measurements = read_results(results)
     typer.echo(format_table(measurements))
     if plots is not None:
@@ -84,15 +84,15 @@
     against: Annotated[str, typer.Option(help="Label that was varied.")] = "servers",
     at: Annotated[float, typer.Option(help="Size at which each line is evaluated.")] = 4_900.0,
 ) -> None:
-    """Fit a line through each metric against a size, and evaluate it at another size."""
+    """Fit a line to each metric against a size, and evaluate it at another size."""
     typer.echo(format_slopes(fit_slopes(read_results(results), against), at))
 
 
 @app.command()
 def page(
-    path: Annotated[Path, typer.Argument(help="The page whose tables are filled in.")] = PAGE,
-    figures: Annotated[Path, typer.Option(help="What each table holds (TOML).")] = FIGURES,
-    results: Annotated[Path, typer.Option(help="Folder of the results.")] = RESULTS,
+    path: Annotated[Path, typer.Argument(help="The page whose tables are filled in.")] = CAPACITY_PAGE,
+    figures: Annotated[Path, typer.Option(help="Figures of each table (TOML).")] = FIGURES_FILE,
+    results: Annotated[Path, typer.Option(help="Folder of the results.")] = RESULTS_FOLDER,
 ) -> None:
     """Fill in the capacity page's tables from results files."""
     filled = fill_page(path.read_text(encoding="utf-8"), read_figures(figures), results)
@@ -101,19 +101,21 @@
 
 @app.command()
 def demo(
-    duration: Annotated[float, typer.Option(min=3.0, max=60.0, help="Seconds of calls.")] = 6.0,
-    rate: Annotated[float, typer.Option(min=10.0, max=500.0, help="Calls a second.")] = 100.0,
+    duration: Annotated[
+        float, typer.Option(min=3.0, max=60.0, help="Duration of the calls in seconds.")
+    ] = 6.0,
+    rate: Annotated[float, typer.Option(min=10.0, max=500.0, help="Calls per second.")] = 100.0,
     seed: Annotated[int, typer.Option(min=0, help="Seed of arrivals and service times.")] = 1,
 ) -> None:
-    """Show one real sidecar while a server is drained and another killed; exit code 0 if all checks pass."""
+    """Run one real sidecar while a server is drained and another killed; exit with 0 if all checks pass."""
     outcome = run_demo(duration, rate, seed, typer.echo)
     typer.echo(format_outcome(outcome))
-    faults = outcome.faults()
-    for fault in faults:
-        typer.echo(f"FAULT: {fault}")
-    if faults:
-        raise typer.Exit(EXIT_FAULT)
-    typer.echo("all went as it should")
+    failed_checks = outcome.failed_checks()
+    for check in failed_checks:
+        typer.echo(f"CHECK FAILED: {check}")
+    if failed_checks:
+        raise typer.Exit(EXIT_CHECK_FAILED)
+    typer.echo("all checks passed")
 
 
 def main() -> int:
@@ -122,6 +124,7 @@
     Returns:
         The exit code: 2 after bad input, which is reported in one line on standard error.
     """
+    # SIGTERM raises KeyboardInterrupt, so that the processes of an interrupted experiment are terminated.
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     try:
         app()
--- a/scale/control/faults.py
+++ b/scale/control/faults.py
@@ -9,7 +9,7 @@
 
 from scale.control.experiment import Fault, FaultKind
 from scale.control.fleet import Fleet
-from scale.control.processes import HALVES
+from scale.control.processes import STUB_HALVES
 from scale.standins.fleet import zone_name
 from scale.standins.registry_commands import (
     BlackholeConnections,
@@ -21,20 +21,20 @@
 )
 from scale.standins.registry_state import Availability
 
-_PARTITIONED_HALF = 1  # the half of the stub sidecars that is partitioned
+_PARTITIONED_HALF = 1  # the half of the stub sidecars that a partition affects
 
 
 @dataclass(frozen=True, slots=True)
 class FaultOutcome:
-    """The changes whose propagation measures a fault."""
+    """The changes whose propagation times measure the recovery from a fault, and the affected sidecars."""
 
     changes: list[CommittedChange]
-    halves: tuple[int, ...] = HALVES  # of the stub sidecars that it affected
-    affects_real_sidecars: bool = True  # whether it affected the real sidecars, too
+    affected_halves: tuple[int, ...] = STUB_HALVES  # halves of the stub sidecars
+    affects_real_sidecars: bool = True
 
 
 def inject_fault(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
-    """Inject a fault and end it, which takes the fault's `lasts_s`."""
+    """Inject a fault and end it; returns after the fault's `lasts_s`."""
     return _INJECTORS[fault.kind](fault, fleet, rng)
 
 
@@ -49,7 +49,10 @@
 
 
 def _take_discovery_down(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
-    """Take discovery down; a change is committed meanwhile, and measured from discovery's recovery."""
+    """Take discovery down or overload it.
+
+    A change is committed during the fault; its propagation is measured from the end of the fault.
+    """
     is_overload = fault.kind is FaultKind.DISCOVERY_OVERLOADED
     availability = Availability.OVERLOADED if is_overload else Availability.DOWN
     client = fleet.registry.client
@@ -71,7 +74,7 @@
 
 
 def _fail_over_discovery(_fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
-    """Move discovery's address to another machine: open connections carry nothing any more."""
+    """Fail discovery's address over to another machine: open connections no longer carry data."""
     fleet.registry.client.execute(BlackholeConnections())
     return FaultOutcome([_restart_random_server(fleet, rng)])
 
@@ -88,7 +91,7 @@
 
 
 def _lose_zones(fault: Fault, fleet: Fleet, zones: Collection[str]) -> FaultOutcome:
-    """Remove all servers of some zones in one change, and add them again in another."""
+    """Remove all servers of some zones in one change, and re-add them in another."""
     endpoints = fleet.registry.endpoints
     indexes = [index for index, endpoint in enumerate(endpoints) if endpoint.zone in zones]
     removed = fleet.registry.change(ChangeEndpoints(change="remove", indexes=indexes))
@@ -97,14 +100,14 @@
     return FaultOutcome([removed, recovered])
 
 
-def _roll_service(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
-    """Drain, remove and add again each server of a service, spread over the fault's time."""
+def _perform_rolling_restart(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
+    """Drain, remove and re-add each server of a service in turn, spread over the fault's duration."""
     service = rng.choice(fleet.registry.endpoints).group
-    indexes = [index for index, each in enumerate(fleet.registry.endpoints) if each.group == service]
+    indexes = [index for index, endpoint in enumerate(fleet.registry.endpoints) if endpoint.group == service]
     started_at, changes = time.monotonic(), []
     steps = [(index, step) for index in indexes for step in ("drain", "remove", "add")]
-    for number, (index, step) in enumerate(steps):
-        time.sleep(max(started_at + fault.lasts_s * number / len(steps) - time.monotonic(), 0.0))
+    for step_number, (index, step) in enumerate(steps):
+        time.sleep(max(started_at + fault.lasts_s * step_number / len(steps) - time.monotonic(), 0.0))
         command = ChangeEndpoints.model_validate({"change": step, "indexes": [index]})
         changes.append(fleet.registry.change(command))
     return FaultOutcome(changes)
@@ -117,7 +120,10 @@
 
 
 def _partition_sidecars(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
-    """Partition half of the stub sidecars; a change made meanwhile is measured from the partition's end."""
+    """Partition half of the stub sidecars.
+
+    A change is committed during the partition; its propagation is measured from the end of the partition.
+    """
     client = fleet.registry.client
     listener = fleet.registry.stub_listener(_PARTITIONED_HALF, fleet.migrated)
     client.execute(SetPartitioned(listener=listener, partitioned=True))
@@ -126,7 +132,7 @@
     time.sleep(fault.lasts_s / 2)
     recovered = _current_version(fleet)
     client.execute(SetPartitioned(listener=listener, partitioned=False))
-    return FaultOutcome([recovered], halves=(_PARTITIONED_HALF,), affects_real_sidecars=False)
+    return FaultOutcome([recovered], affected_halves=(_PARTITIONED_HALF,), affects_real_sidecars=False)
 
 
 _INJECTORS: Mapping[FaultKind, Callable[[Fault, Fleet, random.Random], FaultOutcome]] = {
@@ -137,7 +143,7 @@
     FaultKind.DISCOVERY_FAILED_OVER: _fail_over_discovery,
     FaultKind.REGION_LOST: _lose_region,
     FaultKind.ZONE_LOST: _lose_zone,
-    FaultKind.RELEASE: _roll_service,
+    FaultKind.RELEASE: _perform_rolling_restart,
     FaultKind.SIDECARS_RESTARTED: _restart_sidecars,
     FaultKind.SIDECARS_CUT_OFF: _partition_sidecars,
 }
--- a/scale/demo/outcome.py
+++ b/scale/demo/outcome.py
@@ -11,17 +11,17 @@
 from scale.http_client import CallResult
 from scale.standins.server import ServedBody
 
-DRAINED, KILLED = 1, 2  # numbers of the servers
+DRAINED_SERVER, KILLED_SERVER = 1, 2  # indexes in the list of servers
 DRAIN_GRACE_S = 1.0  # drainGraceUs of the sample configuration
 _SHED_STATUSES = frozenset((HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE))
 
 
 @dataclass(frozen=True, slots=True)
 class Phase:
-    """A part of the run between two faults."""
+    """A part of the run that ends with a fault or with the run itself."""
 
     name: str
-    ends_at: float  # monotonic clock
+    ends_at: float  # seconds on the monotonic clock
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,9 +29,9 @@
     """What one server received."""
 
     name: str
-    requests: int  # attempts received to their last byte
+    requests: int  # attempts that were received completely
     rejected: int
-    last_request_at: float  # monotonic clock; 0.0 if there was none
+    last_request_at: float  # seconds on the monotonic clock; 0.0 if there was none
 
 
 @dataclass(slots=True)
@@ -41,7 +41,7 @@
     results: Sequence[CallResult]
     phases: Sequence[Phase]
     servers: Sequence[ServerOutcome]
-    drain_notified_at: float  # monotonic clock
+    drain_notified_at: float  # seconds on the monotonic clock
     exit_code: int | None  # of the sidecar after SIGTERM; None if it had to be killed
     log: Sequence[str] = field(default_factory=list)
 
@@ -58,14 +58,14 @@
         return len(self.results) - len(self.served()) - self.shed()
 
     def served_by_phase(self) -> list[Counter[str]]:
-        """Return how many calls each server served, for each phase."""
+        """Return, for each phase, how many calls each server served."""
         counters: list[Counter[str]] = [Counter() for _ in self.phases]
         for result in self.served():
-            number = next(
-                (n for n, phase in enumerate(self.phases) if result.sent_at < phase.ends_at),
+            phase_index = next(
+                (index for index, phase in enumerate(self.phases) if result.sent_at < phase.ends_at),
                 len(self.phases) - 1,
             )
-            counters[number][ServedBody.decode(result.body).server] += 1
+            counters[phase_index][ServedBody.decode(result.body).server] += 1
         return counters
 
     def added_us(self) -> LatencyHistogram:
@@ -74,11 +74,13 @@
             [each.latency_us - ServedBody.decode(each.body).service_time_us for each in self.served()]
         )
 
-    def faults(self) -> list[str]:
-        """Return a line for each failed check; none if all passed."""
-        drained = self.servers[DRAINED]
-        at_end = self.served_by_phase()[-1]
-        survivors = [each for n, each in enumerate(self.servers) if n not in (DRAINED, KILLED)]
+    def failed_checks(self) -> list[str]:
+        """Return a message for each failed check; empty if all passed."""
+        drained = self.servers[DRAINED_SERVER]
+        served_at_end = self.served_by_phase()[-1]
+        survivors = [
+            each for index, each in enumerate(self.servers) if index not in (DRAINED_SERVER, KILLED_SERVER)
+        ]
         checks = [
             (not self.results, "no calls were made"),
             (bool(self.shed()), f"{self.shed()} calls were shed"),
@@ -88,9 +90,9 @@
                 f"{drained.name} got calls later than {DRAIN_GRACE_S:.0f} s after the registry drained it",
             ),
             (
-                any(not at_end[each.name] for each in survivors),
+                any(not served_at_end[each.name] for each in survivors),
                 "a server that stayed up got no calls at the end",
             ),
             (self.exit_code != 0, f"the sidecar's exit code after SIGTERM was {self.exit_code}, not 0"),
         ]
-        return [text for is_fault, text in checks if is_fault]
+        return [text for has_failed, text in checks if has_failed]
--- a/scale/kinds.py
+++ b/scale/kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of experiment that the rig knows, by the `kind` key of an experiment file."""
+"""The kinds of experiment, selected by the `kind` key of an experiment file."""
 
 from __future__ import annotations
 
@@ -42,14 +42,14 @@
     Raises:
         UnreadableExperimentError: The file cannot be read.
         TomlSyntaxError: The file is not TOML.
-        UnknownKindError: The rig does not know the kind of experiment.
+        UnknownKindError: The kind of experiment is unknown.
         InvalidKeyError: A key is missing, unknown or out of range.
     """
-    given = read_experiment_file(path)
-    kind = KINDS.get(str(given.get("kind")))
+    content = read_experiment_file(path)
+    kind = KINDS.get(str(content.get("kind")))
     if kind is None:
         raise UnknownKindError(KINDS.keys())
-    return validate_experiment(kind.model, given)
+    return validate_experiment(kind.model, content)
 
 
 def run_experiment(experiment: Experiment, writer: ResultWriter) -> None:
--- a/scale/lag_probe.py
+++ b/scale/lag_probe.py
@@ -7,13 +7,13 @@
 
 from scale.histogram import LatencyHistogram
 
-_LAG_INTERVAL_S = 0.01
+_TIMER_INTERVAL_S = 0.01
 
 
 class LagProbe:
-    """Measures how late this process's event loop runs its timers, while the block runs.
+    """Measures how late this process's event loop runs its timers while the `async with` block runs.
 
-    The loop's timers have a resolution of a millisecond, so half of one is normal in an idle loop.
+    The loop's timers have a resolution of 1 ms, so a lag of 0.5 ms is normal in an idle loop.
     """
 
     def __init__(self) -> None:
@@ -31,6 +31,6 @@
 
     async def _measure(self) -> None:
         while True:
-            due = time.monotonic() + _LAG_INTERVAL_S
-            await asyncio.sleep(_LAG_INTERVAL_S)
-            self.histogram.add((time.monotonic() - due) * 1e6)
+            due_at = time.monotonic() + _TIMER_INTERVAL_S
+            await asyncio.sleep(_TIMER_INTERVAL_S)
+            self.histogram.add((time.monotonic() - due_at) * 1e6)
--- a/scale/latency/analysis.py
+++ b/scale/latency/analysis.py
@@ -10,11 +10,11 @@
 
 from scale.histogram import LatencyHistogram
 from scale.http_client import CallResult
-from scale.latency.tracing import Times, Trace
+from scale.latency.tracing import FloatArray, Trace
 from scale.standins.server import ServedBody
 
-PERCENTS = (50.0, 99.0, 99.9)
-SLOWEST_PERCENT = 99.0  # the calls beyond it are the slowest 1 in 100
+PERCENTILES = (50.0, 99.0, 99.9)
+SLOWEST_PERCENTILE = 99.0  # the calls above it are the slowest 1 in 100
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,8 +36,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pair:
-    """A call through the sidecar and the direct call next to it."""
+class CallPair:
+    """A call through the sidecar, and the direct call that follows it."""
 
     through_sidecar: ServedCall
     direct: ServedCall
@@ -48,54 +48,54 @@
         return self.through_sidecar.overhead_us - self.direct.overhead_us
 
 
-def parse_served(result: CallResult) -> ServedCall | None:
-    """Parse the body of a call; None if it was not served."""
+def parse_served_call(result: CallResult) -> ServedCall | None:
+    """Return a call with its parsed body; None if it was not served."""
     return ServedCall(result, ServedBody.decode(result.body)) if result.status == HTTPStatus.OK else None
 
 
-def pair_calls(results: Sequence[CallResult]) -> list[Pair]:
+def pair_calls(results: Sequence[CallResult]) -> list[CallPair]:
     """Pair each call through the sidecar with the direct call after it, where both were served."""
     pairs = []
     for through_sidecar, direct in zip(results[::2], results[1::2], strict=False):
-        both = parse_served(through_sidecar), parse_served(direct)
-        if both[0] is not None and both[1] is not None:
-            pairs.append(Pair(both[0], both[1]))
+        served_pair = parse_served_call(through_sidecar), parse_served_call(direct)
+        if served_pair[0] is not None and served_pair[1] is not None:
+            pairs.append(CallPair(served_pair[0], served_pair[1]))
     return pairs
 
 
-def quantiles_us(values_us: Sequence[float] | Times) -> dict[float, float]:
-    """Return the reported quantiles by percentage, in microseconds; empty if there are no values."""
+def percentiles_us(values_us: Sequence[float] | FloatArray) -> dict[float, float]:
+    """Return the values at the reported percentiles, in microseconds; empty if there are no values."""
     if not len(values_us):
         return {}
-    return {percent: float(np.percentile(values_us, percent)) for percent in PERCENTS}
+    return {percentile: float(np.percentile(values_us, percentile)) for percentile in PERCENTILES}
 
 
-def histogram_quantiles_us(calls: Sequence[ServedCall]) -> dict[float, float]:
-    """Return the reported quantiles of the calls' overheads by percentage, in microseconds."""
+def histogram_percentiles_us(calls: Sequence[ServedCall]) -> dict[float, float]:
+    """Return the calls' overheads at the reported percentiles, in microseconds, from a histogram."""
     histogram = LatencyHistogram([call.overhead_us for call in calls])
-    return {percent: histogram.quantile(percent) for percent in PERCENTS}
+    return {percentile: histogram.percentile(percentile) for percentile in PERCENTILES}
 
 
 @dataclass(frozen=True, slots=True)
 class OverheadSources:
-    """The sources of each call's overhead, in microseconds; they sum up to the overhead.
+    """The sources of each call's overhead, in microseconds; their sum is the overhead.
 
-    Time without the CPU inside a callback is `preempted`; collections and registry responses are CPU time.  A
-    collection triggered while a registry response is read counts as a collection.
+    Work, collections and registry responses are CPU time; the time that callbacks spend without the CPU is
+    `preempted`.  A collection during the handling of a registry response counts as a collection only.
     """
 
-    own_work: Times  # callbacks of the event loop, as long as those of a typical call
-    other_work: Times  # callbacks beyond that: other calls and timers that delayed this one
-    collections: Times
-    registry: Times
-    preempted: Times
-    outside: Times  # the kernel, the network, the client, and the sidecar's wake-up
+    own_work: FloatArray  # event loop callbacks, up to the CPU time of a typical call
+    other_work: FloatArray  # callbacks beyond that: other calls and timers, which delayed this call
+    collections: FloatArray
+    registry: FloatArray
+    preempted: FloatArray
+    outside: FloatArray  # the kernel, the network, the client, and the sidecar's wake-up
 
-    def event_loop_cpu(self) -> Times:
-        """Return the event loop's CPU time during each call: about its overhead on an idle machine."""
+    def event_loop_cpu(self) -> FloatArray:
+        """Return the event loop's CPU time during each call: about the overhead on an idle machine."""
         return self.own_work + self.other_work + self.collections + self.registry
 
-    def parts(self) -> dict[str, Times]:
+    def by_name(self) -> dict[str, FloatArray]:
         """Return the sources by name."""
         return {
             "own work": self.own_work,
@@ -108,32 +108,36 @@
 
 
 def attribute_overhead(calls: Sequence[ServedCall], trace: Trace) -> OverheadSources:
-    """Split each call's overhead by what the event loop ran before and after the server's service time."""
+    """Split each call's overhead into its sources, from the spans before and after the service time."""
     sent = np.array([call.result.sent_at for call in calls])
     service_started = np.array([call.body.started_at for call in calls])
     service_ended = service_started + np.array([call.body.service_time_us for call in calls]) / 1e6
     ended = np.array([call.result.ended_at for call in calls])
-    new = np.array([call.is_on_new_connection for call in calls], dtype=bool)
+    on_new_connection = np.array([call.is_on_new_connection for call in calls], dtype=bool)
 
-    def time_in_windows(measure: str, name: str) -> Times:
-        between = getattr(getattr(trace, name), measure)
-        both: Times = (between(sent, service_started) + between(service_ended, ended)) * 1e6
-        return both
+    def time_in_windows(method: str, span_kind: str) -> FloatArray:
+        time_between = getattr(getattr(trace, span_kind), method)
+        total_us: FloatArray = (
+            time_between(sent, service_started) + time_between(service_ended, ended)
+        ) * 1e6
+        return total_us
 
     wall = time_in_windows("wall_s", "callbacks")
     cpu = time_in_windows("cpu_s", "callbacks")
     collections = time_in_windows("cpu_s", "collections")
     registry = time_in_windows("cpu_s", "registry") - time_in_windows("cpu_s", "collections_in_registry")
     work = cpu - collections - registry
-    own = np.minimum(work, _typical_work(work, new))
+    own_work = np.minimum(work, _typical_work(work, on_new_connection))
     overhead = np.array([call.overhead_us for call in calls])
-    return OverheadSources(own, work - own, collections, registry, wall - cpu, overhead - wall)
+    return OverheadSources(own_work, work - own_work, collections, registry, wall - cpu, overhead - wall)
 
 
-def _typical_work(work: Times, new: np.ndarray[tuple[int], np.dtype[np.bool_]]) -> Times:
+def _typical_work(
+    work: FloatArray, on_new_connection: np.ndarray[tuple[int], np.dtype[np.bool_]]
+) -> FloatArray:
     """Return, for each call, the median work of the calls on its kind of connection, new or reused."""
     typical = np.zeros_like(work)
-    for group in (new, ~new):
-        if group.any():
-            typical[group] = np.median(work[group])
+    for mask in (on_new_connection, ~on_new_connection):
+        if mask.any():
+            typical[mask] = np.median(work[mask])
     return typical
--- a/scale/latency/servers.py
+++ b/scale/latency/servers.py
@@ -1,6 +1,6 @@
-"""Server stand-ins in their own process, so that they delay neither the client nor the sidecar.
+"""Runs server stand-ins in their own process, so that they delay neither the client nor the sidecar.
 
-Run as `python -m scale.latency.servers`; it prints its addresses and then accepts commands.
+Run as `python -m scale.latency.servers`; it prints the addresses of the servers and then accepts commands.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
     return f"s-{index:04d}"
 
 
-def count(servers: list[ServerStandin]) -> ServerCounts:
+def sum_counters(servers: list[ServerStandin]) -> ServerCounts:
     """Sum the servers' counters."""
     sums = {
         name: sum(getattr(server.counters, name) for server in servers) for name in ServerCounts.model_fields
@@ -52,18 +52,18 @@
     for each in standins:
         await each.start()
     gc.freeze()
-    gc.disable()  # the process runs for one point only, and collections would distort it
+    gc.disable()  # collections would distort the measurement, and the process runs only for one point
 
     def handle(line: bytes) -> Message:
         GetServerCounts.model_validate_json(line)
-        return count(standins)
+        return sum_counters(standins)
 
     await serve_commands(handle, [each.address for each in standins])
 
 
 def main(
-    servers: Annotated[int, typer.Option(help="Servers, each at a port of its own.")],
-    service_mean_ms: Annotated[float, typer.Option(help="Mean service time; exponentially distributed.")],
+    servers: Annotated[int, typer.Option(help="Number of servers, each with a port of its own.")],
+    service_mean_ms: Annotated[float, typer.Option(help="Mean of the exponential service times.")],
     seed: Annotated[int, typer.Option(help="Seed of the service times.")] = 0,
 ) -> None:
     """Run server stand-ins on loopback."""
--- a/scale/latency/tracing.py
+++ b/scale/latency/tracing.py
@@ -1,4 +1,4 @@
-"""Traces, inside a sidecar's process, what may block its event loop; and reads such a trace.
+"""Traces, inside a sidecar's process, what may block its event loop, and reads such traces.
 
 All times are seconds on the machine's monotonic clock, so that they can be compared with the client's.
 """
@@ -20,8 +20,8 @@
 Parameters = ParamSpec("Parameters")
 Result = TypeVar("Result")
 
-Times = npt.NDArray[np.float64]
-Span = tuple[float, float, float]  # start, end, CPU seconds of the thread
+FloatArray = npt.NDArray[np.float64]
+Span = tuple[float, float, float]  # start, end, and the thread's CPU seconds between them
 
 
 class SpanLog:
@@ -34,14 +34,14 @@
         """Wrap a function so that each of its calls is recorded."""
 
         @functools.wraps(function)
-        def call(*arguments: Parameters.args, **keywords: Parameters.kwargs) -> Result:
+        def timed_call(*arguments: Parameters.args, **keywords: Parameters.kwargs) -> Result:
             started_at, cpu_started_at = time.monotonic(), time.thread_time()
             try:
                 return function(*arguments, **keywords)
             finally:
                 self.spans.append((started_at, time.monotonic(), time.thread_time() - cpu_started_at))
 
-        return call
+        return timed_call
 
 
 class CollectionLog(SpanLog):
@@ -56,7 +56,11 @@
         gc.callbacks.append(self._record)
 
     def uninstall(self) -> None:
-        """Stop recording; raise ValueError if it was not installed."""
+        """Stop recording.
+
+        Raises:
+            ValueError: Recording was not installed.
+        """
         gc.callbacks.remove(self._record)
 
     def _record(self, phase: str, _info: dict[str, int]) -> None:
@@ -71,12 +75,12 @@
     """Records the spans of a sidecar's process."""
 
     def __init__(self) -> None:
-        self.callbacks = SpanLog()  # of the event loop: each blocks all others
+        self.callbacks = SpanLog()  # event loop callbacks; each blocks all others
         self.collections = CollectionLog()
-        self.registry = SpanLog()  # reading registry responses and applying them
+        self.registry = SpanLog()  # parsing and applying of registry responses
 
     def trace_event_loop(self) -> None:
-        """Time each callback of event loops, and each collection."""
+        """Record each event loop callback and each garbage collection from now on."""
         handle: Any = asyncio.Handle
         handle._run = self.callbacks.timed(handle._run)
         self.collections.install()
@@ -88,7 +92,7 @@
 
 
 class BusyTime:
-    """Sums the time of non-overlapping spans over any interval."""
+    """Computes how much of an interval is covered by non-overlapping spans."""
 
     def __init__(self, spans: list[Span]) -> None:
         ordered = np.array(sorted(spans), dtype=np.float64).reshape(-1, 3)
@@ -97,36 +101,36 @@
         self._cpu = self._cumulative(ordered[:, 2])
 
     @staticmethod
-    def _cumulative(lengths: Times) -> Times:
-        """Return the sums up to each edge: a span's length accrues between its start and its end."""
+    def _cumulative(lengths: FloatArray) -> FloatArray:
+        """Return the cumulative length at each start and end of a span; it grows only within spans."""
         after = np.cumsum(lengths)
         return np.column_stack((after - lengths, after)).ravel()
 
-    def wall_s(self, starts: Times, ends: Times) -> Times:
-        """Return the seconds covered in each interval."""
+    def wall_s(self, starts: FloatArray, ends: FloatArray) -> FloatArray:
+        """Return the wall-clock seconds of each interval that are covered by spans."""
         return self._between(self._wall, starts, ends)
 
-    def cpu_s(self, starts: Times, ends: Times) -> Times:
-        """Return the CPU seconds spent in each interval, assumed to be even over each span."""
+    def cpu_s(self, starts: FloatArray, ends: FloatArray) -> FloatArray:
+        """Return the CPU seconds in each interval, assuming that they are spread evenly over each span."""
         return self._between(self._cpu, starts, ends)
 
-    def _between(self, cumulative: Times, starts: Times, ends: Times) -> Times:
+    def _between(self, cumulative: FloatArray, starts: FloatArray, ends: FloatArray) -> FloatArray:
         if not self._edges.size:
             return np.zeros_like(starts)
-        until_end: Times = np.interp(ends, self._edges, cumulative)
+        until_end: FloatArray = np.interp(ends, self._edges, cumulative)
         return until_end - np.interp(starts, self._edges, cumulative)
 
 
 class Trace:
-    """A trace that was read from a file."""
+    """A recorded trace, indexed to compute the time in intervals."""
 
-    def __init__(self, given: dict[str, list[Span]]) -> None:
-        self.callbacks = BusyTime(given["callbacks"])
-        self.collections = BusyTime(given["collections"])
-        self.registry = BusyTime(given["registry"])
-        self.collections_in_registry = BusyTime(_inside(given["collections"], given["registry"]))
-        self.collection_count = len(given["collections"])
-        self.registry_count = len(given["registry"])  # two for each response: it is read, then applied
+    def __init__(self, spans: dict[str, list[Span]]) -> None:
+        self.callbacks = BusyTime(spans["callbacks"])
+        self.collections = BusyTime(spans["collections"])
+        self.registry = BusyTime(spans["registry"])
+        self.collections_in_registry = BusyTime(_spans_within(spans["collections"], spans["registry"]))
+        self.collection_count = len(spans["collections"])
+        self.registry_count = len(spans["registry"])  # two for each response: parsed, then applied
 
     @staticmethod
     def read(path: Path) -> Trace:
@@ -139,7 +143,7 @@
         return Trace(json.loads(path.read_text(encoding="utf-8")))
 
 
-def _inside(inner: list[Span], outer: list[Span]) -> list[Span]:
+def _spans_within(inner: list[Span], outer: list[Span]) -> list[Span]:
     """Return the inner spans that lie within one of the outer spans."""
     return [
         span
--- a/scale/suite.py
+++ b/scale/suite.py
@@ -12,16 +12,16 @@
 from scale.kinds import load_experiment, run_experiment
 from scale.results import ResultWriter, current_commit
 
-EXPERIMENTS = Path(__file__).resolve().parent / "experiments"
-RESULTS = Path(__file__).resolve().parent.parent / "docs" / "capacity" / "results"
+EXPERIMENTS_FOLDER = Path(__file__).resolve().parent / "experiments"
+RESULTS_FOLDER = Path(__file__).resolve().parent.parent / "docs" / "capacity" / "results"
 TIME_LIMIT_S = 15 * 60.0  # for the complete set
 
-_SMALL_SUFFIX = "-small"  # of the names of experiments for tests, whose results are not stored
+_SMALL_SUFFIX = "-small"  # of the file names of small experiments for tests, whose results are not stored
 
 log = structlog.get_logger()
 
 
-def find_experiments(folder: Path = EXPERIMENTS) -> list[Path]:
+def find_experiments(folder: Path = EXPERIMENTS_FOLDER) -> list[Path]:
     """List the experiment files of a folder, without the small ones for tests.
 
     Raises:
@@ -36,15 +36,15 @@
 def run_suite(paths: Sequence[Path], results: Path) -> float:
     """Run experiments, and write the results of each to a file of its own.
 
-    All files are validated before the first experiment runs.  The commit is read once, as the results
-    themselves may change the work tree.
+    All files are validated before the first experiment runs.  The commit is read only once, because
+    writing the results may make the work tree dirty.
 
     Args:
         paths: The experiment files.
-        results: Folder of the results; each file has its experiment file's name.
+        results: Folder of the results; each file is named after its experiment file.
 
     Returns:
-        How long they took, in seconds.
+        The elapsed time in seconds.
 
     Raises:
         ExperimentError: An experiment file cannot be used.
@@ -53,10 +53,10 @@
     commit = current_commit()
     started_at = time.monotonic()
     for path, experiment in zip(paths, experiments, strict=True):
-        experiment_began = time.monotonic()
+        experiment_started_at = time.monotonic()
         log.info("experiment started", experiment=experiment.name, kind=experiment.kind, seed=experiment.seed)
         with ResultWriter(results / f"{path.stem}.jsonl", experiment, commit) as writer:
             run_experiment(experiment, writer)
-        elapsed_s = round(time.monotonic() - experiment_began, 1)
+        elapsed_s = round(time.monotonic() - experiment_started_at, 1)
         log.info("experiment ended", experiment=experiment.name, elapsed_s=elapsed_s)
     return time.monotonic() - started_at
--- a/tests/configuration/test_reload.py
+++ b/tests/configuration/test_reload.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from reload_stage import OTHER, changed, read_from
+from reload_support import OTHER_SETTINGS, make_settings, reader_of
 
 from sidecar.config import Config
 from sidecar.configuration import read_config
@@ -22,7 +22,7 @@
 
 @dataclass
 class RecordingApply:
-    """Stands in for a sidecar: records what is applied, and fails for some versions."""
+    """Stands in for `Sidecar.reconfigure`: records the configurations, and fails for some versions."""
 
     failing_versions: set[int | None] = field(default_factory=set)
     calls: list[tuple[Config, Config]] = field(default_factory=list)
@@ -33,15 +33,19 @@
             raise RuntimeError("a defect")
 
 
-INITIAL = Config(("127.0.0.1", 1), ("127.0.0.1", 2), 7, 256, changed(), RegistryResponse(0, True, []), 4)
+INITIAL = Config(
+    ("127.0.0.1", 1), ("127.0.0.1", 2), 7, 256, make_settings(), RegistryResponse(0, True, []), 4
+)
 
 
 def test_a_newer_version_takes_effect_and_logs_what_changed(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
     apply = RecordingApply()
     reloader = Reloader(INITIAL, apply)
-    new = replace(INITIAL, version=5, settings=OTHER, discovery=("127.0.0.1", 3), seed=8, sockets=512)
-    result = reloader.reload(read_from(new))
+    new = replace(
+        INITIAL, version=5, settings=OTHER_SETTINGS, discovery=("127.0.0.1", 3), seed=8, sockets=512
+    )
+    result = reloader.reload(reader_of(new))
     assert isinstance(result, Applied)
     assert (result.version, result.changed) == (5, ("classes", "discovery address"))
     assert result.needs_restart == ("seed", "sockets")
@@ -52,23 +56,24 @@
     assert line.endswith("changed: classes, discovery address; needs a restart: seed, sockets")
 
 
-def test_fields_that_need_a_restart_are_compared_with_the_start_not_with_the_last_reload() -> None:
+def test_fields_that_need_a_restart_are_compared_with_the_initial_configuration() -> None:
     reloader = Reloader(INITIAL, RecordingApply())
-    reloader.reload(read_from(replace(INITIAL, version=5, seed=8)))
-    result = reloader.reload(read_from(replace(INITIAL, version=6, seed=8)))
+    reloader.reload(reader_of(replace(INITIAL, version=5, seed=8)))
+    result = reloader.reload(reader_of(replace(INITIAL, version=6, seed=8)))
     assert isinstance(result, Applied)
     assert result.needs_restart == ("seed",)
-    result = reloader.reload(read_from(replace(INITIAL, version=7)))
+    result = reloader.reload(reader_of(replace(INITIAL, version=7)))
     assert isinstance(result, Applied)
     assert result.needs_restart == ()
 
 
 @pytest.mark.parametrize("version", [None, 4])
 def test_the_same_contents_change_nothing(version: int | None) -> None:
-    # Not even where the list of the start differs: whoever writes the file may put in what it knows by now.
-    start, apply = replace(INITIAL, version=version), RecordingApply()
-    again = replace(start, cached_endpoints=RegistryResponse(9, True, []))
-    assert Reloader(start, apply).reload(read_from(again)) == Unchanged(version)
+    # A different list of known endpoints changes nothing either: the writer of the file may include the
+    # endpoints that it knows at that time.
+    initial, apply = replace(INITIAL, version=version), RecordingApply()
+    same = replace(initial, cached_endpoints=RegistryResponse(9, True, []))
+    assert Reloader(initial, apply).reload(reader_of(same)) == Unchanged(version)
     assert apply.calls == []
 
 
@@ -76,7 +81,7 @@
 def test_a_version_that_is_not_newer_is_rejected(version: int, caplog: pytest.LogCaptureFixture) -> None:
     apply = RecordingApply()
     reloader = Reloader(INITIAL, apply)
-    result = reloader.reload(read_from(replace(INITIAL, version=version, settings=OTHER)))
+    result = reloader.reload(reader_of(replace(INITIAL, version=version, settings=OTHER_SETTINGS)))
     assert isinstance(result, Rejected)
     assert f"version {version}" in result.reason
     assert reloader.active is INITIAL
@@ -84,30 +89,30 @@
     assert caplog.messages == [f"reload rejected; keeping the active configuration: {result.reason}"]
 
 
-def test_a_file_without_a_version_is_always_applied_and_any_version_after_it() -> None:
+def test_a_file_without_a_version_is_always_applied_and_then_any_version() -> None:
     reloader = Reloader(INITIAL, RecordingApply())
-    for version, new_settings in ((None, OTHER), (None, INITIAL.settings), (1, OTHER)):
+    for version, new_settings in ((None, OTHER_SETTINGS), (None, INITIAL.settings), (1, OTHER_SETTINGS)):
         assert isinstance(
-            reloader.reload(read_from(replace(INITIAL, version=version, settings=new_settings))), Applied
+            reloader.reload(reader_of(replace(INITIAL, version=version, settings=new_settings))), Applied
         )
 
 
 def test_a_rollback_needs_a_newer_version() -> None:
     apply = RecordingApply()
     reloader = Reloader(INITIAL, apply)
-    reloader.reload(read_from(replace(INITIAL, version=5, settings=OTHER)))
-    result = reloader.reload(read_from(replace(INITIAL, version=6)))
+    reloader.reload(reader_of(replace(INITIAL, version=5, settings=OTHER_SETTINGS)))
+    result = reloader.reload(reader_of(replace(INITIAL, version=6)))
     assert isinstance(result, Applied)
     assert result.changed == ("classes",)
     assert apply.calls[-1][1].settings == INITIAL.settings
 
 
-def test_a_bad_file_between_two_good_ones_leaves_the_previous_one_in_force(
+def test_an_invalid_file_leaves_the_previous_configuration_in_force(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     path, apply = tmp_path / "config.json", RecordingApply()
     lanes = [WIRE_CLASS]
-    given: dict[str, Any] = {
+    valid_config: dict[str, Any] = {
         "listen": "127.0.0.1:1",
         "discovery": "127.0.0.1:2",
         "settings": {"lanes": lanes},
@@ -116,52 +121,52 @@
     def read() -> Config:
         return read_config({"RELAY_CONFIG": str(path)})
 
-    def put(content: object) -> ReloadResult:
+    def write_and_reload(content: object) -> ReloadResult:
         path.write_text(content if isinstance(content, str) else json.dumps(content), encoding="utf-8")
         return reloader.reload(read)
 
-    path.write_text(json.dumps(given | {"version": 1}), encoding="utf-8")
+    path.write_text(json.dumps(valid_config | {"version": 1}), encoding="utf-8")
     reloader = Reloader(read(), apply)
-    assert isinstance(put(given | {"version": 2, "discovery": "127.0.0.1:3"}), Applied)
+    assert isinstance(write_and_reload(valid_config | {"version": 2, "discovery": "127.0.0.1:3"}), Applied)
     for bad in (
         "",
-        json.dumps(given)[:-9],
+        json.dumps(valid_config)[:-9],
         "[" * 100_000,
-        given | {"version": 9, "settings": {"lanes": []}},
-        given | {"version": 9, "settings": {"lanes": lanes, "bounds": {"sendCap": "many"}}},
-        *(given | {"version": version} for version in ("9", 9.5, True, -1)),
+        valid_config | {"version": 9, "settings": {"lanes": []}},
+        valid_config | {"version": 9, "settings": {"lanes": lanes, "bounds": {"sendCap": "many"}}},
+        *(valid_config | {"version": version} for version in ("9", 9.5, True, -1)),
     ):
-        assert isinstance(put(bad), Rejected)
+        assert isinstance(write_and_reload(bad), Rejected)
     path.unlink()
     assert isinstance(reloader.reload(read), Rejected)
     assert len(caplog.messages) == 10
     assert len(apply.calls) == 1
-    assert isinstance(put(given | {"version": 3, "discovery": "127.0.0.1:4"}), Applied)
+    assert isinstance(write_and_reload(valid_config | {"version": 3, "discovery": "127.0.0.1:4"}), Applied)
     assert [each.discovery[1] for pair in apply.calls for each in pair] == [2, 3, 3, 4]
 
 
 def test_an_exception_while_applying_restores_the_previous_configuration() -> None:
     apply = RecordingApply(failing_versions={5})
     reloader = Reloader(INITIAL, apply)
-    new = replace(INITIAL, version=5, settings=OTHER)
-    assert isinstance(reloader.reload(read_from(new)), Rejected)
+    new = replace(INITIAL, version=5, settings=OTHER_SETTINGS)
+    assert isinstance(reloader.reload(reader_of(new)), Rejected)
     assert apply.calls == [(INITIAL, new), (new, INITIAL)]
     assert reloader.active is INITIAL
-    assert isinstance(reloader.reload(read_from(replace(new, version=6))), Applied)
+    assert isinstance(reloader.reload(reader_of(replace(new, version=6))), Applied)
 
 
 def test_a_reload_reads_no_entry_of_the_last_known_endpoint_list(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    given = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": {"lanes": [WIRE_CLASS]}}
-    line = {"name": "s-0", "address": "127.0.0.1:3", "status": "active"}
+    valid_config = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": {"lanes": [WIRE_CLASS]}}
+    entry = {"name": "s-0", "address": "127.0.0.1:3", "status": "active"}
 
-    def entries(known: object, with_entries: bool) -> int:
-        path.write_text(json.dumps(given | {"known": known}), encoding="utf-8")
+    def count_entries(known: object, with_entries: bool) -> int:
+        path.write_text(json.dumps(valid_config | {"known": known}), encoding="utf-8")
         config = read_config({"RELAY_CONFIG": str(path)}, with_known_endpoints=with_entries)
         return len(config.cached_endpoints.endpoints)
 
-    known = {"index": 1, "snapshot": True, "endpoints": [line]}
-    assert [entries(known, with_entries) for with_entries in (True, False)] == [1, 0]
+    known = {"index": 1, "snapshot": True, "endpoints": [entry]}
+    assert [count_entries(known, with_entries) for with_entries in (True, False)] == [1, 0]
     invalid_lists: list[object] = [
         [],
         {"index": 1},
@@ -170,4 +175,4 @@
     ]
     for invalid in invalid_lists:
         with pytest.raises(ConfigurationError):
-            entries(invalid, with_entries=False)
+            count_entries(invalid, with_entries=False)
--- a/tests/proxy/test_wall_clock_steps.py
+++ b/tests/proxy/test_wall_clock_steps.py
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize("span_s", STEPS_S)
 def test_clock_runs_on_through_a_step(span_s: float, step: Step) -> None:
     clock = Clock()
-    before_us, began_us = clock.now(), time.monotonic_ns() // 1000
+    began_us, before_us = time.monotonic_ns() // 1000, clock.now()
     step(span_s)
     after_us, ended_us = clock.now(), time.monotonic_ns() // 1000
     assert 0 <= after_us - before_us <= ended_us - began_us + 1
@@ -50,11 +50,11 @@
             assert (await proxy.send_request())[0] == 200
             proxy.servers[0].script = never_respond
             asked = asyncio.create_task(proxy.send_request(kind="pay", body=b"x", budget="0.4"))
-            await wait_until(lambda: len(proxy.sent()) == 2)
+            await wait_until(lambda: len(proxy.server_requests()) == 2)
             if not before:
                 step(span_s)
             assert (await asked)[0] == 500
-            assert float(proxy.sent()[1][1]["x-budget"]) <= 0.4
+            assert float(proxy.server_requests()[1][1]["x-budget"]) <= 0.4
 
     run_scenario(scenario())
 
