--- a/tests/proxy/faulty_sockets.py
+++ b/tests/proxy/faulty_sockets.py
@@ -1,4 +1,4 @@
-"""Sockets whose system calls fail as a script says, for connections to servers."""
+"""Sockets for connections to servers, whose system calls fail as scripted."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import pytest
 
-Failures = Iterator[int | None]  # what a system call fails with, call by call; None: it works
+Failures = Iterator[int | None]  # the errno that each call fails with, in order; None: the call succeeds
 
 
 def errno_name(code: object) -> str:
@@ -18,6 +18,7 @@
 
 
 def fail_times(code: int, times: int) -> Failures:
+    """Let the first calls fail, and all later ones succeed."""
     for _ in range(times):
         yield code
     while True:
@@ -25,13 +26,14 @@
 
 
 def raise_next_failure(failures: Failures) -> None:
+    """Raise the error of the next call, if it is to fail."""
     code = next(failures)
     if code is not None:
         raise OSError(code, os.strerror(code))
 
 
 class FaultySocket(socket.socket):
-    """A socket whose system calls fail as a script says."""
+    """A socket whose system calls fail as scripted."""
 
     connect_failures: Failures = fail_times(0, 0)
     setsockopt_failures: Failures = fail_times(0, 0)
@@ -39,23 +41,23 @@
     read_failures: Failures = fail_times(0, 0)
     close_failures: Failures = fail_times(0, 0)
     shutdown_failures: Failures = fail_times(0, 0)
-    max_send_bytes = max_read_bytes = 1 << 30  # bytes that one call takes or gives
+    max_send_bytes = max_read_bytes = 1 << 30  # limits of a single call
 
     def connect(self, address: Any) -> None:
         raise_next_failure(self.connect_failures)
         super().connect(address)
 
-    def setsockopt(self, *given: Any) -> None:
+    def setsockopt(self, *arguments: Any) -> None:
         raise_next_failure(self.setsockopt_failures)
-        super().setsockopt(*given)
+        super().setsockopt(*arguments)
 
     def send(self, data: Any, *flags: int) -> int:
         raise_next_failure(self.send_failures)
         return super().send(memoryview(data)[: self.max_send_bytes], *flags)
 
-    def recv_into(self, buffer: Any, *given: int) -> int:
+    def recv_into(self, buffer: Any, *arguments: int) -> int:
         raise_next_failure(self.read_failures)
-        return super().recv_into(memoryview(buffer)[: self.max_read_bytes], *given)
+        return super().recv_into(memoryview(buffer)[: self.max_read_bytes], *arguments)
 
     def shutdown(self, how: int) -> None:
         raise_next_failure(self.shutdown_failures)
@@ -69,15 +71,21 @@
 
 
 def use_faulty_sockets(
-    monkeypatch: pytest.MonkeyPatch, socket_failures: Failures | None = None, **calls: Failures | int
+    monkeypatch: pytest.MonkeyPatch, socket_failures: Failures | None = None, **attributes: Failures | int
 ) -> None:
-    """Let dials use sockets whose calls fail so, all together by one script for each call."""
-    faulty = type("Faulty", (FaultySocket,), calls)
+    """Make dials use sockets whose system calls fail as scripted; all sockets share the scripts.
+
+    Args:
+        monkeypatch: Restores the real sockets after the test.
+        socket_failures: The failures of the creation of sockets.
+        attributes: The attributes of `FaultySocket` to set.
+    """
+    socket_type = type("Faulty", (FaultySocket,), attributes)
 
     def new_socket(_: object) -> socket.socket:
         if socket_failures is not None:
             raise_next_failure(socket_failures)
-        made: socket.socket = faulty(socket.AF_INET, socket.SOCK_STREAM)
-        return made
+        sock: socket.socket = socket_type(socket.AF_INET, socket.SOCK_STREAM)
+        return sock
 
     monkeypatch.setattr("sidecar.proxy.sockets.new_socket", new_socket)
--- a/tests/proxy/pool_requests.py
+++ b/tests/proxy/pool_requests.py
@@ -23,12 +23,12 @@
 
 
 async def outcome_of(pool: ConnectionPool, timeout_s: float = TIMEOUT_S, body: bytes = b"") -> Outcome:
-    """Send a POST to server s; return its outcome."""
+    """Send a POST to server s through a pool; return the outcome of the attempt."""
     loop = asyncio.get_running_loop()
-    ended: asyncio.Future[Outcome] = loop.create_future()
+    first_outcome: asyncio.Future[Outcome] = loop.create_future()
 
     def on_outcome(outcome: Outcome, _: Response | None) -> None:
-        ended.set_result(outcome)  # a second outcome would raise here
+        first_outcome.set_result(outcome)  # raises an error at a second outcome
 
     pool.send("s", post_request(body), loop.time() + timeout_s, on_outcome)
-    return await asyncio.wait_for(ended, TIMEOUT_S)
+    return await asyncio.wait_for(first_outcome, TIMEOUT_S)
--- a/tests/proxy/race_helpers.py
+++ b/tests/proxy/race_helpers.py
@@ -1,7 +1,7 @@
-"""Clients and connections whose events are forced into the order that does harm.
+"""Clients and connections whose events are forced into a harmful order.
 
-None is left to chance: an end of a connection is awaited in the kernel with the event loop standing still,
-and what the loop would have read first is handed on by hand.
+The order does not depend on timing.  While the event loop is blocked, a client waits until its close has
+reached the sidecar's kernel.  Data that the loop would have read first is passed to the connection directly.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from sidecar.proxy.addresses import Address
 from sidecar.proxy.server_connection import ServerConnection
 
-FAR_DEADLINE = time.monotonic() + 3600.0  # as the event loop counts
-_FIN_WAIT2 = 5  # as TCP_INFO tells it: the other side's kernel has the end
+FAR_DEADLINE = time.monotonic() + 3600.0  # event loop time, in seconds
+_FIN_WAIT2 = 5  # state in TCP_INFO: the peer's kernel has acknowledged the FIN
 
 
 class Client:
-    """A client whose end is in the sidecar's kernel once it has left, though its event loop had no turn."""
+    """A client whose close the sidecar's kernel has when `disconnect` returns, before the event loop runs."""
 
     def __init__(self, address: Address, data: bytes) -> None:
         self._sock = socket.create_connection(address)
@@ -41,17 +41,17 @@
         self._sock.close()
 
 
-def connection_of_request(proxy: ProxyHarness, ident: str) -> ServerConnection:
-    """The connection that a request's attempt is out on."""
-    (live,) = [each for each in proxy.sidecar._active if each.client_request.request_id == ident]
-    (exchange,) = live.in_flight.values()
+def connection_of_request(proxy: ProxyHarness, request_id: str) -> ServerConnection:
+    """Return the connection that carries the only attempt of a request."""
+    (active,) = [each for each in proxy.sidecar._active if each.client_request.request_id == request_id]
+    (exchange,) = active.in_flight.values()
     assert exchange is not None
     assert exchange.connection is not None
     return exchange.connection
 
 
 async def open_reusable_connections(proxy: ProxyHarness) -> None:
-    """Let each server have a connection that carries nothing: what is sent next is written at once."""
+    """Open an idle connection to each server, so that the next requests are written at once."""
     proxy.sidecar._pool._idle_connections.reuse_delay_s = 0.0
     while not all(each.writers for each in proxy.servers):
         assert (await proxy.send_request())[0] == 200
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -19,7 +19,7 @@
 from sidecar.proxy.driver import Sidecar
 from sidecar.proxy.registry_messages import parse_registry_response
 
-TIMEOUT_S = 20.0  # for events that must happen; no test asserts by it that one did not
+TIMEOUT_S = 20.0  # limit for events that must happen; no test uses it to show that an event does not happen
 
 Headers = dict[str, str]
 
@@ -27,11 +27,11 @@
 def run_scenario(scenario: Coroutine[Any, Any, None]) -> None:
     """Run an asynchronous test with a time limit."""
 
-    async def bounded() -> None:
+    async def with_time_limit() -> None:
         async with asyncio.timeout(60.0):
             await scenario
 
-    asyncio.run(bounded())
+    asyncio.run(with_time_limit())
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
@@ -42,20 +42,21 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, Headers, bytes]:
-    """Read a request or a response: first line, headers, body."""
+    """Read a request or a response; return its start line, headers and body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
-    first, *lines = head.strip().split("\r\n")
+    start_line, *lines = head.strip().split("\r\n")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
-    return first, headers, await reader.readexactly(int(headers.get("content-length", "0")))
+    return start_line, headers, await reader.readexactly(int(headers.get("content-length", "0")))
 
 
 def encode_response(status: int = 200, body: bytes = b"done", **headers: str) -> bytes:
+    """Encode a response; underscores in the names of `headers` stand for hyphens."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     return "\r\n".join([*lines, "", ""]).encode() + body
 
 
-# Scripts of servers: the response to any request.
+# Scripts for fake servers: each returns the response to any request.
 
 
 def respond_ok(*_: object) -> bytes:
@@ -77,7 +78,7 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Reset a connection, as a dying process does."""
+    """Reset a connection, as the end of a process does."""
     sock = writer.get_extra_info("socket")
     if sock.fileno() < 0:
         return
@@ -86,7 +87,7 @@
 
 
 class LoopbackListener:
-    """A listener on a loopback port that the kernel picks."""
+    """A listener on a loopback port that the kernel assigns."""
 
     address: Address = ("127.0.0.1", 0)
     _server: asyncio.Server | None = None
@@ -104,7 +105,7 @@
 
 
 class FakeServer(LoopbackListener):
-    """A server that responds as `script` returns: None for no response, b"" for a reset."""
+    """A server whose responses `script` returns: None for no response, b"" for a connection reset."""
 
     def __init__(self, name: str, script: Callable[[str, Headers, bytes], bytes | None]) -> None:
         self.name = name
@@ -140,13 +141,14 @@
             reset(writer)
 
     def entry(self, **changes: Any) -> dict[str, Any]:
+        """Return the registry entry of this server, with some fields changed."""
         address = f"{self.address[0]}:{self.address[1]}"
         entry = {"name": self.name, "address": address, "zone": "east", "type": "m", "group": 1}
         return entry | {"status": "active", "weight": 1.0, "since_ms": 0} | changes
 
 
 class FakeDiscovery(LoopbackListener):
-    """Answers each call with the next of `responses`; without one the call waits."""
+    """A registry that answers each call with the next item of `responses`, and waits until there is one."""
 
     def __init__(self) -> None:
         self.targets: list[str] = []
@@ -158,10 +160,10 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         loop = asyncio.get_running_loop()
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-            first, _, _ = await read_message(reader)
+            request_line, _, _ = await read_message(reader)
             if self._responded_at is not None:
                 self.call_delays_s.append(loop.time() - self._responded_at)
-            self.targets.append(first.split(" ")[1])
+            self.targets.append(request_line.split(" ")[1])
             self.call_log.append(f"call {len(self.targets)}")
             number = len(self.targets)
             reply = await self.responses.get()
@@ -175,9 +177,11 @@
         writer.close()
 
     def has_calls(self, count: int) -> bool:
+        """Return whether at least this number of calls has arrived."""
         return len(self.targets) >= count
 
     def push_update(self, index: int, entries: list[Any], snapshot: bool = False) -> None:
+        """Answer the pending or the next call with a snapshot, or with the changes up to `index`."""
         payload = {"index": index, "snapshot": snapshot, "endpoints": entries}
         self.responses.put_nowait(encode_response(200, json.dumps(payload).encode()))
 
@@ -194,7 +198,7 @@
         self._requests_sent = 0
 
     def server_requests(self) -> list[tuple[str, Headers, bytes]]:
-        """All requests that reached servers, by server."""
+        """Return all requests that reached servers, ordered by server."""
         return [request for server in self.servers for request in server.requests]
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -202,7 +206,7 @@
         return await asyncio.open_connection(*self.sidecar.frontend.address)
 
     async def send_request(self, **changes: Any) -> tuple[int, Headers, bytes]:
-        """Send a request with a unique id."""
+        """Send a request with a unique id on a new connection; return status, headers and body."""
         self._requests_sent += 1
         return await send_request(
             self.sidecar.frontend.address, request(**{"X_Call_Id": f"{self._requests_sent:016x}", **changes})
@@ -222,17 +226,25 @@
     registry: FakeDiscovery | None = None,
     **changes: Any,
 ) -> AsyncIterator[ProxyHarness]:
-    """Run a sidecar with one server for each script; it is ready at once if `settled`."""
+    """Run a sidecar with one fake server for each script.
+
+    Args:
+        scripts: The scripts of the servers.
+        sockets: The sidecar's limit on open sockets.
+        settled: Whether the sidecar reports readiness at once, without waiting for its event loop to settle.
+        registry: The registry; None: a new `FakeDiscovery`.
+        changes: Settings that differ from those of the balancer harness.
+    """
     servers = [FakeServer(f"s-{number}", script) for number, script in enumerate(scripts)]
     discovery = registry or FakeDiscovery()
     for server in servers:
         await server.start()
     await discovery.start()
-    given = settings(**{"classes": CLASSES, "limits": LIMITS, **changes})
+    proxy_settings = settings(**{"classes": CLASSES, "limits": LIMITS, **changes})
     known = parse_registry_response(
         {"index": 41, "snapshot": True, "endpoints": [each.entry() for each in servers]}
     )
-    config = Config(("127.0.0.1", 0), discovery.address, 7, sockets, given, known)
+    config = Config(("127.0.0.1", 0), discovery.address, 7, sockets, proxy_settings, known)
     proxy = ProxyHarness(config, servers, discovery)
     running = asyncio.create_task(proxy.sidecar.run(proxy.stop))
     await wait_until(lambda: proxy.sidecar._balancer._has_started)
@@ -256,8 +268,17 @@
     method: str | None = None,
     **headers: str | None,
 ) -> bytes:
-    """The bytes of a request; a header given as None is left out."""
-    given: dict[str, str | None] = {
+    """Encode a request.
+
+    Args:
+        kind: The service class of the request.
+        path: The request target.
+        body: The body.
+        budget: The remaining time until the deadline, in seconds.
+        method: The method; None: GET for class look, POST for others.
+        headers: Further headers; underscores in names stand for hyphens, and None omits a header.
+    """
+    all_headers: dict[str, str | None] = {
         "Host": "app.svc",
         "X-Call-Id": "9b1f03aa5c7e2d41",
         "X-Call-Class": kind,
@@ -265,8 +286,8 @@
         "Idempotency-Key": "5c0f6e1a" if kind == "amend" else None,
         "Content-Length": str(len(body)),
     }
-    given |= {name.replace("_", "-"): value for name, value in headers.items()}
-    lines = [f"{name}: {value}" for name, value in given.items() if value is not None]
+    all_headers |= {name.replace("_", "-"): value for name, value in headers.items()}
+    lines = [f"{name}: {value}" for name, value in all_headers.items() if value is not None]
     verb = method or ("GET" if kind == "look" else "POST")
     return "\r\n".join([f"{verb} {path} HTTP/1.1", *lines, "", ""]).encode() + body
 
@@ -282,12 +303,13 @@
 
 
 async def read_response(reader: asyncio.StreamReader) -> tuple[int, Headers, bytes]:
-    first, headers, body = await asyncio.wait_for(read_message(reader), TIMEOUT_S)
-    return int(first.split(" ")[1]), headers, body
+    """Read a response; return its status, headers and body."""
+    status_line, headers, body = await asyncio.wait_for(read_message(reader), TIMEOUT_S)
+    return int(status_line.split(" ")[1]), headers, body
 
 
 async def wait_for_eof(reader: asyncio.StreamReader) -> bool:
-    """Wait for the peer to close the connection."""
+    """Wait until the peer closes the connection; return whether it sends no more data before."""
     try:
         return await asyncio.wait_for(reader.read(1), TIMEOUT_S) == b""
     except ConnectionError:
@@ -296,7 +318,7 @@
 
 @contextlib.contextmanager
 def unread_listener() -> Iterator[socket.socket]:
-    """A listener that reads nothing, with small receive buffers."""
+    """Open a listener with small receive buffers; nothing reads from its connections."""
     with socket.socket() as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
         listener.bind(("127.0.0.1", 0))
@@ -305,20 +327,20 @@
 
 
 def shrink_send_buffers(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Shrink the send buffers of new connections to servers, so that long requests are written in parts."""
+    """Shrink the send buffers of new connections to servers, so that a long request needs several writes."""
     new_socket = sockets.new_socket
 
-    def small(address: Address) -> socket.socket:
-        made = new_socket(address)
-        made.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        return made
+    def new_socket_with_small_buffer(address: Address) -> socket.socket:
+        sock = new_socket(address)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        return sock
 
-    monkeypatch.setattr(sockets, "new_socket", small)
+    monkeypatch.setattr(sockets, "new_socket", new_socket_with_small_buffer)
 
 
 @contextlib.contextmanager
 def full_backlog_listener() -> Iterator[Address]:
-    """A listener with a full backlog: connections to it are never established."""
+    """Open a listener whose backlog is full, so that connections to it are never established."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(0)
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -18,13 +18,13 @@
 from sidecar.balancer.events import ServerState
 from sidecar.proxy.clock import Clock
 
-_POLL_S = 0.001  # data sent over loopback arrives within this real time
-_ITERATION_S = 1e-6  # virtual time of one loop iteration: no two timestamps are equal
-STEP_S = 0.1  # longest single advance of the virtual time
+_POLL_S = 0.001  # real time within which data sent over loopback arrives
+_ITERATION_S = 1e-6  # virtual time of one loop iteration, so that no two iterations have the same time
+STEP_S = 0.1  # longest single sleep while a test lets virtual time pass
 
 
-class SkippingSelector(selectors.DefaultSelector):
-    """Polls only briefly, and counts the requested timeout as elapsed."""
+class VirtualTimeSelector(selectors.DefaultSelector):
+    """A selector that polls briefly; if no socket is ready, it counts the requested timeout as elapsed."""
 
     elapsed_s = 0.0
 
@@ -37,10 +37,13 @@
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """Its clock counts iterations and timeouts, not the code between them: a busy machine has no effect."""
+    """An event loop whose clock counts iterations and timeouts.
+
+    The execution time of the code between them does not count, so that a busy machine has no effect.
+    """
 
     def __init__(self) -> None:
-        self.time_selector = SkippingSelector()
+        self.time_selector = VirtualTimeSelector()
         super().__init__(self.time_selector)
 
     def time(self) -> float:
@@ -48,23 +51,24 @@
 
 
 def _loop_clock(clock: Clock) -> int:
-    """The sidecar's clock, read from the event loop."""
+    """Return the time of the sidecar's clock, derived from the event loop's, in microseconds."""
     return int(asyncio.get_running_loop().time() * 1e6) + clock._offset_us
 
 
 def run_in_virtual_time(scenario: Coroutine[Any, Any, None]) -> None:
-    """Run an asynchronous test on a virtual clock, which the sidecar reads too."""
+    """Run an asynchronous test on a virtual clock, which the sidecar uses too."""
     with pytest.MonkeyPatch.context() as patch, asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         patch.setattr(Clock, "now", _loop_clock)
         runner.run(scenario)
 
 
 def now_s() -> float:
+    """Return the time of the running event loop."""
     return asyncio.get_running_loop().time()
 
 
 class RegistryStandIn(FakeDiscovery):
-    """A registry with long polls and scripted faults: calls pending at a fault are lost."""
+    """A registry with long polls and scripted faults; calls that are pending when a fault begins are lost."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -77,14 +81,14 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._calls.add(writer)
         try:
-            first, _, _ = await read_message(reader)
-            self.targets.append(first.split(" ")[1])
+            request_line, _, _ = await read_message(reader)
+            self.targets.append(request_line.split(" ")[1])
             if self.fault is None:
                 reply = await self._answer(self.targets[-1])
                 if writer in self._calls:
                     writer.write(reply)
                 else:
-                    await reader.read()  # it failed in the meantime: this call is lost
+                    await reader.read()  # a fault began in the meantime: this call is lost
             elif self.fault == "503":
                 writer.write(encode_response(503, b""))
             elif self.fault == "reset":
@@ -111,13 +115,19 @@
         return encode_response(200, json.dumps(payload).encode())
 
     async def change(self, entry: dict[str, Any]) -> None:
+        """Add a version with a changed entry, and answer the pending long polls."""
         async with self._version_changed:
             self.version += 1
             self.changes.append(entry)
             self._version_changed.notify_all()
 
     def fail(self, fault: str) -> None:
-        """Begin a fault; pending calls fail the same way, or never get a response."""
+        """Begin a fault.  Pending calls fail in the same way, or never get a response.
+
+        Args:
+            fault: What happens to calls: "503" (an error response), "reset" (a connection reset) or "refused"
+                (the listener is closed).  With any other value calls get no response.
+        """
         self.fault = fault
         for writer in list(self._calls):
             if fault == "503":
@@ -129,22 +139,24 @@
             self.stop()
 
     async def recover(self) -> None:
+        """End the fault."""
         if self.fault == "refused":
             self._server = await asyncio.start_server(self._serve, *self.address)
         self.fault = None
 
 
-async def assert_notified_within(proxy: ProxyHarness, limit_s: float, began: float) -> None:
-    """Wait until the drain is applied, and fail if that takes longer than the limit."""
+async def assert_notified_within(proxy: ProxyHarness, limit_s: float, since_s: float) -> None:
+    """Wait until the drain of server s-0 is applied, and fail if that takes longer than the limit."""
     server = proxy.sidecar._balancer._context.registry.servers["s-0"]
     while server.state is not ServerState.DRAINING:
-        assert now_s() < began + limit_s, (
-            f"not notified {limit_s} s later; calls: {len(proxy.discovery.targets)}"
+        assert now_s() < since_s + limit_s, (
+            f"drain not applied within {limit_s} s; registry calls: {len(proxy.discovery.targets)}"
         )
         await asyncio.sleep(STEP_S)
 
 
-async def advance(span_s: float) -> None:
-    ends = now_s() + span_s
-    while now_s() < ends:
-        await asyncio.sleep(min(STEP_S, ends - now_s()))
+async def advance(duration_s: float) -> None:
+    """Let virtual time pass, in steps of at most `STEP_S`."""
+    end_s = now_s() + duration_s
+    while now_s() < end_s:
+        await asyncio.sleep(min(STEP_S, end_s - now_s()))
