--- a/tests/proxy/test_accept_faults.py
+++ b/tests/proxy/test_accept_faults.py
@@ -47,20 +47,20 @@
         return getattr(self._real, name)
 
 
-def name_of(code: object) -> str:
+def errno_name(code: object) -> str:
     return errno.errorcode[code] if isinstance(code, int) else str(code)
 
 
 def fail_accepts(proxy: ProxyHarness, code: int, failures: int) -> FailingListener:
     """Make the next accepts of a sidecar fail."""
     frontend = proxy.sidecar.frontend
-    # The double has the part of a socket that the frontend uses.
+    # The double implements the part of a socket that the frontend uses.
     frontend._sock = made = FailingListener(frontend._sock, code, failures)  # type: ignore[assignment]
     return made
 
 
 def record_loop_faults() -> list[dict[str, Any]]:
-    """The exceptions that reach the event loop from now on."""
+    """Return a list that collects the exceptions which reach the event loop from now on."""
     faults: list[dict[str, Any]] = []
     asyncio.get_running_loop().set_exception_handler(lambda _, context: faults.append(context))
     return faults
@@ -70,7 +70,7 @@
     return len(os.listdir("/proc/self/fd"))
 
 
-@pytest.mark.parametrize("code", CONNECTION_ERRORS, ids=name_of)
+@pytest.mark.parametrize("code", CONNECTION_ERRORS, ids=errno_name)
 def test_fault_of_one_queued_connection_does_not_delay_the_next(
     monkeypatch: pytest.MonkeyPatch, code: int
 ) -> None:
@@ -88,8 +88,8 @@
     run_scenario(scenario())
 
 
-@pytest.mark.parametrize("code", [*CONNECTION_ERRORS, *RESOURCE_ERRORS], ids=name_of)
-def test_failing_accepts_back_off_and_end_nothing(code: int) -> None:
+@pytest.mark.parametrize("code", [*CONNECTION_ERRORS, *RESOURCE_ERRORS], ids=errno_name)
+def test_failing_accepts_back_off_without_stopping_the_listener(code: int) -> None:
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
             faults = record_loop_faults()
@@ -99,36 +99,36 @@
             elapsed = asyncio.get_running_loop().time() - began
             assert not faults
             backoffs = 40 / listener._MAX_ACCEPT_ATTEMPTS
-            assert elapsed >= backoffs * 0.05 * 0.9  # it left the queue alone meanwhile
+            assert elapsed >= backoffs * 0.05 * 0.9  # no accepts during a back-off
             assert sock.accepts < 50
 
     run_scenario(scenario())
 
 
 def fail_method(method: str) -> Callable[[pytest.MonkeyPatch, ProxyHarness], None]:
-    """Makes a method of the next accepted socket fail, as after a reset."""
+    """Return a function that makes a method of the next accepted socket fail, as after a reset."""
 
-    class Broken(socket.socket):
+    class FailingSocket(socket.socket):
         pass
 
     def fail(*_: object) -> None:
         raise OSError(errno.EINVAL, os.strerror(errno.EINVAL))
 
-    setattr(Broken, method, fail)
+    setattr(FailingSocket, method, fail)
 
-    def apply(monkeypatch: pytest.MonkeyPatch, proxy: ProxyHarness) -> None:
+    def inject(monkeypatch: pytest.MonkeyPatch, proxy: ProxyHarness) -> None:
         real = proxy.sidecar.frontend._sock
 
-        class Breaking(FailingListener):
+        class ListenerOfFailingSocket(FailingListener):
             def accept(self) -> Any:
                 sock, address = real.accept()
                 proxy.sidecar.frontend._sock = real
-                return Broken(fileno=sock.detach()), address
+                return FailingSocket(fileno=sock.detach()), address
 
-        # The double has the part of a socket that the frontend uses.
-        proxy.sidecar.frontend._sock = Breaking(real, 0, 0)  # type: ignore[assignment]
+        # The double implements the part of a socket that the frontend uses.
+        proxy.sidecar.frontend._sock = ListenerOfFailingSocket(real, 0, 0)  # type: ignore[assignment]
 
-    return apply
+    return inject
 
 
 def fail_transport(monkeypatch: pytest.MonkeyPatch, proxy: ProxyHarness) -> None:
@@ -150,23 +150,25 @@
 }
 
 
-@pytest.mark.parametrize("apply", SOCKET_FAULTS.values(), ids=SOCKET_FAULTS)
+@pytest.mark.parametrize("inject", SOCKET_FAULTS.values(), ids=SOCKET_FAULTS)
 def test_accepted_socket_that_fails_is_closed_and_no_longer_counted(
-    monkeypatch: pytest.MonkeyPatch, apply: Callable[[pytest.MonkeyPatch, ProxyHarness], None]
+    monkeypatch: pytest.MonkeyPatch, inject: Callable[[pytest.MonkeyPatch, ProxyHarness], None]
 ) -> None:
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
             faults = record_loop_faults()
             await wait_until(lambda: proxy.sidecar.frontend._accepting)
-            before = count_descriptors()
-            apply(monkeypatch, proxy)
+            descriptors_before = count_descriptors()
+            inject(monkeypatch, proxy)
             client = socket.create_connection(proxy.sidecar.frontend.address)
             client.setblocking(False)
             reader, writer = await asyncio.open_connection(sock=client)
             assert await asyncio.wait_for(reader.read(), 20.0) == b""
             writer.close()
             await wait_until(
-                lambda: proxy.sidecar.frontend.has_no_connections() and count_descriptors() == before
+                lambda: (
+                    proxy.sidecar.frontend.has_no_connections() and count_descriptors() == descriptors_before
+                )
             )
             assert not faults
             assert (await proxy.send_request())[0] == 200
@@ -175,15 +177,15 @@
 
 
 def fail_opening(monkeypatch: pytest.MonkeyPatch, code: int, failures: int) -> list[int]:
-    """Make the next calls that open a listener fail; the list returned has an entry for each call."""
+    """Make the next calls that open a listener fail; return a list with an entry for each call."""
     create_server = socket.create_server
     calls: list[int] = []
 
-    def fail(*given: Any, **named: Any) -> socket.socket:
+    def fail(*arguments: Any, **keywords: Any) -> socket.socket:
         calls.append(code)
         if len(calls) <= failures:
             raise OSError(code, os.strerror(code))
-        return create_server(*given, **named)
+        return create_server(*arguments, **keywords)
 
     monkeypatch.setattr(socket, "create_server", fail)
     monkeypatch.setattr("sidecar.proxy.listener._OPEN_RETRY_INTERVAL_S", 0.001)
@@ -200,7 +202,7 @@
         errno.ENOBUFS,
         errno.ENOMEM,
     ],
-    ids=name_of,
+    ids=errno_name,
 )
 def test_opening_the_listener_is_retried_on_transient_errors(
     monkeypatch: pytest.MonkeyPatch, code: int
@@ -214,12 +216,12 @@
     run_scenario(scenario())
 
 
-@pytest.mark.parametrize("patience_s", [10.0, 0.0])
-def test_listener_that_cannot_be_opened_ends_the_start(
-    monkeypatch: pytest.MonkeyPatch, patience_s: float
+@pytest.mark.parametrize("timeout_s", [10.0, 0.0])
+def test_failure_to_open_the_listener_aborts_the_start(
+    monkeypatch: pytest.MonkeyPatch, timeout_s: float
 ) -> None:
-    monkeypatch.setattr("sidecar.proxy.listener._OPEN_TIMEOUT_S", patience_s)
-    code = errno.EACCES if patience_s else errno.EADDRINUSE
+    monkeypatch.setattr("sidecar.proxy.listener._OPEN_TIMEOUT_S", timeout_s)
+    code = errno.EACCES if timeout_s else errno.EADDRINUSE
     calls = fail_opening(monkeypatch, code, 1000)
     with pytest.raises(OSError) as raised:
         listener.open_listener(("127.0.0.1", 0))
--- a/tests/proxy/test_attempt_outcomes.py
+++ b/tests/proxy/test_attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""What attempts forward, and what the end of each one proves about its request."""
+"""What attempts forward, and what each outcome proves about whether the request was executed."""
 
 from __future__ import annotations
 
@@ -34,27 +34,28 @@
         body = bytes(range(256)) * 16
         async with running_proxy(lambda *_: encode_response(200, body, Content_Type="x/y")) as proxy:
             sent = request("amend", "/api/7f3a?q=1", b"\0body\xff", X_Caller="acme")
-            status, headers, got = await send_request(proxy.sidecar.frontend.address, sent)
-            assert (status, headers["content-type"], got) == (200, "x/y", body)
-            ((first, given, there),) = proxy.server_requests()
-            assert first == "POST /api/7f3a?q=1 HTTP/1.1"
-            assert there == b"\0body\xff"
-            assert given["x-call-id"] == "9b1f03aa5c7e2d41"
-            assert given["idempotency-key"] == "5c0f6e1a"
-            assert 0.0 < float(given["x-budget"]) < 5.0
+            status, headers, response_body = await send_request(proxy.sidecar.frontend.address, sent)
+            assert (status, headers["content-type"], response_body) == (200, "x/y", body)
+            ((request_line, sent_headers, sent_body),) = proxy.server_requests()
+            assert request_line == "POST /api/7f3a?q=1 HTTP/1.1"
+            assert sent_body == b"\0body\xff"
+            assert sent_headers["x-call-id"] == "9b1f03aa5c7e2d41"
+            assert sent_headers["idempotency-key"] == "5c0f6e1a"
+            assert 0.0 < float(sent_headers["x-budget"]) < 5.0
 
     run_scenario(scenario())
 
 
-# Guards rule 2: of an unsafe request only these ends prove that it never ran.
+# Guards against executing a non-idempotent request twice: it may be retried only if it certainly never ran.
 @pytest.mark.parametrize(
-    ("reply", "status", "attempts"),
+    ("reply", "expected_status", "attempts"),
     [
         (encode_response(503, b"", X_Rejected="1"), 200, 2),
         (encode_response(504, b"", X_Rejected="1"), 200, 2),
         (encode_response(503, b""), 500, 1),
         (encode_response(500, b"", X_Rejected="1"), 500, 1),
-        # These say two things: one answer may be another request's, and one header takes the other back.
+        # Ambiguous rejections: with excess data, one of the responses may belong to another request; or the
+        # headers contradict each other.
         (encode_response(503, b"", X_Rejected="1") + encode_response(200, b"served"), 500, 1),
         (encode_response(503, b"", X_Rejected="1") + encode_response(503, b"", X_Rejected="1"), 500, 1),
         (encode_response(503, b"", X_Rejected="1") + b"nonsense", 500, 1),
@@ -65,18 +66,18 @@
     ],
 )
 def test_non_idempotent_request_is_retried_only_if_it_never_ran(
-    reply: bytes, status: int, attempts: int
+    reply: bytes, expected_status: int, attempts: int
 ) -> None:
     async def scenario() -> None:
         replies = [reply]
 
-        def first_so(*_: object) -> bytes:
+        def reply_then_serve(*_: object) -> bytes:
             return replies.pop() if replies else encode_response(200, b"served")
 
-        async with running_proxy(first_so, first_so, first_so) as proxy:
-            got, _, body = await proxy.send_request(kind="pay", body=b"x")
-            assert got == status
-            assert (body == b"served") == (status == 200)
+        async with running_proxy(reply_then_serve, reply_then_serve, reply_then_serve) as proxy:
+            status, _, body = await proxy.send_request(kind="pay", body=b"x")
+            assert status == expected_status
+            assert (body == b"served") == (expected_status == 200)
             assert len(proxy.server_requests()) == attempts
 
     run_scenario(scenario())
@@ -92,24 +93,24 @@
     run_scenario(scenario())
 
 
-# Guards rule 1: what announces more than came has been cut short, and is never passed on.
+# Guards against forwarding a truncated response, which ends before the length or the last chunk announced.
 @pytest.mark.parametrize(
-    "cut",
+    "truncated",
     [
         b"HTTP/1.1 200 X\r\nContent-Length: 99\r\n\r\nnot all of it",
         b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nnot a\r\n",
     ],
 )
-def test_truncated_body_is_not_forwarded(cut: bytes) -> None:
+def test_truncated_body_is_not_forwarded(truncated: bytes) -> None:
     async def scenario() -> None:
-        async with running_proxy(lambda *_: cut) as proxy:
-            asking = asyncio.create_task(proxy.send_request(kind="pay", body=b"x"))
+        async with running_proxy(lambda *_: truncated) as proxy:
+            sending = asyncio.create_task(proxy.send_request(kind="pay", body=b"x"))
             await wait_until(proxy.server_requests)
             await asyncio.sleep(0)
             server = proxy.servers[0]
             await wait_until(lambda: server.writers)
             server.writers[0].close()
-            assert (await asking)[0] == 500
+            assert (await sending)[0] == 500
 
     run_scenario(scenario())
 
@@ -130,18 +131,18 @@
 def test_malformed_response_is_an_error_at_once_and_its_connection_is_not_reused(
     malformed: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The server keeps the connection open: nothing but the answer itself tells.
+    # The server keeps the connection open, so that only the response itself shows the error.
     async def scenario() -> None:
         async with running_proxy(lambda *_: malformed) as proxy:
-            real, heard = proxy.sidecar._balancer.handle, []
+            real_handle, events = proxy.sidecar._balancer.handle, []
 
             def handle(now: int, event: Event) -> list[Action]:
-                heard.append(event)
-                return real(now, event)
+                events.append(event)
+                return real_handle(now, event)
 
             monkeypatch.setattr(proxy.sidecar._balancer, "handle", handle)
-            assert (await proxy.send_request(kind="pay", body=b"x"))[0] == 500  # it may have run
-            assert [each.outcome for each in heard if isinstance(each, AttemptEnded)] == [Outcome.ERROR]
+            assert (await proxy.send_request(kind="pay", body=b"x"))[0] == 500  # it may have been executed
+            assert [each.outcome for each in events if isinstance(each, AttemptEnded)] == [Outcome.ERROR]
             await wait_until(lambda: proxy.servers[0].closed_by_peer == 1)
             proxy.servers[0].script = respond_ok
             assert (await proxy.send_request())[0] == 200
@@ -150,11 +151,11 @@
     run_scenario(scenario())
 
 
-@pytest.mark.parametrize("more", [encode_response(200, b"a second copy"), b"noise"])
-def test_excess_data_after_a_response_costs_its_connection_and_nothing_else(more: bytes) -> None:
+@pytest.mark.parametrize("excess", [encode_response(200, b"a second copy"), b"noise"])
+def test_excess_data_after_a_response_closes_only_its_connection(excess: bytes) -> None:
     async def scenario() -> None:
         async with running_proxy(
-            lambda *_: b"HTTP/1.1 103 X\r\n\r\n" + encode_response(200, b"done") + more
+            lambda *_: b"HTTP/1.1 103 X\r\n\r\n" + encode_response(200, b"done") + excess
         ) as proxy:
             for number in range(3):
                 assert (await proxy.send_request(X_Call_Id=f"{number}"))[2] == b"done"
@@ -163,7 +164,7 @@
     run_scenario(scenario())
 
 
-def test_hung_server_leaves_time_for_a_response_and_its_connection_is_closed() -> None:
+def test_attempt_to_a_hung_server_ends_in_time_for_a_response_and_closes_its_connection() -> None:
     async def scenario() -> None:
         async with running_proxy(never_respond) as proxy:
             loop = asyncio.get_running_loop()
@@ -179,15 +180,15 @@
 
 def test_reset_before_the_last_byte_is_written_proves_that_the_request_never_ran() -> None:
     async def scenario() -> None:
-        body = bytes(32 * 1024 * 1024)  # more than the kernel takes: the rest waits in the transport
+        body = bytes(32 * 1024 * 1024)  # more than the kernel buffers: the rest waits in the transport
         listener = socket.create_server(("127.0.0.1", 0))
         connection = await connect(listener.getsockname()[:2], 1024)
-        other, _ = listener.accept()
-        ended: asyncio.Future[Response | None] = asyncio.get_running_loop().create_future()
-        connection.request(encode_post(body), ended.set_result)
+        server_sock, _ = listener.accept()
+        response: asyncio.Future[Response | None] = asyncio.get_running_loop().create_future()
+        connection.request(encode_post(body), response.set_result)
         assert not connection.request_written
-        other.close()  # with bytes unread: a reset
-        assert await asyncio.wait_for(ended, TIMEOUT_S) is None
+        server_sock.close()  # with unread bytes, which resets the connection
+        assert await asyncio.wait_for(response, TIMEOUT_S) is None
         assert (
             classify_outcome(None, connection.request_written, connection.has_protocol_error)
             is Outcome.CONNECT_FAILED
@@ -203,15 +204,15 @@
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
         connection = await connect(listener.getsockname()[:2], 1024)
-        other, _ = listener.accept()
-        reader, writer = await asyncio.open_connection(sock=other, limit=2**26)
-        ended: asyncio.Future[Response | None] = asyncio.get_running_loop().create_future()
-        connection.request(encode_post(body), ended.set_result)
+        server_sock, _ = listener.accept()
+        reader, writer = await asyncio.open_connection(sock=server_sock, limit=2**26)
+        response: asyncio.Future[Response | None] = asyncio.get_running_loop().create_future()
+        connection.request(encode_post(body), response.set_result)
         await reader.readuntil(b"\r\n\r\n")
         await reader.readexactly(len(body))
         await wait_until(lambda: connection.request_written)
         reset(writer)
-        assert await asyncio.wait_for(ended, TIMEOUT_S) is None
+        assert await asyncio.wait_for(response, TIMEOUT_S) is None
         assert (
             classify_outcome(None, connection.request_written, connection.has_protocol_error) is Outcome.RESET
         )
@@ -237,7 +238,9 @@
         pool.update("s", server.address, None, ServerState.READY)
         outcomes: list[Outcome] = []
         loop = asyncio.get_running_loop()
-        exchange: Exchange = pool.send("s", post_request(), loop.time() + 30, lambda o, _: outcomes.append(o))
+        exchange: Exchange = pool.send(
+            "s", post_request(), loop.time() + 30, lambda outcome, _: outcomes.append(outcome)
+        )
         await wait_until(lambda: server.requests)
         pool.cancel(exchange)
         pool.cancel(exchange)
--- a/tests/proxy/test_client_connections.py
+++ b/tests/proxy/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Connections of clients: pipelined requests, time limits and closes."""
+"""Client connections: pipelined requests, time limits and closes."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from sidecar.proxy.client_connection import ClientConnection
 from sidecar.proxy.connection_state import ConnectionState
 
-BAD_PEER_S = 3.0  # by when a client that breaks the protocol gets its error or a close
+BAD_CLIENT_TIMEOUT_S = 3.0  # a client that violates the protocol gets an error or a close by then
 PIPELINED = {"junk": b"\x00\x01 junk\r\n\r\n", "half a request": b"GET /half"}
 
 
@@ -42,7 +42,7 @@
 
 
 def test_connection_with_an_unread_request_is_not_idle() -> None:
-    # Guards against closing a connection whose request is in the kernel and has not been read yet.
+    # Guards against closing a connection whose request has reached the kernel but has not been read yet.
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
             _, writer = await proxy.connect()
@@ -50,10 +50,10 @@
             connection: ClientConnection = next(iter(proxy.sidecar.frontend.connections))
             assert connection.is_idle()
             peer = writer.get_extra_info("socket")
-            peer_fd = socket.socket(fileno=socket.dup(peer.fileno()))
-            peer_fd.send(request())  # within one step of the event loop
+            duplicate = socket.socket(fileno=socket.dup(peer.fileno()))
+            duplicate.send(request())  # the event loop does not run before the next check
             assert not connection.is_idle()
-            peer_fd.close()
+            duplicate.close()
             writer.close()
 
     run_scenario(scenario())
@@ -94,9 +94,9 @@
             proxy.servers[0].writers[0].write(respond_ok())
             status, _, body = await read_response(reader)
             assert (status, body) == (200, b"served")
-            ending = await asyncio.wait_for(reader.read(), TIMEOUT_S)
-            assert ending.partition(b"\r\n")[0] in (b"HTTP/1.1 408 ", b"")
-            assert bool(ending) is (pipelined == PIPELINED["half a request"])
+            rest = await asyncio.wait_for(reader.read(), TIMEOUT_S)
+            assert rest.partition(b"\r\n")[0] in (b"HTTP/1.1 408 ", b"")
+            assert bool(rest) is (pipelined == PIPELINED["half a request"])
             assert len(proxy.server_requests()) == 1
             writer.close()
 
@@ -115,8 +115,8 @@
             status, headers, _ = await read_response(reader)
             assert (status, headers["connection"]) == (500, "close")
             assert await wait_for_eof(reader)
-            assert now_s() < began + BAD_PEER_S
-            await wait_until(lambda: proxy.servers[0].closed_by_peer == 1)  # nothing waits for the attempt
+            assert now_s() < began + BAD_CLIENT_TIMEOUT_S
+            await wait_until(lambda: proxy.servers[0].closed_by_peer == 1)  # the attempt has been aborted
             assert (await proxy.send_request(kind="look", path="/health/ready"))[0] == 200
             writer.close()
 
@@ -130,10 +130,10 @@
             client.sendall(request("pay", body=b"held", Connection="close"))
             await wait_until(proxy.server_requests)
             (connection,) = proxy.sidecar.frontend.connections
-            held = connection._request
-            assert held is not None
+            pending = connection._request
+            assert pending is not None
             client.close()
-            held.responder.respond(200, [], b"done")  # before the event loop hears of the close
+            pending.responder.respond(200, [], b"done")  # before the event loop processes the close
             await wait_until(lambda: not proxy.sidecar.frontend.connections)
 
     run_scenario(scenario())
--- a/tests/proxy/test_client_disconnect_races.py
+++ b/tests/proxy/test_client_disconnect_races.py
@@ -1,4 +1,4 @@
-"""A client disconnects while its request is accepted, sent, retried or held."""
+"""A client disconnects while its request is accepted, sent, retried or queued."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
             for each in (queued, unread):
                 each.disconnect()
             proxy.sidecar.frontend._resume_accepting()
-            assert (await proxy.send_request(X_Call_Id="next"))[0] == 200  # it was queued behind them
+            assert (await proxy.send_request(X_Call_Id="next"))[0] == 200  # accepted and read after them
             await wait_until(lambda: not proxy.sidecar._active)
             assert [head["x-call-id"] for _, head, _ in proxy.server_requests()] == ["next"]
             for each in (queued, unread):
@@ -54,27 +54,27 @@
 
 
 def test_client_disconnects_as_the_connection_for_its_request_opens(monkeypatch: pytest.MonkeyPatch) -> None:
-    dialled, go_on = asyncio.Event(), asyncio.Event()
+    connected, proceed = asyncio.Event(), asyncio.Event()
     connect = server_connection.connect
 
-    async def held_up(*given: object) -> ServerConnection:
-        # It passes on whatever the code under test gives it.
-        connection = await connect(*given)  # type: ignore[arg-type]
-        dialled.set()
-        await go_on.wait()
+    async def connect_and_wait(*arguments: object) -> ServerConnection:
+        # The arguments are passed on unchanged.
+        connection = await connect(*arguments)  # type: ignore[arg-type]
+        connected.set()
+        await proceed.wait()
         return connection
 
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
-            monkeypatch.setattr(connection_dialer, "connect", held_up)
+            monkeypatch.setattr(connection_dialer, "connect", connect_and_wait)
             client = Client(proxy.sidecar.frontend.address, request("pay", body=b"x"))
-            await dialled.wait()
+            await connected.wait()
             client.disconnect()
-            go_on.set()  # the dial is next in the loop, ahead of what the client's socket holds
+            proceed.set()  # the event loop continues with the dial before it reads the client's close
             await wait_until(lambda: not proxy.sidecar._active)
             assert (await proxy.send_request(kind="pay", body=b"next", X_Call_Id="next"))[0] == 200
             assert [body for _, _, body in proxy.server_requests()] == [b"next"]
-            # The connection was kept for others, and is counted once.
+            # The connection is kept for other requests, and is counted once.
             assert proxy.sidecar._pool.open_connections == len(
                 proxy.sidecar._pool.servers["s-0"].idle_connections
             )
@@ -93,11 +93,10 @@
             client = Client(proxy.sidecar.frontend.address, request())
             await wait_until(lambda: len(proxy.server_requests()) == before + 1)
             client.disconnect()
-            connection_of_request(proxy, "9b1f03aa5c7e2d41").data_received(
-                reject()
-            )  # read before the client's end
+            # The rejection is read before the client's close.
+            connection_of_request(proxy, "9b1f03aa5c7e2d41").data_received(reject())
             await wait_until(lambda: not proxy.sidecar._active)
-            assert (await proxy.send_request(path="/health/ready"))[0] == 200  # the loop has had its turns
+            assert (await proxy.send_request(path="/health/ready"))[0] == 200  # the loop has run meanwhile
             assert len(proxy.server_requests()) == before + 1
             client.close()
 
@@ -109,7 +108,7 @@
 
     async def scenario() -> None:
         async with running_proxy(never_respond, classes=classes) as proxy:
-            proxy.sidecar._pool._idle_connections.reuse_delay_s = 0.0  # what is free is used at once
+            proxy.sidecar._pool._idle_connections.reuse_delay_s = 0.0  # idle connections are reused at once
             first = Client(proxy.sidecar.frontend.address, request(X_Call_Id="first"))
             await wait_until(proxy.server_requests)
             second = Client(proxy.sidecar.frontend.address, request(X_Call_Id="second"))
@@ -124,9 +123,10 @@
     run_scenario(scenario())
 
 
-@pytest.mark.parametrize("left", [True, False])
-def test_client_disconnects_as_its_long_request_is_half_written(left: bool) -> None:
-    # With the last byte a server begins, and a busy event loop may write it long after the client left.
+@pytest.mark.parametrize("disconnects", [True, False])
+def test_client_disconnects_as_its_long_request_is_half_written(disconnects: bool) -> None:
+    # A server starts on a request when it has the last byte, which a busy event loop may write long after
+    # the client has disconnected.
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         with socket.socket() as listener:
@@ -134,74 +134,82 @@
             listener.bind(("127.0.0.1", 0))
             listener.listen()
             listener.setblocking(False)
-            servers = ConnectionPool(600.0, 600.0, 10)
-            servers.update("s", listener.getsockname()[:2], None, ServerState.READY)
+            pool = ConnectionPool(600.0, 600.0, 10)
+            pool.update("s", listener.getsockname()[:2], None, ServerState.READY)
             data = encode_message(b"POST / HTTP/1.1", [(b"Content-Length", b"8000000")], bytes(8_000_000))
-            orders = [data, None if left else data]
-            heard: list[Outcome] = []
-            exchange = servers.send(
-                "s", DeferredRequest(lambda _: orders.pop(0)), FAR_DEADLINE, lambda end, _: heard.append(end)
+            encodings = [data, None if disconnects else data]
+            outcomes: list[Outcome] = []
+            exchange = pool.send(
+                "s",
+                DeferredRequest(lambda _: encodings.pop(0)),
+                FAR_DEADLINE,
+                lambda outcome, _: outcomes.append(outcome),
             )
             accepted, _ = await loop.sock_accept(listener)
             with accepted:
                 await wait_until(lambda: exchange.connection is not None)
                 assert not exchange.is_request_written()
-                assert len(orders) == 1
-                got = 0
-                while got < len(data) - left:
-                    got += len(await loop.sock_recv(accepted, 1 << 20))
-                if left:
-                    await wait_until(lambda: heard)
+                assert len(encodings) == 1
+                received = 0
+                while received < len(data) - disconnects:
+                    received += len(await loop.sock_recv(accepted, 1 << 20))
+                if disconnects:
+                    await wait_until(lambda: outcomes)
                     with contextlib.suppress(ConnectionError):
                         assert await loop.sock_recv(accepted, 10) == b""
-                    assert heard == [Outcome.NOT_SENT]
+                    assert outcomes == [Outcome.NOT_SENT]
                 else:
                     await loop.sock_sendall(accepted, respond_ok())
-                    await wait_until(lambda: heard)
-                    assert heard == [Outcome.SUCCEEDED]
-            assert orders == []
+                    await wait_until(lambda: outcomes)
+                    assert outcomes == [Outcome.SUCCEEDED]
+            assert encodings == []
 
     run_scenario(scenario())
 
 
-@pytest.mark.parametrize("leaves", [False, True])
+@pytest.mark.parametrize("disconnects", [False, True])
 def test_client_disconnects_as_its_request_waits_for_load_probes(
-    leaves: bool, monkeypatch: pytest.MonkeyPatch
+    disconnects: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    made: list[ServerConnection] = []
+    connections: list[ServerConnection] = []
     connect = server_connection.connect
 
-    async def noted(
-        address: Address, body_most: int, stall_s: float | None = None, sock: socket.socket | None = None
+    async def connect_and_record(
+        address: Address,
+        max_body_bytes: int,
+        response_timeout_s: float | None = None,
+        sock: socket.socket | None = None,
     ) -> ServerConnection:
-        made.append(await connect(address, body_most, stall_s, sock))
-        return made[-1]
+        connections.append(await connect(address, max_body_bytes, response_timeout_s, sock))
+        return connections[-1]
 
-    monkeypatch.setattr(connection_dialer, "connect", noted)
+    monkeypatch.setattr(connection_dialer, "connect", connect_and_record)
     report = {"source": "probes", "columns": ["inflight"]}
 
-    def holds_probes(first: str, *_: object) -> bytes | None:
-        return None if "/stats" in first else respond_ok()
+    def serve_all_but_probes(request_line: str, *_: object) -> bytes | None:
+        return None if "/stats" in request_line else respond_ok()
 
     async def scenario() -> None:
-        # Held until the probes' answers settle it: nothing has told yet how long probes take.
+        # The request waits for the responses to the probes, as their usual duration is not known yet.
         classes = [
             each | {"deadline_us": 600 * SECOND_US, "latency_target_us": 600 * SECOND_US} for each in CLASSES
         ]
         limits = LIMITS | {"allow_probes": True, "dial_timeout_us": 600 * SECOND_US}
         changes: dict[str, Any] = {"classes": classes, "limits": limits, "prices": {"probe": 0.001}}
-        async with running_proxy(holds_probes, holds_probes, report=report, **changes) as proxy:
-            proxy.sidecar._pool._idle_connections.reuse_delay_s = 0.0  # what was probed is written at once
+        async with running_proxy(
+            serve_all_but_probes, serve_all_but_probes, report=report, **changes
+        ) as proxy:
+            proxy.sidecar._pool._idle_connections.reuse_delay_s = 0.0  # idle connections are reused at once
             client = Client(proxy.sidecar.frontend.address, request(budget="500"))
             await wait_until(lambda: len(proxy.server_requests()) == 2)
-            if leaves:
+            if disconnects:
                 client.disconnect()
-            for probed in made:
-                if not probed.is_idle() and probed.request_written:  # read before the client's end
+            for probed in connections:
+                if not probed.is_idle() and probed.request_written:  # read before the client's close
                     probed.data_received(encode_response(200, b'{"inflight": 1}'))
             await wait_until(lambda: not proxy.sidecar._active)
-            begun = [first for first, _, _ in proxy.server_requests() if "/stats" not in first]
-            assert len(begun) == (not leaves)
+            forwarded = [line for line, _, _ in proxy.server_requests() if "/stats" not in line]
+            assert len(forwarded) == (not disconnects)
             client.close()
 
     run_scenario(scenario())
--- a/tests/proxy/test_connection_capacity.py
+++ b/tests/proxy/test_connection_capacity.py
@@ -1,4 +1,4 @@
-"""The number of clients' connections is limited: which are closed to accept others."""
+"""The limit on client connections, and which ones are closed so that others can be accepted."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def test_connections_beyond_the_capacity_replace_idle_ones() -> None:
-    # Guards the descriptor limit: 66 sockets leave one for clients.
+    # Guards against exceeding the descriptor limit; of 66 sockets, one is left for clients.
     async def scenario() -> None:
         async with running_proxy(respond_ok, sockets=66) as proxy:
             first, writer = await proxy.connect()
@@ -48,7 +48,7 @@
 
 
 def test_idle_connections_leave_capacity_for_others() -> None:
-    # Guards clients with few connections: idle ones could otherwise take up the whole capacity.
+    # Guards clients with few connections against idle connections that take up the whole capacity.
     async def scenario() -> None:
         async with running_proxy(respond_ok, sockets=88) as proxy:
             readers = []
@@ -66,7 +66,7 @@
 
 
 def test_connections_are_evicted_only_for_a_pending_one() -> None:
-    # A full table is no reason to close connections just opened while no further one is pending.
+    # Guards against closing new connections because the table is full, although no further one is pending.
     async def scenario() -> None:
         async with running_proxy(respond_ok, sockets=80) as proxy:
             frontend = proxy.sidecar.frontend
@@ -96,30 +96,31 @@
             clients = [socket.create_connection(frontend.address) for _ in range(frontend.table.capacity)]
             await wait_until(lambda: len(frontend.connections) == frontend.table.capacity)
             clients += [socket.create_connection(frontend.address) for _ in range(40)]
-            held = []
+            descriptor_counts = []
             accept = frontend._accept
 
-            def noted(max_accepted: int = 64) -> bool:
-                done = accept(max_accepted)
-                held.append(len(os.listdir("/proc/self/fd")))
-                return done
+            def accept_and_count(max_accepted: int = 64) -> bool:
+                is_queue_empty = accept(max_accepted)
+                descriptor_counts.append(len(os.listdir("/proc/self/fd")))
+                return is_queue_empty
 
-            before = len(os.listdir("/proc/self/fd"))
+            descriptors_before = len(os.listdir("/proc/self/fd"))
             frontend._pause_accepting()
-            frontend._accept = noted  # type: ignore[method-assign]  # counts descriptors at each call
+            frontend._accept = accept_and_count  # type: ignore[method-assign]  # counts descriptors at each call
             frontend._resume_accepting()
             former = set(frontend.connections)
             await wait_until(lambda: len(set(frontend.connections) - former) == 40)
-            assert max(held) <= before + 1
+            assert max(descriptor_counts) <= descriptors_before + 1
             for each in clients:
                 each.close()
 
     run_scenario(scenario())
 
 
-@pytest.mark.parametrize("turns", range(6))
-def test_connection_being_set_up_counts_once(turns: int) -> None:
-    # Counted twice for a few iterations of the event loop, it evicted others that were new as well.
+@pytest.mark.parametrize("loop_iterations", range(6))
+def test_connection_being_set_up_counts_once(loop_iterations: int) -> None:
+    # Guards against counting a connection twice for a few iterations of the event loop, which would evict
+    # other new connections.
     async def scenario() -> None:
         async with running_proxy(respond_ok, sockets=80) as proxy:
             frontend = proxy.sidecar.frontend
@@ -133,7 +134,7 @@
                     sock.setblocking(False)
                     clients.append(sock)
                 assert frontend._accept()
-                for _ in range(turns):
+                for _ in range(loop_iterations):
                     await asyncio.sleep(0)
             for index, sock in enumerate(clients):
                 reader, writer = await asyncio.open_connection(sock=sock)
--- a/tests/proxy/test_connection_reuse.py
+++ b/tests/proxy/test_connection_reuse.py
@@ -1,4 +1,4 @@
-"""Which idle connections carry further requests, and how long they are kept."""
+"""Which idle connections are reused for further requests, and how long they are kept."""
 
 from __future__ import annotations
 
@@ -20,40 +20,40 @@
         async with running_proxy(respond_ok) as proxy:
             for _ in range(5):
                 assert (await proxy.send_request())[0] == 200
-                await asyncio.sleep(0.05)  # longer than it has to rest
+                await asyncio.sleep(0.05)  # longer than the reuse delay
             assert len(proxy.servers[0].writers) == 1
 
     run_scenario(scenario())
 
 
 def test_connection_is_not_reused_before_the_reuse_delay_even_at_the_connection_limit() -> None:
-    # Guards against an end or a second copy that is under way behind the answer: it would pass for the answer
-    # to the next request.  What has no room takes the place of a connection instead.
+    # A close or a second response may still be in transit behind the response, and would be taken for the
+    # response to the next request.  At the connection limit a new connection replaces an idle one instead.
     async def scenario() -> None:
         limits = LIMITS | {"dial_timeout_us": 600 * SECOND_US}
         async with running_proxy(respond_ok, sockets=72, limits=limits) as proxy:
             for _ in range(9):
                 assert (await proxy.send_request())[0] == 200
-                assert proxy.sidecar._pool.open_connections <= 4  # all that the descriptors allow
+                assert proxy.sidecar._pool.open_connections <= 4  # the descriptor limit allows no more
             assert len(proxy.servers[0].writers) == 9
 
     run_scenario(scenario())
 
 
-# Guards against a request that is written to a connection which its server has already ended.
-@pytest.mark.parametrize("how", ["end", "stray"])
-def test_connection_with_an_unread_end_or_stray_bytes_is_not_reused(how: str) -> None:
+# Guards against writing a request to a connection that its server has already closed or sent stray bytes on.
+@pytest.mark.parametrize("unread", ["end", "stray"])
+def test_connection_with_an_unread_end_or_stray_bytes_is_not_reused(unread: str) -> None:
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
             assert (await proxy.send_request(kind="pay", body=b"x"))[0] == 200
             connection = proxy.sidecar._pool.servers["s-0"].idle_connections[0].connection
             writer = proxy.servers[0].writers[0]
-            if how == "end":
-                raw = writer.get_extra_info("socket")
-                raw.shutdown(socket.SHUT_WR)
+            if unread == "end":
+                server_sock = writer.get_extra_info("socket")
+                server_sock.shutdown(socket.SHUT_WR)
             else:
                 writer.write(b"HTTP/1.1 200 X\r\n")
-            # Blocks until the kernel has it, so that the event loop can't have seen it: the peek must.
+            # Blocks until the kernel has it.  The event loop can't have read it, so only a peek detects it.
             connection.sock.setblocking(True)
             assert connection.sock.recv(1, socket.MSG_PEEK) is not None
             connection.sock.setblocking(False)
@@ -64,7 +64,7 @@
     run_scenario(scenario())
 
 
-def test_idle_times_after_which_connections_break_are_not_trusted() -> None:
+def test_connections_are_not_trusted_after_idle_times_with_frequent_failures() -> None:
     lifetimes = IdleLifetimeEstimator(10.0)
     for _ in range(40):
         lifetimes.record(None, False)
@@ -75,10 +75,10 @@
     assert lifetimes.is_trusted(0.04, 0.0)
     assert not lifetimes.is_trusted(0.3, 0.0)
     assert not lifetimes.is_trusted(5.0, 0.0)
-    assert lifetimes.is_trusted(5.0, 40.0)  # what was learnt has faded
+    assert lifetimes.is_trusted(5.0, 40.0)  # the earlier observations have decayed
 
 
-def test_breaks_that_new_connections_suffer_too_do_not_count_against_idle_ones() -> None:
+def test_failures_as_frequent_on_new_connections_do_not_count_against_idle_ones() -> None:
     lifetimes = IdleLifetimeEstimator(10.0)
     for number in range(60):
         lifetimes.record(None, number % 4 == 0)
@@ -90,23 +90,22 @@
     async def scenario() -> None:
         used: set[asyncio.StreamWriter] = set()
 
-        def once(*_: object) -> bytes:
+        def serve_first_and_reset_later(*_: object) -> bytes:
             writer = server.writers[-1]
             if writer in used:
                 return b""
             used.add(writer)
             return respond_ok()
 
-        server = FakeServer("s", once)
+        server = FakeServer("s", serve_first_and_reset_later)
         await server.start()
         pool = ConnectionPool(30.0, 60.0, 10)
-        pool._idle_connections.reuse_delay_s = 0.0  # connections are used again at once
+        pool._idle_connections.reuse_delay_s = 0.0  # connections are reused at once
         pool.update("s", server.address, None, ServerState.READY)
         outcomes = [await outcome_of(pool) for _ in range(100)]
         assert Outcome.RESET in outcomes
-        assert set(outcomes[60:]) == {
-            Outcome.SUCCEEDED
-        }  # lags spread requests over more idle times, each learnt apart
+        # Lags spread requests over several buckets of idle times, of which each collects failures separately.
+        assert set(outcomes[60:]) == {Outcome.SUCCEEDED}
         server.stop()
 
     run_scenario(scenario())
--- a/tests/proxy/test_descriptor_shortage.py
+++ b/tests/proxy/test_descriptor_shortage.py
@@ -1,4 +1,4 @@
-"""The listener lacks descriptors for a while."""
+"""The process is out of descriptors for a while."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class RespondingHandler:
-    """Answers each request as soon as it is read."""
+    """Responds to each request as soon as it is read."""
 
     def handle_request(self, request: ClientRequest) -> None:
         request.responder.respond(200, [], b"taken")
@@ -34,7 +34,7 @@
         return True
 
 
-def test_lack_of_descriptors_neither_spins_nor_ends_the_listener() -> None:
+def test_lack_of_descriptors_does_not_stop_the_listener() -> None:
     class ListenerWithoutDescriptors:
         """A listener whose first accepts fail."""
 
@@ -53,7 +53,7 @@
     async def scenario() -> None:
         frontend = Frontend(("127.0.0.1", 0), 5, RespondingHandler(), settings(classes=CLASSES))
         real = frontend._sock
-        # The double has the part of a socket that the frontend uses.
+        # The double implements the part of a socket that the frontend uses.
         frontend._sock = ListenerWithoutDescriptors(real)  # type: ignore[assignment]
         frontend.start()
         assert (await send_request(frontend.address, request()))[2] == b"taken"
--- a/tests/proxy/test_dialing.py
+++ b/tests/proxy/test_dialing.py
@@ -1,4 +1,4 @@
-"""Dials that fail for causes on this machine, and those that fail for the server's."""
+"""Dials that fail for a cause on this machine, and dials that fail for a cause on the server's side."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from sidecar.proxy.connection_pool import ConnectionPool
 from sidecar.proxy.server_connection import connect
 
-_LOCAL = (
+_LOCAL_ERRNOS = (
     errno.EADDRNOTAVAIL,
     errno.EADDRINUSE,
     errno.EAGAIN,
@@ -38,40 +38,40 @@
     errno.ENOMEM,
     errno.EPERM,
 )
-_OF_THE_SERVER = (errno.ECONNREFUSED, errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH)
-_NO_SOCKET = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+_SERVER_ERRNOS = (errno.ECONNREFUSED, errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH)
+_SOCKET_CREATION_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
-def descriptors() -> int:
+def count_descriptors() -> int:
     return len(os.listdir("/proc/self/fd"))
 
 
 def dial(expected: Outcome, dial_timeout_s: float = TIMEOUT_S, address: Address | None = None) -> None:
-    """Send one request; check its outcome, and that neither a descriptor nor a count of one is left."""
+    """Send one request; check its outcome, and that no descriptor and no counted connection is left."""
 
     async def scenario() -> None:
         server = FakeServer("s", respond_ok)
         await server.start()
-        servers = ConnectionPool(dial_timeout_s, 60.0, 10)
-        servers.update("s", address or server.address, None, ServerState.READY)
-        before = descriptors()
-        assert await outcome_of(servers) is expected
+        pool = ConnectionPool(dial_timeout_s, 60.0, 10)
+        pool.update("s", address or server.address, None, ServerState.READY)
+        before = count_descriptors()
+        assert await outcome_of(pool) is expected
         assert len(server.requests) == (expected is Outcome.SUCCEEDED)
-        servers.close_idle("s")
-        await wait_until(lambda: servers.open_connections == 0)
+        pool.close_idle("s")
+        await wait_until(lambda: pool.open_connections == 0)
         server.stop()
-        await wait_until(lambda: descriptors() <= before)
+        await wait_until(lambda: count_descriptors() <= before)
 
     run_scenario(scenario())
 
 
-@pytest.mark.parametrize("code", _LOCAL, ids=errno_name)
+@pytest.mark.parametrize("code", _LOCAL_ERRNOS, ids=errno_name)
 def test_dial_that_fails_for_a_local_cause_is_retried(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
     use_faulty_sockets(monkeypatch, connect_failures=fail_times(code, 3))
     dial(Outcome.SUCCEEDED)
 
 
-@pytest.mark.parametrize("code", _LOCAL, ids=errno_name)
+@pytest.mark.parametrize("code", _LOCAL_ERRNOS, ids=errno_name)
 def test_server_is_not_blamed_for_a_persistent_local_failure(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -79,7 +79,7 @@
     dial(Outcome.NOT_SENT, dial_timeout_s=0.1)
 
 
-@pytest.mark.parametrize("code", _NO_SOCKET, ids=errno_name)
+@pytest.mark.parametrize("code", _SOCKET_CREATION_ERRNOS, ids=errno_name)
 @pytest.mark.parametrize(("times", "expected"), [(3, Outcome.SUCCEEDED), (10**9, Outcome.NOT_SENT)])
 def test_lack_of_sockets_is_not_a_failure_of_the_server(
     code: int, times: int, expected: Outcome, monkeypatch: pytest.MonkeyPatch
@@ -88,7 +88,7 @@
     dial(expected, dial_timeout_s=TIMEOUT_S if expected is Outcome.SUCCEEDED else 0.1)
 
 
-@pytest.mark.parametrize("code", _OF_THE_SERVER, ids=errno_name)
+@pytest.mark.parametrize("code", _SERVER_ERRNOS, ids=errno_name)
 def test_dial_that_fails_for_a_cause_of_the_server_is_not_retried(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -134,33 +134,33 @@
 ) -> None:
     use_faulty_sockets(monkeypatch, connect_failures=fail_times(errno.EADDRNOTAVAIL, 10**9))
 
-    async def scenario(end: Callable[[ConnectionPool], None], expected: Outcome, seconds: float) -> None:
-        servers = ConnectionPool(TIMEOUT_S, 60.0, 10)
-        servers.update("s", ("127.0.0.1", 1), None, ServerState.READY)
-        sending = asyncio.create_task(outcome_of(servers, seconds))
-        await wait_until(lambda: servers.open_connections == 1)
-        end(servers)
+    async def scenario(end: Callable[[ConnectionPool], None], expected: Outcome, timeout_s: float) -> None:
+        pool = ConnectionPool(TIMEOUT_S, 60.0, 10)
+        pool.update("s", ("127.0.0.1", 1), None, ServerState.READY)
+        sending = asyncio.create_task(outcome_of(pool, timeout_s))
+        await wait_until(lambda: pool.open_connections == 1)
+        end(pool)
         assert await sending is expected
-        await wait_until(lambda: servers.open_connections == 0)
+        await wait_until(lambda: pool.open_connections == 0)
 
-    def leave(servers: ConnectionPool) -> None:
-        servers.update("s", None, None, ServerState.REMOVED)
+    def remove_server(pool: ConnectionPool) -> None:
+        pool.update("s", None, None, ServerState.REMOVED)
 
     run_scenario(scenario(lambda _: None, Outcome.NOT_SENT, 0.1))
-    run_scenario(scenario(leave, Outcome.CONNECT_FAILED, TIMEOUT_S))
+    run_scenario(scenario(remove_server, Outcome.CONNECT_FAILED, TIMEOUT_S))
 
 
 def test_dials_back_off_between_retries(monkeypatch: pytest.MonkeyPatch) -> None:
-    tries: list[None] = []
+    connect_calls: list[None] = []
 
-    def counted() -> Failures:
+    def count_and_fail() -> Failures:
         while True:
-            tries.append(None)
+            connect_calls.append(None)
             yield errno.EADDRNOTAVAIL
 
-    use_faulty_sockets(monkeypatch, connect_failures=counted())
+    use_faulty_sockets(monkeypatch, connect_failures=count_and_fail())
     dial(Outcome.NOT_SENT, dial_timeout_s=0.3)
-    assert 2 <= len(tries) <= 6  # at 0, 10, 30, 70, 150 and 310 ms at the earliest
+    assert 2 <= len(connect_calls) <= 6  # at 0, 10, 30, 70, 150 and 310 ms at the earliest
 
 
 def test_local_failures_eject_no_server_and_each_request_gets_a_response(
@@ -173,9 +173,11 @@
             with monkeypatch.context() as patched:
                 use_faulty_sockets(patched, connect_failures=fail_times(errno.EADDRNOTAVAIL, 10**9))
                 for _ in range(8):
-                    assert (await proxy.send_request(kind="pay", body=b"x"))[0] == 503  # it never ran
-            known = proxy.sidecar._balancer._context.registry.servers.values()
-            assert [(each.consecutive_failures, each.ejected_until) for each in known] == [(0, None)] * 2
+                    assert (await proxy.send_request(kind="pay", body=b"x"))[0] == 503  # it was not executed
+            server_states = proxy.sidecar._balancer._context.registry.servers.values()
+            assert [(each.consecutive_failures, each.ejected_until) for each in server_states] == [
+                (0, None)
+            ] * 2
             assert not proxy.server_requests()
             assert not proxy.sidecar._active
             assert (await proxy.send_request(kind="pay", body=b"x"))[0] == 200
@@ -183,8 +185,8 @@
     run_scenario(scenario())
 
 
-# Guards discovery's calls, which have retries of their own.
-@pytest.mark.parametrize("code", [*_LOCAL, *_OF_THE_SERVER], ids=errno_name)
+# Guards calls to discovery, which have retries of their own.
+@pytest.mark.parametrize("code", [*_LOCAL_ERRNOS, *_SERVER_ERRNOS], ids=errno_name)
 def test_connect_without_a_given_socket_raises_an_os_error(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -193,11 +195,11 @@
     async def scenario() -> None:
         server = FakeServer("s", respond_ok)
         await server.start()
-        before = descriptors()
-        with pytest.raises(OSError) as caught:
+        before = count_descriptors()
+        with pytest.raises(OSError) as raised:
             await connect(server.address, 1024)
-        assert caught.value.errno in (code, errno.EAGAIN)
-        assert descriptors() == before
+        assert raised.value.errno in (code, errno.EAGAIN)
+        assert count_descriptors() == before
         server.stop()
 
     run_scenario(scenario())
--- a/tests/proxy/test_disconnected_clients.py
+++ b/tests/proxy/test_disconnected_clients.py
@@ -28,7 +28,9 @@
             await wait_until(proxy.server_requests)
             writer.close()
             await wait_until(lambda: proxy.servers[0].closed_by_peer == 1)
-            assert not proxy.sidecar._active  # the late outcome reached the module, and nothing is kept
+            assert (
+                not proxy.sidecar._active
+            )  # the late outcome has been processed, and no state of the request is kept
 
     run_scenario(scenario())
 
@@ -37,12 +39,14 @@
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
             assert (await proxy.send_request(path="/api/1"))[0] == 200
-            await asyncio.sleep(0.05)  # its connection has rested: what comes next is written at once
+            await asyncio.sleep(
+                0.05
+            )  # longer than the reuse delay, so that a request would be written at once
             accepted, fresh = [socket.create_connection(proxy.sidecar.frontend.address) for _ in range(2)]
             await wait_until(lambda: len(proxy.sidecar.frontend.connections) >= 2)
             for each in (accepted, fresh, socket.create_connection(proxy.sidecar.frontend.address)):
                 each.sendall(request(path="/api/2", X_Call_Id="gone"))
-                each.close()  # before the loop has had a turn
+                each.close()  # before the event loop runs again
             assert (await proxy.send_request(path="/api/3", X_Call_Id="next"))[0] == 200
             assert [first.split(" ")[1] for first, _, _ in proxy.server_requests()] == ["/api/1", "/api/3"]
 
@@ -50,7 +54,7 @@
 
 
 def test_nothing_is_sent_for_a_request_that_is_over_even_if_cancelling_is_not_allowed() -> None:
-    # Guards rule 1: a dial that came up after the final answer would still write the request.
+    # Guards against a dial that succeeds after the final response, and then still writes the request.
     async def scenario() -> None:
         limits = {"max_attempts": 3, "allow_cancel": False, "dial_timeout_us": 600 * SECOND_US}
         with full_backlog_listener() as address:
@@ -76,10 +80,10 @@
             await asyncio.get_running_loop().sock_connect(slow, proxy.sidecar.frontend.address)
             _, writer = await asyncio.open_connection(sock=slow, limit=16)
             data = b"".join(request(X_Call_Id=f"{number}") for number in range(50))
-            writer.write(data)  # and it reads nothing
+            writer.write(data)  # the client reads none of the responses
             await wait_until(proxy.server_requests)
             assert len((await proxy.send_request())[2]) == 60_000
-            await wait_until(lambda: not proxy.sidecar.frontend.connections)  # and its place is free again
+            await wait_until(lambda: not proxy.sidecar.frontend.connections)  # its capacity is free again
             writer.close()
 
     run_scenario(scenario())
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""Discovery over loopback, and how its updates reach the balancer and the connections."""
+"""Discovery over loopback, and how its updates reach the balancer and the connection pool."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 
 def entry(name: Any = "s-1", **changes: Any) -> dict[str, Any]:
-    given = {"name": name, "address": "127.0.0.1:9", "zone": "a", "type": "m", "group": 1}
-    return given | {"status": "active", "weight": 1.0, "since_ms": 0} | changes
+    fields = {"name": name, "address": "127.0.0.1:9", "zone": "a", "type": "m", "group": 1}
+    return fields | {"status": "active", "weight": 1.0, "since_ms": 0} | changes
 
 
 def test_watch_continues_from_the_cached_list_and_repeats_at_once() -> None:
@@ -28,7 +28,7 @@
             await wait_until(lambda: len(proxy.discovery.targets) == 4)
             paths = [each.split("&")[0] for each in proxy.discovery.targets]
             assert paths == [f"/registry/instances?after={index}" for index in (41, 42, 43, 44)]
-            assert _EMPTY_RESPONSE_PAUSE_S < 0.2  # the only pause there is; later it would be a new watch
+            assert _EMPTY_RESPONSE_PAUSE_S < 0.2  # the only pause between the calls of a watch
 
     run_scenario(scenario())
 
@@ -43,7 +43,7 @@
             for _ in range(10):
                 assert (await proxy.send_request())[0] == 200
             assert not first.requests
-            proxy.discovery.push_update(43, [first.entry()], snapshot=True)  # who is missing is gone
+            proxy.discovery.push_update(43, [first.entry()], snapshot=True)  # a missing server is removed
             await wait_until(lambda: "s-1" not in states)
             assert set(proxy.sidecar._pool.servers) == {"s-0"}
             seen = len(second.requests)
@@ -89,37 +89,37 @@
 
 def test_registry_that_is_down_is_a_failed_call() -> None:
     async def scenario() -> None:
-        heard: list[RegistryResponse | None] = []
-        down = FakeDiscovery()
-        await down.start()
-        down.stop()
-        discovery = DiscoveryClient(down.address, 1, heard.append)
-        discovery.start_watch()
-        await wait_until(lambda: heard == [None])
-        await wait_until(lambda: discovery._watch is None or discovery._watch.done())
-        discovery.start_watch()  # and a new watch may begin
-        await wait_until(lambda: heard == [None, None])
+        responses: list[RegistryResponse | None] = []
+        stopped = FakeDiscovery()
+        await stopped.start()
+        stopped.stop()
+        client = DiscoveryClient(stopped.address, 1, responses.append)
+        client.start_watch()
+        await wait_until(lambda: responses == [None])
+        await wait_until(lambda: client._watch is None or client._watch.done())
+        client.start_watch()  # a new watch is allowed
+        await wait_until(lambda: responses == [None, None])
 
     run_scenario(scenario())
 
 
 def test_watch_is_not_started_twice_and_can_be_stopped() -> None:
     async def scenario() -> None:
-        service = FakeDiscovery()
-        await service.start()
-        heard: list[RegistryResponse | None] = []
-        discovery = DiscoveryClient(service.address, 1, heard.append)
+        discovery = FakeDiscovery()
+        await discovery.start()
+        responses: list[RegistryResponse | None] = []
+        client = DiscoveryClient(discovery.address, 1, responses.append)
         for _ in range(3):
-            discovery.start_watch()
-        await wait_until(lambda: service.targets)
-        discovery.fetch()
-        await wait_until(lambda: len(service.targets) == 2)
-        assert service.targets[1] == "/registry/instances"
-        service.push_update(7, [entry()], snapshot=True)
-        await wait_until(lambda: heard)
-        discovery.stop_watch()
-        assert discovery._watch is None
-        service.stop()
+            client.start_watch()
+        await wait_until(lambda: discovery.targets)
+        client.fetch()
+        await wait_until(lambda: len(discovery.targets) == 2)
+        assert discovery.targets[1] == "/registry/instances"
+        discovery.push_update(7, [entry()], snapshot=True)
+        await wait_until(lambda: responses)
+        client.stop_watch()
+        assert client._watch is None
+        discovery.stop()
 
     run_scenario(scenario())
 
@@ -127,8 +127,8 @@
 def test_silent_watch_is_reopened_before_the_former_call_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards rule 3: with no call in flight for a moment, or a pause before the next one, a sidecar counts as
-    # notified of drains that it has not heard of.  The balancer polls again too late here.
+    # Guards against a moment without a call in flight, and against a pause before the next call: the sidecar
+    # would count as notified of drains that it has not received.  The balancer's next poll is too late here.
     monkeypatch.setattr("sidecar.proxy.discovery_client._WATCH_WAIT_MS", (20, 20))
     monkeypatch.setattr("sidecar.proxy.discovery_client._WATCH_MARGIN_S", 0.02)
 
@@ -136,21 +136,20 @@
         async with running_proxy(respond_ok, rules={"max_poll_interval_us": 600 * SECOND_US}) as proxy:
             server = proxy.sidecar._balancer._context.registry.servers["s-0"]
 
-            def is_told() -> bool:
-                proxy.discovery.push_update(
-                    42, [proxy.servers[0].entry(status="leaving")]
-                )  # to whichever call is out
+            def push_drain_and_check() -> bool:
+                # This answers whichever call is in flight.
+                proxy.discovery.push_update(42, [proxy.servers[0].entry(status="leaving")])
                 return server.state is ServerState.DRAINING
 
             proxy.discovery.responses.put_nowait(None)
             await wait_until(lambda: "closed 1" in proxy.discovery.call_log)
-            await wait_until(is_told)
+            await wait_until(push_drain_and_check)
             assert proxy.discovery.call_log[:2] == ["call 1", "call 2"]
 
     run_scenario(scenario())
 
 
-def test_pushed_lists_are_watched_by_themselves() -> None:
+def test_watch_of_pushed_lists_is_retried_without_the_balancer() -> None:
     async def scenario() -> None:
         async with running_proxy(respond_ok, discovery="pushed") as proxy:
             proxy.discovery.responses.put_nowait(encode_response(503, b""))
@@ -163,7 +162,7 @@
 
 
 def test_invalid_entries_of_a_list_are_skipped() -> None:
-    junk: list[Any] = [
+    invalid_entries: list[Any] = [
         7,
         None,
         [],
@@ -180,12 +179,12 @@
         entry(status=[]),
     ]
     response = parse_registry_response(
-        {"index": 5, "snapshot": True, "endpoints": [*junk, entry(since_ms=2, group=3)]}
+        {"index": 5, "snapshot": True, "endpoints": [*invalid_entries, entry(since_ms=2, group=3)]}
     )
     assert [each.endpoint.name for each in response.endpoints] == ["s-1"]
-    line = response.endpoints[0]
-    assert (response.version, response.is_complete, line.address) == (5, True, ("127.0.0.1", 9))
-    assert (line.endpoint.started_at, line.endpoint.cell, line.endpoint.zone) == (2000, 3, "a")
+    valid = response.endpoints[0]
+    assert (response.version, response.is_complete, valid.address) == (5, True, ("127.0.0.1", 9))
+    assert (valid.endpoint.started_at, valid.endpoint.cell, valid.endpoint.zone) == (2000, 3, "a")
     assert (
         parse_registry_response({"index": 5, "endpoints": [entry()]}).endpoints[0].endpoint.started_at is None
     )
@@ -206,8 +205,8 @@
 
 
 def test_new_server_at_the_address_of_a_former_one_supersedes_it() -> None:
-    # The list may name the former one for seconds yet: what is sent to it would go to the new process, which
-    # is cold, over connections that no process holds any more.
+    # The list may contain the former server for some more seconds.  Requests to it would reach the new
+    # process, which is in slow start, and would use connections that no process holds any more.
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
             assert (await proxy.send_request())[0] == 200
@@ -231,7 +230,7 @@
 
 @pytest.mark.parametrize("status", ["leaving", "left"])
 def test_draining_server_is_reported_even_without_its_address(status: str) -> None:
-    # Guards rule 3: skipped as junk, the entry would leave the server in use.
+    # Guards against skipping the entry as invalid, which would leave the draining server in use.
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
             proxy.discovery.push_update(42, [proxy.servers[0].entry(status=status, address=None)])
@@ -255,23 +254,23 @@
 
 
 def test_response_without_changes_compares_no_addresses(monkeypatch: pytest.MonkeyPatch) -> None:
-    looks: list[int] = []
+    comparisons: list[int] = []
     remove_superseded = ConnectionPool.remove_superseded
 
-    def counted(self: ConnectionPool) -> list[str]:
-        looks.append(1)
+    def count_and_remove(self: ConnectionPool) -> list[str]:
+        comparisons.append(1)
         return remove_superseded(self)
 
-    monkeypatch.setattr(ConnectionPool, "remove_superseded", counted)
+    monkeypatch.setattr(ConnectionPool, "remove_superseded", count_and_remove)
 
     async def scenario() -> None:
         async with running_proxy(lambda *_: encode_response()) as proxy:
-            before = len(looks)
+            before = len(comparisons)
             proxy.discovery.push_update(42, [])
             await wait_until(lambda: proxy.sidecar._endpoint_list.client._version == 42)
-            assert len(looks) == before
+            assert len(comparisons) == before
             proxy.discovery.push_update(43, [proxy.servers[0].entry(status="leaving")])
             await wait_until(lambda: proxy.sidecar._endpoint_list.client._version == 43)
-            assert len(looks) == before + 1
+            assert len(comparisons) == before + 1
 
     run_scenario(scenario())
--- a/tests/proxy/test_drain_races.py
+++ b/tests/proxy/test_drain_races.py
@@ -23,15 +23,15 @@
     monkeypatch.setattr(shutdown, "_MAX_DEADLINE_S", 600.0)
 
     async def scenario() -> None:
-        async with running_proxy(never_respond, sockets=66) as proxy:  # room for one client
+        async with running_proxy(never_respond, sockets=66) as proxy:  # capacity for one client
             held, held_writer = await proxy.connect()
             held_writer.write(request("pay", body=b"held", budget="500"))
             await wait_until(proxy.server_requests)
             await wait_until(lambda: proxy.sidecar.frontend._accepting)
             waiting, waiting_writer = await proxy.connect()
             waiting_writer.write(request("pay", body=b"waits", budget="500", X_Call_Id="waits"))
-            await wait_until(lambda: not proxy.sidecar.frontend._accepting)  # there was no room for it
-            drained = asyncio.create_task(proxy.sidecar.drain())
+            await wait_until(lambda: not proxy.sidecar.frontend._accepting)  # there is no capacity for it
+            drain = asyncio.create_task(proxy.sidecar.drain())
             await wait_until(lambda: proxy.sidecar.frontend.draining)
             proxy.servers[0].script = respond_ok
             proxy.servers[0].writers[0].write(respond_ok())
@@ -40,7 +40,7 @@
                 assert (status, headers["connection"], body) == (200, "close", b"served")
             for each in (held_writer, waiting_writer):
                 each.close()
-            await drained
+            await drain
             assert proxy.sidecar.frontend._sock.fileno() < 0
 
     run_scenario(scenario())
--- a/tests/proxy/test_failed_requests.py
+++ b/tests/proxy/test_failed_requests.py
@@ -1,4 +1,4 @@
-"""Exceptions, forgotten requests and a lack of servers: each request gets a response, in time."""
+"""Each request gets a response in time, despite exceptions, forgotten requests and a lack of servers."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 def test_rejection_has_a_retry_after_header() -> None:
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
-            # The defect of one balancer is simulated: the method of this instance alone is replaced.
+            # Simulates a defect: the method of this balancer only is replaced.
             proxy.sidecar._balancer.handle = lambda now, event: (  # type: ignore[method-assign]
                 [RejectRequest(event.request, 250_000)] if isinstance(event, RequestArrived) else []
             )
@@ -54,12 +54,12 @@
 def test_exception_in_the_balancer_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
-            real = proxy.sidecar._balancer.handle
+            real_handle = proxy.sidecar._balancer.handle
 
             def faulty(now: int, event: Event) -> list[Action]:
                 if isinstance(event, RequestArrived) and event.service_class == "pay":
                     raise ZeroDivisionError
-                return real(now, event)
+                return real_handle(now, event)
 
             monkeypatch.setattr(proxy.sidecar._balancer, "handle", faulty)
             assert (await proxy.send_request(kind="pay", body=b"x"))[0] == 500
@@ -84,7 +84,7 @@
 def test_request_that_the_balancer_forgets_fails_at_its_deadline() -> None:
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
-            # The defect of one balancer is simulated: the method of this instance alone is replaced.
+            # Simulates a defect: the method of this balancer only is replaced.
             proxy.sidecar._balancer.handle = lambda now, event: []  # type: ignore[method-assign]
             assert (await proxy.send_request(budget="0.2"))[0] == 500
 
@@ -103,7 +103,7 @@
 
 
 def names_used_by_the_balancer() -> set[str]:
-    """Every name that the balancer, its policies and their state use."""
+    """Return every name that the balancer, its policies and their state use."""
     package = Path(sidecar.__file__).parent / "balancer"
     sources = [package / "balancer.py", *package.glob("policy/*.py"), *package.glob("state/*.py")]
     nodes = [node for path in sources for node in ast.walk(ast.parse(path.read_text(encoding="utf-8")))]
@@ -117,8 +117,8 @@
             emitted = {kind for kind in get_args(Action) if kind.__name__ in names_used_by_the_balancer()}
             assert len(emitted) > 5
             for kind in emitted:
-                action: Any = kind.__new__(kind)  # without its fields: they are read behind the dispatch
+                action: Any = kind.__new__(kind)  # without its fields, which are read only after the dispatch
                 with contextlib.suppress(AttributeError):
-                    proxy.sidecar.carry_out(action)  # raises for kinds that it does not carry out
+                    proxy.sidecar.carry_out(action)  # raises another error if it is unsupported
 
     run_scenario(scenario())
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""A shutdown under a virtual clock: what was taken has its answer before SIGKILL may come."""
+"""Graceful shutdown in virtual time: accepted requests get a response before SIGKILL may follow."""
 
 from __future__ import annotations
 
@@ -26,84 +26,88 @@
 from sidecar.proxy.request_lifecycle import RequestLifecycle
 
 KILL_AFTER_DEADLINE_S = 0.7
-OWED_S = 0.7  # what comes later after SIGTERM may stay without an answer
-NEW_CONNECTIONS_S = 0.4
-HOLD_UP_S = 0.15
-SEND_EVERY_S = 0.013
-CLIENTS = 60  # that have a connection before SIGTERM
+RESPONSE_REQUIRED_S = 0.7  # requests that are sent later after SIGTERM may stay without a response
+NEW_CONNECTIONS_DURATION_S = 0.4  # clients open connections for so long after SIGTERM
+EVENT_LOOP_DELAY_S = 0.15  # the handling of SIGTERM and of a response may each be delayed by this
+SEND_INTERVAL_S = 0.013
+CLIENT_COUNT = 60  # clients that have a connection before SIGTERM
 
 
-def hold_up() -> None:
-    """Let time pass with nothing done."""
+def delay_event_loop() -> None:
+    """Let virtual time pass while the event loop does nothing."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, VirtualTimeLoop)
-    loop.time_selector.elapsed_s += HOLD_UP_S
+    loop.time_selector.elapsed_s += EVENT_LOOP_DELAY_S
 
 
-def kill_after_s(deadline_s: float) -> float:
+def kill_delay_for(deadline_s: float) -> float:
+    """Return the time from SIGTERM to SIGKILL, in seconds, for the longest deadline of a request."""
     return min(deadline_s, 3.0) + KILL_AFTER_DEADLINE_S
 
 
 @dataclass(slots=True)
-class Sent:
-    """A request, and what its client saw of it."""
+class SentRequest:
+    """A request, and how it ended for its client."""
 
     sent_at: float
     status: int | None = None
-    ended_at: float | None = None  # answered whole, or its connection ended without an answer
+    ended_at: float | None = None  # when its response was complete, or its connection was closed without one
 
 
 @dataclass(slots=True)
 class Clients:
-    """Clients that send again on every connection that stays open."""
+    """Clients that send one request after another on each connection until it is closed."""
 
     proxy: ProxyHarness
     deadline_s: float
-    sent: list[Sent] = field(default_factory=list)
+    requests: list[SentRequest] = field(default_factory=list)
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
-    numbers: Iterator[int] = field(default_factory=itertools.count)
+    request_numbers: Iterator[int] = field(default_factory=itertools.count)
 
-    def open(self, wait_s: float = 0.0) -> None:
-        """Open a connection, and send on it after a while."""
-        self.tasks.append(asyncio.create_task(self._use(wait_s)))
+    def open(self, delay_s: float = 0.0) -> None:
+        """Open a connection, and send the first request on it after a delay."""
+        self.tasks.append(asyncio.create_task(self._use(delay_s)))
 
-    async def _use(self, wait_s: float) -> None:
+    async def _use(self, delay_s: float) -> None:
         try:
             reader, writer = await self.proxy.connect()
         except ConnectionError:
             return
-        if wait_s:
-            await advance(wait_s)
+        if delay_s:
+            await advance(delay_s)
         try:
             while await self._send(reader, writer):
-                await asyncio.sleep(SEND_EVERY_S)
+                await asyncio.sleep(SEND_INTERVAL_S)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
             writer.close()
 
     async def _send(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        ident = f"call-{next(self.numbers)}"
-        writer.write(request("pay", body=b"x", budget=f"{self.deadline_s}", X_Call_Id=ident))
-        sent = Sent(now_s())
-        self.sent.append(sent)
+        """Send a request and read its response; return whether the connection stays open."""
+        request_id = f"call-{next(self.request_numbers)}"
+        writer.write(request("pay", body=b"x", budget=f"{self.deadline_s}", X_Call_Id=request_id))
+        sent = SentRequest(now_s())
+        self.requests.append(sent)
         try:
-            first, headers, _ = await read_message(reader)
-            sent.status = int(first.split(" ")[1])
+            status_line, headers, _ = await read_message(reader)
+            sent.status = int(status_line.split(" ")[1])
         finally:
             sent.ended_at = now_s()
         return headers.get("connection") != "close"
 
     async def end(self) -> None:
+        """Stop all clients."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
 @asynccontextmanager
-async def scene_of(
+async def proxy_with_clients(
     deadline_s: float, *scripts: Callable[..., bytes | None], sockets: int = 1024
 ) -> AsyncIterator[tuple[ProxyHarness, Clients]]:
+    """Run a sidecar whose requests have this deadline, and its clients."""
     classes = [
         each | {"deadline_us": int(deadline_s * SECOND_US), "latency_target_us": 20 * MILLISECOND_US}
         for each in CLASSES
@@ -116,93 +120,103 @@
             await clients.end()
 
 
-def hold_up_at_an_answer(monkeypatch: pytest.MonkeyPatch, from_s: float) -> None:
-    """Hold the sidecar up once, as it is about to write its first answer at or after this time."""
-    held: list[float] = []
+def delay_one_response(monkeypatch: pytest.MonkeyPatch, from_s: float) -> None:
+    """Delay the event loop once, when the sidecar is about to write its first response at or after a time."""
+    delayed_at: list[float] = []
     answer = RequestLifecycle.answer
 
-    def late(
+    def answer_late(
         requests: RequestLifecycle, active: ActiveRequest, status: int, headers: Headers, body: bytes
     ) -> None:
-        if not held and now_s() >= from_s:
-            held.append(now_s())
-            hold_up()
+        if not delayed_at and now_s() >= from_s:
+            delayed_at.append(now_s())
+            delay_event_loop()
         answer(requests, active, status, headers, body)
 
-    monkeypatch.setattr(RequestLifecycle, "answer", late)
+    monkeypatch.setattr(RequestLifecycle, "answer", answer_late)
 
 
-def lost(clients: Clients, began: float) -> list[Sent]:
-    """What was taken, and neither answered nor crossed by a close of its connection by SIGKILL."""
-    kill = began + kill_after_s(clients.deadline_s)
-    owed = [each for each in clients.sent if each.sent_at <= min(began + OWED_S, kill)]
-    return [each for each in owed if each.ended_at is None or each.ended_at > kill]
+def unanswered_requests(clients: Clients, sigterm_at: float) -> list[SentRequest]:
+    """Return the requests that had neither a response nor a close of their connection before SIGKILL.
+
+    Requests that were sent too late after SIGTERM are left out.
+    """
+    sigkill_at = sigterm_at + kill_delay_for(clients.deadline_s)
+    response_required = [
+        each for each in clients.requests if each.sent_at <= min(sigterm_at + RESPONSE_REQUIRED_S, sigkill_at)
+    ]
+    return [each for each in response_required if each.ended_at is None or each.ended_at > sigkill_at]
 
 
-@pytest.mark.parametrize("held_before_kill_s", [0.4, 0.25, 0.15, 0.1])
+@pytest.mark.parametrize("delay_before_kill_s", [0.4, 0.25, 0.15, 0.1])
 @pytest.mark.parametrize(
-    ("deadline_s", "noticed_late"),
+    ("deadline_s", "is_signal_delayed"),
     [(0.05, False), (0.1, False), (0.1, True), (1.0, False), (1.0, True), (30.0, False), (30.0, True)],
 )
 def test_requests_at_hung_servers_are_answered_before_sigkill(
-    deadline_s: float, held_before_kill_s: float, noticed_late: bool, monkeypatch: pytest.MonkeyPatch
+    deadline_s: float, delay_before_kill_s: float, is_signal_delayed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        async with scene_of(deadline_s, never_respond, never_respond) as (proxy, clients):
-            kill_s = kill_after_s(deadline_s)
-            waits_s = [kill_s * number / CLIENTS for number in range(CLIENTS)]
-            for wait_s in waits_s:
-                clients.open(wait_s)  # some clients use their connection for the first time near the end
-            await wait_until(lambda: len(proxy.sidecar.frontend.connections) == len(waits_s))
-            began = now_s()
-            if noticed_late:
-                hold_up()
+        async with proxy_with_clients(deadline_s, never_respond, never_respond) as (proxy, clients):
+            kill_delay_s = kill_delay_for(deadline_s)
+            first_request_delays_s = [kill_delay_s * number / CLIENT_COUNT for number in range(CLIENT_COUNT)]
+            for delay_s in first_request_delays_s:
+                clients.open(delay_s)  # some clients send their first request near the end
+            await wait_until(lambda: len(proxy.sidecar.frontend.connections) == len(first_request_delays_s))
+            sigterm_at = now_s()
+            if is_signal_delayed:
+                delay_event_loop()
             proxy.stop.set()
-            hold_up_at_an_answer(monkeypatch, began + kill_s - held_before_kill_s)
-            while now_s() < began + NEW_CONNECTIONS_S:
+            delay_one_response(monkeypatch, sigterm_at + kill_delay_s - delay_before_kill_s)
+            while now_s() < sigterm_at + NEW_CONNECTIONS_DURATION_S:
                 clients.open()
-                await advance(SEND_EVERY_S)
-            while now_s() < began + kill_s:
+                await advance(SEND_INTERVAL_S)
+            while now_s() < sigterm_at + kill_delay_s:
                 await asyncio.sleep(0.005)
-            assert lost(clients, began) == []
-            new = [each for each in clients.sent if began < each.sent_at < began + NEW_CONNECTIONS_S]
-            assert len(new) > 10
-            assert all(each.status is not None for each in new)
+            assert unanswered_requests(clients, sigterm_at) == []
+            new_requests = [
+                each
+                for each in clients.requests
+                if sigterm_at < each.sent_at < sigterm_at + NEW_CONNECTIONS_DURATION_S
+            ]
+            assert len(new_requests) > 10
+            assert all(each.status is not None for each in new_requests)
 
     run_in_virtual_time(scenario())
 
 
-@pytest.mark.parametrize("noticed_late", [False, True])
+@pytest.mark.parametrize("is_signal_delayed", [False, True])
 @pytest.mark.parametrize("deadline_s", [0.1, 1.0])
 def test_request_completed_at_any_moment_of_a_shutdown_gets_a_response(
-    deadline_s: float, noticed_late: bool
+    deadline_s: float, is_signal_delayed: bool
 ) -> None:
     async def scenario() -> None:
-        async with scene_of(deadline_s, never_respond) as (proxy, _):
-            kill_s = kill_after_s(deadline_s)
-            opened = [await proxy.connect() for _ in range(CLIENTS)]
+        async with proxy_with_clients(deadline_s, never_respond) as (proxy, _):
+            kill_delay_s = kill_delay_for(deadline_s)
+            connections = [await proxy.connect() for _ in range(CLIENT_COUNT)]
             data = [
-                request("pay", body=b"x", budget=f"{deadline_s}", X_Call_Id=f"{n}") for n in range(CLIENTS)
+                request("pay", body=b"x", budget=f"{deadline_s}", X_Call_Id=f"{n}")
+                for n in range(CLIENT_COUNT)
             ]
-            for (_, writer), each in zip(opened, data, strict=True):
+            for (_, writer), each in zip(connections, data, strict=True):
                 writer.write(each[:-1])
 
             frontend = proxy.sidecar.frontend
             await wait_until(
-                lambda: sum(each.has_partial_request() for each in frontend.connections) == CLIENTS
+                lambda: sum(each.has_partial_request() for each in frontend.connections) == CLIENT_COUNT
             )
-            began = now_s()
-            if noticed_late:
-                hold_up()
+            sigterm_at = now_s()
+            if is_signal_delayed:
+                delay_event_loop()
             proxy.stop.set()
-            reads = [asyncio.create_task(read_message(reader)) for reader, _ in opened]
-            for number, (_, writer) in enumerate(opened):
-                await advance(max(began + kill_s * number / CLIENTS - now_s(), 0.0))
-                if not reads[number].done():
+            responses = [asyncio.create_task(read_message(reader)) for reader, _ in connections]
+            for number, (_, writer) in enumerate(connections):
+                await advance(max(sigterm_at + kill_delay_s * number / CLIENT_COUNT - now_s(), 0.0))
+                if not responses[number].done():
                     writer.write(data[number][-1:])
-            await advance(began + kill_s - now_s())
-            assert all(each.done() and each.exception() is None for each in reads)
-            for _, writer in opened:
+            await advance(sigterm_at + kill_delay_s - now_s())
+            assert all(each.done() and each.exception() is None for each in responses)
+            for _, writer in connections:
                 writer.close()
 
     run_in_virtual_time(scenario())
