--- a/tests/proxy/test_hedging_races.py
+++ b/tests/proxy/test_hedging_races.py
@@ -1,4 +1,4 @@
-"""A client that leaves as its request is hedged."""
+"""A client that disconnects while its request is hedged."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
             before = len(proxy.server_requests())
             hedged: list[int] = []
 
-            def is_hedge_due(detector: HedgingPolicy, request: Request, attempt: Attempt) -> bool:
+            def is_hedge_due(policy: HedgingPolicy, request: Request, attempt: Attempt) -> bool:
                 if leaves and not hedged:
-                    client.disconnect()  # its end is in the kernel, and unread, as the hedge is sent
+                    client.disconnect()  # its FIN is in the kernel, unread, as the hedge is sent
                 hedged.append(attempt.index)
                 return len(hedged) == 1
 
@@ -42,7 +42,7 @@
                 await wait_until(lambda: not proxy.sidecar._active)
             else:
                 await wait_until(lambda: len(proxy.server_requests()) == before + 2)
-            assert (await proxy.send_request(path="/health/ready"))[0] == 200  # the loop has had its turns
+            assert (await proxy.send_request(path="/health/ready"))[0] == 200  # the event loop has run
             assert len(proxy.server_requests()) == before + (1 if leaves else 2)
             client.close()
 
--- a/tests/proxy/test_long_outages.py
+++ b/tests/proxy/test_long_outages.py
@@ -1,4 +1,4 @@
-"""Trouble that begins after a long quiet time, and outages of discovery that last for minutes."""
+"""Faults after a long quiet period, and outages of discovery that last for minutes."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 from sidecar.proxy import connection_table, loop_lag
 
-NOTIFIED_WITHIN_S = 6.0  # after a watch fell silent, or discovery has a change and can be reached
-RELOADED_S = 4.0  # after SIGHUP, what discovery's new place has counts as notified
+NOTIFIED_WITHIN_S = 6.0  # after a watch falls silent, or discovery has a change and is reachable
+RELOADED_S = 4.0  # after SIGHUP, for changes that discovery has at its new address
 QUIET_S = 600.0
 OUTAGE_S = 300.0
 FAULTS = ("503", "reset", "refused", "silent", "partitioned")
-TICK_US = 100 * MILLISECOND_US  # the clock has fewer moments to pass through
+TICK_US = 100 * MILLISECOND_US  # longer than usual: the virtual clock stops at fewer timers
 RULES = [{"max_poll_interval_us": 2 * SECOND_US}, {"max_poll_interval_us": 60 * SECOND_US}]
 
 
 @pytest.fixture(autouse=True)
 def _few_moments(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let the driver look at connections and at its lag less often, as long spans are passed through."""
+    """Sweep connections and check the lag less often, as these tests advance through long spans of time."""
     monkeypatch.setattr(connection_table, "_SWEEP_INTERVAL_S", 1.0)
     monkeypatch.setattr(loop_lag, "_CHECK_INTERVAL_S", 1.0)
 
@@ -45,11 +45,11 @@
             respond_ok, respond_ok, registry=registry, rules=rules, discovery=mode, tick_us=TICK_US
         ) as proxy:
             await advance(QUIET_S)
-            assert len(registry.targets) > QUIET_S / 5.0  # the watch has gone on
+            assert len(registry.targets) > QUIET_S / 5.0  # the watch went on polling
             began = now_s()
             if fault is not None:
                 registry.fail(fault)
-                if fault != "silent":  # the silence of a watch counts from its begin
+                if fault != "silent":  # a silent watch counts from the start of its silence
                     await advance(2.0)
                     began = now_s()
                 await registry.recover()
@@ -79,7 +79,7 @@
         ) as proxy:
             registry.fail(fault)
             await advance(OUTAGE_S)
-            assert (await proxy.send_request())[2] == b"served"  # by the list that it has
+            assert (await proxy.send_request())[2] == b"served"  # with the cached endpoint list
             await registry.recover()
             began = now_s()
             await registry.change(proxy.servers[0].entry(status="leaving"))
--- a/tests/proxy/test_new_connection_responses.py
+++ b/tests/proxy/test_new_connection_responses.py
@@ -48,7 +48,7 @@
     run_in_virtual_time(scenario())
 
 
-# New connections come for 0.4 s after SIGTERM; the listener stays open for longer.
+# New connections arrive for 0.4 s after SIGTERM; the listener stays open for longer.
 @pytest.mark.parametrize("after_s", [0.0, 0.1, 0.3, 0.4, _ACCEPT_DURATION_S - 0.01])
 @pytest.mark.parametrize("later_s", [0.0, 0.005, 0.1], ids=["at once", "a moment later", "later"])
 def test_request_on_a_new_connection_while_draining_gets_a_response(after_s: float, later_s: float) -> None:
@@ -76,7 +76,7 @@
             client = socket.create_connection(frontend.address)
             client.sendall(SIZES["small"])
             frontend.drain()
-            # Within one step of the event loop: nothing has been accepted before.
+            # No event loop iteration has run since the connect, so nothing has been accepted yet.
             assert frontend.close_listener()
             client.setblocking(False)
             reader, writer = await asyncio.open_connection(sock=client)
@@ -89,7 +89,7 @@
 
 def test_request_in_flight_to_the_end_of_a_drain_gets_a_response_before_sigkill() -> None:
     async def scenario() -> None:
-        # It arrives late, and its server hangs for longer than the drain may last.
+        # The request arrives late, and its server hangs for longer than the drain may last.
         async with running_proxy(never_respond) as proxy:
             proxy.stop.set()
             await wait_until(lambda: proxy.sidecar.frontend.draining)
@@ -99,14 +99,15 @@
             writer.write(request("pay", body=b"held", budget="500"))
             status, headers, _ = await read_response(reader)
             assert (status, headers["connection"]) == (500, "close")
-            assert now_s() < began + 3.0 + 0.7  # SIGKILL may come then
+            assert now_s() < began + 3.0 + 0.7  # SIGKILL may follow then
             writer.close()
 
     run_in_virtual_time(scenario())
 
 
 def test_no_connection_is_evicted_before_its_response_has_been_read() -> None:
-    # A close over unread bytes resets the connection, and a response that its client has yet to read is lost.
+    # Closing a socket with unread bytes resets the connection, and its client loses a response that it has
+    # not read yet.
     async def scenario() -> None:
         async with running_proxy(respond_ok, sockets=66) as proxy:  # room for one client
             frontend = proxy.sidecar.frontend
@@ -114,7 +115,7 @@
             client = socket.create_connection(frontend.address)
             client.sendall(too_large[:-1])
             await wait_until(lambda: frontend.table._by_state[ConnectionState.CLOSING])
-            client.sendall(too_large[-1:])  # within one step of the event loop
+            client.sendall(too_large[-1:])  # no event loop iteration runs before the eviction
             assert not frontend.table.evict_one()
             client.setblocking(False)
             reader, writer = await asyncio.open_connection(sock=client)
--- a/tests/proxy/test_overload_detection.py
+++ b/tests/proxy/test_overload_detection.py
@@ -1,4 +1,4 @@
-"""New connections are rejected while the event loop lags under many of them."""
+"""New connections are rejected while the event loop lags and many connections carry requests."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 def test_new_connections_are_rejected_while_overloaded_and_served_afterwards(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Each gets a response: a request whose connection is closed without one counts as lost.
-    # It stays overloaded until the clients have gone.
+    # Each of them gets a response: a request whose connection is closed without one counts as lost.
+    # The limit does not recover, so the sidecar stays overloaded until the clients have disconnected.
     monkeypatch.setattr("sidecar.proxy.overload._LIMIT_INCREASE", 1.0)
     limits = LIMITS | {"retry_after": True, "max_retry_after_us": 750_000}
 
@@ -37,7 +37,7 @@
             await wait_until(lambda: len(proxy.server_requests()) == len(held))
 
             def lags() -> bool:
-                time.sleep(0.15)  # longer than it takes to the next sweep
+                time.sleep(0.15)  # longer than the sweep interval
                 return proxy.sidecar.frontend.table._overload.active_limit < 33
 
             await wait_until(lags)
@@ -58,8 +58,9 @@
 
 
 def test_silent_clients_do_not_count_as_load_after_a_lag(monkeypatch: pytest.MonkeyPatch) -> None:
-    # A table full of silent connections is no sign of more requests than the CPU can keep up with.
-    monkeypatch.setattr("sidecar.proxy.overload._LIMIT_INCREASE", 1.0)  # a late sweep is not forgotten
+    # A table full of silent connections does not mean that the CPU cannot keep up with the requests.
+    # The limit does not recover after a late sweep.
+    monkeypatch.setattr("sidecar.proxy.overload._LIMIT_INCREASE", 1.0)
     monkeypatch.setitem(STATE_TIME_LIMITS_S, ConnectionState.READING, 600.0)
 
     async def scenario() -> None:
@@ -71,17 +72,16 @@
             await wait_until(lambda: len(frontend.connections) == capacity)
 
             def lags() -> bool:
-                time.sleep(0.15)  # longer than it takes to the next sweep
+                time.sleep(0.15)  # longer than the sweep interval
                 return frontend.table._overload.active_limit == 32
 
             await wait_until(lags)
             swept = frontend.table._sweep_due
-            await wait_until(
-                lambda: frontend.table._sweep_due > swept
-            )  # it has looked since the last client came
+            # A sweep has run since the last client connected.
+            await wait_until(lambda: frontend.table._sweep_due > swept)
             status, _, body = await proxy.send_request(kind="pay", body=b"x")
             assert (status, body) == (200, b"served")
-            # Requests that have begun to arrive do count.
+            # Connections with a partial request do count.
             for _, writer in clients:
                 writer.write(request()[:20])
             begun = frontend.table._by_state[ConnectionState.READING]
--- a/tests/proxy/test_pipelined_client_races.py
+++ b/tests/proxy/test_pipelined_client_races.py
@@ -1,4 +1,4 @@
-"""A client sends far ahead, or disconnects, while its request is in flight."""
+"""A client pipelines more than the sidecar buffers, or disconnects, while its request is in flight."""
 
 from __future__ import annotations
 
@@ -18,13 +18,15 @@
 )
 
 
-async def flood(proxy: ProxyHarness, held: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """Send a request that is held at its server, and then more than is kept."""
+async def flood(
+    proxy: ProxyHarness, first_request: bytes
+) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    """Send a request that its server does not answer, then pipeline more than the sidecar buffers."""
     reader, writer = await proxy.connect()
-    writer.write(held)
+    writer.write(first_request)
     await wait_until(proxy.server_requests)
-    ahead = request("pay", body=bytes(60_000), X_Call_Id="ahead")
-    writer.write(ahead * 50)  # more than the kernel holds
+    pipelined = request("pay", body=bytes(60_000), X_Call_Id="ahead")
+    writer.write(pipelined * 50)  # more than the kernel buffers
     return reader, writer
 
 
@@ -32,7 +34,7 @@
     async def scenario() -> None:
         async with running_proxy(never_respond) as proxy:
             _, writer = await flood(proxy, request("pay", body=b"held", budget="500"))
-            writer.close()  # its end comes behind all that
+            writer.close()  # the FIN follows all the pipelined bytes
             await wait_until(lambda: proxy.servers[0].closed_by_peer == 1)
             assert not proxy.sidecar._active
             assert len(proxy.server_requests()) == 1
--- a/tests/proxy/test_process_lifecycle.py
+++ b/tests/proxy/test_process_lifecycle.py
@@ -1,4 +1,4 @@
-"""The program as the platform starts and stops it, in a process of its own."""
+"""The program in a separate process, started and stopped as the platform does it."""
 
 from __future__ import annotations
 
@@ -55,8 +55,8 @@
     return given | {"known": known, "settings": SETTINGS} | changes
 
 
-async def launch(path: Path, given: object, descriptors: int | None = None) -> asyncio.subprocess.Process:
-    path.write_text(given if isinstance(given, str) else json.dumps(given), encoding="utf-8")
+async def launch(path: Path, contents: object, descriptors: int | None = None) -> asyncio.subprocess.Process:
+    path.write_text(contents if isinstance(contents, str) else json.dumps(contents), encoding="utf-8")
     environ = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
 
     def limit() -> None:
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize(
-    "given",
+    "contents",
     [
         "not json",
         "[]",
@@ -89,9 +89,9 @@
         config(limits={"sockets": "many"}),
     ],
 )
-def test_invalid_configuration_ends_the_start_with_one_line(given: object, tmp_path: Path) -> None:
+def test_invalid_configuration_ends_the_start_with_one_line(contents: object, tmp_path: Path) -> None:
     async def scenario() -> None:
-        process = await launch(tmp_path / "config.json", given)
+        process = await launch(tmp_path / "config.json", contents)
         _, err = await asyncio.wait_for(process.communicate(), TIMEOUT_S)
         assert process.returncode == 2
         assert len(err.decode().strip().splitlines()) == 1
@@ -101,9 +101,9 @@
 
 
 def test_log_lines_are_rate_limited() -> None:
-    flood = RateLimitFilter(3)
+    rate_limit = RateLimitFilter(3)
     lines = [logging.makeLogRecord({"created": at}) for at in (7.0, 7.1, 7.2, 7.3, 7.9, 8.0)]
-    assert [flood.filter(each) for each in lines] == [True, True, True, False, False, True]
+    assert [rate_limit.filter(each) for each in lines] == [True, True, True, False, False, True]
 
 
 @contextlib.asynccontextmanager
@@ -116,7 +116,7 @@
     descriptors: int | None = None,
     listed: Sequence[str] = (),
 ) -> AsyncIterator[tuple[Any, Address]]:
-    """The program, ready, with one server behind it; discovery `is_up` or refuses."""
+    """Run the program until it is ready, with one server; discovery refuses connections unless `is_up`."""
     discovery = discovery or FakeDiscovery()
     await discovery.start()
     if not is_up:
@@ -125,7 +125,8 @@
     others = [server.entry(name=each, address=each) for each in listed]
     known = {"index": 1, "snapshot": True, "endpoints": [server.entry(), *others]}
     where = "{}:{}".format(*discovery.address)
-    reserved = ReservedAddress()  # port 0 is no address to be told; one given back may be taken by others
+    # The configuration needs a port number, and a released port may be taken by another process.
+    reserved = ReservedAddress()
     listen = reserved.address
     given = config(listen="{}:{}".format(*listen), discovery=where, known=known)
     if descriptors is not None:
@@ -195,24 +196,25 @@
 def test_drain_still_accepts_connections_and_serves_those_just_opened(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards the 0.4 s in which connections still come; made long, so that a slow machine can't miss them.
+    # Guards against refusing connections, which still arrive for 0.4 s after SIGTERM.  The time for which
+    # connections are accepted is made longer, so that a slow machine does not miss it.
     monkeypatch.setattr(shutdown, "_ACCEPT_DURATION_S", 600.0)
 
     async def scenario() -> None:
         async with running_proxy(lambda *_: encode_response(200, b"served")) as proxy:
             listen = proxy.sidecar.frontend.address
-            rested, rested_writer = await asyncio.open_connection(*listen)
+            used_reader, rested_writer = await asyncio.open_connection(*listen)
             rested_writer.write(request())
-            assert (await read_response(rested))[0] == 200
-            opened, opened_writer = await asyncio.open_connection(*listen)
+            assert (await read_response(used_reader))[0] == 200
+            new_reader, new_writer = await asyncio.open_connection(*listen)
             await wait_until(lambda: len(proxy.sidecar.frontend.connections) == 2)
             proxy.stop.set()
-            # What is at rest is closed while a request that crosses it can still come again.
-            assert await wait_for_eof(rested)
+            # Idle connections are closed early: a request that crosses the close can still be sent again.
+            assert await wait_for_eof(used_reader)
             assert (await send_request(listen, request(path="/health/ready")))[0] == 503
-            # What was just opened keeps its request, and so does what is opened now.
-            late, late_writer = await asyncio.open_connection(*listen)
-            for reader, writer in ((opened, opened_writer), (late, late_writer)):
+            # Requests are served on a connection opened just before the drain, and on one opened during it.
+            late_reader, late_writer = await asyncio.open_connection(*listen)
+            for reader, writer in ((new_reader, new_writer), (late_reader, late_writer)):
                 writer.write(request())
                 status, headers, body = await read_response(reader)
                 assert (status, headers["connection"], body) == (200, "close", b"served")
@@ -224,7 +226,7 @@
 
 
 async def next_line(log: asyncio.StreamReader) -> bytes:
-    """The next line of the program's log, past those on a busy machine."""
+    """Return the next line of the program's log, except warnings about a late event loop."""
     while True:
         line = await asyncio.wait_for(log.readline(), TIMEOUT_S)
         if b"the event loop was" not in line:
@@ -239,7 +241,7 @@
         server = FakeServer("s-0", lambda *_: encode_response(200, b"served"))
         path = tmp_path / "config.json"
 
-        def replaced(discovery: FakeDiscovery) -> str:
+        def config_text(discovery: FakeDiscovery) -> str:
             return json.dumps(config(discovery="{}:{}".format(*discovery.address)))
 
         async with program(tmp_path, server, old) as (process, listen):
@@ -248,15 +250,15 @@
                 path.write_text(junk, encoding="utf-8")
                 process.send_signal(signal.SIGHUP)
                 assert b"reload rejected; keeping the active configuration" in await next_line(process.stderr)
-            for number, now in enumerate((first, second), start=1):
-                path.write_text(replaced(now), encoding="utf-8")
+            for version, current in enumerate((first, second), start=1):
+                path.write_text(config_text(current), encoding="utf-8")
                 process.send_signal(signal.SIGHUP)
-                # The complete list is asked for: what was heard elsewhere may be behind, or ahead.
-                await wait_until(partial(now.has_calls, 1))
-                assert now.targets == ["/registry/instances"]
-                now.push_update(number, [server.entry()], snapshot=True)
-                await wait_until(partial(now.has_calls, 2))
-                assert now.targets[1].startswith(f"/registry/instances?after={number}&wait_ms=")
+                # The complete list is fetched: the list from another registry may be older or newer.
+                await wait_until(partial(current.has_calls, 1))
+                assert current.targets == ["/registry/instances"]
+                current.push_update(version, [server.entry()], snapshot=True)
+                await wait_until(partial(current.has_calls, 2))
+                assert current.targets[1].startswith(f"/registry/instances?after={version}&wait_ms=")
             assert (await send_request(listen, request()))[0] == 200
             assert len(old.targets) == 1
             assert len(first.targets) == 2
@@ -272,11 +274,12 @@
 def test_readiness_waits_for_an_event_loop_on_time(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    # Guards the first clients: a platform may hold a program back for the CPU that it spent on starting.
+    # Guards against late responses to the first clients: a platform may throttle a program for the CPU time
+    # that its start took.
     async def scenario() -> None:
         monkeypatch.setattr(loop_lag, "SETTLED_AFTER_S", 600.0)
         monkeypatch.setattr(loop_lag, "_CHECK_INTERVAL_S", 0.01)
-        monkeypatch.setattr(loop_lag, "_LAG_WARNING_S", -1.0)  # as if it were late whenever it looked
+        monkeypatch.setattr(loop_lag, "_LAG_WARNING_S", -1.0)  # every check finds the event loop late
         async with running_proxy(settled=False) as proxy:
             await wait_until(lambda: caplog.text.count("late") > 2)
             assert (await proxy.send_request(path="/health/ready"))[0] == 503
@@ -298,16 +301,16 @@
 
 
 @pytest.fixture
-def many_descriptors() -> Iterator[None]:
-    """Let this process hold more than the program under test."""
+def raised_descriptor_limit() -> Iterator[None]:
+    """Let this process open more descriptors than the program under test."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     yield
     resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-def opened(address: Address, count: int) -> list[socket.socket]:
-    """Connections that say nothing, all asked for at once."""
+def open_idle_sockets(address: Address, count: int) -> list[socket.socket]:
+    """Open connections that send nothing, without waiting until they are established."""
     idle = []
     for _ in range(count):
         each = socket.socket()
@@ -317,10 +320,10 @@
     return idle
 
 
-@pytest.mark.usefixtures("many_descriptors")
+@pytest.mark.usefixtures("raised_descriptor_limit")
 @pytest.mark.parametrize("descriptors", [256, 1024])
 def test_idle_clients_fill_the_descriptors_while_discovery_is_down(descriptors: int, tmp_path: Path) -> None:
-    most = (descriptors - RESERVED_DESCRIPTORS) // 2  # clients, and as many connections to servers
+    most = (descriptors - RESERVED_DESCRIPTORS) // 2  # as many clients as connections to servers
 
     async def scenario() -> None:
         server, down = FakeServer("s-0", lambda *_: None), FakeDiscovery()
@@ -330,23 +333,21 @@
             def all_there_or_refused() -> bool:
                 return len(server.requests) + sum(each.done() for each in held) == len(held)
 
-            while more := min(
-                8, most - len(server.requests)
-            ):  # so few, and again what a slow machine refuses
+            # Sent in small batches; what is rejected on a slow machine is sent again.
+            while more := min(8, most - len(server.requests)):
                 data = [request("pay", X_Call_Id=f"{len(held) + n}", budget="500") for n in range(more)]
                 held += [asyncio.create_task(send_request(listen, each)) for each in data]
                 await wait_until(all_there_or_refused)
             server.script = lambda *_: encode_response(200, b"served")
             for each in server.writers:
-                each.write(encode_response(200, b"served"))  # so that each leaves a connection behind
+                each.write(encode_response(200, b"served"))  # each leaves an idle connection behind
             statuses = [(await each)[0] for each in held]
             assert statuses.count(200) == most
             idle = []
             for _ in range(4):
-                idle += opened(listen, 400)
-                assert (await send_request(listen, request(path="/health/ready")))[
-                    0
-                ] == 200  # it came behind them
+                idle += open_idle_sockets(listen, 400)
+                # This connection is accepted after the idle ones.
+                assert (await send_request(listen, request(path="/health/ready")))[0] == 200
             down._server = await asyncio.start_server(down._serve, *down.address)
             await wait_until(lambda: down.targets)
             other = FakeServer("s-1", lambda *_: encode_response(200, b"other"))
@@ -354,11 +355,10 @@
             down.push_update(2, [server.entry(status="left"), other.entry()])
             for _ in range(9):
                 down.push_update(2, [])
-            # Between these calls 0.1 s pass on the program's own clock: it has found silent clients since.
+            # The program pauses for 0.1 s between these calls, so it has swept the silent clients since.
             await wait_until(lambda: sum("after=2&" in each for each in down.targets) >= 4)
-            assert (await send_request(listen, request("pay", budget="500")))[
-                2
-            ] == b"other"  # on a new connection
+            # This needs a new connection to a server.
+            assert (await send_request(listen, request("pay", budget="500")))[2] == b"other"
             assert (await send_request(listen, request(path="/health/ready")))[0] == 200
             process.kill()
             _, err = await process.communicate()
@@ -372,7 +372,7 @@
 
 
 def test_restart_with_a_thousand_servers_is_ready_in_time_while_discovery_is_down(tmp_path: Path) -> None:
-    # Nine in ten have to be ready within 10 s, on a part of a core and in 32 MB.
+    # Nine sidecars in ten must be ready within 10 s, on a fraction of a core and in 32 MB of memory.
     async def scenario() -> None:
         server, down = FakeServer("s-0", lambda *_: encode_response(200, b"served")), FakeDiscovery()
         listed = [f"127.1.{index // 250}.{index % 250 + 1}:9" for index in range(1023)]
@@ -388,9 +388,8 @@
             leaving = [each | {"status": "leaving"} for each in entries[1:]]
             down.push_update(3, leaving)
             await wait_until(lambda: down.has_calls(3))
-            assert (await send_request(listen, request("pay")))[
-                2
-            ] == b"served"  # of all, the one that is left
+            # Only one server is not draining.
+            assert (await send_request(listen, request("pay")))[2] == b"served"
             status = (Path("/proc") / str(process.pid) / "status").read_text()
             (peak,) = [line for line in status.splitlines() if line.startswith("VmHWM")]
             assert int(peak.split()[1]) < 32 * 1024  # kB
--- a/tests/proxy/test_registry_faults.py
+++ b/tests/proxy/test_registry_faults.py
@@ -1,4 +1,4 @@
-"""Whatever fails in a call to discovery, the watch is opened anew and changes are applied in time."""
+"""Whatever fails in a call to discovery, the watch is restarted and changes are applied in time."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from sidecar.proxy.registry_messages import parse_registry_response
 from sidecar.proxy.server_connection import ServerConnection
 
-NOTIFIED_WITHIN_S = 6.0  # after discovery has a change and can be reached
+NOTIFIED_WITHIN_S = 6.0  # after discovery has a change and is reachable
 RULES = {"max_poll_interval_us": 60 * SECOND_US}
 MODES = ("on_request", "pushed")
 DIAL_FAULTS = [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EINTR]
@@ -92,7 +92,7 @@
             ) as proxy:
                 await wait_until(lambda: registry.targets)
                 transport: Any = dialled[-1]._transport
-                transport._fatal_error(OSError(code, os.strerror(code)))  # as reading it would
+                transport._fatal_error(OSError(code, os.strerror(code)))  # as a failed read does
                 began = now_s()
                 await registry.change(proxy.servers[0].entry(status="leaving"))
                 await assert_notified_within(proxy, NOTIFIED_WITHIN_S, began)
@@ -101,7 +101,7 @@
 
 
 class ResettingRegistry(RegistryStandIn):
-    """Resets connections as they come up, for a while."""
+    """Resets the next `remaining_resets` connections as soon as they are open."""
 
     left = 0
 
@@ -126,7 +126,7 @@
             connection = await connect(address, body_most)
             if is_reset:
                 await wait_until(lambda: connection._transport is None or connection._transport.is_closing())
-                await asyncio.sleep(0)  # and its end has been reported by now
+                await asyncio.sleep(0)  # the connection has reported its end
             return connection
 
         monkeypatch.setattr(discovery_client, "connect", dial)
@@ -138,9 +138,8 @@
             await wait_until(lambda: not registry.left)
             began = now_s()
             await registry.change(proxy.servers[0].entry(status="leaving"))
-            await assert_notified_within(
-                proxy, 2.0, began
-            )  # a wait before the next call; given up on, the last would take 2.5 s
+            # Time for a pause before the next call; a call on a broken connection would time out after 2.5 s.
+            await assert_notified_within(proxy, 2.0, began)
 
     run_in_virtual_time(scenario())
 
@@ -193,7 +192,7 @@
 
 
 class MalformedRegistry(RegistryStandIn):
-    """Answers the call that is out with junk, and the next ones as it should."""
+    """Answers the pending call with a malformed response, and the following calls correctly."""
 
     junk: bytes | None = None
 
--- a/tests/proxy/test_registry_races.py
+++ b/tests/proxy/test_registry_races.py
@@ -1,4 +1,4 @@
-"""Changes of the registry that cross reloads, drains, silences and requests under way."""
+"""Races of registry changes with reloads, drains, silent watches and requests in flight."""
 
 from __future__ import annotations
 
@@ -28,21 +28,21 @@
 from sidecar.balancer.events import ServerState
 from sidecar.proxy import shutdown
 
-NOTIFIED_WITHIN_S = 6.0  # after a watch fell silent, or discovery has a change and can be reached
-RELOADED_S = 4.0  # after SIGHUP, what discovery's new place has counts as notified
+NOTIFIED_WITHIN_S = 6.0  # after a watch falls silent, or discovery has a change and is reachable
+RELOADED_S = 4.0  # after SIGHUP, for changes that discovery has at its new address
 RULES = {"max_poll_interval_us": 60 * SECOND_US}
-MODES = ("on_request", "pushed")  # how discovery tells, by the settings
+MODES = ("on_request", "pushed")  # values of the setting `discovery`
 
 
 async def gone_within(proxy: ProxyHarness, limit_s: float, began: float) -> None:
-    """Wait until connections to s-0 are no use any more, which has to be in time."""
+    """Wait until s-0 is removed from the pool, and fail if that takes longer than the limit."""
     while "s-0" in proxy.sidecar._pool.servers:
         assert now_s() < began + limit_s, f"not notified {limit_s} s later"
         await asyncio.sleep(STEP_S)
 
 
 async def nothing_more_reaches_the_first(proxy: ProxyHarness) -> None:
-    """All that is asked from now on is served, by the others."""
+    """Check that further requests are served, all by other servers."""
     seen = len(proxy.servers[0].requests)
     for number in range(20):
         kind = "pay" if number % 2 else "look"
@@ -53,12 +53,12 @@
 
 
 def has_sent(proxy: ProxyHarness, count: int) -> bool:
-    """Whether so many requests have come to servers."""
+    """Return whether the servers have received exactly this many requests."""
     return len(proxy.server_requests()) == count
 
 
 async def hold_at_first(proxy: ProxyHarness) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """A request that is out at s-0, which does not answer yet."""
+    """Return the client connection of a request in flight to s-0, which does not answer yet."""
     first = proxy.servers[0]
     first.script = never_respond
     before = len(first.requests)
@@ -70,10 +70,10 @@
             return reader, writer
         assert (await read_response(reader))[0] == 200
         writer.close()
-    raise AssertionError("no request came to s-0")
+    raise AssertionError("no request reached s-0")
 
 
-# -- A reload x a drain
+# -- A reload and the drain of a server
 
 
 @pytest.mark.parametrize("mode", MODES)
@@ -90,16 +90,18 @@
             reader, writer = await hold_at_first(proxy)
             leaving = proxy.servers[0].entry(status="leaving")
             if not reload_first:
-                await latter.change(leaving)  # and the former place never hears of it
+                await latter.change(leaving)  # the old registry never has this change
             proxy.sidecar.migrate_discovery(latter.address)
             began = now_s()
             if reload_first:
                 await advance(STEP_S)
-                assert latter.targets[0] == "/registry/instances"  # asked at once, for the complete list
+                assert latter.targets[0] == "/registry/instances"  # the complete list is fetched at once
                 await latter.change(leaving)
             await assert_notified_within(proxy, RELOADED_S, began)
             await nothing_more_reaches_the_first(proxy)
-            proxy.servers[0].writers[-1].write(encode_response(200, b"late"))  # what it has, it finishes
+            proxy.servers[0].writers[-1].write(
+                encode_response(200, b"late")
+            )  # its request in flight is completed
             assert (await read_response(reader))[2] == b"late"
             writer.close()
         latter.stop()
@@ -111,7 +113,7 @@
 def test_drain_notified_after_sigterm_and_a_reload_keeps_late_requests_from_its_server(
     reload_first: bool, make_registry: Callable[[], RegistryStandIn], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Connections are taken for as long as the test needs.
+    # Connections are accepted for as long as the test runs.
     monkeypatch.setattr(shutdown, "_ACCEPT_DURATION_S", 600.0)
 
     async def scenario() -> None:
@@ -138,7 +140,7 @@
     run_in_virtual_time(scenario())
 
 
-# -- A silence that begins late
+# -- A watch that falls silent late
 
 
 @pytest.mark.parametrize("mode", MODES)
@@ -158,9 +160,9 @@
                 weight += 1.0
                 await registry.change(proxy.servers[1].entry(weight=weight))
             calls = len(registry.targets)
-            await wait_until(lambda: len(registry.targets) > calls)  # the next watch is out
+            await wait_until(lambda: len(registry.targets) > calls)  # the next call of the watch is pending
             await advance(open_for_s)
-            registry.fail("silent")  # for the calls that are out, and no others
+            registry.fail("silent")  # only the pending calls
             await registry.recover()
             began = now_s()
             await advance(missed_after_s)
@@ -171,7 +173,7 @@
     run_in_virtual_time(scenario())
 
 
-# -- A complete list that leaves out what drains, or what is in use
+# -- A snapshot without a server that is draining or in use
 
 
 @pytest.mark.parametrize("drained_first", [True, False])
@@ -181,9 +183,8 @@
     async def scenario() -> None:
         async with running_proxy(respond_ok, respond_ok) as proxy:
             first, second = proxy.servers
-            proxy.sidecar._pool._idle_connections.reuse_delay_s = (
-                600.0  # what is kept from one request is not taken by the next
-            )
+            # No connection is reused.
+            proxy.sidecar._pool._idle_connections.reuse_delay_s = 600.0
             while not first.requests:
                 assert (await proxy.send_request())[0] == 200
             reader, writer = await hold_at_first(proxy)
@@ -191,20 +192,18 @@
             if drained_first:
                 proxy.discovery.push_update(42, [first.entry(status="leaving")])
                 await wait_until(lambda: states["s-0"].state is ServerState.DRAINING)
-                await wait_until(
-                    lambda: first.closed_by_peer == len(first.writers) - 1
-                )  # none at rest is kept
+                # Its idle connections are closed.
+                await wait_until(lambda: first.closed_by_peer == len(first.writers) - 1)
             proxy.discovery.push_update(43, [second.entry()], snapshot=True)
             await gone_within(proxy, NOTIFIED_WITHIN_S, now_s())
             await wait_until(lambda: first.closed_by_peer == len(first.writers) - 1)
-            first.script = respond_ok  # it still listens, and would answer
+            first.script = respond_ok  # it still listens and would respond
             await nothing_more_reaches_the_first(proxy)
             first.writers[-1].write(encode_response(200, b"late"))
             assert (await read_response(reader))[2] == b"late"
             await wait_until(lambda: not proxy.sidecar._active)
-            await wait_until(
-                lambda: first.closed_by_peer == len(first.writers)
-            )  # no connection to it is kept
+            # No connection to it is kept open.
+            await wait_until(lambda: first.closed_by_peer == len(first.writers))
             writer.close()
 
     run_in_virtual_time(scenario())
@@ -230,13 +229,13 @@
     run_in_virtual_time(scenario())
 
 
-# -- A watch that ends without its event x a first response that is the complete list
+# -- A watch that ends without the change, followed by a snapshot
 
 
 class WatchEndingRegistry(RegistryStandIn):
-    """Ends the watches that are out as something changes; calls anew get the complete list at once."""
+    """Ends pending watches at a change without reporting it; later calls get a snapshot at once."""
 
-    how = "reset"
+    ending = "reset"
     listed: list[dict[str, Any]]
 
     async def change(self, entry: dict[str, Any]) -> None:
@@ -244,11 +243,11 @@
         self.listed = [each for each in self.listed if each["name"] != entry["name"]]
         for writer in list(self._calls):
             self._calls.discard(writer)
-            if self.how == "reset":
+            if self.ending == "reset":
                 reset(writer)
-            elif self.how == "503":
+            elif self.ending == "503":
                 writer.write(encode_response(503, b""))
-            elif self.how == "half an answer":
+            elif self.ending == "half an answer":
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + b'{"index":')
                 writer.close()
             else:
@@ -262,18 +261,17 @@
 
 
 @pytest.mark.parametrize("mode", MODES)
-@pytest.mark.parametrize("how", ["reset", "503", "half an answer", "end"])
-def test_watch_ends_without_its_event_and_the_snapshot_lacks_what_drains(how: str, mode: str) -> None:
+@pytest.mark.parametrize("ending", ["reset", "503", "half an answer", "end"])
+def test_watch_ends_without_its_event_and_the_snapshot_lacks_what_drains(ending: str, mode: str) -> None:
     async def scenario() -> None:
         registry = WatchEndingRegistry()
-        registry.how = how
+        registry.ending = ending
         async with running_proxy(
             respond_ok, respond_ok, registry=registry, rules=RULES, discovery=mode
         ) as proxy:
             registry.listed = [each.entry() for each in proxy.servers]
-            await wait_until(
-                partial(registry.has_calls, 2)
-            )  # a watch has ended by its time, and the next is out
+            # One watch has ended after its wait time, and the next is pending.
+            await wait_until(partial(registry.has_calls, 2))
             await registry.change(proxy.servers[0].entry(status="leaving"))
             await gone_within(proxy, NOTIFIED_WITHIN_S, now_s())
             await nothing_more_reaches_the_first(proxy)
--- a/tests/proxy/test_registry_update_delay.py
+++ b/tests/proxy/test_registry_update_delay.py
@@ -1,4 +1,4 @@
-"""How long after discovery has a change it is applied, whatever the calls before came to."""
+"""How soon a change is applied once discovery has it, whatever the results of the previous calls."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from proxy_harness import respond_ok, running_proxy
 from virtual_time import STEP_S, RegistryStandIn, advance, assert_notified_within, now_s, run_in_virtual_time
 
-NOTIFIED_WITHIN_S = 6.0  # after discovery has it and can be reached, a change counts as notified
+NOTIFIED_WITHIN_S = 6.0  # after discovery has a change and is reachable
 
 
-# The settings allow far longer; nothing of that counts after a failed call.
+# The settings allow far longer intervals between calls; after a failed call these do not apply.
 RULES = {"max_poll_interval_us": 60 * SECOND_US}
 FAULTS = ("503", "reset", "refused", "partitioned", "silent")
 
@@ -47,7 +47,7 @@
 def test_change_is_applied_in_time_while_a_watch_is_silent(
     after_s: float, make_registry: Callable[[], RegistryStandIn]
 ) -> None:
-    # The watch alone fell silent: its service has the change, and answers whoever calls anew.
+    # Only the pending call of the watch is silent: the registry has the change, and answers new calls.
     async def scenario() -> None:
         registry = make_registry()
         async with running_proxy(respond_ok, registry=registry, rules=RULES) as proxy:
@@ -106,13 +106,13 @@
 
 
 def test_watch_makes_no_more_calls_than_needed(make_registry: Callable[[], RegistryStandIn]) -> None:
-    # Each call costs a service that answers a whole fleet in turn; shorter waits than this buy nothing.
+    # Each call is a cost for a registry that serves a whole fleet; shorter waits would bring no benefit.
     async def scenario() -> None:
         registry = make_registry()
         async with running_proxy(respond_ok, registry=registry, rules=RULES):
             await advance(60.0)
             assert 15 <= len(registry.targets) <= 20
             waits = {int(parse_qs(urlsplit(each).query)["wait_ms"][0]) for each in registry.targets}
-            assert len(waits) > 5  # instances that were silenced at once do not come back at once
+            assert len(waits) > 5  # sidecars whose watches fail together do not all call again together
 
     run_in_virtual_time(scenario())
--- a/tests/proxy/test_remaining_time.py
+++ b/tests/proxy/test_remaining_time.py
@@ -1,4 +1,4 @@
-"""What an attempt tells its server of the time left is true when it is written, and requests end in time."""
+"""Attempts state the time that remains when they are written, and requests end in time."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 _BUDGET_S = 5.0
 _HELD_S = 0.4
 _TOLD_SLACK_S = 0.15
-_ANSWER_SLACK_S = 0.5  # a final answer may come so long after its time
+_ANSWER_SLACK_S = 0.5  # how long after its deadline a request may get its response
 
 
 async def pass_time(seconds: float) -> None:
@@ -77,19 +77,19 @@
     run_scenario(scenario())
 
 
-class Copies:
-    """What servers got of one request: the first of them is silent, any other answers with `reply`."""
+class AttemptRecorder:
+    """The attempts of one request: the first gets no response, each later one gets `reply`."""
 
     def __init__(self, reply: bytes) -> None:
         self.reply = reply
-        self.came: list[tuple[float, float]] = []  # when each copy came, and the time left that it told
+        self.arrivals: list[tuple[float, float]] = []  # arrival and stated remaining time of each, in s
 
     def respond(self, _: str, head: Headers, __: bytes) -> bytes | None:
-        self.came.append((asyncio.get_running_loop().time(), told(head)))
-        return None if len(self.came) == 1 else self.reply
+        self.arrivals.append((asyncio.get_running_loop().time(), told(head)))
+        return None if len(self.arrivals) == 1 else self.reply
 
     def running_proxy(self, monkeypatch: pytest.MonkeyPatch) -> Any:
-        """Servers of which one that is overdue is taken for lost, which else takes more of them to tell."""
+        """Run a proxy that hedges every overdue attempt, without waiting for the ejection of its server."""
         monkeypatch.setattr(HedgingPolicy, "is_hedge_due", lambda *_: True)
         classes = [each | {"latency_target_us": SECOND_US // 2} for each in CLASSES]
         limits = LIMITS | {"allow_hedging": True}
@@ -97,14 +97,14 @@
 
 
 def test_hedged_request_states_the_remaining_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    copies = Copies(respond_ok())
+    attempts = AttemptRecorder(respond_ok())
 
     async def scenario() -> None:
-        async with copies.running_proxy(monkeypatch) as proxy:
+        async with attempts.running_proxy(monkeypatch) as proxy:
             began = asyncio.get_running_loop().time()
             assert (await proxy.send_request(budget=str(_BUDGET_S)))[0] == 200
-            (first_at, first_s), (second_at, second_s) = copies.came
-            assert second_at - first_at > _TOLD_SLACK_S  # else the check below shows nothing
+            (first_at, first_s), (second_at, second_s) = attempts.arrivals
+            assert second_at - first_at > _TOLD_SLACK_S  # otherwise the checks below prove nothing
             assert 0.0 < first_s <= _BUDGET_S - (first_at - began) + _TOLD_SLACK_S
             assert 0.0 < second_s <= _BUDGET_S - (second_at - began) + _TOLD_SLACK_S
             assert second_s < first_s - _TOLD_SLACK_S
@@ -112,20 +112,25 @@
     run_scenario(scenario())
 
 
-# -- Requests whose attempts are lost, by their server, in silence or at once
+# -- Requests whose attempts fail at once, or get no response
 
 
-async def answered_in_time(proxy: ProxyHarness, kind: str, budget_s: float, most: int = 1) -> int:
-    """Ask; check that the answer comes in time, and that what may run once is sent `most` times at most."""
+async def answered_in_time(
+    proxy: ProxyHarness, kind: str, budget_s: float, max_unsafe_attempts: int = 1
+) -> int:
+    """Send a request and return its status; check its response time and its number of attempts.
+
+    An unsafe request may be sent at most `max_unsafe_attempts` times.
+    """
     loop = asyncio.get_running_loop()
-    before, began = len(proxy.server_requests()), loop.time()
+    requests_before, started_at = len(proxy.server_requests()), loop.time()
     status, _, _ = await proxy.send_request(
         kind=kind, body=b"" if kind == "look" else b"x", budget=f"{budget_s}"
     )
-    assert loop.time() - began < budget_s + _ANSWER_SLACK_S
-    sent = [head for _, head, _ in proxy.server_requests()[before:]]
+    assert loop.time() - started_at < budget_s + _ANSWER_SLACK_S
+    sent = [head for _, head, _ in proxy.server_requests()[requests_before:]]
     if kind == "pay":
-        assert len(sent) <= most
+        assert len(sent) <= max_unsafe_attempts
     assert len(sent) <= LIMITS["max_attempts"]
     await wait_until(lambda: not proxy.sidecar._active)
     return status
@@ -148,27 +153,27 @@
 def test_hedged_request_that_fails_at_once_leaves_time_for_a_response(
     reply: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    copies = Copies(reply)
+    attempts = AttemptRecorder(reply)
 
     async def scenario() -> None:
-        async with copies.running_proxy(monkeypatch) as proxy:
+        async with attempts.running_proxy(monkeypatch) as proxy:
             assert await answered_in_time(proxy, "look", 2.0) in (500, 503)
-            assert 2 <= len(copies.came) <= LIMITS["max_attempts"]
+            assert 2 <= len(attempts.arrivals) <= LIMITS["max_attempts"]
 
     run_scenario(scenario())
 
 
 @pytest.mark.parametrize("kind", ["look", "pay", "amend"])
 @pytest.mark.parametrize(
-    "end", [b"", reject(), encode_response(500, b"")], ids=["reset", "rejected", "failed"]
+    "reply", [b"", reject(), encode_response(500, b"")], ids=["reset", "rejected", "failed"]
 )
-def test_retries_that_fail_at_once_leave_time_for_a_response(kind: str, end: bytes) -> None:
+def test_retries_that_fail_at_once_leave_time_for_a_response(kind: str, reply: bytes) -> None:
     async def scenario() -> None:
-        async with running_proxy(lambda *_: end, lambda *_: end, respond_ok) as proxy:
+        async with running_proxy(lambda *_: reply, lambda *_: reply, respond_ok) as proxy:
             proxy.servers[2].stop()  # dials to it are refused
             for _ in range(4):
-                most = 1 if end != reject() else LIMITS["max_attempts"]
-                assert await answered_in_time(proxy, kind, 1.0, most) in (500, 503)
+                max_unsafe_attempts = 1 if reply != reject() else LIMITS["max_attempts"]
+                assert await answered_in_time(proxy, kind, 1.0, max_unsafe_attempts) in (500, 503)
 
     run_scenario(scenario())
 
@@ -196,7 +201,7 @@
 
     async def scenario() -> None:
         def forgets(*_: object) -> bytes:
-            """Answer the first request on each connection, and reset at the next."""
+            """Answer the first request on each connection, and reset the connection at the next."""
             writer = proxy.servers[0].writers[-1]
             is_new = writer not in used
             used.add(writer)
@@ -205,7 +210,7 @@
         async with running_proxy(forgets, respond_ok) as proxy:
             proxy.sidecar._pool._idle_connections.reuse_delay_s = 0.0
             statuses = []
-            while len(proxy.servers[0].requests) == len(used):  # until one was broken
+            while len(proxy.servers[0].requests) == len(used):  # until a connection was reset
                 statuses.append(await answered_in_time(proxy, kind, _BUDGET_S))
             assert statuses.pop() == (500 if kind == "pay" else 200)
             assert set(statuses) <= {200}
--- a/tests/proxy/test_request_crossings.py
+++ b/tests/proxy/test_request_crossings.py
@@ -1,4 +1,4 @@
-"""Races of requests with dying servers, draining servers and SIGTERM."""
+"""Races of requests with crashing servers, draining servers and SIGTERM."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 from sidecar.proxy.server_connection import ServerConnection
 from sidecar.proxy.sockets import is_connected
 
-BAD_PEER_S = 3.0  # bad input is answered or its connection closed within this
-_GAP_S = 0.005  # between pieces: the event loop reads each by itself
+BAD_PEER_S = 3.0  # within this time a client that breaks the protocol gets an error or a close
+_GAP_S = 0.005  # between writes, so that the event loop reads each separately
 
 
-# -- A server dies x the connection that it accepted
+# -- A server that crashes after it accepted a connection
 
 
 class DyingServer(LoopbackListener):
@@ -55,16 +55,19 @@
 
 
 def dial_until_reset(monkeypatch: pytest.MonkeyPatch, victim: Address) -> None:
-    """Let each dial to an address come to its end only with the reset of the connection in the kernel."""
+    """Let each dial to an address finish only when the kernel has received the reset of its connection."""
     connect = server_connection.connect
 
     async def delayed(
-        address: Address, body_most: int, stall_s: float | None = None, sock: socket.socket | None = None
+        address: Address,
+        max_body_bytes: int,
+        response_timeout_s: float | None = None,
+        sock: socket.socket | None = None,
     ) -> ServerConnection:
-        connection = await connect(address, body_most, stall_s, sock)
+        connection = await connect(address, max_body_bytes, response_timeout_s, sock)
         if address == victim:
             assert connection._transport is not None
-            connection._transport.pause_reading()  # the loop may not hear of it first
+            connection._transport.pause_reading()  # the event loop must not see the reset first
             await wait_until(lambda: not is_connected(connection.sock))
         return connection
 
@@ -74,12 +77,12 @@
 async def ask_until_reached(
     proxy: ProxyHarness, kind: str, body: bytes, is_reached: Callable[[], object]
 ) -> tuple[int, bytes]:
-    """Send requests until one has reached the server that dies; return its response."""
+    """Send requests until one has reached the crashing server; return its status and response body."""
     for _ in range(200):
         status, _, answered = await proxy.send_request(kind=kind, body=body, budget="500")
         if is_reached():
             return status, answered
-    raise AssertionError("no request came to the server that dies")
+    raise AssertionError("no request reached the crashing server")
 
 
 @pytest.mark.parametrize("kind", ["look", "pay", "amend"])
@@ -95,17 +98,17 @@
         async with running_proxy(respond_ok, respond_ok) as proxy:
             proxy.sidecar._pool.update("s-0", victim.address, None, ServerState.READY)
             body = b"" if kind == "look" else b"whole"
-            got = await ask_until_reached(proxy, kind, body, lambda: victim.accepted)
+            response = await ask_until_reached(proxy, kind, body, lambda: victim.accepted)
             sent = proxy.servers[1].requests
             last = f"{proxy._requests_sent:016x}"
-            copies = [each for _, head, each in sent if head["x-call-id"] == last]
+            received_bodies = [each for _, head, each in sent if head["x-call-id"] == last]
             if kind == "pay" and not at_once:
-                assert got == (500, b"")
-                assert copies == []
+                assert response == (500, b"")
+                assert received_bodies == []
                 assert victim.accepted == 1
             else:
-                assert got == (200, b"served")
-                assert copies == [body]
+                assert response == (200, b"served")
+                assert received_bodies == [body]
         victim.stop()
 
     run_scenario(scenario())
@@ -124,7 +127,7 @@
 
             async def accept_and_die() -> None:
                 accepted, _ = await asyncio.get_running_loop().sock_accept(listener)
-                with accepted:  # closed with bytes unread, which is a reset
+                with accepted:  # closed with unread bytes, which resets the connection
                     accepted.setblocking(False)
                     met.append(len(await asyncio.get_running_loop().sock_recv(accepted, 1)))
 
@@ -142,11 +145,11 @@
     run_scenario(scenario())
 
 
-# -- A request in single bytes x a drain, x the limit for bad peers
+# -- Requests sent byte by byte, during a drain or too slowly
 
 
 async def idle_connection(proxy: ProxyHarness) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """A connection that has carried a request and is idle."""
+    """Open a connection that has carried a request and is idle."""
     reader, writer = await proxy.connect()
     writer.write(request(X_Call_Id="earlier"))
     assert (await read_response(reader))[0] == 200
@@ -154,14 +157,14 @@
 
 
 async def send_bytes(writer: asyncio.StreamWriter, data: bytes) -> None:
-    """Send byte by byte; the event loop reads each by itself."""
+    """Send data byte by byte; the event loop reads each byte separately."""
     for index in range(len(data)):
         writer.write(data[index : index + 1])
         await asyncio.sleep(_GAP_S)
 
 
-def in_pieces(ident: str) -> bytes:
-    return request("pay", body=b"in single bytes", budget="500", X_Call_Id=ident)
+def single_bytes_request(request_id: str) -> bytes:
+    return request("pay", body=b"in single bytes", budget="500", X_Call_Id=request_id)
 
 
 @pytest.mark.parametrize("used", [False, True], ids=["new connection", "used connection"])
@@ -170,10 +173,10 @@
     async def scenario() -> None:
         async with running_proxy(respond_ok, respond_ok) as proxy:
             reader, writer = await (idle_connection(proxy) if used else proxy.connect())
-            before = len(proxy.servers[0].requests)
+            requests_before = len(proxy.servers[0].requests)
             drained = proxy.sidecar._pool.servers["s-0"]
             for number in range(4):
-                data = in_pieces(f"{number}")
+                data = single_bytes_request(f"{number}")
                 await send_bytes(writer, data[:cut])
                 if number == 0:
                     proxy.discovery.push_update(42, [proxy.servers[0].entry(status="leaving")])
@@ -182,7 +185,7 @@
                 status, headers, body = await read_response(reader)
                 assert (status, body) == (200, b"served")
                 assert "connection" not in headers
-            assert len(proxy.servers[0].requests) == before
+            assert len(proxy.servers[0].requests) == requests_before
             assert [each for *_, each in proxy.servers[1].requests[-4:]] == [b"in single bytes"] * 4
             writer.close()
 
@@ -195,7 +198,7 @@
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
             reader, writer = await (idle_connection(proxy) if used else proxy.connect())
-            data = in_pieces("begun")
+            data = single_bytes_request("begun")
             await send_bytes(writer, data[:cut])
             proxy.stop.set()
             await wait_until(lambda: proxy.sidecar.frontend.draining)
@@ -214,7 +217,7 @@
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
             reader, writer = await (idle_connection(proxy) if used else proxy.connect())
-            data = in_pieces("slow")
+            data = single_bytes_request("slow")
             head = data.index(b"\r\n\r\n") + 4 if whole_head else 1
             began = now_s()
             writer.write(data[:head])
@@ -235,19 +238,19 @@
     run_in_virtual_time(scenario())
 
 
-# -- SIGTERM x what clients go on sending
+# -- Requests that arrive around SIGTERM
 
 
 async def new_connection(proxy: ProxyHarness) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """A connection that has carried no request yet."""
-    before = len(proxy.sidecar.frontend.connections)
+    """Open a connection that has carried no request yet."""
+    connections_before = len(proxy.sidecar.frontend.connections)
     streams = await proxy.connect()
-    await wait_until(lambda: len(proxy.sidecar.frontend.connections) > before)
+    await wait_until(lambda: len(proxy.sidecar.frontend.connections) > connections_before)
     return streams
 
 
 async def partial_request(proxy: ProxyHarness) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """A connection on which part of a request has arrived."""
+    """Open a connection on which part of a request has arrived."""
     reader, writer = await new_connection(proxy)
     writer.write(CROSSING[:30])
     await wait_until(lambda: any(each.has_partial_request() for each in proxy.sidecar.frontend.connections))
@@ -268,7 +271,7 @@
         async with running_proxy(respond_ok) as proxy:
             reader, writer = await CONNECTIONS[how](proxy)
             data = CROSSING[30:] if how == "half a request" else CROSSING
-            writer.write(data)  # it is unread as the drain begins: the loop has had no turn
+            writer.write(data)  # it is unread as the drain begins: no event loop iteration has run
             proxy.sidecar.frontend.drain()
             status, headers, body = await read_response(reader)
             assert (status, headers["connection"], body) == (200, "close", b"served")
--- a/tests/proxy/test_request_ids.py
+++ b/tests/proxy/test_request_ids.py
@@ -1,4 +1,4 @@
-"""The id of a request in flight is not accepted for another one."""
+"""The id of a request in flight is not accepted for another request."""
 
 from __future__ import annotations
 
@@ -30,7 +30,8 @@
             assert (await read_response(reader))[2] == b"the first's"
             assert [body for _, _, body in proxy.server_requests()] == [b"first"]
             proxy.servers[0].script = respond_ok
-            # An unsafe request was forwarded, and its client may not have the response: rejected even then.
+            # The unsafe request was forwarded, and its client may not have received the response: its id is
+            # rejected even after it has ended.
             assert (await proxy.send_request(kind="pay", body=b"third", X_Call_Id="one"))[0] == 409
             assert [body for _, _, body in proxy.server_requests()] == [b"first"]
             for kind, ident in (("pay", "other"), ("look", "safe"), ("look", "safe")):
@@ -66,7 +67,8 @@
 def test_request_id_in_flight_is_rejected_under_overload_too(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards rule 2: a 503 says that a retry is safe, and the other request may have been executed.
+    # Guards against executing an unsafe request twice: a 503 says that a retry is safe, but the request in
+    # flight with this id may have been executed.
     async def scenario() -> None:
         async with running_proxy(lambda *_: None) as proxy:
             _, writer = await proxy.connect()
--- a/tests/proxy/test_request_parsing.py
+++ b/tests/proxy/test_request_parsing.py
@@ -1,4 +1,4 @@
-"""Requests are parsed and checked: what is invalid is rejected and never forwarded."""
+"""Requests are parsed and validated: invalid ones are rejected and never forwarded."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 BIG = bytes(64 * 1024 + 1)
 
 
-# Guards servers against requests that the proxy can't account for: none of these may be forwarded.
+# Guards against forwarding requests that the proxy cannot parse or classify.
 @pytest.mark.parametrize(
     ("data", "status"),
     [
@@ -70,9 +70,9 @@
             writer.write(data)
             head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), TIMEOUT_S)
             assert head.startswith(b"HTTP/1.1 %d " % status)
-            await asyncio.wait_for(reader.read(), TIMEOUT_S)  # to the end of the connection
+            await asyncio.wait_for(reader.read(), TIMEOUT_S)  # until the connection is closed
             writer.close()
-            assert (await proxy.send_request())[0] == 200  # and the sidecar goes on
+            assert (await proxy.send_request())[0] == 200  # the sidecar still serves requests
             assert len(proxy.server_requests()) == 1
 
     run_scenario(scenario())
@@ -95,7 +95,7 @@
 
 
 def test_rejection_arrives_while_the_body_is_still_being_sent() -> None:
-    # Guards against a close over unread bytes, which resets the connection and loses the response.
+    # Guards against closing a socket with unread bytes, which resets the connection and loses the response.
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
             reader, writer = await proxy.connect()
--- a/tests/proxy/test_request_wait.py
+++ b/tests/proxy/test_request_wait.py
@@ -1,4 +1,4 @@
-"""The time that a request waits to be read counts against its budget, on a clock that tests advance."""
+"""The time that a request waits to be read counts against its budget.  Tests advance the clock."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 STALL_S = 0.4
 BUDGET_S = 1.0
-ALLOWED_S = 0.15  # what a server may be told beyond what is left to the client
+ALLOWED_S = 0.15  # how far a deadline may be later than the client's
 
 
 class Clock:
-    """The machine's clock, advanced by the time for which a process was stopped."""
+    """The machine's clock, which tests advance by the time for which a process counts as stopped."""
 
     def __init__(self) -> None:
         self._skipped_s = 0.0
@@ -66,7 +66,7 @@
 
 
 class Client:
-    """A client whose bytes are in the sidecar's kernel once sent, with no iteration of the event loop."""
+    """A client whose bytes are in the sidecar's kernel once sent, without an event loop iteration."""
 
     def __init__(self, address: Address) -> None:
         self.sock = socket.create_connection(address)
@@ -82,7 +82,7 @@
 
 @contextlib.asynccontextmanager
 async def connected(proxy: ProxyHarness) -> AsyncIterator[Client]:
-    """A client whose connection the sidecar has accepted and polled without finding data."""
+    """Connect a client; the sidecar has accepted the connection and polled it without finding data."""
     client = Client(proxy.sidecar.frontend.address)
     await wait_until(lambda: proxy.sidecar.frontend.connections)
     await asyncio.sleep(0.01)
@@ -111,7 +111,7 @@
             client = Client(proxy.sidecar.frontend.address)
             client.send(request(budget=f"{BUDGET_S}"))
             clock.skip(STALL_S)
-            await asyncio.sleep(0.01)  # the loop polls meanwhile, but not for new connections
+            await asyncio.sleep(0.01)  # the event loop polls meanwhile, but not for new connections
             proxy.sidecar.frontend._resume_accepting()
             assert await client.read_status() == 200
             assert forwarded_budget_s(proxy.server_requests()[0][1]) <= BUDGET_S - STALL_S
@@ -184,7 +184,7 @@
             client.send(request(budget=f"{BUDGET_S}"))
             assert await client.read_status() == 200
             assert forwarded_budget_s(proxy.server_requests()[0][1]) > BUDGET_S - STALL_S / 2
-            # And on a connection that is new after the stall.
+            # The same holds on a connection opened after the stall.
             assert (await proxy.send_request(budget=f"{BUDGET_S}"))[0] == 200
             assert forwarded_budget_s(proxy.server_requests()[1][1]) > BUDGET_S - STALL_S / 2
 
@@ -192,7 +192,7 @@
 
 
 class SleepClock:
-    """A clock that each poll with a timeout advances."""
+    """A clock that the test advances, also in each poll with a timeout."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -204,12 +204,12 @@
 @pytest.mark.parametrize(
     ("busy_s", "slept_s", "timeout_s", "waited_s"),
     [
-        (0.0, 0.05, 0.1, 0.0),  # woken from its sleep
+        (0.0, 0.05, 0.1, 0.0),  # the event ended the poll
         (0.0, 0.1, 0.1, 0.0),
-        (0.0, 0.4, 0.1, 0.4),  # stopped in its sleep: it may have come at any time of it
-        (0.4, 0.0, 0.1, 0.4),  # it came while callbacks ran
+        (0.0, 0.4, 0.1, 0.4),  # stopped during the poll: the event may have occurred at any time of it
+        (0.4, 0.0, 0.1, 0.4),  # the event occurred while callbacks ran
         (0.4, 0.0, 0.0, 0.4),
-        (0.004, 0.0, 0.1, 0.0),  # as short as any turn
+        (0.004, 0.0, 0.1, 0.0),  # no longer than an ordinary iteration
     ],
 )
 def test_poll_bounds_how_long_its_events_have_waited(
--- a/tests/proxy/test_response_races.py
+++ b/tests/proxy/test_response_races.py
@@ -68,7 +68,9 @@
             await wait_until(lambda: connection._write_blocked and proxy.sidecar.frontend._accepting)
             reader, writer = await proxy.connect()
             writer.write(request(X_Call_Id="new"))
-            await wait_until(lambda: not proxy.sidecar.frontend._accepting)  # it came, and there was no room
+            await wait_until(
+                lambda: not proxy.sidecar.frontend._accepting
+            )  # it arrived, and there was no capacity for it
             slow_reader, slow_writer = await asyncio.open_connection(sock=slow)
             assert (await read_response(slow_reader))[2] == bytes(60_000)
             assert (await read_response(reader))[2] == b"served"
@@ -83,13 +85,12 @@
     assert classify_outcome(early, request_written=False, has_protocol_error=False) is Outcome.CONNECT_FAILED
     assert classify_outcome(early, request_written=True, has_protocol_error=False) is Outcome.SUCCEEDED
     away = Response(503, [(b"x-rejected", b"1")], b"")
-    assert (
-        classify_outcome(away, request_written=False, has_protocol_error=False) is Outcome.REJECTED
-    )  # a server may say so unasked
+    # A server may reject a request before it has received all of it.
+    assert classify_outcome(away, request_written=False, has_protocol_error=False) is Outcome.REJECTED
 
 
 async def written(server: FakeServer) -> tuple[ConnectionPool, Exchange, ServerConnection, list[Outcome]]:
-    """An attempt that is written to a server which does not answer by itself, and what is heard of it."""
+    """Write an attempt to a server; return its pool, exchange, connection and the list of its outcomes."""
     await server.start()
     upstream = ConnectionPool(600.0, 600.0, 10)
     upstream.update("s", server.address, None, ServerState.READY)
@@ -102,28 +103,28 @@
 
 
 ENDS: dict[str, tuple[Callable[[ConnectionPool, Exchange], None], list[Outcome]]] = {
-    "its time is up": (lambda u, e: e.on_deadline(), [Outcome.TIMED_OUT]),
-    "it is called off": (lambda u, e: u.cancel(e), [Outcome.CANCELLED]),
-    # The exchange has a connection by then, which mypy can't know.
+    "its time is up": (lambda pool, exchange: exchange.on_deadline(), [Outcome.TIMED_OUT]),
+    "it is called off": (lambda pool, exchange: pool.cancel(exchange), [Outcome.CANCELLED]),
+    # The exchange has a connection by then, which mypy cannot infer.
     "its connection breaks": (lambda u, e: e.connection.connection_lost(None), [Outcome.RESET]),  # type: ignore[union-attr]
 }
 
 
 @pytest.mark.parametrize("how", ENDS)
 def test_attempt_ends_as_its_response_arrives(how: str) -> None:
-    end, ended = ENDS[how]
+    end_attempt, expected = ENDS[how]
 
     async def scenario() -> None:
         for answer_first in (True, False):
             server = FakeServer("s", never_respond)
             upstream, exchange, connection, heard = await written(server)
-            for step in (True, False) if answer_first else (False, True):
-                if step:
+            for is_response in (True, False) if answer_first else (False, True):
+                if is_response:
                     connection.data_received(respond_ok())
                 else:
-                    end(upstream, exchange)
-            assert heard == ([Outcome.SUCCEEDED] if answer_first else ended)
-            # Where the answer was last, nobody knows whose the next one on that connection would be.
+                    end_attempt(upstream, exchange)
+            assert heard == ([Outcome.SUCCEEDED] if answer_first else expected)
+            # If the response came last, a further one on this connection could belong to either request.
             assert connection.is_idle() is (answer_first and how != "its connection breaks")
             server.stop()
 
@@ -131,13 +132,14 @@
 
 
 def test_abandoned_attempt_is_not_in_flight_as_the_next_one_is_written() -> None:
-    # Guards rule 2 where second copies are not allowed: the end of one decides on the next in the same turn.
+    # Guards against two concurrent attempts where hedging is not allowed: the next attempt may be written in
+    # the event loop iteration in which this one ends.
     async def scenario() -> None:
         server = FakeServer("s", never_respond)
         upstream, exchange, _, heard = await written(server)
         upstream.cancel(exchange)
         assert heard == [Outcome.CANCELLED]
-        # The event loop has had no turn since.
+        # No event loop iteration has run since.
         assert has_peer_closed(server.writers[0].get_extra_info("socket"))
         server.stop()
 
@@ -158,7 +160,7 @@
             FAR_DEADLINE,
             lambda outcome, _: heard.append(outcome),
         )
-        timer._run()  # it was due in the same turn of the loop
+        timer._run()  # it expires in the same event loop iteration
         await wait_until(lambda: len(server.requests) == 2)
         connection.data_received(respond_ok())
         assert heard == [Outcome.SUCCEEDED, Outcome.SUCCEEDED]
@@ -169,7 +171,8 @@
 
 
 def test_client_has_disconnected_as_its_request_takes_an_idle_connection() -> None:
-    # Kept as if it had just been used, the connection would be held for longer than its server holds it.
+    # If the connection were kept as if it had just been used, it would stay in the pool for longer than its
+    # server keeps it open.
     async def scenario() -> None:
         server = FakeServer("s", respond_ok)
         upstream, _, connection, heard = await written(server)
@@ -190,23 +193,23 @@
 def test_idle_connections_closed_by_their_server_free_no_capacity() -> None:
     async def scenario() -> None:
         idle, busy = FakeServer("a", respond_ok), FakeServer("s", never_respond)
-        servers = ConnectionPool(600.0, 600.0, 2)
+        pool = ConnectionPool(600.0, 600.0, 2)
         for each in (idle, busy):
             await each.start()
-            servers.update(each.name, each.address, None, ServerState.READY)
+            pool.update(each.name, each.address, None, ServerState.READY)
         heard: list[Outcome] = []
 
         def send(name: str) -> None:
             get = encode_message(b"GET / HTTP/1.1", [(b"Host", b"x")])
-            servers.send(name, EncodedRequest(get), FAR_DEADLINE, lambda outcome, _: heard.append(outcome))
+            pool.send(name, EncodedRequest(get), FAR_DEADLINE, lambda outcome, _: heard.append(outcome))
 
         send("a")
         await wait_until(lambda: heard)
         idle.stop()
-        await wait_until(lambda: not servers.open_connections)  # and still noted as idle
+        await wait_until(lambda: not pool.open_connections)  # it is still listed as idle
         for _ in range(3):
             send("s")
-        assert servers.open_connections == 2
+        assert pool.open_connections == 2
         assert heard == [Outcome.SUCCEEDED, Outcome.CONNECT_FAILED]
         await wait_until(lambda: len(busy.requests) == 2)
         busy.stop()
--- a/tests/proxy/test_responses_without_length.py
+++ b/tests/proxy/test_responses_without_length.py
@@ -1,4 +1,4 @@
-"""Answers that announce no length: an orderly end of the connection completes them, a reset does not."""
+"""Responses without a length: an orderly close of the connection completes them, a reset does not."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 
 async def send_one(pool: ConnectionPool) -> tuple[Outcome, Response | None]:
-    """Send one short request to server s; give its outcome."""
+    """Send a short request to server s; return its outcome and its response, if any."""
     loop = asyncio.get_running_loop()
     ended: asyncio.Future[tuple[Outcome, Response | None]] = loop.create_future()
     data = encode_message(b"POST / HTTP/1.1", [(b"Host", b"x"), (b"Content-Length", b"0")])
-    pool.send("s", EncodedRequest(data), loop.time() + TIMEOUT_S, lambda *end: ended.set_result(end))
+    pool.send("s", EncodedRequest(data), loop.time() + TIMEOUT_S, lambda *result: ended.set_result(result))
     return await ended
 
 
@@ -44,8 +44,8 @@
             (writer,) = proxy.servers[0].writers
             writer.write(head + body)
             writer.close()
-            status, _, got = await asking
-            assert (status, got) == (200, body)
+            status, _, received = await asking
+            assert (status, received) == (200, body)
             assert len(proxy.server_requests()) == 1
 
     run_scenario(scenario())
@@ -63,7 +63,7 @@
         for piece in (_HEAD[:9], _HEAD[9:] + b"ser", b"ved"):
             server.writers[0].write(piece)
             await asyncio.sleep(0)
-            assert not sending.done()  # no end, no answer
+            assert not sending.done()  # it is incomplete without the close
         server.writers[0].close()
         outcome, response = await sending
         assert outcome is Outcome.SUCCEEDED
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("body", [b"", b"part of it or all", bytes(MAX_RESPONSE_BODY_BYTES)], ids=_BODIES)
 def test_reset_truncates_a_response_however_much_of_it_was_received(body: bytes) -> None:
-    # Read by the sidecar or not: the reset is in its kernel behind the bytes, or comes after they were read.
+    # The reset arrives after the sidecar has read the bytes, or while they are still unread in its kernel.
     async def scenario(is_read_before: bool) -> None:
         async with running_proxy(never_respond) as proxy:
             asking = asyncio.create_task(proxy.send_request(kind="pay", body=b"x"))
@@ -103,7 +103,7 @@
 
 
 def test_close_with_unread_bytes_is_a_reset() -> None:
-    # The kernel resets a connection that is closed over bytes that nobody has read.
+    # The kernel resets a connection that is closed with unread bytes.
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         listener = socket.create_server(("127.0.0.1", 0))
@@ -180,7 +180,7 @@
     async def scenario() -> None:
         server = FakeServer("s", lambda *_: _HEAD + b"and no end")
         await server.start()
-        pool = ConnectionPool(0.1, 60.0, 10)  # the dial limit bounds an answer that has begun
+        pool = ConnectionPool(0.1, 60.0, 10)  # the dial timeout also limits a response that has begun
         pool.update("s", server.address, None, ServerState.READY)
         assert await send_one(pool) == (Outcome.ERROR, None)
         await wait_until(lambda: server.closed_by_peer == 1 and pool.open_connections == 0)
--- a/tests/proxy/test_socket_errors.py
+++ b/tests/proxy/test_socket_errors.py
@@ -1,4 +1,4 @@
-"""Reads and writes that fail, are interrupted or short: what became of a request is judged exactly."""
+"""Reads and writes that fail, are interrupted or are short: each request ends with the exact outcome."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 from sidecar.proxy.http_messages import encode_message
 
 _BROKEN = (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH)
-_LONG = bytes(20_000)  # a request that is written in two parts, the last byte alone
+_LONG = bytes(20_000)  # such a request is written in two parts, its last byte separately
 
 
 def working_then(code: int, times: int) -> Failures:
-    """Work so many times, then fail for good."""
+    """Succeed this many times, then fail permanently."""
     return itertools.chain(itertools.repeat(None, times), itertools.repeat(code))
 
 
 def attempt(expected: Outcome, received: int, body: bytes = b"", reply: bytes = respond_ok()) -> None:
-    """Send one request; check its outcome, how often it came whole, and that its connection is given back."""
+    """Send a request; check its outcome, how often the server receives it, and that its connection closes."""
 
     async def scenario() -> None:
         server = FakeServer("s", lambda *_: reply)
@@ -45,7 +45,7 @@
         servers.close_idle("s")
         await wait_until(lambda: servers.open_connections == 0)
         if expected is not Outcome.RESET:
-            await wait_until(lambda: server.closed_by_peer == 1)  # all that was sent has been read
+            await wait_until(lambda: server.closed_by_peer == 1)  # the server has read all that was sent
             assert len(server.requests) == received
         server.stop()
 
@@ -71,9 +71,8 @@
 def test_failed_read_after_the_last_byte_is_a_reset(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
     use_faulty_sockets(monkeypatch, read_failures=working_then(code, 0))
     attempt(Outcome.RESET, 1)
-    use_faulty_sockets(
-        monkeypatch, read_failures=working_then(code, 1), max_read_bytes=30
-    )  # in the middle of the answer
+    # In the middle of the response.
+    use_faulty_sockets(monkeypatch, read_failures=working_then(code, 1), max_read_bytes=30)
     attempt(Outcome.RESET, 1)
 
 
@@ -118,7 +117,7 @@
         data = encode_message(b"GET / HTTP/1.1", [(b"Host", b"x")])
         until_at = asyncio.get_running_loop().time() + TIMEOUT_S
         exchange: Exchange = servers.send(
-            "s", EncodedRequest(data), until_at, lambda end, _: outcomes.append(end)
+            "s", EncodedRequest(data), until_at, lambda outcome, _: outcomes.append(outcome)
         )
         await wait_until(lambda: server.requests)
         servers.cancel(exchange)
--- a/tests/proxy/test_stalled_clients.py
+++ b/tests/proxy/test_stalled_clients.py
@@ -17,7 +17,7 @@
 )
 from virtual_time import advance, now_s, run_in_virtual_time
 
-BAD_PEER_S = 3.0  # by when a client that breaks the protocol gets its error or a close
+BAD_PEER_S = 3.0  # within this time a client that breaks the protocol gets an error or a close
 
 WHOLE = request("pay", body=b"whole")
 EXPECTING = request("pay", body=b"whole", Expect="100-continue")
@@ -116,7 +116,7 @@
             await advance(1.0)
             writer.write(WHOLE[30:])
             assert (await read_response(reader))[0] == 200
-            assert await wait_for_eof(reader)  # it rested for long enough
+            assert await wait_for_eof(reader)  # its idle time is over
             assert len(proxy.server_requests()) == 2
             writer.close()
 
--- a/tests/proxy/test_wall_clock_steps.py
+++ b/tests/proxy/test_wall_clock_steps.py
@@ -1,4 +1,4 @@
-"""The machine's wall clock is stepped: spans of time stay as they are."""
+"""Steps of the machine's wall clock do not change measured spans of time."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
 HOUR_S = 3600.0
 STEPS_S = [-HOUR_S, -3.0, 3.0, HOUR_S]
-Step = Callable[[float], None]
+StepFunction = Callable[[float], None]
 
 
 @pytest.fixture
-def step(monkeypatch: pytest.MonkeyPatch) -> Step:
-    """Steps the wall clock; the monotonic clock runs on."""
+def step_wall_clock(monkeypatch: pytest.MonkeyPatch) -> StepFunction:
+    """Return a function that steps the wall clock; the monotonic clock is not affected."""
     real_s, real_ns = time.time, time.time_ns
 
-    def by(span_s: float) -> None:
+    def step_by(span_s: float) -> None:
         monkeypatch.setattr(time, "time", lambda: real_s() + span_s)
         monkeypatch.setattr(time, "time_ns", lambda: real_ns() + int(span_s * 1e9))
 
-    return by
+    return step_by
 
 
 @pytest.mark.parametrize("span_s", STEPS_S)
-def test_clock_runs_on_through_a_step(span_s: float, step: Step) -> None:
+def test_clock_runs_on_through_a_step(span_s: float, step_wall_clock: StepFunction) -> None:
     clock = Clock()
     began_us, before_us = time.monotonic_ns() // 1000, clock.now()
-    step(span_s)
+    step_wall_clock(span_s)
     after_us, ended_us = clock.now(), time.monotonic_ns() // 1000
     assert 0 <= after_us - before_us <= ended_us - began_us + 1
     assert clock.to_loop_time(after_us) == pytest.approx(time.monotonic(), abs=1.0)
@@ -42,17 +42,17 @@
 
 @pytest.mark.parametrize("before", [True, False])
 @pytest.mark.parametrize("span_s", STEPS_S)
-def test_deadline_is_kept_through_a_step(span_s: float, before: bool, step: Step) -> None:
+def test_deadline_is_kept_through_a_step(span_s: float, before: bool, step_wall_clock: StepFunction) -> None:
     async def scenario() -> None:
         if before:
-            step(span_s)
+            step_wall_clock(span_s)
         async with running_proxy(respond_ok) as proxy:
             assert (await proxy.send_request())[0] == 200
             proxy.servers[0].script = never_respond
             asked = asyncio.create_task(proxy.send_request(kind="pay", body=b"x", budget="0.4"))
             await wait_until(lambda: len(proxy.server_requests()) == 2)
             if not before:
-                step(span_s)
+                step_wall_clock(span_s)
             assert (await asked)[0] == 500
             assert float(proxy.server_requests()[1][1]["x-budget"]) <= 0.4
 
