--- a/tests/proxy/test_load_report_parsing.py
+++ b/tests/proxy/test_load_report_parsing.py
@@ -10,8 +10,8 @@
 def test_malformed_load_reports_are_skipped() -> None:
     columns = ("util", "qps")
     assert parse_load_report("TEXT util=0.5, qps=7, other=1", columns) == {"util": 0.5, "qps": 7.0}
-    for junk in ("TEXT util=nan", "TEXT util", "BIN xyz", "", "TEXT "):
-        assert parse_load_report(junk, columns) is None
+    for malformed in ("TEXT util=nan", "TEXT util", "BIN xyz", "", "TEXT "):
+        assert parse_load_report(malformed, columns) is None
     assert parse_load_report("TEXT util=inf, qps=3", columns) == {"qps": 3.0}
     assert parse_load_report("TEXT util=0.5", ()) is None
 
--- a/tests/proxy/test_long_outages.py
+++ b/tests/proxy/test_long_outages.py
@@ -12,7 +12,7 @@
 from sidecar.proxy import connection_table, loop_lag
 
 NOTIFIED_WITHIN_S = 6.0  # after a watch falls silent, or discovery has a change and is reachable
-RELOADED_S = 4.0  # after SIGHUP, for changes that discovery has at its new address
+NOTIFIED_AFTER_RELOAD_WITHIN_S = 4.0  # after SIGHUP, for changes that discovery has at its new address
 QUIET_S = 600.0
 OUTAGE_S = 300.0
 FAULTS = ("503", "reset", "refused", "silent", "partitioned")
@@ -21,7 +21,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _few_moments(monkeypatch: pytest.MonkeyPatch) -> None:
+def _run_fewer_timers(monkeypatch: pytest.MonkeyPatch) -> None:
     """Sweep connections and check the lag less often, as these tests advance through long spans of time."""
     monkeypatch.setattr(connection_table, "_SWEEP_INTERVAL_S", 1.0)
     monkeypatch.setattr(loop_lag, "_CHECK_INTERVAL_S", 1.0)
@@ -46,15 +46,15 @@
         ) as proxy:
             await advance(QUIET_S)
             assert len(registry.targets) > QUIET_S / 5.0  # the watch went on polling
-            began = now_s()
+            started_at = now_s()
             if fault is not None:
                 registry.fail(fault)
                 if fault != "silent":  # a silent watch counts from the start of its silence
                     await advance(2.0)
-                    began = now_s()
+                    started_at = now_s()
                 await registry.recover()
             await registry.change(proxy.servers[0].entry(status="leaving"))
-            await assert_notified_within(proxy, NOTIFIED_WITHIN_S, began)
+            await assert_notified_within(proxy, NOTIFIED_WITHIN_S, started_at)
             assert (await proxy.send_request())[2] == b"served"
 
     run_in_virtual_time(scenario())
@@ -81,9 +81,9 @@
             await advance(OUTAGE_S)
             assert (await proxy.send_request())[2] == b"served"  # with the cached endpoint list
             await registry.recover()
-            began = now_s()
+            started_at = now_s()
             await registry.change(proxy.servers[0].entry(status="leaving"))
-            await assert_notified_within(proxy, NOTIFIED_WITHIN_S, began)
+            await assert_notified_within(proxy, NOTIFIED_WITHIN_S, started_at)
             assert (await proxy.send_request())[2] == b"served"
 
     run_in_virtual_time(scenario())
@@ -94,17 +94,17 @@
     fault: str, mode: str, make_registry: Callable[[], RegistryStandIn]
 ) -> None:
     async def scenario() -> None:
-        former, latter = make_registry(), make_registry()
-        await latter.start()
+        old_registry, new_registry = make_registry(), make_registry()
+        await new_registry.start()
         async with running_proxy(
-            respond_ok, respond_ok, registry=former, rules=RULES[1], discovery=mode, tick_us=TICK_US
+            respond_ok, respond_ok, registry=old_registry, rules=RULES[1], discovery=mode, tick_us=TICK_US
         ) as proxy:
-            former.fail(fault)
+            old_registry.fail(fault)
             await advance(OUTAGE_S)
-            began = now_s()
-            proxy.sidecar.migrate_discovery(latter.address)
-            await latter.change(proxy.servers[0].entry(status="leaving"))
-            await assert_notified_within(proxy, RELOADED_S, began)
-        latter.stop()
+            started_at = now_s()
+            proxy.sidecar.migrate_discovery(new_registry.address)
+            await new_registry.change(proxy.servers[0].entry(status="leaving"))
+            await assert_notified_within(proxy, NOTIFIED_AFTER_RELOAD_WITHIN_S, started_at)
+        new_registry.stop()
 
     run_in_virtual_time(scenario())
--- a/tests/proxy/test_new_connection_responses.py
+++ b/tests/proxy/test_new_connection_responses.py
@@ -21,11 +21,11 @@
 from sidecar.proxy.connection_table import ConnectionTable
 from sidecar.proxy.shutdown import _ACCEPT_DURATION_S
 
-SIZES = {"small": request("pay", body=b"new"), "large": request("pay", body=bytes(64 * 1024))}
+REQUESTS = {"small": request("pay", body=b"new"), "large": request("pay", body=bytes(64 * 1024))}
 
 
 @pytest.mark.parametrize("in_pieces", [False, True], ids=["at once", "in pieces"])
-@pytest.mark.parametrize("data", SIZES.values(), ids=SIZES)
+@pytest.mark.parametrize("data", REQUESTS.values(), ids=REQUESTS)
 def test_new_connection_is_rejected_with_a_response_under_overload(
     monkeypatch: pytest.MonkeyPatch, data: bytes, in_pieces: bool
 ) -> None:
@@ -49,17 +49,19 @@
 
 
 # New connections arrive for 0.4 s after SIGTERM; the listener stays open for longer.
-@pytest.mark.parametrize("after_s", [0.0, 0.1, 0.3, 0.4, _ACCEPT_DURATION_S - 0.01])
-@pytest.mark.parametrize("later_s", [0.0, 0.005, 0.1], ids=["at once", "a moment later", "later"])
-def test_request_on_a_new_connection_while_draining_gets_a_response(after_s: float, later_s: float) -> None:
+@pytest.mark.parametrize("connect_after_s", [0.0, 0.1, 0.3, 0.4, _ACCEPT_DURATION_S - 0.01])
+@pytest.mark.parametrize("send_after_s", [0.0, 0.005, 0.1], ids=["at once", "a moment later", "later"])
+def test_request_on_a_new_connection_while_draining_gets_a_response(
+    connect_after_s: float, send_after_s: float
+) -> None:
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
             proxy.stop.set()
             await wait_until(lambda: proxy.sidecar.frontend.draining)
-            await advance(after_s)
+            await advance(connect_after_s)
             reader, writer = await proxy.connect()
-            await advance(later_s)
-            writer.write(SIZES["small"])
+            await advance(send_after_s)
+            writer.write(REQUESTS["small"])
             status, headers, _ = await read_response(reader)
             assert (status, headers["connection"]) == (200, "close")
             assert await wait_for_eof(reader)
@@ -74,7 +76,7 @@
             frontend = proxy.sidecar.frontend
             await wait_until(lambda: frontend._accepting)
             client = socket.create_connection(frontend.address)
-            client.sendall(SIZES["small"])
+            client.sendall(REQUESTS["small"])
             frontend.drain()
             # No event loop iteration has run since the connect, so nothing has been accepted yet.
             assert frontend.close_listener()
@@ -93,13 +95,13 @@
         async with running_proxy(never_respond) as proxy:
             proxy.stop.set()
             await wait_until(lambda: proxy.sidecar.frontend.draining)
-            began = now_s()
+            started_at = now_s()
             await advance(0.4)
             reader, writer = await proxy.connect()
             writer.write(request("pay", body=b"held", budget="500"))
             status, headers, _ = await read_response(reader)
             assert (status, headers["connection"]) == (500, "close")
-            assert now_s() < began + 3.0 + 0.7  # SIGKILL may follow then
+            assert now_s() < started_at + 3.0 + 0.7  # SIGKILL may follow then
             writer.close()
 
     run_in_virtual_time(scenario())
--- a/tests/proxy/test_overload_detection.py
+++ b/tests/proxy/test_overload_detection.py
@@ -31,24 +31,24 @@
     async def scenario() -> None:
         async with running_proxy(lambda *_: None, limits=limits) as proxy:
             address = proxy.sidecar.frontend.address
-            held = [await asyncio.open_connection(*address) for _ in range(40)]
-            for number, (_, writer) in enumerate(held):
+            held_connections = [await asyncio.open_connection(*address) for _ in range(40)]
+            for number, (_, writer) in enumerate(held_connections):
                 writer.write(request(X_Call_Id=f"held-{number}", budget="500"))
-            await wait_until(lambda: len(proxy.server_requests()) == len(held))
+            await wait_until(lambda: len(proxy.server_requests()) == len(held_connections))
 
-            def lags() -> bool:
+            def is_limited_after_lag() -> bool:
                 time.sleep(0.15)  # longer than the sweep interval
                 return proxy.sidecar.frontend.table._overload.active_limit < 33
 
-            await wait_until(lags)
+            await wait_until(is_limited_after_lag)
             reader, writer = await asyncio.open_connection(*address)
             writer.write(request("pay", body=b"x", X_Call_Id="new"))
             status, headers, _ = await read_response(reader)
             assert (status, headers["retry-after"], headers["connection"]) == (503, "0.750", "close")
             assert await wait_for_eof(reader)
             writer.close()
-            assert len(proxy.server_requests()) == len(held)
-            for _, writer in held:
+            assert len(proxy.server_requests()) == len(held_connections)
+            for _, writer in held_connections:
                 writer.close()
             await wait_until(lambda: not proxy.sidecar.frontend.table.is_overloaded())
             proxy.servers[0].script = respond_ok
@@ -71,21 +71,21 @@
             clients = [await asyncio.open_connection(*frontend.address) for _ in range(capacity)]
             await wait_until(lambda: len(frontend.connections) == capacity)
 
-            def lags() -> bool:
+            def is_limited_after_lag() -> bool:
                 time.sleep(0.15)  # longer than the sweep interval
                 return frontend.table._overload.active_limit == 32
 
-            await wait_until(lags)
-            swept = frontend.table._sweep_due
+            await wait_until(is_limited_after_lag)
+            sweep_due_before = frontend.table._sweep_due
             # A sweep has run since the last client connected.
-            await wait_until(lambda: frontend.table._sweep_due > swept)
+            await wait_until(lambda: frontend.table._sweep_due > sweep_due_before)
             status, _, body = await proxy.send_request(kind="pay", body=b"x")
             assert (status, body) == (200, b"served")
             # Connections with a partial request do count.
             for _, writer in clients:
                 writer.write(request()[:20])
-            begun = frontend.table._by_state[ConnectionState.READING]
-            await wait_until(lambda: len([each for each in begun if each.has_partial_request()]) >= 32)
+            reading = frontend.table._by_state[ConnectionState.READING]
+            await wait_until(lambda: len([each for each in reading if each.has_partial_request()]) >= 32)
             await wait_until(lambda: not frontend.table._silent)
             assert frontend.table.is_overloaded()
             for _, writer in clients:
--- a/tests/proxy/test_pipelined_client_races.py
+++ b/tests/proxy/test_pipelined_client_races.py
@@ -18,7 +18,7 @@
 )
 
 
-async def flood(
+async def send_too_much(
     proxy: ProxyHarness, first_request: bytes
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     """Send a request that its server does not answer, then pipeline more than the sidecar buffers."""
@@ -33,7 +33,7 @@
 def test_client_that_pipelines_too_much_disconnects_while_its_request_is_in_flight() -> None:
     async def scenario() -> None:
         async with running_proxy(never_respond) as proxy:
-            _, writer = await flood(proxy, request("pay", body=b"held", budget="500"))
+            _, writer = await send_too_much(proxy, request("pay", body=b"held", budget="500"))
             writer.close()  # the FIN follows all the pipelined bytes
             await wait_until(lambda: proxy.servers[0].closed_by_peer == 1)
             assert not proxy.sidecar._active
@@ -45,7 +45,7 @@
 def test_client_that_pipelines_too_much_gets_its_response_and_a_close() -> None:
     async def scenario() -> None:
         async with running_proxy(never_respond) as proxy:
-            reader, writer = await flood(proxy, request("pay", body=b"held", budget="500"))
+            reader, writer = await send_too_much(proxy, request("pay", body=b"held", budget="500"))
             (connection,) = proxy.sidecar.frontend.connections
             await wait_until(lambda: connection._discarded_bytes)
             proxy.servers[0].writers[0].write(respond_ok())
@@ -65,7 +65,7 @@
 
     async def scenario() -> None:
         async with running_proxy(never_respond) as proxy:
-            reader, writer = await flood(proxy, request("pay", body=b"held", budget="500"))
+            reader, writer = await send_too_much(proxy, request("pay", body=b"held", budget="500"))
             status, headers, _ = await read_response(reader)
             assert (status, headers["connection"]) == (500, "close")
             assert await wait_for_eof(reader)
--- a/tests/proxy/test_process_lifecycle.py
+++ b/tests/proxy/test_process_lifecycle.py
@@ -59,7 +59,7 @@
     path.write_text(contents if isinstance(contents, str) else json.dumps(contents), encoding="utf-8")
     environ = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
 
-    def limit() -> None:
+    def limit_descriptors() -> None:
         if descriptors is not None:
             resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
 
@@ -70,12 +70,12 @@
         cwd=ROOT,
         env=environ | {"RELAY_CONFIG": str(path)},
         stderr=asyncio.subprocess.PIPE,
-        preexec_fn=limit,
+        preexec_fn=limit_descriptors,
     )
 
 
 @pytest.mark.parametrize(
-    "contents",
+    "given",
     [
         "not json",
         "[]",
@@ -89,9 +89,9 @@
         config(limits={"sockets": "many"}),
     ],
 )
-def test_invalid_configuration_ends_the_start_with_one_line(contents: object, tmp_path: Path) -> None:
+def test_invalid_configuration_ends_the_process_with_one_error_line(given: object, tmp_path: Path) -> None:
     async def scenario() -> None:
-        process = await launch(tmp_path / "config.json", contents)
+        process = await launch(tmp_path / "config.json", given)
         _, err = await asyncio.wait_for(process.communicate(), TIMEOUT_S)
         assert process.returncode == 2
         assert len(err.decode().strip().splitlines()) == 1
@@ -107,14 +107,14 @@
 
 
 @contextlib.asynccontextmanager
-async def program(
+async def running_program(
     tmp_path: Path,
     server: FakeServer,
     discovery: FakeDiscovery | None = None,
     *,
     is_up: bool = True,
     descriptors: int | None = None,
-    listed: Sequence[str] = (),
+    other_addresses: Sequence[str] = (),
 ) -> AsyncIterator[tuple[Any, Address]]:
     """Run the program until it is ready, with one server; discovery refuses connections unless `is_up`."""
     discovery = discovery or FakeDiscovery()
@@ -122,13 +122,13 @@
     if not is_up:
         discovery.stop()
     await server.start()
-    others = [server.entry(name=each, address=each) for each in listed]
-    known = {"index": 1, "snapshot": True, "endpoints": [server.entry(), *others]}
-    where = "{}:{}".format(*discovery.address)
+    other_entries = [server.entry(name=each, address=each) for each in other_addresses]
+    known = {"index": 1, "snapshot": True, "endpoints": [server.entry(), *other_entries]}
+    discovery_address = "{}:{}".format(*discovery.address)
     # The configuration needs a port number, and a released port may be taken by another process.
     reserved = ReservedAddress()
     listen = reserved.address
-    given = config(listen="{}:{}".format(*listen), discovery=where, known=known)
+    given = config(listen="{}:{}".format(*listen), discovery=discovery_address, known=known)
     if descriptors is not None:
         given["limits"] = {"sockets": descriptors}
     process = await launch(tmp_path / "config.json", given, descriptors)
@@ -154,10 +154,10 @@
         server = FakeServer(
             "s-0", lambda first, *_: None if "held" in first else encode_response(200, b"served")
         )
-        async with program(tmp_path, server) as (process, listen):
-            resting, resting_writer = await asyncio.open_connection(*listen)
-            resting_writer.write(request())
-            status, headers, _ = await read_response(resting)
+        async with running_program(tmp_path, server) as (process, listen):
+            idle_reader, idle_writer = await asyncio.open_connection(*listen)
+            idle_writer.write(request())
+            status, headers, _ = await read_response(idle_reader)
             assert status == 200
             assert "connection" not in headers
             reader, writer = await asyncio.open_connection(*listen)
@@ -165,23 +165,23 @@
             await wait_until(lambda: len(server.requests) == 2)
 
             process.send_signal(signal.SIGTERM)
-            assert await wait_for_eof(resting)
+            assert await wait_for_eof(idle_reader)
             for each in server.writers:
                 if not each.is_closing():
                     each.write(encode_response(200, b"held"))
             status, headers, body = await read_response(reader)
             assert (status, headers["connection"], body) == (200, "close", b"held")
             assert await asyncio.wait_for(process.wait(), TIMEOUT_S) == 0
-            for each in (resting_writer, writer):
+            for each in (idle_writer, writer):
                 each.close()
 
     run_scenario(scenario())
 
 
-def test_request_that_never_ends_is_failed_in_time_after_sigterm(tmp_path: Path) -> None:
+def test_request_without_a_response_is_failed_in_time_after_sigterm(tmp_path: Path) -> None:
     async def scenario() -> None:
         server = FakeServer("s-0", lambda *_: None)
-        async with program(tmp_path, server) as (process, listen):
+        async with running_program(tmp_path, server) as (process, listen):
             reader, writer = await asyncio.open_connection(*listen)
             writer.write(request("pay", body=b"x", budget="500"))
             await wait_until(lambda: server.requests)
@@ -203,8 +203,8 @@
     async def scenario() -> None:
         async with running_proxy(lambda *_: encode_response(200, b"served")) as proxy:
             listen = proxy.sidecar.frontend.address
-            used_reader, rested_writer = await asyncio.open_connection(*listen)
-            rested_writer.write(request())
+            used_reader, used_writer = await asyncio.open_connection(*listen)
+            used_writer.write(request())
             assert (await read_response(used_reader))[0] == 200
             new_reader, new_writer = await asyncio.open_connection(*listen)
             await wait_until(lambda: len(proxy.sidecar.frontend.connections) == 2)
@@ -220,12 +220,12 @@
                 assert (status, headers["connection"], body) == (200, "close", b"served")
                 assert await wait_for_eof(reader)
                 writer.close()
-            rested_writer.close()
+            used_writer.close()
 
     run_scenario(scenario())
 
 
-async def next_line(log: asyncio.StreamReader) -> bytes:
+async def next_log_line(log: asyncio.StreamReader) -> bytes:
     """Return the next line of the program's log, except warnings about a late event loop."""
     while True:
         line = await asyncio.wait_for(log.readline(), TIMEOUT_S)
@@ -244,12 +244,14 @@
         def config_text(discovery: FakeDiscovery) -> str:
             return json.dumps(config(discovery="{}:{}".format(*discovery.address)))
 
-        async with program(tmp_path, server, old) as (process, listen):
+        async with running_program(tmp_path, server, old) as (process, listen):
             await wait_until(lambda: old.targets)
-            for junk in ("not json", json.dumps(config(discovery="nowhere"))):
-                path.write_text(junk, encoding="utf-8")
+            for invalid in ("not json", json.dumps(config(discovery="nowhere"))):
+                path.write_text(invalid, encoding="utf-8")
                 process.send_signal(signal.SIGHUP)
-                assert b"reload rejected; keeping the active configuration" in await next_line(process.stderr)
+                assert b"reload rejected; keeping the active configuration" in await next_log_line(
+                    process.stderr
+                )
             for version, current in enumerate((first, second), start=1):
                 path.write_text(config_text(current), encoding="utf-8")
                 process.send_signal(signal.SIGHUP)
@@ -290,7 +292,7 @@
     run_scenario(scenario())
 
 
-def test_readiness_comes_in_time_on_a_machine_that_always_lags(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_sidecar_is_ready_in_time_on_a_machine_that_always_lags(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         monkeypatch.setattr(loop_lag, "SETTLED_AFTER_S", 0.05)
         monkeypatch.setattr(loop_lag, "_LAG_WARNING_S", -1.0)
@@ -323,40 +325,43 @@
 @pytest.mark.usefixtures("raised_descriptor_limit")
 @pytest.mark.parametrize("descriptors", [256, 1024])
 def test_idle_clients_fill_the_descriptors_while_discovery_is_down(descriptors: int, tmp_path: Path) -> None:
-    most = (descriptors - RESERVED_DESCRIPTORS) // 2  # as many clients as connections to servers
+    max_clients = (descriptors - RESERVED_DESCRIPTORS) // 2  # as many clients as connections to servers
 
     async def scenario() -> None:
-        server, down = FakeServer("s-0", lambda *_: None), FakeDiscovery()
-        async with program(tmp_path, server, down, is_up=False, descriptors=descriptors) as (process, listen):
+        server, discovery = FakeServer("s-0", lambda *_: None), FakeDiscovery()
+        async with running_program(tmp_path, server, discovery, is_up=False, descriptors=descriptors) as (
+            process,
+            listen,
+        ):
             held: list[asyncio.Task[Any]] = []
 
-            def all_there_or_refused() -> bool:
+            def all_arrived_or_rejected() -> bool:
                 return len(server.requests) + sum(each.done() for each in held) == len(held)
 
             # Sent in small batches; what is rejected on a slow machine is sent again.
-            while more := min(8, most - len(server.requests)):
-                data = [request("pay", X_Call_Id=f"{len(held) + n}", budget="500") for n in range(more)]
+            while batch_size := min(8, max_clients - len(server.requests)):
+                data = [request("pay", X_Call_Id=f"{len(held) + n}", budget="500") for n in range(batch_size)]
                 held += [asyncio.create_task(send_request(listen, each)) for each in data]
-                await wait_until(all_there_or_refused)
+                await wait_until(all_arrived_or_rejected)
             server.script = lambda *_: encode_response(200, b"served")
             for each in server.writers:
                 each.write(encode_response(200, b"served"))  # each leaves an idle connection behind
             statuses = [(await each)[0] for each in held]
-            assert statuses.count(200) == most
+            assert statuses.count(200) == max_clients
             idle = []
             for _ in range(4):
                 idle += open_idle_sockets(listen, 400)
                 # This connection is accepted after the idle ones.
                 assert (await send_request(listen, request(path="/health/ready")))[0] == 200
-            down._server = await asyncio.start_server(down._serve, *down.address)
-            await wait_until(lambda: down.targets)
-            other = FakeServer("s-1", lambda *_: encode_response(200, b"other"))
-            await other.start()
-            down.push_update(2, [server.entry(status="left"), other.entry()])
+            discovery._server = await asyncio.start_server(discovery._serve, *discovery.address)
+            await wait_until(lambda: discovery.targets)
+            new_server = FakeServer("s-1", lambda *_: encode_response(200, b"other"))
+            await new_server.start()
+            discovery.push_update(2, [server.entry(status="left"), new_server.entry()])
             for _ in range(9):
-                down.push_update(2, [])
+                discovery.push_update(2, [])
             # The program pauses for 0.1 s between these calls, so it has swept the silent clients since.
-            await wait_until(lambda: sum("after=2&" in each for each in down.targets) >= 4)
+            await wait_until(lambda: sum("after=2&" in each for each in discovery.targets) >= 4)
             # This needs a new connection to a server.
             assert (await send_request(listen, request("pay", budget="500")))[2] == b"other"
             assert (await send_request(listen, request(path="/health/ready")))[0] == 200
@@ -366,7 +371,7 @@
             assert b"to spare" not in err
             for client in idle:
                 client.close()
-            other.stop()
+            new_server.stop()
 
     run_scenario(scenario())
 
@@ -374,24 +379,26 @@
 def test_restart_with_a_thousand_servers_is_ready_in_time_while_discovery_is_down(tmp_path: Path) -> None:
     # Nine sidecars in ten must be ready within 10 s, on a fraction of a core and in 32 MB of memory.
     async def scenario() -> None:
-        server, down = FakeServer("s-0", lambda *_: encode_response(200, b"served")), FakeDiscovery()
-        listed = [f"127.1.{index // 250}.{index % 250 + 1}:9" for index in range(1023)]
-        async with program(tmp_path, server, down, is_up=False, listed=listed) as (process, listen):
-            spent = (Path("/proc") / str(process.pid) / "stat").read_text().rpartition(")")[2].split()
-            cpu_s = (int(spent[11]) + int(spent[12])) / os.sysconf("SC_CLK_TCK")
+        server, discovery = FakeServer("s-0", lambda *_: encode_response(200, b"served")), FakeDiscovery()
+        other_addresses = [f"127.1.{index // 250}.{index % 250 + 1}:9" for index in range(1023)]
+        async with running_program(
+            tmp_path, server, discovery, is_up=False, other_addresses=other_addresses
+        ) as (process, listen):
+            stat_fields = (Path("/proc") / str(process.pid) / "stat").read_text().rpartition(")")[2].split()
+            cpu_s = (int(stat_fields[11]) + int(stat_fields[12])) / os.sysconf("SC_CLK_TCK")
             assert cpu_s / 0.1 + loop_lag.SETTLED_AFTER_S < 10.0  # on a tenth of a core
-            down._server = await asyncio.start_server(down._serve, *down.address)
-            await wait_until(lambda: down.targets)
-            entries = [server.entry(), *(server.entry(name=each, address=each) for each in listed)]
-            down.push_update(2, entries, snapshot=True)
-            await wait_until(lambda: down.has_calls(2))
+            discovery._server = await asyncio.start_server(discovery._serve, *discovery.address)
+            await wait_until(lambda: discovery.targets)
+            entries = [server.entry(), *(server.entry(name=each, address=each) for each in other_addresses)]
+            discovery.push_update(2, entries, snapshot=True)
+            await wait_until(lambda: discovery.has_calls(2))
             leaving = [each | {"status": "leaving"} for each in entries[1:]]
-            down.push_update(3, leaving)
-            await wait_until(lambda: down.has_calls(3))
+            discovery.push_update(3, leaving)
+            await wait_until(lambda: discovery.has_calls(3))
             # Only one server is not draining.
             assert (await send_request(listen, request("pay")))[2] == b"served"
             status = (Path("/proc") / str(process.pid) / "status").read_text()
-            (peak,) = [line for line in status.splitlines() if line.startswith("VmHWM")]
-            assert int(peak.split()[1]) < 32 * 1024  # kB
+            (peak_line,) = [line for line in status.splitlines() if line.startswith("VmHWM")]
+            assert int(peak_line.split()[1]) < 32 * 1024  # kB
 
     run_scenario(scenario())
--- a/tests/proxy/test_registry_faults.py
+++ b/tests/proxy/test_registry_faults.py
@@ -22,17 +22,23 @@
 NOTIFIED_WITHIN_S = 6.0  # after discovery has a change and is reachable
 RULES = {"max_poll_interval_us": 60 * SECOND_US}
 MODES = ("on_request", "pushed")
-DIAL_FAULTS = [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EINTR]
-BREAKS = [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ECONNRESET, errno.EPIPE]
-DEFECTS = [RecursionError("deep"), MemoryError(), KeyError("x"), OverflowError("large"), AssertionError()]
+DIAL_ERRNOS = [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EINTR]
+CONNECTION_ERRNOS = [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ECONNRESET, errno.EPIPE]
+HANDLER_ERRORS = [
+    RecursionError("deep"),
+    MemoryError(),
+    KeyError("x"),
+    OverflowError("large"),
+    AssertionError(),
+]
 
 
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("times", [1, 3])
-@pytest.mark.parametrize("code", DIAL_FAULTS)
-@pytest.mark.parametrize("in_socket", [True, False])
+@pytest.mark.parametrize("code", DIAL_ERRNOS)
+@pytest.mark.parametrize("fails_in_socket_creation", [True, False])
 def test_change_is_applied_in_time_though_dials_to_the_registry_fail(
-    in_socket: bool, code: int, times: int, mode: str, monkeypatch: pytest.MonkeyPatch
+    fails_in_socket_creation: bool, code: int, times: int, mode: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
         registry = RegistryStandIn()
@@ -51,39 +57,39 @@
 
             new_socket, sock_connect = sockets.new_socket, asyncio.get_running_loop().sock_connect
 
-            def make(address: Address) -> socket.socket:
-                if in_socket and address == registry.address:
+            def create_socket(address: Address) -> socket.socket:
+                if fails_in_socket_creation and address == registry.address:
                     fail_first()
                 return new_socket(address)
 
             async def dial(sock: socket.socket, address: Any) -> None:
-                if not in_socket and address == registry.address:
+                if not fails_in_socket_creation and address == registry.address:
                     fail_first()
                 await sock_connect(sock, address)
 
-            monkeypatch.setattr(sockets, "new_socket", make)
+            monkeypatch.setattr(sockets, "new_socket", create_socket)
             monkeypatch.setattr(asyncio.get_running_loop(), "sock_connect", dial)
             registry.fail("reset")
             registry.fault = None
             await wait_until(lambda: len(failed_at) == times)
-            began = failed_at[-1]
+            started_at = failed_at[-1]
             await registry.change(proxy.servers[0].entry(status="leaving"))
-            await assert_notified_within(proxy, NOTIFIED_WITHIN_S, began)
+            await assert_notified_within(proxy, NOTIFIED_WITHIN_S, started_at)
 
     run_in_virtual_time(scenario())
 
 
 @pytest.mark.parametrize("mode", MODES)
-@pytest.mark.parametrize("code", BREAKS)
+@pytest.mark.parametrize("code", CONNECTION_ERRNOS)
 def test_change_is_applied_in_time_though_the_watch_breaks(code: int, mode: str) -> None:
     async def scenario() -> None:
         registry = RegistryStandIn()
-        dialled: list[ServerConnection] = []
+        connections: list[ServerConnection] = []
         connect = server_connection.connect
 
-        async def dial(address: Address, body_most: int) -> ServerConnection:
-            dialled.append(await connect(address, body_most))
-            return dialled[-1]
+        async def dial(address: Address, max_body_bytes: int) -> ServerConnection:
+            connections.append(await connect(address, max_body_bytes))
+            return connections[-1]
 
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(discovery_client, "connect", dial)
@@ -91,11 +97,11 @@
                 respond_ok, respond_ok, registry=registry, rules=RULES, discovery=mode
             ) as proxy:
                 await wait_until(lambda: registry.targets)
-                transport: Any = dialled[-1]._transport
+                transport: Any = connections[-1]._transport
                 transport._fatal_error(OSError(code, os.strerror(code)))  # as a failed read does
-                began = now_s()
+                started_at = now_s()
                 await registry.change(proxy.servers[0].entry(status="leaving"))
-                await assert_notified_within(proxy, NOTIFIED_WITHIN_S, began)
+                await assert_notified_within(proxy, NOTIFIED_WITHIN_S, started_at)
 
     run_in_virtual_time(scenario())
 
@@ -103,11 +109,11 @@
 class ResettingRegistry(RegistryStandIn):
     """Resets the next `remaining_resets` connections as soon as they are open."""
 
-    left = 0
+    remaining_resets = 0
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.left:
-            self.left -= 1
+        if self.remaining_resets:
+            self.remaining_resets -= 1
             reset(writer)
             return
         await super()._serve(reader, writer)
@@ -121,9 +127,9 @@
     async def scenario() -> None:
         registry = ResettingRegistry()
 
-        async def dial(address: Address, body_most: int) -> ServerConnection:
-            is_reset = registry.left > 0
-            connection = await connect(address, body_most)
+        async def dial(address: Address, max_body_bytes: int) -> ServerConnection:
+            is_reset = registry.remaining_resets > 0
+            connection = await connect(address, max_body_bytes)
             if is_reset:
                 await wait_until(lambda: connection._transport is None or connection._transport.is_closing())
                 await asyncio.sleep(0)  # the connection has reported its end
@@ -132,32 +138,32 @@
         monkeypatch.setattr(discovery_client, "connect", dial)
         async with running_proxy(respond_ok, respond_ok, registry=registry, rules=RULES) as proxy:
             await wait_until(lambda: registry.targets)
-            registry.left = 3
+            registry.remaining_resets = 3
             registry.fail("reset")
             registry.fault = None
-            await wait_until(lambda: not registry.left)
-            began = now_s()
+            await wait_until(lambda: not registry.remaining_resets)
+            started_at = now_s()
             await registry.change(proxy.servers[0].entry(status="leaving"))
             # Time for a pause before the next call; a call on a broken connection would time out after 2.5 s.
-            await assert_notified_within(proxy, 2.0, began)
+            await assert_notified_within(proxy, 2.0, started_at)
 
     run_in_virtual_time(scenario())
 
 
 @pytest.mark.parametrize("mode", MODES)
-@pytest.mark.parametrize("defect", DEFECTS, ids=lambda each: type(each).__name__)
-@pytest.mark.parametrize("where", ["parse_registry_response", "remove_superseded"])
-def test_change_is_applied_in_time_though_a_list_can_not_be_applied_once(
-    where: str, defect: Exception, mode: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("handler_error", HANDLER_ERRORS, ids=lambda each: type(each).__name__)
+@pytest.mark.parametrize("function_name", ["parse_registry_response", "remove_superseded"])
+def test_change_is_applied_in_time_though_handling_a_list_fails_once(
+    function_name: str, handler_error: Exception, mode: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    place: Any = discovery_client if where == "parse_registry_response" else ConnectionPool
-    handle = getattr(place, where)
-    failures = [defect]
+    owner: Any = discovery_client if function_name == "parse_registry_response" else ConnectionPool
+    original_function = getattr(owner, function_name)
+    failures = [handler_error]
 
-    def fail_once(*given: Any) -> Any:
+    def fail_once(*args: Any) -> Any:
         if failures:
             raise failures.pop()
-        return handle(*given)
+        return original_function(*args)
 
     async def scenario() -> None:
         registry = RegistryStandIn()
@@ -165,18 +171,18 @@
             respond_ok, respond_ok, registry=registry, rules=RULES, discovery=mode
         ) as proxy:
             await wait_until(lambda: registry.targets)
-            monkeypatch.setattr(place, where, fail_once)
-            began = now_s()
+            monkeypatch.setattr(owner, function_name, fail_once)
+            started_at = now_s()
             await registry.change(proxy.servers[0].entry(status="leaving"))
-            await assert_notified_within(proxy, NOTIFIED_WITHIN_S, began)
+            await assert_notified_within(proxy, NOTIFIED_WITHIN_S, started_at)
             assert not failures
 
     run_in_virtual_time(scenario())
 
 
-DEEP = b'{"index":42,"endpoints":' + b"[" * 20_000 + b"]" * 20_000 + b"}"
-JUNK = {
-    "deep": encode_response(200, DEEP),
+DEEPLY_NESTED_BODY = b'{"index":42,"endpoints":' + b"[" * 20_000 + b"]" * 20_000 + b"}"
+MALFORMED_RESPONSES = {
+    "deep": encode_response(200, DEEPLY_NESTED_BODY),
     "not utf-8": encode_response(200, b"\xff\xfe\xfa"),
     "large": encode_response(
         200, b'{"index":41,"endpoints":[{"name":"s-0","status":"active","weight":1%b}]}' % (b"0" * 400)
@@ -194,28 +200,30 @@
 class MalformedRegistry(RegistryStandIn):
     """Answers the pending call with a malformed response, and the following calls correctly."""
 
-    junk: bytes | None = None
+    malformed_response: bytes | None = None
 
     async def _answer(self, target: str) -> bytes:
         response = await super()._answer(target)
-        junk, self.junk = self.junk, None
-        return response if junk is None else junk
+        malformed_response, self.malformed_response = self.malformed_response, None
+        return response if malformed_response is None else malformed_response
 
 
 @pytest.mark.parametrize("mode", MODES)
-@pytest.mark.parametrize("what", JUNK)
-def test_change_is_applied_in_time_though_junk_came_in_its_place(what: str, mode: str) -> None:
+@pytest.mark.parametrize("malformation", MALFORMED_RESPONSES)
+def test_change_is_applied_in_time_though_a_malformed_response_came_first(
+    malformation: str, mode: str
+) -> None:
     async def scenario() -> None:
         registry = MalformedRegistry()
         async with running_proxy(
             respond_ok, respond_ok, registry=registry, rules=RULES, discovery=mode
         ) as proxy:
             await wait_until(lambda: registry.targets)
-            registry.junk = JUNK[what]
-            began = now_s()
+            registry.malformed_response = MALFORMED_RESPONSES[malformation]
+            started_at = now_s()
             await registry.change(proxy.servers[0].entry(status="leaving"))
-            await assert_notified_within(proxy, NOTIFIED_WITHIN_S, began)
-            assert registry.junk is None
+            await assert_notified_within(proxy, NOTIFIED_WITHIN_S, started_at)
+            assert registry.malformed_response is None
 
     run_in_virtual_time(scenario())
 
--- a/tests/proxy/test_registry_races.py
+++ b/tests/proxy/test_registry_races.py
@@ -29,19 +29,19 @@
 from sidecar.proxy import shutdown
 
 NOTIFIED_WITHIN_S = 6.0  # after a watch falls silent, or discovery has a change and is reachable
-RELOADED_S = 4.0  # after SIGHUP, for changes that discovery has at its new address
+NOTIFIED_AFTER_RELOAD_WITHIN_S = 4.0  # after SIGHUP, for changes that discovery has at its new address
 RULES = {"max_poll_interval_us": 60 * SECOND_US}
 MODES = ("on_request", "pushed")  # values of the setting `discovery`
 
 
-async def gone_within(proxy: ProxyHarness, limit_s: float, began: float) -> None:
+async def assert_removed_within(proxy: ProxyHarness, limit_s: float, started_at: float) -> None:
     """Wait until s-0 is removed from the pool, and fail if that takes longer than the limit."""
     while "s-0" in proxy.sidecar._pool.servers:
-        assert now_s() < began + limit_s, f"not notified {limit_s} s later"
+        assert now_s() < started_at + limit_s, f"not notified {limit_s} s later"
         await asyncio.sleep(STEP_S)
 
 
-async def nothing_more_reaches_the_first(proxy: ProxyHarness) -> None:
+async def assert_first_server_gets_no_requests(proxy: ProxyHarness) -> None:
     """Check that further requests are served, all by other servers."""
     seen = len(proxy.servers[0].requests)
     for number in range(20):
@@ -52,12 +52,14 @@
     assert len(proxy.servers[0].requests) == seen
 
 
-def has_sent(proxy: ProxyHarness, count: int) -> bool:
+def has_received(proxy: ProxyHarness, count: int) -> bool:
     """Return whether the servers have received exactly this many requests."""
     return len(proxy.server_requests()) == count
 
 
-async def hold_at_first(proxy: ProxyHarness) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+async def hold_request_at_first_server(
+    proxy: ProxyHarness,
+) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     """Return the client connection of a request in flight to s-0, which does not answer yet."""
     first = proxy.servers[0]
     first.script = never_respond
@@ -65,7 +67,7 @@
     for number in range(200):
         reader, writer = await proxy.connect()
         writer.write(request("pay", body=b"held", budget="500", X_Call_Id=f"held-{number}"))
-        await wait_until(partial(has_sent, proxy, len(proxy.server_requests()) + 1))
+        await wait_until(partial(has_received, proxy, len(proxy.server_requests()) + 1))
         if len(first.requests) > before:
             return reader, writer
         assert (await read_response(reader))[0] == 200
@@ -78,33 +80,34 @@
 
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("reload_first", [True, False])
-def test_drain_is_applied_in_time_where_a_reload_migrates_discovery(
+def test_drain_is_applied_in_time_when_a_reload_migrates_discovery(
     reload_first: bool, mode: str, make_registry: Callable[[], RegistryStandIn]
 ) -> None:
     async def scenario() -> None:
-        former, latter = make_registry(), make_registry()
-        await latter.start()
+        old_registry, new_registry = make_registry(), make_registry()
+        await new_registry.start()
         async with running_proxy(
-            never_respond, respond_ok, registry=former, rules=RULES, discovery=mode
+            never_respond, respond_ok, registry=old_registry, rules=RULES, discovery=mode
         ) as proxy:
-            reader, writer = await hold_at_first(proxy)
+            reader, writer = await hold_request_at_first_server(proxy)
             leaving = proxy.servers[0].entry(status="leaving")
             if not reload_first:
-                await latter.change(leaving)  # the old registry never has this change
-            proxy.sidecar.migrate_discovery(latter.address)
-            began = now_s()
+                await new_registry.change(leaving)  # the old registry never has this change
+            proxy.sidecar.migrate_discovery(new_registry.address)
+            started_at = now_s()
             if reload_first:
                 await advance(STEP_S)
-                assert latter.targets[0] == "/registry/instances"  # the complete list is fetched at once
-                await latter.change(leaving)
-            await assert_notified_within(proxy, RELOADED_S, began)
-            await nothing_more_reaches_the_first(proxy)
+                # The complete list is fetched at once.
+                assert new_registry.targets[0] == "/registry/instances"
+                await new_registry.change(leaving)
+            await assert_notified_within(proxy, NOTIFIED_AFTER_RELOAD_WITHIN_S, started_at)
+            await assert_first_server_gets_no_requests(proxy)
             proxy.servers[0].writers[-1].write(
                 encode_response(200, b"late")
             )  # its request in flight is completed
             assert (await read_response(reader))[2] == b"late"
             writer.close()
-        latter.stop()
+        new_registry.stop()
 
     run_in_virtual_time(scenario())
 
@@ -117,25 +120,25 @@
     monkeypatch.setattr(shutdown, "_ACCEPT_DURATION_S", 600.0)
 
     async def scenario() -> None:
-        former, latter = make_registry(), make_registry()
-        await latter.start()
-        async with running_proxy(never_respond, respond_ok, registry=former, rules=RULES) as proxy:
-            reader, writer = await hold_at_first(proxy)
-            steps = [lambda: proxy.sidecar.migrate_discovery(latter.address), proxy.stop.set]
+        old_registry, new_registry = make_registry(), make_registry()
+        await new_registry.start()
+        async with running_proxy(never_respond, respond_ok, registry=old_registry, rules=RULES) as proxy:
+            reader, writer = await hold_request_at_first_server(proxy)
+            steps = [lambda: proxy.sidecar.migrate_discovery(new_registry.address), proxy.stop.set]
             for step in steps if reload_first else reversed(steps):
                 step()
                 await asyncio.sleep(0.01)
             assert proxy.sidecar.frontend.draining
-            await wait_until(lambda: latter.targets)
-            began = now_s()
-            await latter.change(proxy.servers[0].entry(status="leaving"))
-            await assert_notified_within(proxy, RELOADED_S, began)
-            await nothing_more_reaches_the_first(proxy)
+            await wait_until(lambda: new_registry.targets)
+            started_at = now_s()
+            await new_registry.change(proxy.servers[0].entry(status="leaving"))
+            await assert_notified_within(proxy, NOTIFIED_AFTER_RELOAD_WITHIN_S, started_at)
+            await assert_first_server_gets_no_requests(proxy)
             proxy.servers[0].writers[-1].write(encode_response(200, b"late"))
             status, headers, body = await read_response(reader)
             assert (status, headers["connection"], body) == (200, "close", b"late")
             writer.close()
-        latter.stop()
+        new_registry.stop()
 
     run_in_virtual_time(scenario())
 
@@ -144,10 +147,10 @@
 
 
 @pytest.mark.parametrize("mode", MODES)
-@pytest.mark.parametrize("missed_after_s", [0.0, 1.0, 2.4, 3.9, 5.0])
-@pytest.mark.parametrize("open_for_s", [0.0, 1.5, 3.1])
+@pytest.mark.parametrize("change_after_s", [0.0, 1.0, 2.4, 3.9, 5.0])
+@pytest.mark.parametrize("silent_after_s", [0.0, 1.5, 3.1])
 def test_change_missed_by_a_watch_that_falls_silent_after_other_events_is_applied_in_time(
-    open_for_s: float, missed_after_s: float, mode: str, make_registry: Callable[[], RegistryStandIn]
+    silent_after_s: float, change_after_s: float, mode: str, make_registry: Callable[[], RegistryStandIn]
 ) -> None:
     async def scenario() -> None:
         registry = make_registry()
@@ -161,14 +164,14 @@
                 await registry.change(proxy.servers[1].entry(weight=weight))
             calls = len(registry.targets)
             await wait_until(lambda: len(registry.targets) > calls)  # the next call of the watch is pending
-            await advance(open_for_s)
+            await advance(silent_after_s)
             registry.fail("silent")  # only the pending calls
             await registry.recover()
-            began = now_s()
-            await advance(missed_after_s)
+            started_at = now_s()
+            await advance(change_after_s)
             await registry.change(proxy.servers[0].entry(status="leaving"))
-            await assert_notified_within(proxy, NOTIFIED_WITHIN_S, began)
-            await nothing_more_reaches_the_first(proxy)
+            await assert_notified_within(proxy, NOTIFIED_WITHIN_S, started_at)
+            await assert_first_server_gets_no_requests(proxy)
 
     run_in_virtual_time(scenario())
 
@@ -176,9 +179,9 @@
 # -- A snapshot without a server that is draining or in use
 
 
-@pytest.mark.parametrize("drained_first", [True, False])
+@pytest.mark.parametrize("is_drained_first", [True, False])
 def test_server_missing_from_a_snapshot_gets_no_new_requests_and_completes_those_in_flight(
-    drained_first: bool,
+    is_drained_first: bool,
 ) -> None:
     async def scenario() -> None:
         async with running_proxy(respond_ok, respond_ok) as proxy:
@@ -187,18 +190,18 @@
             proxy.sidecar._pool._idle_connections.reuse_delay_s = 600.0
             while not first.requests:
                 assert (await proxy.send_request())[0] == 200
-            reader, writer = await hold_at_first(proxy)
-            states = proxy.sidecar._balancer._context.registry.servers
-            if drained_first:
+            reader, writer = await hold_request_at_first_server(proxy)
+            registered_servers = proxy.sidecar._balancer._context.registry.servers
+            if is_drained_first:
                 proxy.discovery.push_update(42, [first.entry(status="leaving")])
-                await wait_until(lambda: states["s-0"].state is ServerState.DRAINING)
+                await wait_until(lambda: registered_servers["s-0"].state is ServerState.DRAINING)
                 # Its idle connections are closed.
                 await wait_until(lambda: first.closed_by_peer == len(first.writers) - 1)
             proxy.discovery.push_update(43, [second.entry()], snapshot=True)
-            await gone_within(proxy, NOTIFIED_WITHIN_S, now_s())
+            await assert_removed_within(proxy, NOTIFIED_WITHIN_S, now_s())
             await wait_until(lambda: first.closed_by_peer == len(first.writers) - 1)
             first.script = respond_ok  # it still listens and would respond
-            await nothing_more_reaches_the_first(proxy)
+            await assert_first_server_gets_no_requests(proxy)
             first.writers[-1].write(encode_response(200, b"late"))
             assert (await read_response(reader))[2] == b"late"
             await wait_until(lambda: not proxy.sidecar._active)
@@ -236,11 +239,11 @@
     """Ends pending watches at a change without reporting it; later calls get a snapshot at once."""
 
     ending = "reset"
-    listed: list[dict[str, Any]]
+    entries: list[dict[str, Any]]
 
     async def change(self, entry: dict[str, Any]) -> None:
         self.version += 1
-        self.listed = [each for each in self.listed if each["name"] != entry["name"]]
+        self.entries = [each for each in self.entries if each["name"] != entry["name"]]
         for writer in list(self._calls):
             self._calls.discard(writer)
             if self.ending == "reset":
@@ -256,25 +259,27 @@
     async def _answer(self, target: str) -> bytes:
         if f"after={self.version}&" in target:
             return await super()._answer(target)
-        response = {"index": self.version, "snapshot": True, "endpoints": self.listed}
+        response = {"index": self.version, "snapshot": True, "endpoints": self.entries}
         return encode_response(200, json.dumps(response, indent=2).encode())
 
 
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("ending", ["reset", "503", "half an answer", "end"])
-def test_watch_ends_without_its_event_and_the_snapshot_lacks_what_drains(ending: str, mode: str) -> None:
+def test_watch_ends_without_the_change_and_the_snapshot_lacks_the_leaving_server(
+    ending: str, mode: str
+) -> None:
     async def scenario() -> None:
         registry = WatchEndingRegistry()
         registry.ending = ending
         async with running_proxy(
             respond_ok, respond_ok, registry=registry, rules=RULES, discovery=mode
         ) as proxy:
-            registry.listed = [each.entry() for each in proxy.servers]
+            registry.entries = [each.entry() for each in proxy.servers]
             # One watch has ended after its wait time, and the next is pending.
             await wait_until(partial(registry.has_calls, 2))
             await registry.change(proxy.servers[0].entry(status="leaving"))
-            await gone_within(proxy, NOTIFIED_WITHIN_S, now_s())
-            await nothing_more_reaches_the_first(proxy)
+            await assert_removed_within(proxy, NOTIFIED_WITHIN_S, now_s())
+            await assert_first_server_gets_no_requests(proxy)
             assert (await send_request(proxy.sidecar.frontend.address, request(path="/health/ready")))[
                 0
             ] == 200
--- a/tests/proxy/test_registry_update_delay.py
+++ b/tests/proxy/test_registry_update_delay.py
@@ -35,10 +35,10 @@
                 if change_first:
                     await registry.change(leaving)
                 await registry.recover()
-                began = now_s()
+                started_at = now_s()
                 if not change_first:
                     await registry.change(leaving)
-                await assert_notified_within(proxy, NOTIFIED_WITHIN_S, began)
+                await assert_notified_within(proxy, NOTIFIED_WITHIN_S, started_at)
 
     run_in_virtual_time(scenario())
 
@@ -55,9 +55,9 @@
             registry.fail("silent")
             await registry.recover()
             await advance(after_s)
-            began = now_s()
+            started_at = now_s()
             await registry.change(proxy.servers[0].entry(status="leaving"))
-            await assert_notified_within(proxy, NOTIFIED_WITHIN_S, began)
+            await assert_notified_within(proxy, NOTIFIED_WITHIN_S, started_at)
 
     run_in_virtual_time(scenario())
 
@@ -68,18 +68,18 @@
 ) -> None:
     async def scenario() -> None:
         for outage_s in (0.3, 2.2, 9.0):
-            former, latter = make_registry(), make_registry()
-            await latter.start()
-            async with running_proxy(respond_ok, registry=former, rules=RULES) as proxy:
+            old_registry, new_registry = make_registry(), make_registry()
+            await new_registry.start()
+            async with running_proxy(respond_ok, registry=old_registry, rules=RULES) as proxy:
                 await advance(0.5)
-                former.fail(fault)
-                latter.fail(fault)
-                await latter.change(proxy.servers[0].entry(status="leaving"))
-                proxy.sidecar.migrate_discovery(latter.address)
+                old_registry.fail(fault)
+                new_registry.fail(fault)
+                await new_registry.change(proxy.servers[0].entry(status="leaving"))
+                proxy.sidecar.migrate_discovery(new_registry.address)
                 await advance(outage_s)
-                await latter.recover()
+                await new_registry.recover()
                 await assert_notified_within(proxy, NOTIFIED_WITHIN_S, now_s())
-            latter.stop()
+            new_registry.stop()
 
     run_in_virtual_time(scenario())
 
@@ -88,19 +88,19 @@
     make_registry: Callable[[], RegistryStandIn],
 ) -> None:
     async def scenario() -> None:
-        former, latter = make_registry(), make_registry()
-        await latter.start()
-        async with running_proxy(respond_ok, registry=former, rules=RULES) as proxy:
+        old_registry, new_registry = make_registry(), make_registry()
+        await new_registry.start()
+        async with running_proxy(respond_ok, registry=old_registry, rules=RULES) as proxy:
             await advance(0.5)
-            await latter.change(proxy.servers[0].entry(status="leaving"))
-            latter.fail("silent")
-            began = now_s()
-            proxy.sidecar.migrate_discovery(latter.address)
-            while not latter.targets:
+            await new_registry.change(proxy.servers[0].entry(status="leaving"))
+            new_registry.fail("silent")
+            started_at = now_s()
+            proxy.sidecar.migrate_discovery(new_registry.address)
+            while not new_registry.targets:
                 await asyncio.sleep(STEP_S)
-            await latter.recover()
-            await assert_notified_within(proxy, 4.0, began)
-        latter.stop()
+            await new_registry.recover()
+            await assert_notified_within(proxy, 4.0, started_at)
+        new_registry.stop()
 
     run_in_virtual_time(scenario())
 
@@ -112,7 +112,7 @@
         async with running_proxy(respond_ok, registry=registry, rules=RULES):
             await advance(60.0)
             assert 15 <= len(registry.targets) <= 20
-            waits = {int(parse_qs(urlsplit(each).query)["wait_ms"][0]) for each in registry.targets}
-            assert len(waits) > 5  # sidecars whose watches fail together do not all call again together
+            waits_ms = {int(parse_qs(urlsplit(each).query)["wait_ms"][0]) for each in registry.targets}
+            assert len(waits_ms) > 5  # sidecars whose watches fail together do not all call again together
 
     run_in_virtual_time(scenario())
--- a/tests/proxy/test_remaining_time.py
+++ b/tests/proxy/test_remaining_time.py
@@ -27,36 +27,36 @@
 from sidecar.proxy.server_connection import ServerConnection
 
 _BUDGET_S = 5.0
-_HELD_S = 0.4
-_TOLD_SLACK_S = 0.15
+_DELAY_S = 0.4
+_REMAINING_TIME_TOLERANCE_S = 0.15
 _ANSWER_SLACK_S = 0.5  # how long after its deadline a request may get its response
 
 
-async def pass_time(seconds: float) -> None:
+async def wait_seconds(seconds: float) -> None:
     loop = asyncio.get_running_loop()
-    over = loop.time() + seconds
-    await wait_until(lambda: loop.time() >= over)
+    ends_at = loop.time() + seconds
+    await wait_until(lambda: loop.time() >= ends_at)
 
 
-def told(head: Headers) -> float:
+def stated_remaining_s(head: Headers) -> float:
     return float(head["x-budget"])
 
 
 def test_attempt_states_the_remaining_time_after_a_slow_dial(monkeypatch: pytest.MonkeyPatch) -> None:
     connect = server_connection.connect
 
-    async def slow(*given: Any) -> ServerConnection:
-        connection = await connect(*given)
-        await pass_time(_HELD_S)
+    async def connect_slowly(*args: Any) -> ServerConnection:
+        connection = await connect(*args)
+        await wait_seconds(_DELAY_S)
         return connection
 
     async def scenario() -> None:
         limits = LIMITS | {"dial_timeout_us": 600 * SECOND_US}
         async with running_proxy(respond_ok, limits=limits) as proxy:
-            monkeypatch.setattr(connection_dialer, "connect", slow)
+            monkeypatch.setattr(connection_dialer, "connect", connect_slowly)
             assert (await proxy.send_request(budget=str(_BUDGET_S)))[0] == 200
             ((_, head, _),) = proxy.server_requests()
-            assert 0.0 < told(head) <= _BUDGET_S - _HELD_S
+            assert 0.0 < stated_remaining_s(head) <= _BUDGET_S - _DELAY_S
 
     run_scenario(scenario())
 
@@ -64,15 +64,17 @@
 def test_retry_states_the_remaining_time() -> None:
     async def scenario() -> None:
         async with running_proxy(never_respond, never_respond) as proxy:
-            asking = asyncio.create_task(proxy.send_request(kind="pay", body=b"x", budget=str(_BUDGET_S)))
+            response_task = asyncio.create_task(
+                proxy.send_request(kind="pay", body=b"x", budget=str(_BUDGET_S))
+            )
             await wait_until(proxy.server_requests)
             (first,) = (each for each in proxy.servers if each.requests)
             (second,) = (each for each in proxy.servers if not each.requests)
             second.script = respond_ok
-            await pass_time(_HELD_S)
+            await wait_seconds(_DELAY_S)
             first.writers[0].write(reject())
-            assert (await asking)[0] == 200
-            assert 0.0 < told(second.requests[0][1]) <= _BUDGET_S - _HELD_S
+            assert (await response_task)[0] == 200
+            assert 0.0 < stated_remaining_s(second.requests[0][1]) <= _BUDGET_S - _DELAY_S
 
     run_scenario(scenario())
 
@@ -85,7 +87,7 @@
         self.arrivals: list[tuple[float, float]] = []  # arrival and stated remaining time of each, in s
 
     def respond(self, _: str, head: Headers, __: bytes) -> bytes | None:
-        self.arrivals.append((asyncio.get_running_loop().time(), told(head)))
+        self.arrivals.append((asyncio.get_running_loop().time(), stated_remaining_s(head)))
         return None if len(self.arrivals) == 1 else self.reply
 
     def running_proxy(self, monkeypatch: pytest.MonkeyPatch) -> Any:
@@ -101,13 +103,14 @@
 
     async def scenario() -> None:
         async with attempts.running_proxy(monkeypatch) as proxy:
-            began = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             assert (await proxy.send_request(budget=str(_BUDGET_S)))[0] == 200
             (first_at, first_s), (second_at, second_s) = attempts.arrivals
-            assert second_at - first_at > _TOLD_SLACK_S  # otherwise the checks below prove nothing
-            assert 0.0 < first_s <= _BUDGET_S - (first_at - began) + _TOLD_SLACK_S
-            assert 0.0 < second_s <= _BUDGET_S - (second_at - began) + _TOLD_SLACK_S
-            assert second_s < first_s - _TOLD_SLACK_S
+            # Otherwise the checks below prove nothing.
+            assert second_at - first_at > _REMAINING_TIME_TOLERANCE_S
+            assert 0.0 < first_s <= _BUDGET_S - (first_at - started_at) + _REMAINING_TIME_TOLERANCE_S
+            assert 0.0 < second_s <= _BUDGET_S - (second_at - started_at) + _REMAINING_TIME_TOLERANCE_S
+            assert second_s < first_s - _REMAINING_TIME_TOLERANCE_S
 
     run_scenario(scenario())
 
@@ -115,7 +118,7 @@
 # -- Requests whose attempts fail at once, or get no response
 
 
-async def answered_in_time(
+async def send_within_budget(
     proxy: ProxyHarness, kind: str, budget_s: float, max_unsafe_attempts: int = 1
 ) -> int:
     """Send a request and return its status; check its response time and its number of attempts.
@@ -142,7 +145,7 @@
     async def scenario() -> None:
         async with running_proxy(never_respond, never_respond, never_respond) as proxy:
             for _ in range(3):
-                assert await answered_in_time(proxy, kind, budget_s) in (500, 503)
+                assert await send_within_budget(proxy, kind, budget_s) in (500, 503)
 
     run_scenario(scenario())
 
@@ -157,7 +160,7 @@
 
     async def scenario() -> None:
         async with attempts.running_proxy(monkeypatch) as proxy:
-            assert await answered_in_time(proxy, "look", 2.0) in (500, 503)
+            assert await send_within_budget(proxy, "look", 2.0) in (500, 503)
             assert 2 <= len(attempts.arrivals) <= LIMITS["max_attempts"]
 
     run_scenario(scenario())
@@ -173,7 +176,7 @@
             proxy.servers[2].stop()  # dials to it are refused
             for _ in range(4):
                 max_unsafe_attempts = 1 if reply != reject() else LIMITS["max_attempts"]
-                assert await answered_in_time(proxy, kind, 1.0, max_unsafe_attempts) in (500, 503)
+                assert await send_within_budget(proxy, kind, 1.0, max_unsafe_attempts) in (500, 503)
 
     run_scenario(scenario())
 
@@ -185,7 +188,7 @@
         async with running_proxy(respond_ok) as proxy:
             proxy.sidecar._pool._idle_connections.reuse_delay_s = 0.0
             for _ in range(5):
-                assert await answered_in_time(proxy, kind, _BUDGET_S) == 200
+                assert await send_within_budget(proxy, kind, _BUDGET_S) == 200
                 for writer in proxy.servers[0].writers:
                     if how == "reset":
                         reset(writer)
@@ -196,22 +199,22 @@
 
 
 @pytest.mark.parametrize("kind", ["look", "pay", "amend"])
-def test_connection_forgotten_while_idle_fails_at_most_one_attempt(kind: str) -> None:
-    used: set[asyncio.StreamWriter] = set()
+def test_idle_connection_reset_at_its_next_request_fails_at_most_one_attempt(kind: str) -> None:
+    used_writers: set[asyncio.StreamWriter] = set()
 
     async def scenario() -> None:
-        def forgets(*_: object) -> bytes:
+        def reset_at_second_request(*_: object) -> bytes:
             """Answer the first request on each connection, and reset the connection at the next."""
             writer = proxy.servers[0].writers[-1]
-            is_new = writer not in used
-            used.add(writer)
+            is_new = writer not in used_writers
+            used_writers.add(writer)
             return respond_ok() if is_new else b""
 
-        async with running_proxy(forgets, respond_ok) as proxy:
+        async with running_proxy(reset_at_second_request, respond_ok) as proxy:
             proxy.sidecar._pool._idle_connections.reuse_delay_s = 0.0
             statuses = []
-            while len(proxy.servers[0].requests) == len(used):  # until a connection was reset
-                statuses.append(await answered_in_time(proxy, kind, _BUDGET_S))
+            while len(proxy.servers[0].requests) == len(used_writers):  # until a connection was reset
+                statuses.append(await send_within_budget(proxy, kind, _BUDGET_S))
             assert statuses.pop() == (500 if kind == "pay" else 200)
             assert set(statuses) <= {200}
 
--- a/tests/proxy/test_request_ids.py
+++ b/tests/proxy/test_request_ids.py
@@ -34,8 +34,8 @@
             # rejected even after it has ended.
             assert (await proxy.send_request(kind="pay", body=b"third", X_Call_Id="one"))[0] == 409
             assert [body for _, _, body in proxy.server_requests()] == [b"first"]
-            for kind, ident in (("pay", "other"), ("look", "safe"), ("look", "safe")):
-                assert (await proxy.send_request(kind=kind, X_Call_Id=ident))[0] == 200
+            for kind, request_id in (("pay", "other"), ("look", "safe"), ("look", "safe")):
+                assert (await proxy.send_request(kind=kind, X_Call_Id=request_id))[0] == 200
             writer.close()
 
     run_scenario(scenario())
--- a/tests/proxy/test_request_parsing.py
+++ b/tests/proxy/test_request_parsing.py
@@ -17,7 +17,7 @@
     wait_for_eof,
 )
 
-BIG = bytes(64 * 1024 + 1)
+OVERSIZED_BODY = bytes(64 * 1024 + 1)
 
 
 # Guards against forwarding requests that the proxy cannot parse or classify.
@@ -51,11 +51,11 @@
         (request(budget="5.0\r\nX-Budget: 6.0"), 400),
         (request("look\r\nX-Call-Class: pay"), 400),
         (request(X_Caller="stranger"), 400),
-        (request("pay", body=BIG), 413),
+        (request("pay", body=OVERSIZED_BODY), 413),
         (
             request("pay", Content_Length=None, Transfer_Encoding="chunked")
             + b"10001\r\n"
-            + BIG
+            + OVERSIZED_BODY
             + b"\r\n0\r\n\r\n",
             413,
         ),
@@ -82,13 +82,13 @@
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
             reader, writer = await proxy.connect()
-            data = request("pay", body=BIG[:-1], Expect="100-continue")
+            data = request("pay", body=OVERSIZED_BODY[:-1], Expect="100-continue")
             head = data.index(b"\r\n\r\n") + 4
             writer.write(data[:head])
             assert b" 100 " in await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), TIMEOUT_S)
             writer.write(data[head:])
             assert (await read_response(reader))[0] == 200
-            assert proxy.server_requests()[0][2] == BIG[:-1]
+            assert proxy.server_requests()[0][2] == OVERSIZED_BODY[:-1]
             writer.close()
 
     run_scenario(scenario())
@@ -99,7 +99,7 @@
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
             reader, writer = await proxy.connect()
-            writer.write(request("pay", body=BIG * 64)[:-1])
+            writer.write(request("pay", body=OVERSIZED_BODY * 64)[:-1])
             with contextlib.suppress(ConnectionError):
                 await writer.drain()
             assert (await read_response(reader))[0] == 413
@@ -123,9 +123,9 @@
         async with running_proxy(respond_ok) as proxy:
             reader, writer = await proxy.connect()
             writer.write(request(path="/elsewhere", method="HEAD"))
-            got = await asyncio.wait_for(reader.read(), TIMEOUT_S)
-            assert got.startswith(b"HTTP/1.1 404 ")
-            assert got.endswith(b"\r\n\r\n")
+            raw_response = await asyncio.wait_for(reader.read(), TIMEOUT_S)
+            assert raw_response.startswith(b"HTTP/1.1 404 ")
+            assert raw_response.endswith(b"\r\n\r\n")
             writer.close()
 
     run_scenario(scenario())
--- a/tests/proxy/test_request_wait.py
+++ b/tests/proxy/test_request_wait.py
@@ -23,15 +23,15 @@
 )
 
 from sidecar.proxy.addresses import Address
-from sidecar.proxy.clock import Clock as BalancerClock
+from sidecar.proxy.clock import Clock as SidecarClock
 from sidecar.proxy.event_loop import EventLoop, PollTimingSelector
 
 STALL_S = 0.4
 BUDGET_S = 1.0
-ALLOWED_S = 0.15  # how far a deadline may be later than the client's
+DEADLINE_TOLERANCE_S = 0.15  # how far a deadline may be later than the client's
 
 
-class Clock:
+class AdvanceableClock:
     """The machine's clock, which tests advance by the time for which a process counts as stopped."""
 
     def __init__(self) -> None:
@@ -44,19 +44,19 @@
         self._skipped_s += seconds
 
 
-def play_with_stalls(scenario: Callable[[Clock], Coroutine[Any, Any, None]]) -> None:
+def run_with_stalls(scenario: Callable[[AdvanceableClock], Coroutine[Any, Any, None]]) -> None:
     """Run a test on an event loop whose clock it can advance; the sidecar reads that clock, too."""
-    clock = Clock()
+    clock = AdvanceableClock()
 
     async def bounded() -> None:
         async with asyncio.timeout(60.0):
             await scenario(clock)
 
-    def now(own: BalancerClock) -> int:
-        return int(clock() * 1e6) + own._offset_us
+    def now(sidecar_clock: SidecarClock) -> int:
+        return int(clock() * 1e6) + sidecar_clock._offset_us
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(BalancerClock, "now", now)
+        patch.setattr(SidecarClock, "now", now)
         with asyncio.Runner(loop_factory=lambda: EventLoop(clock)) as runner:
             runner.run(bounded())
 
@@ -81,7 +81,7 @@
 
 
 @contextlib.asynccontextmanager
-async def connected(proxy: ProxyHarness) -> AsyncIterator[Client]:
+async def connected_client(proxy: ProxyHarness) -> AsyncIterator[Client]:
     """Connect a client; the sidecar has accepted the connection and polled it without finding data."""
     client = Client(proxy.sidecar.frontend.address)
     await wait_until(lambda: proxy.sidecar.frontend.connections)
@@ -93,18 +93,18 @@
 
 
 def test_forwarded_budget_excludes_the_wait_for_a_busy_event_loop() -> None:
-    async def scenario(clock: Clock) -> None:
-        async with running_proxy(respond_ok) as proxy, connected(proxy) as client:
+    async def scenario(clock: AdvanceableClock) -> None:
+        async with running_proxy(respond_ok) as proxy, connected_client(proxy) as client:
             client.send(request(budget=f"{BUDGET_S}"))
             clock.skip(STALL_S)
             assert await client.read_status() == 200
             assert forwarded_budget_s(proxy.server_requests()[0][1]) <= BUDGET_S - STALL_S
 
-    play_with_stalls(scenario)
+    run_with_stalls(scenario)
 
 
 def test_forwarded_budget_excludes_the_wait_to_be_accepted() -> None:
-    async def scenario(clock: Clock) -> None:
+    async def scenario(clock: AdvanceableClock) -> None:
         async with running_proxy(respond_ok) as proxy:
             await wait_until(lambda: proxy.sidecar.frontend._accepting)
             proxy.sidecar.frontend._pause_accepting()
@@ -116,11 +116,11 @@
             assert await client.read_status() == 200
             assert forwarded_budget_s(proxy.server_requests()[0][1]) <= BUDGET_S - STALL_S
 
-    play_with_stalls(scenario)
+    run_with_stalls(scenario)
 
 
 def test_forwarded_budget_excludes_the_wait_of_a_new_connection_for_a_busy_event_loop() -> None:
-    async def scenario(clock: Clock) -> None:
+    async def scenario(clock: AdvanceableClock) -> None:
         async with running_proxy(respond_ok) as proxy:
             await wait_until(lambda: proxy.sidecar.frontend._accepting)
             await asyncio.sleep(0.01)
@@ -130,12 +130,12 @@
             assert await client.read_status() == 200
             assert forwarded_budget_s(proxy.server_requests()[0][1]) <= BUDGET_S - STALL_S
 
-    play_with_stalls(scenario)
+    run_with_stalls(scenario)
 
 
 def test_forwarded_budget_excludes_the_wait_behind_another_request() -> None:
-    async def scenario(clock: Clock) -> None:
-        async with running_proxy(never_respond) as proxy, connected(proxy) as client:
+    async def scenario(clock: AdvanceableClock) -> None:
+        async with running_proxy(never_respond) as proxy, connected_client(proxy) as client:
             client.send(request(X_Call_Id="first"))
             await wait_until(proxy.server_requests)
             client.send(request(X_Call_Id="second", budget=f"{BUDGET_S}"))
@@ -147,38 +147,38 @@
             await wait_until(lambda: len(proxy.server_requests()) == 2)
             assert forwarded_budget_s(proxy.server_requests()[1][1]) <= BUDGET_S - STALL_S
 
-    play_with_stalls(scenario)
+    run_with_stalls(scenario)
 
 
 @pytest.mark.parametrize("kind", ["look", "pay"])
 def test_request_read_after_its_deadline_is_rejected_and_not_forwarded(kind: str) -> None:
-    async def scenario(clock: Clock) -> None:
-        async with running_proxy(respond_ok) as proxy, connected(proxy) as client:
+    async def scenario(clock: AdvanceableClock) -> None:
+        async with running_proxy(respond_ok) as proxy, connected_client(proxy) as client:
             client.send(request(kind, budget=f"{STALL_S / 2}"))
             clock.skip(STALL_S)
             assert await client.read_status() == 503
             assert not proxy.server_requests()
 
-    play_with_stalls(scenario)
+    run_with_stalls(scenario)
 
 
 def test_deadline_counts_from_when_the_client_sent_the_request() -> None:
-    async def scenario(clock: Clock) -> None:
-        async with running_proxy(never_respond) as proxy, connected(proxy) as client:
+    async def scenario(clock: AdvanceableClock) -> None:
+        async with running_proxy(never_respond) as proxy, connected_client(proxy) as client:
             sent_at = clock()
             client.send(request(budget=f"{BUDGET_S}"))
             clock.skip(STALL_S)
             await wait_until(proxy.server_requests)
-            (live,) = proxy.sidecar._active
-            due = proxy.sidecar._clock.to_loop_time(live.deadline_us)
-            assert due <= sent_at + BUDGET_S + ALLOWED_S
+            (active_request,) = proxy.sidecar._active
+            deadline = proxy.sidecar._clock.to_loop_time(active_request.deadline_us)
+            assert deadline <= sent_at + BUDGET_S + DEADLINE_TOLERANCE_S
 
-    play_with_stalls(scenario)
+    run_with_stalls(scenario)
 
 
 def test_request_that_arrives_after_a_stall_keeps_its_budget() -> None:
-    async def scenario(clock: Clock) -> None:
-        async with running_proxy(respond_ok) as proxy, connected(proxy) as client:
+    async def scenario(clock: AdvanceableClock) -> None:
+        async with running_proxy(respond_ok) as proxy, connected_client(proxy) as client:
             clock.skip(STALL_S)
             await asyncio.sleep(0.01)
             client.send(request(budget=f"{BUDGET_S}"))
@@ -188,10 +188,10 @@
             assert (await proxy.send_request(budget=f"{BUDGET_S}"))[0] == 200
             assert forwarded_budget_s(proxy.server_requests()[1][1]) > BUDGET_S - STALL_S / 2
 
-    play_with_stalls(scenario)
+    run_with_stalls(scenario)
 
 
-class SleepClock:
+class ManualClock:
     """A clock that the test advances, also in each poll with a timeout."""
 
     def __init__(self) -> None:
@@ -202,7 +202,7 @@
 
 
 @pytest.mark.parametrize(
-    ("busy_s", "slept_s", "timeout_s", "waited_s"),
+    ("busy_s", "polled_s", "timeout_s", "waited_s"),
     [
         (0.0, 0.05, 0.1, 0.0),  # the event ended the poll
         (0.0, 0.1, 0.1, 0.0),
@@ -213,20 +213,20 @@
     ],
 )
 def test_poll_bounds_how_long_its_events_have_waited(
-    monkeypatch: pytest.MonkeyPatch, busy_s: float, slept_s: float, timeout_s: float, waited_s: float
+    monkeypatch: pytest.MonkeyPatch, busy_s: float, polled_s: float, timeout_s: float, waited_s: float
 ) -> None:
-    clock = SleepClock()
+    clock = ManualClock()
     with PollTimingSelector(clock) as selector, contextlib.ExitStack() as stack:
         reading, writing = (stack.enter_context(each) for each in socket.socketpair())
         selector.register(reading, selectors.EVENT_READ)
         select = selectors.DefaultSelector.select
 
-        def timed(self: selectors.DefaultSelector, timeout: float | None = None) -> object:
+        def advance_and_select(self: selectors.DefaultSelector, timeout: float | None = None) -> object:
             if timeout:
-                clock.now += slept_s
+                clock.now += polled_s
             return select(self, timeout)
 
-        monkeypatch.setattr(selectors.DefaultSelector, "select", timed)
+        monkeypatch.setattr(selectors.DefaultSelector, "select", advance_and_select)
         writing.send(b"x")
         clock.now += busy_s
         assert selector.select(timeout_s)
--- a/tests/proxy/test_stalled_clients.py
+++ b/tests/proxy/test_stalled_clients.py
@@ -17,84 +17,88 @@
 )
 from virtual_time import advance, now_s, run_in_virtual_time
 
-BAD_PEER_S = 3.0  # within this time a client that breaks the protocol gets an error or a close
+ERROR_RESPONSE_LIMIT_S = 3.0  # within this time a client that breaks the protocol gets an error or a close
 
-WHOLE = request("pay", body=b"whole")
-EXPECTING = request("pay", body=b"whole", Expect="100-continue")
-CHUNKED = request("pay", Content_Length=None, Transfer_Encoding="chunked")
-STOPS = {
+COMPLETE_REQUEST = request("pay", body=b"whole")
+EXPECT_CONTINUE_REQUEST = request("pay", body=b"whole", Expect="100-continue")
+CHUNKED_HEAD = request("pay", Content_Length=None, Transfer_Encoding="chunked")
+PARTIAL_REQUESTS = {
     "a byte": b"P",
-    "half a first line": WHOLE[:12],
-    "half a head": WHOLE[:-20],
-    "a head": WHOLE[:-5],
-    "half a body": WHOLE[:-2],
-    "a head that expects to go on": EXPECTING[:-5],
-    "half a body after going on": EXPECTING[:-2],
-    "a chunked head": CHUNKED,
-    "half a chunk": CHUNKED + b"5\r\nwho",
-    "no last chunk": CHUNKED + b"5\r\nwhole\r\n",
+    "half a first line": COMPLETE_REQUEST[:12],
+    "half a head": COMPLETE_REQUEST[:-20],
+    "a head": COMPLETE_REQUEST[:-5],
+    "half a body": COMPLETE_REQUEST[:-2],
+    "a head that expects to go on": EXPECT_CONTINUE_REQUEST[:-5],
+    "half a body after going on": EXPECT_CONTINUE_REQUEST[:-2],
+    "a chunked head": CHUNKED_HEAD,
+    "half a chunk": CHUNKED_HEAD + b"5\r\nwho",
+    "no last chunk": CHUNKED_HEAD + b"5\r\nwhole\r\n",
 }
 
 
-@pytest.mark.parametrize("earlier", [0, 3], ids=["first", "after others"])
-@pytest.mark.parametrize("stop", STOPS.values(), ids=STOPS)
-def test_client_that_stops_within_a_request_gets_an_error_in_time(stop: bytes, earlier: int) -> None:
+@pytest.mark.parametrize("earlier_requests", [0, 3], ids=["first", "after others"])
+@pytest.mark.parametrize("partial_request", PARTIAL_REQUESTS.values(), ids=PARTIAL_REQUESTS)
+def test_client_that_stops_within_a_request_gets_an_error_in_time(
+    partial_request: bytes, earlier_requests: int
+) -> None:
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
             reader, writer = await proxy.connect()
-            for number in range(earlier):
+            for number in range(earlier_requests):
                 writer.write(request(X_Call_Id=f"{number}"))
                 assert (await read_response(reader))[0] == 200
                 await advance(0.5)
-            began = now_s()
-            writer.write(stop)
-            got = await asyncio.wait_for(reader.read(), TIMEOUT_S)
-            assert now_s() < began + BAD_PEER_S
-            assert b"HTTP/1.1 408 " in got
-            assert (b"HTTP/1.1 100 " in got) is (b"Expect" in stop and b"\r\n\r\n" in stop)
+            started_at = now_s()
+            writer.write(partial_request)
+            raw_response = await asyncio.wait_for(reader.read(), TIMEOUT_S)
+            assert now_s() < started_at + ERROR_RESPONSE_LIMIT_S
+            assert b"HTTP/1.1 408 " in raw_response
+            assert (b"HTTP/1.1 100 " in raw_response) is (
+                b"Expect" in partial_request and b"\r\n\r\n" in partial_request
+            )
             await wait_until(proxy.sidecar.frontend.has_no_connections)
-            assert len(proxy.server_requests()) == earlier
+            assert len(proxy.server_requests()) == earlier_requests
             writer.close()
 
     run_in_virtual_time(scenario())
 
 
-@pytest.mark.parametrize("pieces_s", [0.2, 0.9])
-def test_client_that_trickles_a_request_and_stops_gains_no_time(pieces_s: float) -> None:
+@pytest.mark.parametrize("pause_s", [0.2, 0.9])
+def test_client_that_trickles_a_request_and_stops_gains_no_time(pause_s: float) -> None:
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
             reader, writer = await proxy.connect()
-            began = now_s()
-            for piece in (WHOLE[:10], WHOLE[10:20]):
+            started_at = now_s()
+            for piece in (COMPLETE_REQUEST[:10], COMPLETE_REQUEST[10:20]):
                 writer.write(piece)
-                await advance(pieces_s)
+                await advance(pause_s)
             assert b"HTTP/1.1 408 " in await asyncio.wait_for(reader.read(), TIMEOUT_S)
-            assert now_s() < began + BAD_PEER_S
+            assert now_s() < started_at + ERROR_RESPONSE_LIMIT_S
             writer.close()
 
     run_in_virtual_time(scenario())
 
 
-@pytest.mark.parametrize("answered_after_s", [0.0, 0.5, 1.8])
-@pytest.mark.parametrize("stop", STOPS.values(), ids=STOPS)
+@pytest.mark.parametrize("response_after_s", [0.0, 0.5, 1.8])
+@pytest.mark.parametrize("partial_request", PARTIAL_REQUESTS.values(), ids=PARTIAL_REQUESTS)
 def test_client_that_stops_within_a_pipelined_request_gets_response_and_error_in_time(
-    stop: bytes, answered_after_s: float
+    partial_request: bytes, response_after_s: float
 ) -> None:
     async def scenario() -> None:
         async with running_proxy(never_respond) as proxy:
             reader, writer = await proxy.connect()
             writer.write(request("pay", body=b"held"))
             await wait_until(proxy.server_requests)
-            began = now_s()
-            writer.write(stop)
+            started_at = now_s()
+            writer.write(partial_request)
             (connection,) = proxy.sidecar.frontend.connections
             await wait_until(connection.has_partial_request)
-            await advance(answered_after_s)
+            await advance(response_after_s)
             proxy.servers[0].writers[0].write(respond_ok())
             status, _, body = await read_response(reader)
             assert (status, body) == (200, b"served")
             assert b"HTTP/1.1 408 " in await asyncio.wait_for(reader.read(), TIMEOUT_S)
-            assert now_s() < began + BAD_PEER_S
+            assert now_s() < started_at + ERROR_RESPONSE_LIMIT_S
             assert len(proxy.server_requests()) == 1
             writer.close()
 
@@ -107,14 +111,14 @@
             reader, writer = await proxy.connect()
             writer.write(request("pay", body=b"held", X_Call_Id="held"))
             await wait_until(proxy.server_requests)
-            writer.write(WHOLE[:30])
+            writer.write(COMPLETE_REQUEST[:30])
             (connection,) = proxy.sidecar.frontend.connections
             await wait_until(connection.has_partial_request)
             proxy.servers[0].script = respond_ok
             proxy.servers[0].writers[0].write(respond_ok())
             assert (await read_response(reader))[0] == 200
             await advance(1.0)
-            writer.write(WHOLE[30:])
+            writer.write(COMPLETE_REQUEST[30:])
             assert (await read_response(reader))[0] == 200
             assert await wait_for_eof(reader)  # its idle time is over
             assert len(proxy.server_requests()) == 2
--- a/tests/proxy/test_wall_clock_steps.py
+++ b/tests/proxy/test_wall_clock_steps.py
@@ -40,20 +40,22 @@
     assert clock.to_loop_time(after_us) == pytest.approx(time.monotonic(), abs=1.0)
 
 
-@pytest.mark.parametrize("before", [True, False])
+@pytest.mark.parametrize("is_stepped_before_start", [True, False])
 @pytest.mark.parametrize("span_s", STEPS_S)
-def test_deadline_is_kept_through_a_step(span_s: float, before: bool, step_wall_clock: StepFunction) -> None:
+def test_deadline_is_kept_through_a_step(
+    span_s: float, is_stepped_before_start: bool, step_wall_clock: StepFunction
+) -> None:
     async def scenario() -> None:
-        if before:
+        if is_stepped_before_start:
             step_wall_clock(span_s)
         async with running_proxy(respond_ok) as proxy:
             assert (await proxy.send_request())[0] == 200
             proxy.servers[0].script = never_respond
-            asked = asyncio.create_task(proxy.send_request(kind="pay", body=b"x", budget="0.4"))
+            response_task = asyncio.create_task(proxy.send_request(kind="pay", body=b"x", budget="0.4"))
             await wait_until(lambda: len(proxy.server_requests()) == 2)
-            if not before:
+            if not is_stepped_before_start:
                 step_wall_clock(span_s)
-            assert (await asked)[0] == 500
+            assert (await response_task)[0] == 500
             assert float(proxy.server_requests()[1][1]["x-budget"]) <= 0.4
 
     run_scenario(scenario())
@@ -61,7 +63,7 @@
 
 @pytest.mark.parametrize("span_s", STEPS_S)
 def test_rate_limit_of_log_lines_holds_and_ends_in_time_after_a_step(span_s: float) -> None:
-    flood = RateLimitFilter(2)
-    lines = [7.0, 7.1, 7.2, 7.3 + span_s, 7.4 + span_s, 7.5 + span_s, 8.4 + span_s]
-    passed = [flood.filter(logging.makeLogRecord({"created": at})) for at in lines]
-    assert passed == [True, True, False, True, True, False, True]
+    rate_limit = RateLimitFilter(2)
+    created_s = [7.0, 7.1, 7.2, 7.3 + span_s, 7.4 + span_s, 7.5 + span_s, 8.4 + span_s]
+    are_passed = [rate_limit.filter(logging.makeLogRecord({"created": at})) for at in created_s]
+    assert are_passed == [True, True, False, True, True, False, True]
