--- a/tests/balancer/policy_context.py
+++ b/tests/balancer/policy_context.py
@@ -1,4 +1,4 @@
-"""The context, requests and attempts for unit tests of single policies."""
+"""Contexts, requests and attempts for unit tests of single policies."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 def make_context(servers: int = 10, **changes: object) -> Context:
-    """A context at START_US with so many ready servers."""
+    """A context at START_US with this number of ready servers."""
     context = Context(settings(**changes), random.Random(7), stall_check_interval_targets=0.1)
     context.begin_event(START_US, TimerFired(""))
     endpoints = [Endpoint(f"s{number}", zone="east") for number in range(servers)]
     context.registry.apply(RegistryUpdated(RegistryUpdateKind.SNAPSHOT, endpoints))
-    context.load.mean = 16.0  # enough traffic for the subset to be all of them
+    context.load.mean = 16.0  # enough traffic for the subset to contain all servers
     return context
 
 
 def make_request(context: Context, class_name: str = "look") -> Request:
-    """A request of the class, with no attempt so far."""
+    """A request of the named class without attempts."""
     service_class = next(each for each in context.settings.classes if each.name == class_name)
     traffic_key = TrafficKey(class_name, None)
     return Request(
@@ -32,7 +32,7 @@
 
 
 def start_attempt(context: Context, request: Request, server: Server) -> Attempt:
-    """Add an attempt at the server, and its load."""
+    """Add an attempt of the request at the server and count it as load."""
     attempt = Attempt(len(request.attempts), server, context.now, 0, 0)
     request.attempts.append(attempt)
     context.load.change_attempts(server, 1)
@@ -40,7 +40,7 @@
 
 
 def add_load(context: Context, attempts: int) -> None:
-    """Add the load of so many attempts to the first ready server."""
+    """Count this number of attempts as load of the first ready server."""
     server = context.registry.ready[0]
     for _ in range(attempts):
         context.load.change_attempts(server, 1)
--- a/tests/balancer/ready_balancer.py
+++ b/tests/balancer/ready_balancer.py
@@ -1,4 +1,4 @@
-"""Harnesses with ready servers, their traffic and their endpoints, for several test files of the balancer."""
+"""Harnesses with ready servers, traffic and endpoints, shared by the tests of the balancer."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def ready_harness(servers: int, initial_settings: Settings | None = None, seed: int = 7) -> BalancerHarness:
-    """A harness whose balancer knows so many ready servers."""
+    """A harness whose balancer knows this number of ready servers."""
     harness = BalancerHarness(initial_settings, seed=seed)
     harness.update_servers(server_names(servers))
     return harness
@@ -23,7 +23,7 @@
     service_time_us: int = 50 * MILLISECOND_US,
     interval_us: int = 400 * MILLISECOND_US,
 ) -> None:
-    """Traffic without concurrency: each request is answered before the next one arrives."""
+    """Send requests one at a time: each is answered before the next one arrives."""
     for _ in range(count):
         request = harness.send_request()
         harness.advance(service_time_us)
@@ -45,7 +45,7 @@
 
 
 def answer_health_checks(harness: BalancerHarness, load: dict[str, float], unresponsive: str = "") -> None:
-    """Answer the health checks sent at this moment, each with the load of its server."""
+    """Answer the health checks sent at the current time, each with the load of its server."""
     harness.advance(2 * MILLISECOND_US)
     checked = [
         each.server
@@ -59,7 +59,7 @@
 
 
 def endpoints_in_two_zones(servers_each: int) -> list[Endpoint]:
-    """So many servers in the local zone, and as many in another one."""
+    """This number of servers in the local zone, and the same number in another zone."""
     servers = server_names(2 * servers_each)
     return [
         Endpoint(name, zone="east" if index < servers_each else "west") for index, name in enumerate(servers)
--- a/tests/balancer/test_admission.py
+++ b/tests/balancer/test_admission.py
@@ -19,7 +19,9 @@
     harness = ready_harness(4)
     harness.serve_requests(60)
     overdue = harness.send_request("pay")
-    for _ in range(20):  # one at a time, they go to other servers; many at once overtake it
+    # One request at a time goes to another server.  Of several at once, some go to the server of the overdue
+    # attempt and overtake it.
+    for _ in range(20):
         others = [harness.send_request() for _ in range(others_per_step)]
         harness.advance(50 * MILLISECOND_US)
         for each in others:
@@ -28,7 +30,7 @@
 
 
 def overload_servers(harness: BalancerHarness, ticks: int) -> None:
-    """Send far more requests than the servers can answer, so that responses become ever later."""
+    """Send four requests for each one that is answered, so that responses arrive later and later."""
     harness.update_servers(server_names(4))
     in_flight: list[int] = []
     for tick in range(ticks):
@@ -37,7 +39,7 @@
             request = harness.send_request(name)
             if harness.attempts(request):
                 in_flight.append(request)
-        if tick % 2 and in_flight:  # one answer for four requests, oldest first
+        if tick % 2 and in_flight:  # every other tick, the oldest request is answered
             request = in_flight.pop(0)
             if request in harness.balancer._requests and not harness.balancer._requests[request].answered:
                 harness.end_attempt(request, attempt=0)
@@ -48,7 +50,8 @@
     harness.serve_requests(200)
     overload_servers(harness, 600)
     rejected = {each.request for each in harness.actions_of(RejectRequest)}
-    low_priority = sum(1 for each in rejected if each % 2)  # classes alternate: half would be no preference
+    # Classes alternate, so without regard to priority half of the rejected requests would be of low priority.
+    low_priority = sum(1 for each in rejected if each % 2)
     assert len(rejected) > 300
     assert low_priority > 0.5 * len(rejected)
     unsent = [
@@ -66,10 +69,10 @@
         for attempt in request.attempts:
             if attempt.pending:
                 harness.end_attempt(request.id, Outcome.CANCELLED, attempt.index, answered=True)
-    harness.advance(11 * SECOND_US)  # cancelled attempts count as load for as long again
-    harness.serve_requests(
-        600
-    )  # a small limit takes some latency targets to grow; a rejection meanwhile is no fault
+    # Cancelled attempts count as load for as long again as they were in flight.
+    harness.advance(11 * SECOND_US)
+    # A small limit takes several latency targets to grow, so rejections during that time are expected.
+    harness.serve_requests(600)
     rejected = len(harness.actions_of(RejectRequest))
     harness.serve_requests(300)
     assert len(harness.actions_of(RejectRequest)) == rejected
@@ -77,7 +80,7 @@
 
 def test_late_responses_do_not_reduce_the_limit_below_the_timely_throughput() -> None:
     harness = ready_harness(8)
-    # Ten in flight, each a fifth of the target.
+    # Ten in flight, each with a latency of a fifth of the target.
     harness.serve_requests(400, interval_us=10 * MILLISECOND_US, service_time_us=100 * MILLISECOND_US)
     pending: deque[tuple[int, int]] = deque()
     for _ in range(300):
@@ -98,7 +101,7 @@
 
 def test_low_traffic_is_partly_shed_while_every_response_is_late() -> None:
     harness = ready_harness(8)
-    for _ in range(120):  # hardly ever two in flight, so a limit of two would never reject one
+    for _ in range(120):  # hardly ever two in flight, so a limit of two would never reject a request
         harness.advance(900 * MILLISECOND_US)
         request = harness.send_request()
         if harness.attempts(request):
@@ -141,7 +144,7 @@
 
 
 def test_late_responses_from_servers_with_idle_cores_are_not_overload() -> None:
-    assert count_shed_with_late_responses(0.4) < 5  # the first has no load report yet
+    assert count_shed_with_late_responses(0.4) < 5  # late attempts count until the first load report
     assert count_shed_with_late_responses(1.0) > 30
 
 
@@ -173,13 +176,14 @@
 
 
 def test_late_responses_shed_nothing_while_load_reports_show_idle_cores() -> None:
-    # Guards against lag of the balancer, hung connections and a few slow servers, which look like overload.
+    # Guards against mistaking lag of the balancer, hung connections or a few slow servers for overload.
     harness = ready_harness(4)
     in_flight: list[int] = []
     for step in range(800):
         harness.advance(20 * MILLISECOND_US)
         in_flight.append(harness.send_request())
-        if len(in_flight) > min(3 + step // 10, 30):  # in the end 600 ms each, past the target of 500 ms
+        # In the end, each takes 600 ms, which exceeds the latency target of 500 ms.
+        if len(in_flight) > min(3 + step // 10, 30):
             harness.end_attempt(in_flight.pop(0), report={"util": 0.2})
     assert harness.balancer._context.load.mean > 20.0
     assert harness.actions_of(RejectRequest) == []
--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -12,7 +12,7 @@
 
 
 def test_the_first_responses_after_a_restart_do_not_set_the_limit() -> None:
-    # Guards against rejections after each restart: all connections are new, and rates still build up.
+    # Guards against rejections after a restart, when all connections are new and rates are still building up.
     balancer = BalancerHarness().balancer
     for latency_ratio in [0.5] * 8:
         balancer._admission.observe_latency(latency_ratio)
@@ -21,14 +21,13 @@
         balancer._admission.observe_latency(2.0)  # a few late responses may be chance
     assert balancer._limit.limit == float("inf")
     for _ in range(40):
-        balancer._admission.observe_latency(
-            2.0
-        )  # nearly all late: that is overload, however new the balancer
+        # Nearly all responses are late, which indicates overload even just after a restart.
+        balancer._admission.observe_latency(2.0)
     assert balancer._limit.limit < float("inf")
 
 
 def observe_repeatedly(context: Context, limit: ConcurrencyLimit, times: int, latency_ratio: float) -> None:
-    """Observe so many responses, one each 20 ms, of this latency as a part of the target."""
+    """Observe one response every 20 ms, each with this latency as a fraction of the target."""
     for _ in range(times):
         context.clock.now += 20 * MILLISECOND_US
         limit.observe(latency_ratio)
@@ -54,8 +53,8 @@
     context = make_context()
     limit = ConcurrencyLimit(context)
     limit.limit = 4.0
-    for rejected in (False, True):
-        limit.has_rejected = rejected
+    for has_rejected in (False, True):
+        limit.has_rejected = has_rejected
         before = limit.limit
         observe_repeatedly(context, limit, 50, latency_ratio=0.05)
-        assert (limit.limit > before) is rejected
+        assert (limit.limit > before) is has_rejected
--- a/tests/balancer/test_connections.py
+++ b/tests/balancer/test_connections.py
@@ -15,7 +15,8 @@
 
 def test_an_idle_connection_is_closed_once_it_has_cost_as_much_as_a_handshake() -> None:
     harness = ready_harness(4, settings(sidecar_count=100, prices={"connection": 0.08, "handshake": 0.08}))
-    harness.serve_requests(100)  # 50/s here; 1250/s a server from all 100, which share the price
+    # The price is charged per request: 50/s from this sidecar are 1250/s per server from all 100 sidecars.
+    harness.serve_requests(100)
     harness.advance(1 * SECOND_US)
     closed = {each.server for each in harness.actions_of(CloseIdleConnections)}
     assert closed == {each.server for _, each in harness.attempts()}
@@ -33,14 +34,14 @@
 
 def test_a_server_with_an_open_connection_is_preferred_among_equals() -> None:
     harness = ready_harness(4, settings(**LOAD_PROBING, prices={"handshake": 0.08}))
-    targets = set()
+    servers_used = set()
     for _ in range(12):
         request = harness.send_request()
         answer_health_checks(harness, dict.fromkeys(server_names(4), 1.0))
-        targets.add(harness.server_of(request))
+        servers_used.add(harness.server_of(request))
         harness.advance(30 * MILLISECOND_US)
         harness.end_attempt(request)
-    assert len(targets) == 1
+    assert len(servers_used) == 1
 
 
 def test_idle_connections_are_not_closed_for_a_replaced_server_record() -> None:
--- a/tests/balancer/test_cpu_utilization.py
+++ b/tests/balancer/test_cpu_utilization.py
@@ -1,4 +1,4 @@
-"""The average of the utilization that servers report."""
+"""The average CPU utilization that servers report."""
 
 from __future__ import annotations
 
--- a/tests/balancer/test_deadlines.py
+++ b/tests/balancer/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines: each request gets exactly one final response in time."""
+"""Deadlines: each request gets exactly one final response before its deadline."""
 
 from __future__ import annotations
 
--- a/tests/balancer/test_draining.py
+++ b/tests/balancer/test_draining.py
@@ -14,8 +14,8 @@
     harness.update_servers([*server_names(3)[1:], "10.0.0.9:80"])
     for _ in range(100):
         harness.send_request()
-    targets = {each.server for _, each in harness.attempts()}
-    assert targets == {"10.0.0.2:80", "10.0.0.3:80", "10.0.0.9:80"}
+    servers_used = {each.server for _, each in harness.attempts()}
+    assert servers_used == {"10.0.0.2:80", "10.0.0.3:80", "10.0.0.9:80"}
 
 
 def test_a_server_is_ready_again_once_it_is_listed_again() -> None:
@@ -39,7 +39,7 @@
 
 
 def test_a_removed_server_is_forgotten_once_its_attempts_have_ended() -> None:
-    # Bounds memory where servers are replaced often, and keeps the ejected fraction of the servers right.
+    # Guards against a memory leak where servers are replaced often, and a wrong fraction of ejected servers.
     harness = ready_harness(3)
     request = harness.send_request("pay")
     removed = harness.balancer._requests[request].attempts[0].server
--- a/tests/balancer/test_health_checks.py
+++ b/tests/balancer/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Load probing: health checks that report load break ties between servers where they are cheap."""
+"""Load probing: where health checks are cheap, the load that they report breaks ties between servers."""
 
 from __future__ import annotations
 
--- a/tests/balancer/test_hedging.py
+++ b/tests/balancer/test_hedging.py
@@ -26,8 +26,8 @@
 
 
 def test_a_hedged_request_is_sent_only_where_hedging_is_enabled() -> None:
-    for allowed in (False, True):
-        harness = ready_harness(3, settings(limits={"allow_hedging": allowed}))
+    for is_enabled in (False, True):
+        harness = ready_harness(3, settings(limits={"allow_hedging": is_enabled}))
         request = harness.balancer._requests[harness.send_request()]
         server = server_without_attempt(harness, request)
-        assert harness.balancer._send(request, server) is allowed
+        assert harness.balancer._send(request, server) is is_enabled
--- a/tests/balancer/test_idempotency.py
+++ b/tests/balancer/test_idempotency.py
@@ -32,9 +32,9 @@
     request = harness.send_request("pay")
     harness.advance(10 * MILLISECOND_US)
     harness.end_attempt(request, outcome)
-    targets = [each.server for _, each in harness.attempts(request)]
-    assert len(targets) == 2
-    assert targets[0] != targets[1]
+    servers_used = [each.server for _, each in harness.attempts(request)]
+    assert len(servers_used) == 2
+    assert servers_used[0] != servers_used[1]
 
 
 def endpoints_in_two_cells() -> list[Endpoint]:
@@ -50,9 +50,9 @@
         for _ in range(3):
             harness.advance(10 * MILLISECOND_US)
             harness.end_attempt(request, Outcome.RESET)
-        targets = [each.server for _, each in harness.attempts(request)]
-        assert len(targets) > 1
-        assert len({cell_of[each] for each in targets}) == 1
+        servers_used = [each.server for _, each in harness.attempts(request)]
+        assert len(servers_used) > 1
+        assert len({cell_of[each] for each in servers_used}) == 1
 
 
 def test_a_request_is_not_retried_after_its_deduplication_window() -> None:
@@ -66,14 +66,15 @@
 
 
 def test_every_attempt_must_be_written_within_the_deduplication_window() -> None:
-    # A connection may be established long after the decision: the proxy has to know the end of the window.
+    # Guards against a retry that is written too late because its connection took long to open: the proxy
+    # needs to know the end of the window.
     harness = BalancerHarness()
     harness.update_servers(endpoints_in_two_cells())
     request = harness.send_request("amend", remaining_us=4 * SECOND_US)
-    harness.end_attempt(request, Outcome.REJECTED)  # it never ran
+    harness.end_attempt(request, Outcome.REJECTED)  # it did not run
     harness.advance(100 * MILLISECOND_US)
     sent_at = harness.now
-    harness.end_attempt(request, Outcome.CONNECT_FAILED)  # nor then
+    harness.end_attempt(request, Outcome.CONNECT_FAILED)  # it did not run here, either
     harness.advance(500 * MILLISECOND_US)
     harness.end_attempt(request, Outcome.RESET)
     write_deadlines = [send.write_by for _, send in harness.attempts(request)]
@@ -104,24 +105,24 @@
         for _ in range(2):
             harness.advance(10 * MILLISECOND_US)
             harness.end_attempt(request, Outcome.REJECTED)
-        targets = [each.server for _, each in harness.attempts(request)]
-        assert len(targets) == 3
-        assert len({cell_of[each] for each in targets}) == 1
+        servers_used = [each.server for _, each in harness.attempts(request)]
+        assert len(servers_used) == 3
+        assert len({cell_of[each] for each in servers_used}) == 1
         harness.advance(2 * SECOND_US)
         harness.end_attempt(request, Outcome.REJECTED)
         assert len(harness.attempts(request)) == 3
         assert [each.request for each in harness.actions_of(FailRequest)] == [request]
 
 
-@pytest.mark.parametrize(("class_name", "repeatable"), [("look", True), ("pay", False), ("amend", True)])
+@pytest.mark.parametrize(("class_name", "is_retried"), [("look", True), ("pay", False), ("amend", True)])
 def test_an_attempt_that_may_have_run_is_retried_only_for_idempotent_classes(
-    class_name: str, repeatable: bool
+    class_name: str, is_retried: bool
 ) -> None:
     context = make_context()
     request = make_request(context, class_name)
     assert may_retry(request, context.now, 5 * MILLISECOND_US)
     attempt = start_attempt(context, request, context.registry.ready[0])
-    assert may_retry(request, context.now, 5 * MILLISECOND_US) is repeatable
+    assert may_retry(request, context.now, 5 * MILLISECOND_US) is is_retried
     attempt.may_have_run = False
     assert may_retry(request, context.now, 5 * MILLISECOND_US)
 
--- a/tests/balancer/test_invariants.py
+++ b/tests/balancer/test_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of all decisions, checked from the actions alone over arbitrary legal sequences of events."""
+"""Invariants of all decisions, checked by the actions alone over random valid sequences of events."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class Permissions:
-    """What the settings allow and demand; the rest of them never changes."""
+    """The settings that vary; all others are constant."""
 
     allow_hedging: bool
     max_attempts: int
@@ -81,7 +81,7 @@
 
     service_class: ServiceClass
     deadline: int
-    may_be_answered_late: bool  # it arrived too close to its deadline
+    may_be_answered_late: bool  # as it arrived too close to its deadline
     max_attempts: int
     allow_hedging: bool
     never_ran_outcomes: set[Outcome]
@@ -91,7 +91,7 @@
 
 
 class InvariantChecker:
-    """Keeps what the client, the servers and the registry know, and checks every action against it."""
+    """Tracks the state of clients, servers and the registry, and checks every action against it."""
 
     def __init__(self, permissions: Permissions, rng_seed: int) -> None:
         self.apply_permissions(permissions)
@@ -122,7 +122,7 @@
         self.service_classes = {each.name: each for each in self.settings.classes}
 
     def change_permissions(self, permissions: Permissions) -> None:
-        """Change the settings: what they forbid is forbidden for requests in progress, too."""
+        """Change the settings; requests in progress keep the strictest settings since they arrived."""
         self.apply_permissions(permissions)
         for request in self.requests.values():
             request.max_attempts = min(request.max_attempts, permissions.max_attempts)
@@ -159,7 +159,7 @@
             self.check_key_order(action.request)
         assert len(request.attempts) < request.max_attempts, "more attempts than allowed"
         if not request.allow_hedging:
-            assert not any(each.pending for each in request.attempts), "hedged where that is disabled"
+            assert not any(each.pending for each in request.attempts), "hedged although hedging is disabled"
         self.check_retry(request, endpoint)
         request.attempts.append(AttemptRecord(endpoint, self.now))
 
@@ -174,18 +174,20 @@
             assert self.now < window_end, "sent after the deduplication window"
             scope = service_class.dedup_scope.value
             for each in earlier:
-                assert scope != "zone" or each.endpoint.zone == endpoint.zone, "left the zone"
-                assert scope != "cell" or each.endpoint.cell == endpoint.cell, "left the cell"
+                assert scope != "zone" or each.endpoint.zone == endpoint.zone, "retried in another zone"
+                assert scope != "cell" or each.endpoint.cell == endpoint.cell, "retried in another cell"
 
     def check_key_order(self, number: int) -> None:
         key = self.requests[number].ordered_key
         for other_number, other in self.requests.items():
             if other_number < number and other.ordered_key == key:
-                assert other.completed, "overtook a request with its key"
+                assert other.completed, "sent before an earlier request with its key was completed"
                 for each in other.attempts:
-                    assert not each.pending, "concurrent with an attempt with its key"
+                    assert not each.pending, "sent while an attempt with its key was pending"
                     if each.outcome in MAY_STILL_RUN:
-                        assert self.now >= each.ended_at + KEY_COOLDOWN_US, "no cooldown of the key"
+                        assert self.now >= each.ended_at + KEY_COOLDOWN_US, (
+                            "sent during the cooldown of its key"
+                        )
 
     def check_final_response(self, action: RejectRequest | FailRequest) -> None:
         request = self.requests[action.request]
@@ -206,7 +208,7 @@
             for each in request.attempts:
                 in_flight[each.endpoint.name] += each.pending
         for name, server in self.balancer._context.registry.servers.items():
-            assert server.in_flight == in_flight[name], "the count of requests in flight is off"
+            assert server.in_flight == in_flight[name], "wrong count of attempts in flight"
 
     def arrive(self, name: str, remaining_us: int, key: int | None) -> None:
         number, self.next_number = self.next_number, self.next_number + 1
@@ -277,7 +279,7 @@
 
     def check_deadlines(self) -> None:
         for request in self.requests.values():
-            assert request.completed or self.now < request.deadline, "a request was left unanswered"
+            assert request.completed or self.now < request.deadline, "no final response before the deadline"
 
 
 endpoints = st.builds(
--- a/tests/balancer/test_key_order.py
+++ b/tests/balancer/test_key_order.py
@@ -51,9 +51,8 @@
     first, second = harness.send_request("save", key=5), harness.send_request("mark", key=5)
     harness.handle(ClientDisconnected(first))
     harness.advance(10 * MILLISECOND_US)
-    assert (
-        harness.attempts(second) == []
-    )  # the first is over for the client, yet its attempt is still in flight
+    # The client of the first request has disconnected, but the attempt is still in flight.
+    assert harness.attempts(second) == []
     harness.end_attempt(first, outcome, answered=True)
     ended = harness.now
     assert harness.attempts(second) == []
--- a/tests/balancer/test_long_lists.py
+++ b/tests/balancer/test_long_lists.py
@@ -1,4 +1,4 @@
-"""The cost of selecting a server does not grow with the endpoint list: counted, not timed."""
+"""The cost of selecting a server does not grow with the endpoint list, as shown by counts of operations."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def count_servers_weighed(count: int, changes: int = 0) -> int:
-    """How many servers are iterated over to weigh the other zones, over all requests."""
+    """The number of servers iterated over to compute the weight of other zones, in total for all requests."""
     weighed_counts = []
     weight_by_latency = ZonePreference.weight_by_latency
 
@@ -88,12 +88,8 @@
         slow_start.start(servers[number], harness.now)
         slow_start.capacity_estimate.of_warm_server()
         reference_counts.append(slow_start.capacity_estimate.current_reference().count)
-    assert reference_counts == [
-        5,
-        4,
-        3,
-        3,
-    ]  # slow start takes 10 s: that of the first ends before the fourth begins
+    # Slow start takes 10 s, so that of the first server ends before that of the fourth begins.
+    assert reference_counts == [5, 4, 3, 3]
     harness.advance(2 * SECOND_US)
     harness.handle(RegistryUpdated(RegistryUpdateKind.DELTA))
     slow_start.capacity_estimate.of_warm_server()
--- a/tests/balancer/test_outliers.py
+++ b/tests/balancer/test_outliers.py
@@ -15,7 +15,7 @@
 
 
 def traffic_with_one_hung_server(harness: BalancerHarness, rounds: int) -> tuple[str, list[int]]:
-    """Healthy traffic, except that one server hangs after a while; gives it and the requests at it."""
+    """Serve traffic while one server hangs after a while; return its name and the requests sent to it."""
     harness.update_servers(server_names(6))
     harness.serve_requests(120)
     first = harness.send_request()
@@ -36,9 +36,9 @@
     harness = BalancerHarness()
     hung, unanswered = traffic_with_one_hung_server(harness, 20)
     assert any(each.text.startswith(f"ejected {hung}") for each in harness.actions_of(Log))
-    targets = [each.server for _, each in harness.attempts(unanswered[0])]
-    assert len(targets) > 1
-    assert hung not in targets[1:]
+    servers_used = [each.server for _, each in harness.attempts(unanswered[0])]
+    assert len(servers_used) > 1
+    assert hung not in servers_used[1:]
 
 
 def test_an_ejected_server_gets_one_half_open_attempt_at_a_time() -> None:
@@ -72,9 +72,9 @@
     harness.end_attempt(half_open)  # the retry succeeds at another server
     sent_before = len(harness.attempts())
     harness.serve_requests(20)
-    targets = [each.server for _, each in harness.attempts()[sent_before:]]
-    assert targets
-    assert hung not in targets
+    servers_used = [each.server for _, each in harness.attempts()[sent_before:]]
+    assert servers_used
+    assert hung not in servers_used
 
 
 def test_servers_that_all_hang_are_not_all_ejected() -> None:
--- a/tests/balancer/test_overload_recovery.py
+++ b/tests/balancer/test_overload_recovery.py
@@ -1,8 +1,11 @@
-"""How soon a fleet of balancers with little traffic each admits the full capacity of its servers again.
+"""Recovery of a fleet of balancers, each with little traffic, from a fault that makes all servers hang.
 
-The invariants, with latency targets and deadlines of any length: while servers hang, each balancer that gets
-enough requests to be governed by its concurrency limit sends an attempt within two targets of the one before;
-four targets after the fault ends, at least nine in ten requests are admitted and answered in time.
+Guards against balancers that reject so many requests that they notice the end of the fault late.  With
+latency targets and deadlines of any length:
+
+- During the fault, a balancer with enough traffic to be governed by its concurrency limit sends an attempt
+  within two latency targets of its previous one.
+- From four latency targets after the fault, at least nine in ten requests are answered within their target.
 """
 
 from __future__ import annotations
@@ -31,16 +34,16 @@
 
 SERVERS = 12
 CORES_PER_SERVER = 4
-UTILIZATION = 0.6  # of the capacity of the servers
+UTILIZATION = 0.6  # share of the servers' capacity that the traffic needs
 SERVICE_TIME_TARGETS = 0.04  # mean service time, in latency targets
 WARM_UP_TARGETS = 6.0
 FAULT_TARGETS = 6.0
 LONG_FAULT_TARGETS = 12.0
-MAX_SEND_GAP_TARGETS = 2.0  # by each balancer, also while servers hang
-RECOVERY_TARGETS = 4.0  # from the end of the fault until the capacity is used again
-MEASURED_TARGETS = 3.0
-SERVICE_TIME_FACTOR = 50.0  # of the servers during the fault
-MIN_TIMELY_FRACTION = 0.9  # of the requests, once recovered
+MAX_SEND_GAP_TARGETS = 2.0  # between two attempts of a balancer, also during the fault
+RECOVERY_TARGETS = 4.0  # from the end of the fault until the full capacity is used again
+MEASURED_TARGETS = 3.0  # duration of the measurement after recovery
+SERVICE_TIME_FACTOR = 50.0  # increase of service times during the fault
+MIN_TIMELY_FRACTION = 0.9  # of the requests, before the fault and after recovery
 
 
 @dataclass(slots=True)
@@ -63,14 +66,14 @@
 
 @dataclass(slots=True)
 class QueueServer:
-    """Serves jobs in order of arrival, one a core, and drops those past their deadline."""
+    """Serves jobs in order of arrival, one per core, and drops those past their deadline."""
 
     free_cores: int = CORES_PER_SERVER
     waiting: deque[Job] = field(default_factory=deque)
 
 
 class Fleet:
-    """Balancers and servers on one clock; the servers are slow from `fault_at` to `fault_end_at`."""
+    """Simulates balancers and servers; the servers are slow from `fault_at` to `fault_end_at`."""
 
     def __init__(self, balancers: int, target_us: int, deadline_targets: int, fault_targets: float) -> None:
         self.target_us = target_us
@@ -159,14 +162,14 @@
         self.start_work(now, done.server)
 
     def longest_send_gap_us(self, balancer: int) -> int:
-        """The longest time in the fault for which a balancer sent nothing."""
+        """The longest time during the fault in which a balancer sent no attempt."""
         before = [at for at in self.send_times[balancer] if at < self.fault_at]
         during = [at for at in self.send_times[balancer] if self.fault_at <= at < self.fault_end_at]
         moments = [before[-1], *during, self.fault_end_at]
         return max(later - earlier for earlier, later in itertools.pairwise(moments))
 
     def timely_fraction(self, since: int, until: int) -> float:
-        """The part of the requests that came in this span and were answered within the target."""
+        """The fraction of the requests that arrived in this period and were answered within the target."""
         arrived = [request_id for request_id, at in self.arrival_times.items() if since <= at < until]
         timely_count = 0
         for request_id in arrived:
@@ -186,7 +189,7 @@
         "idempotency": "safe",
     }
     limits = {"max_attempts": 1}
-    rules = {"overload_window_us": target_us}  # arrivals are averaged over twice as long
+    rules = {"overload_window_us": target_us}  # arrivals are averaged over twice this time
     return Settings.from_mapping(
         {
             "classes": [request_class],
--- a/tests/balancer/test_priority.py
+++ b/tests/balancer/test_priority.py
@@ -13,7 +13,7 @@
 def count_arrivals(
     context: Context, priorities: TrafficPriorities, count: int, class_name: str, tenant: str | None = None
 ) -> Traffic:
-    """Count so many requests of the class and tenant; give their traffic."""
+    """Count this number of requests of the class and tenant, and return their traffic."""
     request = make_request(context, class_name)
     request.traffic_key = TrafficKey(class_name, tenant)
     for _ in range(count - 1):
@@ -33,7 +33,7 @@
     priorities = TrafficPriorities(context)
     low = count_arrivals(context, priorities, 30, "look")
     high = count_arrivals(context, priorities, 10, "pay")
-    assert priorities.priority(low) == pytest.approx(0.375)  # half of its own 0.75
+    assert priorities.priority(low) == pytest.approx(0.375)  # half of its own share of 0.75
     assert priorities.priority(high) == pytest.approx(0.875)
 
 
--- a/tests/balancer/test_registry_polling.py
+++ b/tests/balancer/test_registry_polling.py
@@ -1,4 +1,4 @@
-"""Registry refresh: when the registry is watched, and when a call is retried."""
+"""Polling of the registry: when it is watched, and when a failed call is retried."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         while len(harness.actions_of(WatchRegistry)) == count:
             harness.advance(5 * MILLISECOND_US)
     waits = [later - earlier for earlier, later in itertools.pairwise(called_at)]
-    assert max(waits) <= 6 * SECOND_US / 4  # a change has to be known within 6 s, whatever is configured
+    assert max(waits) <= 6 * SECOND_US / 4  # a change must be known within 6 s with any settings
     assert waits[-1] > 2 * waits[0]
 
 
@@ -60,7 +60,6 @@
     assert context.registry.ready is ready  # not rebuilt
     assert harness.balancer._registry_poller.next_poll_at is None
     assert not harness.balancer._registry_poller.consecutive_failures
-    harness.handle(
-        RegistryUpdated(RegistryUpdateKind.SNAPSHOT, [], 1)
-    )  # an empty snapshot removes all servers
+    # By contrast, an empty snapshot removes all servers.
+    harness.handle(RegistryUpdated(RegistryUpdateKind.SNAPSHOT, [], 1))
     assert not context.registry.ready
--- a/tests/balancer/test_request_factory.py
+++ b/tests/balancer/test_request_factory.py
@@ -1,4 +1,4 @@
-"""The records of new requests."""
+"""Cost classes of new requests."""
 
 from __future__ import annotations
 
--- a/tests/balancer/test_retries.py
+++ b/tests/balancer/test_retries.py
@@ -40,7 +40,7 @@
             failed_connects += 1
     for request in requests:
         harness.end_attempt(request)
-    assert failed_connects >= 3  # more than the retry budget had saved
+    assert failed_connects >= 3  # more than the retry budget allows
     assert not harness.actions_of(RejectRequest)
     assert not harness.actions_of(FailRequest)
 
--- a/tests/balancer/test_selection.py
+++ b/tests/balancer/test_selection.py
@@ -16,7 +16,7 @@
 
 
 def test_the_least_loaded_candidate_is_selected() -> None:
-    harness = ready_harness(4)  # so few that all are candidates
+    harness = ready_harness(4)  # few enough that all are candidates
     for _ in range(40):
         harness.send_request()
     assert set(Counter(each.server for _, each in harness.attempts()).values()) == {10}
@@ -27,8 +27,8 @@
     request = harness.send_request("pay")
     for _ in range(4):
         harness.end_attempt(request, Outcome.REJECTED)
-    targets = [each.server for _, each in harness.attempts(request)]
-    assert sorted(targets) == server_names(5)
+    servers_used = [each.server for _, each in harness.attempts(request)]
+    assert sorted(servers_used) == server_names(5)
     harness.end_attempt(request, Outcome.REJECTED)
     assert [each.request for each in harness.actions_of(RejectRequest)] == [request]
 
@@ -68,7 +68,7 @@
     harness = ready_harness(2)
     request = harness.send_request("pay", remaining_us=400 * MILLISECOND_US)
     cancelled_at = harness.server_of(request)
-    harness.advance(395 * MILLISECOND_US)  # cancelled, with the final response already given
+    harness.advance(395 * MILLISECOND_US)  # the request has failed, and its attempt is being cancelled
     harness.end_attempt(request, Outcome.CANCELLED, answered=True)
     other = harness.send_request("pay")
     assert harness.server_of(other) != cancelled_at
@@ -121,41 +121,41 @@
     errors = 0
     for _ in range(1_200):
         request = harness.send_request("pay")
-        target = harness.server_of(request)
-        harness.advance(5 * MILLISECOND_US if target == failing else 40 * MILLISECOND_US)
-        errors += target == failing
-        harness.end_attempt(request, Outcome.ERROR if target == failing and errors % 2 else Outcome.SUCCEEDED)
+        server = harness.server_of(request)
+        harness.advance(5 * MILLISECOND_US if server == failing else 40 * MILLISECOND_US)
+        errors += server == failing
+        harness.end_attempt(request, Outcome.ERROR if server == failing and errors % 2 else Outcome.SUCCEEDED)
     assert sum(1 for _, each in harness.attempts()[400:] if each.server == failing) < 0.5 * 800 / 12
 
 
 def test_a_rejection_at_capacity_backs_off_that_class_only() -> None:
-    harness = ready_harness(5, settings(rules={"late_shedding": True}))  # without one, all are candidates
+    # The four servers without backoff are all candidates.
+    harness = ready_harness(5, settings(rules={"late_shedding": True}))
     first = harness.send_request("pay")
     at_capacity = harness.server_of(first)
     harness.end_attempt(first, Outcome.REJECTED, report={"util": 0.3})
     for _ in range(24):
         harness.send_request("pay")
         harness.send_request("look")
-    unsafe_targets = {each.server for _, each in harness.attempts() if each.request % 2 == 0}
-    safe_targets = {
+    unsafe_servers = {each.server for _, each in harness.attempts() if each.request % 2 == 0}
+    safe_servers = {
         each.server for _, each in harness.attempts() if each.request % 2 == 1 and each.request != first
     }
-    assert at_capacity in safe_targets
-    assert at_capacity not in unsafe_targets
+    assert at_capacity in safe_servers
+    assert at_capacity not in unsafe_servers
 
 
 def test_a_server_is_selected_again_once_its_backoff_has_expired() -> None:
-    harness = ready_harness(5)  # without one, all are candidates
+    harness = ready_harness(5)  # the four servers without backoff are all candidates
     request = harness.send_request("amend")
     at_capacity = harness.server_of(request)
     harness.end_attempt(request, Outcome.REJECTED, report={"util": 0.3})
     harness.end_attempt(request)
     for wait_us, is_selected in ((100 * MILLISECOND_US, False), (20 * SECOND_US, True)):
         harness.advance(wait_us)
-        targets = {
-            harness.server_of(harness.send_request("amend")) for _ in range(4)
-        }  # each to the least loaded
-        assert (at_capacity in targets) is is_selected
+        # Each request goes to the least loaded server.
+        servers_used = {harness.server_of(harness.send_request("amend")) for _ in range(4)}
+        assert (at_capacity in servers_used) is is_selected
         for number in range(harness.attempts()[-1][1].request - 3, harness.attempts()[-1][1].request + 1):
             harness.end_attempt(number)
 
--- a/tests/balancer/test_service_catalog.py
+++ b/tests/balancer/test_service_catalog.py
@@ -1,4 +1,4 @@
-"""The classes and tenants that the settings name, and what is assumed of others."""
+"""The classes and tenants in the settings, and what is assumed about unknown ones."""
 
 from __future__ import annotations
 
--- a/tests/balancer/test_settings_bound.py
+++ b/tests/balancer/test_settings_bound.py
@@ -1,4 +1,4 @@
-"""Tables and rates that follow changes of the settings."""
+"""Tables and rates that adapt to changes of the settings."""
 
 from __future__ import annotations
 
--- a/tests/balancer/test_settings_changed.py
+++ b/tests/balancer/test_settings_changed.py
@@ -1,4 +1,4 @@
-"""Settings that change while requests are in progress: what applies, what stays, what is released."""
+"""Changes of the settings while requests are in progress: what applies to them, and which state is kept."""
 
 from __future__ import annotations
 
@@ -61,18 +61,18 @@
     change_settings(harness, classes=[SAFE])
     harness.end_attempt(request, Outcome.RESET)
     [(first_at, _), (_, retry)] = harness.attempts(request)
-    # Its deduplication window.
+    # The deduplication window of the removed class still applies.
     assert retry.write_by is not None
     assert retry.write_by <= first_at + 2 * SECOND_US
     harness.end_attempt(request)
     assert not harness.balancer._requests
 
 
-@pytest.mark.parametrize("late_before", [True, False])
-def test_a_rejection_may_have_run_if_late_shedding_was_ever_enabled(late_before: bool) -> None:
-    harness = ready_harness(6, settings(rules={"late_shedding": late_before}))
+@pytest.mark.parametrize("late_shedding_before", [True, False])
+def test_a_rejection_may_have_run_if_late_shedding_was_ever_enabled(late_shedding_before: bool) -> None:
+    harness = ready_harness(6, settings(rules={"late_shedding": late_shedding_before}))
     request = harness.send_request("pay")
-    change_settings(harness, rules={"late_shedding": not late_before})
+    change_settings(harness, rules={"late_shedding": not late_shedding_before})
     harness.end_attempt(request, Outcome.REJECTED)
     assert len(harness.attempts(request)) == 1
     assert harness.actions_of(FailRequest)
@@ -158,7 +158,7 @@
 def test_a_shortened_deadline_is_not_mistaken_for_queueing_in_a_stall() -> None:
     harness = ready_harness(6)
     harness.serve_requests(5)
-    harness.send_request()  # while it is in flight, a stall is noticed
+    harness.send_request()  # stalls are detected only while a request is in flight
     change_settings(
         harness, classes=[SAFE | {"deadline_us": 1 * SECOND_US, "latency_target_us": 500 * MILLISECOND_US}]
     )
@@ -169,12 +169,12 @@
 def test_changing_a_thousand_classes_tenants_and_servers_is_deterministic() -> None:
     def run() -> list[Any]:
         harness = ready_harness(ENTRY_COUNT)
-        for turn in range(3):
-            classes = [SAFE | {"name": f"c{turn}-{number}"} for number in range(ENTRY_COUNT)]
+        for round_number in range(3):
+            classes = [SAFE | {"name": f"c{round_number}-{number}"} for number in range(ENTRY_COUNT)]
             tenants = [{"name": f"t{number}"} for number in range(ENTRY_COUNT)]
             change_settings(harness, classes=classes, tenants=tenants)
             for number in range(0, ENTRY_COUNT, 64):
-                harness.send_request(f"c{turn}-{number}", tenant=f"t{number}")
+                harness.send_request(f"c{round_number}-{number}", tenant=f"t{number}")
         return harness.action_log
 
     assert run() == run()
@@ -182,15 +182,15 @@
 
 @pytest.mark.parametrize(("before", "after"), [(True, False), (False, True)])
 def test_a_request_is_hedged_only_where_hedging_was_always_enabled(before: bool, after: bool) -> None:
-    def limits(hedging: bool) -> dict[str, bool]:
-        return {"allow_hedging": hedging, "allow_cancel": False}
+    def limits(allow_hedging: bool) -> dict[str, bool]:
+        return {"allow_hedging": allow_hedging, "allow_cancel": False}
 
     harness = ready_harness(4, settings(limits=limits(before)))
     harness.serve_requests(60)
     overdue = harness.send_request()
     change_settings(harness, limits=limits(after))
     served = 0
-    for _ in range(40):  # the other servers answer, and its server hangs
+    for _ in range(40):  # the other servers respond, so the overdue attempt's server seems to hang
         harness.advance(20 * MILLISECOND_US)
         request = harness.send_request()
         if harness.server_of(request) != harness.server_of(overdue):
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -33,12 +33,15 @@
         capacity_share = 0.2 + 0.8 * max(end - 2 * SECOND_US - began_at, 0) / (10 * SECOND_US)
         sent_in_window = sum(1 for at in send_times if end - 2 * SECOND_US < at <= end)
         assert sent_in_window <= max(1.0, 3 * capacity_share * warm_rate_per_s * 2)
-    assert send_times or burst == 1  # one at a time, the fastest server of the subset takes all
+    assert send_times or burst == 1  # one at a time, all requests go to the fastest server of the subset
 
 
 def test_warm_capacity_is_measured_by_cost_not_by_request_count() -> None:
     rates = []
-    for served_us in (100_000, 20_000):  # overload sheds the expensive ones, and the rest is cheap
+    for served_us in (
+        100_000,
+        20_000,
+    ):  # in the second round, expensive requests are shed and cheap ones served
         harness = ready_harness(4)
         for _ in range(60):
             harness.advance(20 * MILLISECOND_US)
@@ -56,7 +59,7 @@
 
 
 def test_failed_connects_start_slow_start_and_dropped_connections_do_not() -> None:
-    # Guards against a lossy network, where all servers would be in slow start after a while.
+    # Guards against all servers being in slow start after a while in a lossy network.
     for outcome, is_warming_up in ((Outcome.RESET, False), (Outcome.CONNECT_FAILED, True)):
         harness = ready_harness(1)
         server = harness.balancer._context.registry.servers[server_names(1)[0]]
@@ -81,7 +84,7 @@
     while slow_start.has_capacity(warming_up, 1.0) and sent < 100:
         warming_up.slow_start_budget -= 1.0
         sent += 1
-    # Multiple x capacity_share by now x capacity x window.
+    # Overload multiple x current capacity share x capacity of a warm server x overload window.
     overload = 3 * 0.36 * slow_start.capacity_estimate.of_warm_server() * 2 * SECOND_US
     assert 1 <= sent <= 0.2 * overload
     context.clock.now += context.settings.rules.slow_start_us
--- a/tests/balancer/test_slow_start_fleet.py
+++ b/tests/balancer/test_slow_start_fleet.py
@@ -1,4 +1,4 @@
-"""Slow start across a fleet: the sum of what all balancers send to a server that warms up."""
+"""Slow start across a fleet: the requests that all balancers together send to a server in slow start."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 SERVICE_TIME_US = 5 * MILLISECOND_US
 EXTRA_TRAFFIC = {  # from the server's start on: share of the usual load, duration
     "burst": (0.5, 2 * SECOND_US),
-    "client retries": (3.0, 5 * SECOND_US),  # of all rejected requests
+    "client retries": (3.0, 5 * SECOND_US),  # clients retry all rejected requests
 }
 IDLE_US = 1 * SECOND_US  # from the server's start to the first request of an idle fleet
 RESTART_INTERVAL_US = 2_500 * MILLISECOND_US
@@ -120,7 +120,7 @@
 def send_times_per_start(
     warming_up: list[str], fleet: int, traffic: str, listed_servers: list[str], start_offsets_us: list[int]
 ) -> list[dict[str, list[int]]]:
-    """The same for each of several restarts in a row, up to the next one."""
+    """Send times for each of several restarts in a row, from one restart to the next."""
     balancers = [Balancer(settings(fleet), seed) for seed in range(fleet)]
     start_times = [START_US + each for each in start_offsets_us]
     sequence = itertools.count()
@@ -149,9 +149,10 @@
 
 
 def largest_share_of_bound(sent: list[int]) -> float:
-    """The largest share of N + 2 x root of N + 2 sent in any window; N: the budget at its start.
+    """The largest ratio, over all windows, of the requests sent to the bound N + 2 x sqrt(N) + 2.
 
-    For N under 30 the rule allows N + 3 x root of N + 3; all cases are checked by the stricter form.
+    N is the budget at the start of the window.  For N below 30, N + 3 x sqrt(N) + 3 would be allowed; all
+    cases are checked by the stricter bound.
     """
     largest = 0.0
     for first, since in enumerate(sent):
@@ -203,9 +204,10 @@
 ) -> None:
     warming_up, listed_servers = select_servers(starting)
     during_slow_start = assert_within_budget(send_times(warming_up, fleet, traffic, listed_servers))
-    # Of 200 balancers, few are allowed a complete request by the end; a single one uses only a subset.
+    # Few of 200 balancers have the budget for a request by the end of slow start.  A single balancer uses
+    # only a subset of the servers.
     if traffic != "synchronized" and fleet <= 30 and (fleet > 1 or starting != "one starts"):
-        assert all(during_slow_start)  # it gets traffic nevertheless
+        assert all(during_slow_start)  # each server in slow start gets some traffic
 
 
 @pytest.mark.parametrize("starting", ["all start", "one starts, no other left"])
@@ -226,7 +228,7 @@
 ) -> None:
     warming_up, listed_servers = select_servers(starting)
     during_slow_start = assert_within_budget(send_times(warming_up, fleet, traffic, listed_servers))
-    if fleet <= 20:  # of 60 balancers, few are allowed a complete request by the end
+    if fleet <= 20:  # few of 60 balancers have the budget for a request by the end of slow start
         assert all(during_slow_start)
 
 
--- a/tests/balancer/test_stall_detector.py
+++ b/tests/balancer/test_stall_detector.py
@@ -1,4 +1,4 @@
-"""Stall detector: a check that is handled late tells of a stall, whatever event brings the news."""
+"""Stall detector: a late check indicates a stall, whichever event is handled first after it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def detector(clock: Clock) -> StallDetector:
-    """A detector whose check is set at START."""
+    """A detector whose check is scheduled at START_US."""
     detector = StallDetector(clock, INTERVAL_US)
     assert detector.schedule_check() == START_US + INTERVAL_US
     return detector
--- a/tests/balancer/test_stalls.py
+++ b/tests/balancer/test_stalls.py
@@ -1,4 +1,4 @@
-"""Stalls: a balancer that was stalled itself blames no server for the delay."""
+"""Stalls: a balancer does not attribute the delay of its own stalls to servers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def stall(harness: BalancerHarness, duration_us: int) -> None:
-    """Stall the balancer; then the timers that became due fire at once."""
+    """Stall the balancer; the timers that became due meanwhile then fire at once."""
     harness.now += duration_us
     harness.advance(0)
 
@@ -37,7 +37,8 @@
     harness.serve_requests(200)
     weights = latency_weights(harness)
     in_flight = [harness.send_request() for _ in range(16)]
-    for _ in in_flight:  # a long queue of events, each soon after the one before, and no timer between
+    # A long queue of events is handled in short intervals, without a timer in between.
+    for _ in in_flight:
         harness.now += 40 * MILLISECOND_US
         harness.send_request()
     for each in in_flight:
@@ -64,7 +65,7 @@
     first = harness.send_request()
     answer_health_checks(harness, {})
     harness.now += 1 * SECOND_US
-    burst = [harness.send_request() for _ in range(6)]  # all queued when the stall ends
+    burst = [harness.send_request() for _ in range(6)]  # all were queued during the stall
     assert all(len(harness.attempts(each)) == 1 for each in (first, *burst))
     assert {harness.server_of(each) for each in burst} & set(server_names(6)[3:])
 
--- a/tests/balancer/test_start_times.py
+++ b/tests/balancer/test_start_times.py
@@ -1,6 +1,7 @@
 """Slow start of servers whose start times come from a clock that was stepped.
 
-The registry may then list a process that has just started as started an hour ago, or in an hour.
+Guards against slow start that is skipped or prolonged: after a step of the clock, the registry may list a
+process that has just started with a start time an hour ago, or an hour ahead.
 """
 
 from __future__ import annotations
@@ -75,7 +76,7 @@
     apply_delta(harness, restarted_endpoint(started_at))
     for elapsed_us in range(0, SLOW_START_US, 2 * SECOND_US):
         assert capacity_share(harness) == pytest.approx(0.2 + 0.8 * elapsed_us / SLOW_START_US)
-        apply_delta(harness, restarted_endpoint(started_at))  # the same process, notified again
+        apply_delta(harness, restarted_endpoint(started_at))  # the same process is listed again
         harness.update_servers([*server_names(4), restarted_endpoint(started_at)])
         harness.advance(2 * SECOND_US)
     assert capacity_share(harness) == 1.0
@@ -131,16 +132,15 @@
 
 
 def test_start_times_of_the_first_endpoint_lists_are_taken_as_they_are() -> None:
-    """A balancer without an earlier update can't tell an old process from a stepped clock."""
+    """Without an earlier update, a balancer can't distinguish an old process from a stepped clock."""
     harness = BalancerHarness()
     harness.update_servers(
         [*server_names(4), restarted_endpoint(START_US - HOUR_US)], RegistryUpdateKind.CACHED
     )
     assert current_capacity_share(harness) == 1.0
     harness.advance(1 * SECOND_US)
-    harness.update_servers(
-        [*server_names(4), restarted_endpoint(START_US - 60 * SECOND_US)]
-    )  # it restarted while this process was down
+    # The server restarted while this process was down.
+    harness.update_servers([*server_names(4), restarted_endpoint(START_US - 60 * SECOND_US)])
     assert current_capacity_share(harness) == 1.0
 
 
--- a/tests/balancer/test_timers.py
+++ b/tests/balancer/test_timers.py
@@ -34,7 +34,7 @@
     assert timer.delay_us == 20
 
 
-def test_an_obsolete_timer_is_dropped() -> None:
+def test_a_stale_timer_is_dropped() -> None:
     queue = TimerQueue()
     queue.add(50, KeyCooldownOver(1))
     assert queue.arm(20, lambda due, timer: None) is None
--- a/tests/balancer/test_zone_affinity.py
+++ b/tests/balancer/test_zone_affinity.py
@@ -7,7 +7,7 @@
 
 
 def cross_zone_ratio(harness: BalancerHarness, local_us: int, remote_us: int) -> float:
-    """The part of the requests sent to the other zone, with these latencies in either."""
+    """The fraction of requests sent to the other zone, given the latency in each zone."""
     harness.update_servers(endpoints_in_two_zones(4))
     local = set(server_names(8)[:4])
     for _ in range(600):
--- a/tests/balancer_harness.py
+++ b/tests/balancer_harness.py
@@ -1,4 +1,4 @@
-"""A harness for scripted events: it passes them to a balancer and records the actions."""
+"""A harness that passes scripted events to a balancer and records its actions."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 def settings(**changes: Any) -> Settings:
-    """Settings of a permissive deployment; `limits` and `rules` are merged, the rest replaced."""
+    """Permissive settings with changes: `limits` and `rules` are merged, other settings are replaced."""
     mapping: dict[str, Any] = {
         "classes": [SAFE, UNSAFE, KEYED],
         "zone": "east",
@@ -86,6 +86,7 @@
         self._next_request_id = 1
 
     def handle(self, event: Event) -> list[Action]:
+        """Pass an event to the balancer and return its actions."""
         actions = self.balancer.handle(self.now, event)
         for action in actions:
             self.action_log.append((self.now, action))
@@ -96,10 +97,12 @@
     def update_servers(
         self, endpoints: Iterable[str | Endpoint], kind: RegistryUpdateKind = RegistryUpdateKind.SNAPSHOT
     ) -> list[Action]:
+        """Apply a registry update; endpoints given by name alone are ready servers in the local zone."""
         updated = [Endpoint(each, zone="east") if isinstance(each, str) else each for each in endpoints]
         return self.handle(RegistryUpdated(kind, updated, 1))
 
     def drain(self, server: str, state: ServerState = ServerState.DRAINING) -> list[Action]:
+        """List one server as draining, or as removed, in a delta of the registry."""
         return self.update_servers([Endpoint(server, zone="east", state=state)], RegistryUpdateKind.DELTA)
 
     def send_request(
@@ -110,6 +113,7 @@
         key: int | None = None,
         tenant: str | None = None,
     ) -> int:
+        """Let a request of the named class arrive and return its number."""
         request_id = self._next_request_id
         self._next_request_id += 1
         self.handle(RequestArrived(request_id, name, tenant, key, remaining_us, cost_us))
@@ -123,6 +127,7 @@
         answered: bool | None = None,
         report: dict[str, float] | None = None,
     ) -> list[Action]:
+        """End an attempt of a request, by default its last one; a success also answers the client."""
         attempts = self.attempts(request)
         index = len(attempts) - 1 if attempt is None else attempt
         sent_at, sent = attempts[index]
@@ -145,6 +150,7 @@
         self.now = end
 
     def attempts(self, request: int | None = None) -> list[tuple[int, SendAttempt]]:
+        """The attempts of one request, or of all, each with the time at which it was sent."""
         return [
             (at, each)
             for at, each in self.action_log
@@ -152,9 +158,11 @@
         ]
 
     def server_of(self, request: int) -> str:
+        """The server of the last attempt of a request."""
         return self.attempts(request)[-1][1].server
 
     def actions_of(self, action_type: type[_ActionType]) -> list[_ActionType]:
+        """The recorded actions of one type."""
         return [each for _, each in self.action_log if isinstance(each, action_type)]
 
     def serve_requests(
--- a/tests/decision_digest.py
+++ b/tests/decision_digest.py
@@ -1,12 +1,12 @@
 """Records the decisions of a balancer over seeded random event sequences and digests them.
 
-Two trees that decide alike print the same digests.  To compare a tree with another one, run this file with
-PYTHONPATH naming each of them in turn:
+Source trees whose balancers make the same decisions print the same digests.  To compare two trees, run this
+file once with each of them as PYTHONPATH:
 
-    PYTHONPATH=<tree> python tests/decision_digest.py [events per setting]
+    PYTHONPATH=<tree> python tests/decision_digest.py [events per scenario]
 
-An action enters the digest by its kind and its values, a log line by its kind alone: the names of types and
-fields and the wording of logs do not matter.
+The digest covers the kind and the values of each action, and only the kind of a log line.  The names of types
+and fields and the wording of logs have no effect on it.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 )
 
 START_US = 50 * SECOND_US
-# By position, as names may change.
+# Numbered by position, as the names of types may change.
 ACTION_KINDS = {kind: number for number, kind in enumerate(get_args(Action))}
 ZONES = ("east", "west", "north")
 FAILURES = (Outcome.ERROR, Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.NOT_SENT)
@@ -58,7 +58,7 @@
 
 @dataclass
 class SentAttempt:
-    """An attempt in flight; `until` is negative once it has ended."""
+    """An attempt; `deadline` is negative once it has ended."""
 
     server: str
     sent_at: int
@@ -73,10 +73,10 @@
     attempts: list[SentAttempt] = field(default_factory=list)
 
 
-# Scheduled items of the simulated world: events, and items that depend on what happened until they are due.
+# Scheduled items of the simulation other than events; their effect depends on the state when they are due.
 @dataclass
 class AttemptEndDue:
-    """An attempt ends when this is due."""
+    """An attempt ends, unless it has ended before."""
 
     request: int
     attempt: int
@@ -85,7 +85,7 @@
 
 @dataclass
 class ResponseStartDue:
-    """The response of an attempt starts when this is due."""
+    """The response of an attempt starts, unless the attempt has ended or its request was answered."""
 
     request: int
     attempt: int
@@ -93,17 +93,23 @@
 
 @dataclass
 class RandomStep:
-    """The next random step of the world: arrivals, changes of servers and stalls."""
+    """The next random step: mostly an arrival, sometimes a burst, a stall or a change of servers."""
 
 
 class Recorder:
-    """Simulates one scenario with one seed; `run` returns the digest of all actions."""
+    """Simulates one scenario with one seed and digests all actions of the balancer.
+
+    Attributes:
+        event_count: The number of events handled so far.
+        handle_cpu_s: The CPU time that the balancer took to handle them, in seconds.
+        action_counts: The number of actions so far, by type name.
+    """
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self._scenario = scenario
         self._rng = random.Random(f"{scenario.name} {seed}")
         self._balancer = Balancer(Settings.from_mapping(scenario.settings), seed)
-        self._classes = [str(each["name"]) for each in scenario.settings["classes"]]
+        self._class_names = [str(each["name"]) for each in scenario.settings["classes"]]
         self._latency_target_us = int(scenario.settings["classes"][0]["latency_target_us"])
         self._digest = hashlib.sha256()
         self._now = START_US
@@ -121,7 +127,7 @@
         self.action_counts: Counter[str] = Counter()
 
     def run(self, event_count: int) -> str:
-        """Simulate so many events and return the digest of the actions."""
+        """Simulate at least this number of events and return the digest of the actions."""
         for number in range(self._scenario.server_count):
             self._add_server(f"s{number}")
         names = list(self._endpoints)
@@ -176,8 +182,8 @@
             case CheckHealth():
                 self._check_health(action.server)
             case WatchRegistry():
-                failed = self._rng.random() < 0.4
-                kind = RegistryUpdateKind.FAILED if failed else RegistryUpdateKind.SNAPSHOT
+                has_failed = self._rng.random() < 0.4
+                kind = RegistryUpdateKind.FAILED if has_failed else RegistryUpdateKind.SNAPSHOT
                 if self._rng.random() < 0.8:
                     self._schedule(self._rng.randrange(300 * MILLISECOND_US), RegistryUpdated(kind))
             case _:
@@ -261,7 +267,7 @@
     def _take_random_step(self) -> None:
         """Take one random step and schedule the next."""
         chance = self._rng.random()
-        surging = self._now < self._surge_ends_at
+        is_surging = self._now < self._surge_ends_at
         if chance < 0.015:
             self._change_servers()
         elif chance < 0.019:
@@ -280,14 +286,14 @@
         else:
             self._send_request()
         self._schedule(
-            self._rng.expovariate((4.0 if surging else 1.0) / self._scenario.arrival_interval_us),
+            self._rng.expovariate((4.0 if is_surging else 1.0) / self._scenario.arrival_interval_us),
             RandomStep(),
         )
 
     def _send_request(self) -> None:
         number = len(self._requests) + 1
         self._requests[number] = SimulatedRequest()
-        name = self._rng.choice(self._classes) if self._rng.random() < 0.99 else "unheard-of"
+        name = self._rng.choice(self._class_names) if self._rng.random() < 0.99 else "unheard-of"
         cost_us = self._rng.choice(
             (None, 2 * MILLISECOND_US, 10 * MILLISECOND_US, 10 * MILLISECOND_US, 80 * MILLISECOND_US)
         )
@@ -350,7 +356,7 @@
 
 
 def main() -> None:
-    """Print, for each setting, the digest and the counts of actions; then the events per CPU second."""
+    """Print the digest and the counts of actions of each scenario, then the events per second of CPU time."""
     events = int(sys.argv[1]) if len(sys.argv) > 1 else 4_000
     total_events, cpu_seconds = 0, 0.0
     for scenario in SCENARIOS:
@@ -359,7 +365,7 @@
         total_events += recorder.event_count
         cpu_seconds += recorder.handle_cpu_s
         print(scenario.name, digest, dict(sorted(recorder.action_counts.items())))
-    print(f"{total_events} events, {total_events / cpu_seconds:.0f} a second of CPU time", file=sys.stderr)
+    print(f"{total_events} events, {total_events / cpu_seconds:.0f} per second of CPU time", file=sys.stderr)
 
 
 if __name__ == "__main__":
--- a/tests/decision_scenarios.py
+++ b/tests/decision_scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios over which decisions are recorded and digested: settings, servers and traffic."""
+"""The scenarios for which decisions are recorded and digested: settings, servers and traffic."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def service_classes(target_us: int, ordered: bool = False, late_weight: float = 0.0) -> list[dict[str, Any]]:
-    """One class of each idempotency and deduplication scope."""
+    """Service classes of each idempotency and each deduplication scope."""
     common = {
         "deadline_us": 4 * target_us,
         "latency_target_us": target_us,
@@ -59,7 +59,19 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """Settings, and the servers and traffic that they are simulated with."""
+    """Settings, and the servers and traffic with which they are simulated.
+
+    Attributes:
+        name: The name, which also seeds the random generator.
+        settings: The settings of the balancer, as a mapping.
+        server_count: The number of servers at the start.
+        service_time_us: The typical service time of a server of usual speed without load, in microseconds.
+        arrival_interval_us: The mean time between random steps, most of which are arrivals, in microseconds.
+        has_load_reports: Whether responses carry a load report.
+        tenants: The tenants of requests; None for requests without a tenant.
+        hung_servers: The number of servers that hang from the start.
+        failing_servers: The number of servers that fail every request from the start.
+    """
 
     name: str
     settings: dict[str, Any]
@@ -68,8 +80,8 @@
     arrival_interval_us: int = 6 * MILLISECOND_US
     has_load_reports: bool = False
     tenants: tuple[str | None, ...] = (None,)
-    hung_servers: int = 0  # servers that hang from the start
-    failing_servers: int = 0  # servers that fail every request from the start
+    hung_servers: int = 0
+    failing_servers: int = 0
 
 
 SCENARIOS = (
