--- a/sidecar/balancer/lifecycle/attempt_feedback.py
+++ b/sidecar/balancer/lifecycle/attempt_feedback.py
@@ -68,7 +68,7 @@
             self.admission.count_late_attempt()
         counted_until = self.context.now + event.elapsed_us  # counts as load for as long again as it took
         self.context.load.add_abandoned(attempt.server, counted_until, attempt.within_target)
-        usual_latency_us = self.latency.usual_latency_us(request) * attempt.server.latency_weight
+        usual_latency_us = self.latency.usual_latency_us(request) * attempt.server.relative_latency
         if event.elapsed_us > usual_latency_us and not self.context.stalls.is_catching_up():
             self.latency.observe_latency(request, attempt.server, event.elapsed_us)
 
--- a/sidecar/balancer/policy/hedging.py
+++ b/sidecar/balancer/policy/hedging.py
@@ -78,7 +78,9 @@
 
     def _overdue_after_us(self, request: Request, server: Server) -> int:
         overdue_us = (
-            OVERDUE_LATENCY_FACTOR * self.latency.usual_latency_us(request) * max(server.latency_weight, 1.0)
+            OVERDUE_LATENCY_FACTOR
+            * self.latency.usual_latency_us(request)
+            * max(server.relative_latency, 1.0)
         )
         min_us = MIN_OVERDUE_TARGETS * request.service_class.latency_target_us
         return int(max(overdue_us, min_us, self.context.settings.tick_us))
--- a/sidecar/balancer/policy/latency.py
+++ b/sidecar/balancer/policy/latency.py
@@ -5,7 +5,7 @@
 from sidecar.settings import ServiceClass
 
 # Weight of each response in the average of its server; about the last ten count.
-LATENCY_WEIGHT_SMOOTHING_FACTOR = 0.1
+RELATIVE_LATENCY_SMOOTHING_FACTOR = 0.1
 # A response counts as at most this many usual latencies, as its request may be an expensive one.
 MAX_RELATIVE_LATENCY = 4.0
 # Weight of each response in the averages of its class; about the last fifty count.
@@ -48,19 +48,19 @@
         return cost_us / mean_us if mean_us > 0 else 1.0
 
     @staticmethod
-    def initialize_weights(servers: list[Server]) -> None:
-        """Initialize the latency weight of servers without observations by their declared capacity.
+    def initialize_relative_latencies(servers: list[Server]) -> None:
+        """Initialize the relative latency of servers without observations by their declared capacity.
 
         Args:
-            servers: The ready servers.  A latency weight of zero marks those without observations.
+            servers: The ready servers.  A relative latency of zero marks those without observations.
         """
         mean_capacity = sum(server.declared_capacity for server in servers) / max(len(servers), 1)
-        without_observations = [server for server in servers if server.latency_weight <= 0.0]
+        without_observations = [server for server in servers if server.relative_latency <= 0.0]
         for server in without_observations:
             if server.declared_capacity > 0.0:
-                server.latency_weight = mean_capacity / server.declared_capacity
+                server.relative_latency = mean_capacity / server.declared_capacity
             else:
-                server.latency_weight = 1.0
+                server.relative_latency = 1.0
 
     def usual_latency_us(self, request: Request) -> float:
         """The usual latency of requests of the same class and cost, in us."""
@@ -68,7 +68,7 @@
         return self._usual_latency_us.get(_latency_key(request), initial_us)
 
     def observe_latency(self, request: Request, server: Server, elapsed_us: float) -> None:
-        """Move a server's latency weight towards the latency of one attempt.
+        """Move a server's relative latency towards the latency of one attempt.
 
         Args:
             request: The request of the attempt.
@@ -77,8 +77,8 @@
         """
         usual_latency_us = max(self.usual_latency_us(request), MIN_USUAL_LATENCY_US)
         relative_latency = min(elapsed_us / usual_latency_us, MAX_RELATIVE_LATENCY)
-        step = LATENCY_WEIGHT_SMOOTHING_FACTOR * low_traffic_factor(self._context.load)
-        server.latency_weight += step * (relative_latency - server.latency_weight)
+        step = RELATIVE_LATENCY_SMOOTHING_FACTOR * low_traffic_factor(self._context.load)
+        server.relative_latency += step * (relative_latency - server.relative_latency)
 
     def observe_error(self, request: Request, server: Server) -> None:
         """Count an error as the slowest possible response, so that fast errors don't attract requests."""
--- a/sidecar/balancer/policy/load_comparison.py
+++ b/sidecar/balancer/policy/load_comparison.py
@@ -89,7 +89,7 @@
 
     def _rank(self, server: Server) -> tuple[int, float, float]:
         """Sort key: this balancer's own attempts, then expected latency plus access cost, then load."""
-        load_with_request = ((server.reported_load or 0.0) + 1.0) * server.latency_weight
+        load_with_request = ((server.reported_load or 0.0) + 1.0) * server.relative_latency
         # Servers that are warming up report little load, as they receive few requests.
         load = load_with_request / self.slow_start.capacity_share(server)
         expected_ratio = self.latency_by_load.predict(load) or 0.0
--- a/sidecar/balancer/policy/selection.py
+++ b/sidecar/balancer/policy/selection.py
@@ -18,9 +18,9 @@
 
 CANDIDATE_COUNT = 4  # k; loads are mostly small, so that two candidates would often be tied
 MIN_LOCAL_SERVERS = 2  # with fewer eligible local servers there is no choice, so all zones are used
-# Exponent of the latency weight for requests of four times the mean cost or more.
+# Exponent of the relative latency for requests of four times the mean cost or more.
 MAX_LATENCY_EXPONENT = 3.0
-MIN_LATENCY_WEIGHT = 1.0 / MAX_RELATIVE_LATENCY  # servers faster than this are not drawn more often
+MIN_RELATIVE_LATENCY = 1.0 / MAX_RELATIVE_LATENCY  # servers faster than this are not drawn more often
 
 
 @dataclass(slots=True, eq=False)
@@ -55,9 +55,9 @@
         return sample_by_weight(self.context.rng, subset, weights, CANDIDATE_COUNT << request.rejections)
 
     def least_loaded(self, candidates: list[Server]) -> Server:
-        """The candidate with the fewest attempts of this balancer; the lower latency weight breaks ties."""
+        """The candidate with the fewest attempts of this balancer; the lower relative latency breaks ties."""
         return min(
-            candidates, key=lambda server: (self.context.load.attempts_at(server), server.latency_weight)
+            candidates, key=lambda server: (self.context.load.attempts_at(server), server.relative_latency)
         )
 
     def is_eligible(self, server: Server, request: Request) -> bool:
@@ -117,6 +117,6 @@
 
         The draw breaks most ties, so for expensive requests the latency is raised to a higher power.
         """
-        latency_factor = math.pow(max(server.latency_weight, MIN_LATENCY_WEIGHT), exponent)
+        latency_factor = math.pow(max(server.relative_latency, MIN_RELATIVE_LATENCY), exponent)
         weight = self.slow_start.capacity_share(server) / latency_factor
         return weight if server.is_local else weight * remote_weight
--- a/sidecar/balancer/policy/zone_preference.py
+++ b/sidecar/balancer/policy/zone_preference.py
@@ -77,8 +77,8 @@
             A factor from `MIN_REMOTE_WEIGHT` to 1.0.
         """
         available = [server for server in ready if server.ejected_until is None]
-        local = [server.latency_weight for server in available if server.is_local]
-        remote = [server.latency_weight for server in available if not server.is_local]
+        local = [server.relative_latency for server in available if server.is_local]
+        remote = [server.relative_latency for server in available if not server.is_local]
         if not local or sum(remote) <= 0.0:
             return 1.0
         latency_excess = (sum(local) / len(local)) / (sum(remote) / len(remote)) - 1.0
--- a/sidecar/balancer/registry_updates.py
+++ b/sidecar/balancer/registry_updates.py
@@ -21,7 +21,7 @@
         start_times: Converts start times to this balancer's clock.
         slow_start: Starts the slow start of new processes.
         outliers: Readmits restarted servers, and ends the ejection of removed ones.
-        latency: Initializes the latency weights of servers without observations.
+        latency: Initializes the relative latencies of servers without observations.
     """
 
     context: Context
@@ -50,7 +50,7 @@
             self._on_restarted(server)
         for server in self.context.registry.removed():
             self._on_removed(server)
-        self.latency.initialize_weights(self.context.registry.ready)
+        self.latency.initialize_relative_latencies(self.context.registry.ready)
 
     def _on_restarted(self, server: Server) -> None:
         self.slow_start.start(server, server.started_at or 0)
--- a/sidecar/balancer/state/records.py
+++ b/sidecar/balancer/state/records.py
@@ -49,7 +49,7 @@
         is_local: Whether it is in this balancer's own zone.
         cell: The group of servers that share their records of idempotency keys.
         declared_capacity: Its capacity relative to that of other servers, as the registry states it.
-        latency_weight: The moving average of its latency relative to the usual latency.
+        relative_latency: The moving average of its latency relative to the usual latency.
         state: Whether it may get requests.
         started_at: When its process started, if known.
         slow_start_since: When its last slow start began, if it had one.
@@ -79,7 +79,7 @@
     is_local: bool = False
     cell: int = 0
     declared_capacity: float = 1.0
-    latency_weight: float = 1.0
+    relative_latency: float = 1.0
     state: ServerState = ServerState.REMOVED
     started_at: int | None = None
     slow_start_since: int | None = None
--- a/sidecar/balancer/state/registry.py
+++ b/sidecar/balancer/state/registry.py
@@ -63,7 +63,7 @@
         server.is_local = endpoint.zone == self._local_zone
         server.cell = endpoint.cell
         if server.state is ServerState.REMOVED or endpoint.capacity_weight != server.declared_capacity:
-            server.latency_weight = 0.0  # unknown
+            server.relative_latency = 0.0  # unknown
         server.declared_capacity = max(endpoint.capacity_weight, 0.0)
         server.state = endpoint.state
         if endpoint.started_at is None or endpoint.started_at == server.started_at:
--- a/tests/balancer/test_selection.py
+++ b/tests/balancer/test_selection.py
@@ -1,4 +1,4 @@
-"""Selection: best of k, by load and latency weight."""
+"""Selection: best of k, by load and relative latency."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
     assert settled[slow] < 0.6 * sum(settled.values()) / 12
 
 
-def test_nominal_capacity_sets_the_initial_latency_weight() -> None:
+def test_nominal_capacity_sets_the_initial_relative_latency() -> None:
     harness = BalancerHarness()
     harness.update_servers(
         [
--- a/tests/balancer/test_settings_changed.py
+++ b/tests/balancer/test_settings_changed.py
@@ -94,14 +94,16 @@
     harness = ready_harness(6)
     harness.serve_requests(60)
     context, balancer = harness.balancer._context, harness.balancer
-    weights = {name: server.latency_weight for name, server in context.registry.servers.items()}
+    relative_latencies = {name: server.relative_latency for name, server in context.registry.servers.items()}
     retry_tokens, usual_latency_us = balancer._retry_budget._tokens, dict(balancer._latency._usual_latency_us)
     median_ratio, arrival_rate = (
         balancer._limit.latency.median,
         balancer._slow_start.arrivals.per_us(harness.now),
     )
     change_settings(harness, classes=[SAFE | {"priority_weight": 5}, UNSAFE, KEYED])
-    assert {name: server.latency_weight for name, server in context.registry.servers.items()} == weights
+    assert {
+        name: server.relative_latency for name, server in context.registry.servers.items()
+    } == relative_latencies
     assert (balancer._retry_budget._tokens, balancer._latency._usual_latency_us) == (
         retry_tokens,
         usual_latency_us,
--- a/tests/balancer/test_stalls.py
+++ b/tests/balancer/test_stalls.py
@@ -15,27 +15,27 @@
     harness.advance(0)
 
 
-def latency_weights(harness: BalancerHarness) -> dict[str, float]:
-    return {each.name: each.latency_weight for each in harness.balancer._context.registry.ready}
+def relative_latencies(harness: BalancerHarness) -> dict[str, float]:
+    return {each.name: each.relative_latency for each in harness.balancer._context.registry.ready}
 
 
 def test_a_stall_of_the_balancer_is_not_attributed_to_servers() -> None:
     harness = ready_harness(4)
     harness.serve_requests(200)
-    weights = latency_weights(harness)
+    before = relative_latencies(harness)
     requests = [harness.send_request() for _ in range(8)]
     stall(harness, 900 * MILLISECOND_US)
     for each in requests:
         harness.end_attempt(each)
     harness.advance(100 * MILLISECOND_US)
-    assert latency_weights(harness) == weights
+    assert relative_latencies(harness) == before
     assert [each for each in harness.actions_of(Log) if "ejected" in each.text] == []
 
 
 def test_a_stall_is_detected_while_a_queue_of_events_is_processed() -> None:
     harness = ready_harness(4)
     harness.serve_requests(200)
-    weights = latency_weights(harness)
+    before = relative_latencies(harness)
     in_flight = [harness.send_request() for _ in range(16)]
     for _ in in_flight:  # a long queue of events, each soon after the one before, and no timer between
         harness.now += 40 * MILLISECOND_US
@@ -43,19 +43,19 @@
     for each in in_flight:
         harness.now += 5 * MILLISECOND_US
         harness.end_attempt(each, Outcome.CONNECT_FAILED)
-    assert latency_weights(harness) == weights
+    assert relative_latencies(harness) == before
     assert [each for each in harness.actions_of(Log) if "ejected" in each.text] == []
 
 
 def test_slow_servers_are_detected_while_the_balancer_is_not_stalled() -> None:
     harness = ready_harness(4)
     harness.serve_requests(200)
-    weights = latency_weights(harness)
+    before = relative_latencies(harness)
     requests = [harness.send_request() for _ in range(8)]
     harness.advance(900 * MILLISECOND_US)
     for each in requests:
         harness.end_attempt(each)
-    assert all(each.latency_weight > weights[each.name] for each in harness.balancer._context.registry.ready)
+    assert all(each.relative_latency > before[each.name] for each in harness.balancer._context.registry.ready)
 
 
 def test_selection_after_a_stall_uses_all_zones_without_health_checks() -> None:
--- a/tests/balancer/test_subsetting.py
+++ b/tests/balancer/test_subsetting.py
@@ -34,8 +34,8 @@
     assert len(used) > 25
 
 
-def test_latency_weights_adapt_faster_at_low_traffic() -> None:
-    def latency_weight_change(interval_us: int, service_time_us: int, one_at_a_time: bool) -> float:
+def test_relative_latencies_adapt_faster_at_low_traffic() -> None:
+    def relative_latency_change(interval_us: int, service_time_us: int, one_at_a_time: bool) -> float:
         harness = ready_harness(4)
         if one_at_a_time:
             serve_one_at_a_time(harness, 400, service_time_us, interval_us)
@@ -44,12 +44,12 @@
         request = harness.send_request()
         server = harness.balancer._context.registry.servers[harness.server_of(request)]
         harness.advance(2 * service_time_us)
-        before = server.latency_weight
+        before = server.relative_latency
         harness.end_attempt(request)
-        return server.latency_weight - before
+        return server.relative_latency - before
 
     assert (
-        latency_weight_change(400 * MILLISECOND_US, 60 * MILLISECOND_US, True)
-        > 2 * latency_weight_change(5 * MILLISECOND_US, 60 * MILLISECOND_US, False)
+        relative_latency_change(400 * MILLISECOND_US, 60 * MILLISECOND_US, True)
+        > 2 * relative_latency_change(5 * MILLISECOND_US, 60 * MILLISECOND_US, False)
         > 0.0
     )
