--- a/sidecar/balancer/balancer.py
+++ b/sidecar/balancer/balancer.py
@@ -37,7 +37,7 @@
 from sidecar.balancer.state.timers import RequestDeadline
 from sidecar.settings import Idempotency, Settings
 
-STALL_CHECK_INTERVAL_TARGETS = 0.1  # in shortest latency targets; checks run while attempts are active
+STALL_CHECK_INTERVAL_TARGETS = 0.1  # in shortest latency targets; checks run while attempts are pending
 RETRY_AFTER_TARGETS = 0.1  # the mean delay before a rejected client should retry, in latency targets
 
 
@@ -140,7 +140,7 @@
         uses_health_checks = checks_per_request > 1
         cross_zone_cost = load_comparison.cross_zone_cost(settings)
         self._placer.checks_per_request = checks_per_request
-        self._admission.checks_load_before_sending = uses_health_checks
+        self._admission.uses_health_checks = uses_health_checks
         is_crossing_costly = cross_zone_cost >= load_comparison.MIN_LOCAL_FIRST_COST
         self._zone_preference.is_local_first = uses_health_checks and is_crossing_costly
 
--- a/sidecar/balancer/lifecycle/attempt_rules.py
+++ b/sidecar/balancer/lifecycle/attempt_rules.py
@@ -42,7 +42,7 @@
             return False
         if not self.key_order.allows(request):
             return False
-        return request.limits.allow_hedging or not request.is_active()
+        return request.limits.allow_hedging or not request.has_pending_attempt()
 
     def _is_safe_to_run(self, request: Request, server: Server) -> bool:
         """Whether the request cannot take effect twice, or is allowed to."""
--- a/sidecar/balancer/lifecycle/placement.py
+++ b/sidecar/balancer/lifecycle/placement.py
@@ -42,7 +42,7 @@
             return
         candidates = self.selector.candidates(request)
         if not candidates:
-            self._finish_unless_active(request)
+            self._finish_unless_pending(request)
         elif self._should_check():
             least_loaded_first = sorted(candidates, key=self.context.load.attempts_at)
             self.health_checks.start(request, least_loaded_first[: self.checks_per_request])
@@ -66,7 +66,7 @@
         if server is None:
             server = self._first_eligible(request, checked)
         if server is None or self.load_comparison.predicts_overload(request, server):
-            self._finish_unless_active(request)
+            self._finish_unless_pending(request)
             return
         sent = self._send_or_finish(request, server)
         if sent and server.health_check_sent_at is None:
@@ -78,9 +78,9 @@
     def _send_or_finish(self, request: Request, server: Server) -> bool:
         sent = self.send(request, server)
         if not sent:
-            self._finish_unless_active(request)
+            self._finish_unless_pending(request)
         return sent
 
-    def _finish_unless_active(self, request: Request) -> None:
-        if not request.is_active():
+    def _finish_unless_pending(self, request: Request) -> None:
+        if not request.has_pending_attempt():
             self.finish(request)
--- a/sidecar/balancer/lifecycle/retrying.py
+++ b/sidecar/balancer/lifecycle/retrying.py
@@ -46,7 +46,7 @@
             request.rejections += 1
         if self._is_retry_free(outcome) or (self._may_retry(request) and self.budget.try_acquire()):
             self.placer.place(request)
-        elif not request.is_active():
+        elif not request.has_pending_attempt():
             self.finish(request)
 
     def _is_retry_free(self, outcome: Outcome) -> bool:
@@ -62,7 +62,7 @@
     def hedge(self, request: Request, attempt: Attempt) -> None:
         """Send a hedged request for an overdue attempt, or cancel that attempt so that it is retried."""
         limits = request.limits
-        if not self.hedging.is_hedge_due(request, attempt):
+        if not self.hedging.examine_overdue_attempt(request, attempt):
             return
         if len(request.attempts) >= limits.max_attempts or not self._may_retry(request):
             return
--- a/sidecar/balancer/policy/admission.py
+++ b/sidecar/balancer/policy/admission.py
@@ -26,7 +26,7 @@
     exponentially, and faster for lower priorities.
 
     Attributes:
-        checks_load_before_sending: Whether overload is predicted by health checks in place of the limit.
+        uses_health_checks: Whether overload is predicted by health checks in place of the limit.
     """
 
     def __init__(self, context: Context, limit: ConcurrencyLimit, arrivals: DecayingRate) -> None:
@@ -37,7 +37,7 @@
             limit: The concurrency limit of the balancer.
             arrivals: The rate of requests that arrive at this balancer.
         """
-        self.checks_load_before_sending = False
+        self.uses_health_checks = False
         self._context = context
         self._limit = limit
         self._arrivals = arrivals
@@ -81,7 +81,7 @@
 
     def _should_shed(self, request: Request) -> bool:
         traffic = self._priorities.count_arrival(request)
-        if self.checks_load_before_sending:
+        if self.uses_health_checks:
             request.priority = self._priorities.priority(traffic)
             return False
         if self._last_response_was_fast and not self._context.load.total():
--- a/sidecar/balancer/policy/hedging.py
+++ b/sidecar/balancer/policy/hedging.py
@@ -46,7 +46,7 @@
         """Schedule the first examination of an attempt that was just sent."""
         self._examine_after(self._overdue_after_us(request, attempt.server), request, attempt)
 
-    def is_hedge_due(self, request: Request, attempt: Attempt) -> bool:
+    def examine_overdue_attempt(self, request: Request, attempt: Attempt) -> bool:
         """Examine an overdue attempt: eject its server if it hangs, and schedule any further examination.
 
         A server that has responded to any request since the attempt was sent is slow, not unresponsive.  If
--- a/sidecar/balancer/policy/load_comparison.py
+++ b/sidecar/balancer/policy/load_comparison.py
@@ -56,7 +56,7 @@
             and server.reported_load is not None
             and self.selector.is_eligible(server, request)
         ]
-        return min(comparable, key=self._rank, default=None)
+        return min(comparable, key=self._sort_key, default=None)
 
     def should_cross_zones(self, best: Server | None) -> bool:
         """Whether a server in another zone is expected to save more latency than crossing zones costs.
@@ -87,7 +87,7 @@
             return self.context.rng.random() >= OVERLOAD_SAMPLE_SHARE
         return False
 
-    def _rank(self, server: Server) -> tuple[int, float, float]:
+    def _sort_key(self, server: Server) -> tuple[int, float, float]:
         """Sort key: this balancer's own attempts, then expected latency plus access cost, then load."""
         load_with_request = ((server.reported_load or 0.0) + 1.0) * server.relative_latency
         # Servers that are warming up report little load, as they receive few requests.
--- a/sidecar/balancer/state/records.py
+++ b/sidecar/balancer/state/records.py
@@ -196,13 +196,13 @@
         )
         self.non_execution_outcomes &= non_execution_outcomes
 
-    def is_active(self) -> bool:
+    def has_pending_attempt(self) -> bool:
         """Whether any attempt has not ended yet."""
         return any(attempt.pending for attempt in self.attempts)
 
     def is_complete(self) -> bool:
         """Whether it is answered and all of its attempts have ended."""
-        return self.answered and not self.is_active()
+        return self.answered and not self.has_pending_attempt()
 
     def pending_attempt(self, index: int) -> Attempt | None:
         """The attempt with this index, if it was sent and has not ended."""
--- a/tests/proxy/test_hedging_races.py
+++ b/tests/proxy/test_hedging_races.py
@@ -29,13 +29,13 @@
             before = len(proxy.server_requests())
             hedged: list[int] = []
 
-            def is_hedge_due(detector: HedgingPolicy, request: Request, attempt: Attempt) -> bool:
+            def examine_overdue_attempt(detector: HedgingPolicy, request: Request, attempt: Attempt) -> bool:
                 if leaves and not hedged:
                     client.disconnect()  # its end is in the kernel, and unread, as the hedge is sent
                 hedged.append(attempt.index)
                 return len(hedged) == 1
 
-            monkeypatch.setattr(HedgingPolicy, "is_hedge_due", is_hedge_due)
+            monkeypatch.setattr(HedgingPolicy, "examine_overdue_attempt", examine_overdue_attempt)
             client = Client(proxy.sidecar.frontend.address, request_bytes())
             await wait_until(lambda: hedged)
             if leaves:
--- a/tests/proxy/test_remaining_time.py
+++ b/tests/proxy/test_remaining_time.py
@@ -90,7 +90,7 @@
 
     def running_proxy(self, monkeypatch: pytest.MonkeyPatch) -> Any:
         """Servers of which one that is overdue is taken for lost, which else takes more of them to tell."""
-        monkeypatch.setattr(HedgingPolicy, "is_hedge_due", lambda *_: True)
+        monkeypatch.setattr(HedgingPolicy, "examine_overdue_attempt", lambda *_: True)
         classes = [each | {"latency_target_us": SECOND_US // 2} for each in CLASSES]
         limits = LIMITS | {"allow_hedging": True}
         return running_proxy(self.respond, self.respond, self.respond, classes=classes, limits=limits)
