--- a/tests/balancer/test_outliers.py
+++ b/tests/balancer/test_outliers.py
@@ -15,7 +15,7 @@
 
 
 def traffic_with_one_hung_server(harness: BalancerHarness, rounds: int) -> tuple[str, list[int]]:
-    """Serve traffic while one server hangs after a while; return its name and the requests sent to it."""
+    """Serve traffic with a server that hangs after a while; return its name and the requests left at it."""
     harness.update_servers(server_names(6))
     harness.serve_requests(120)
     first = harness.send_request()
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -38,10 +38,8 @@
 
 def test_warm_capacity_is_measured_by_cost_not_by_request_count() -> None:
     rates = []
-    for served_us in (
-        100_000,
-        20_000,
-    ):  # in the second round, expensive requests are shed and cheap ones served
+    # In the second round, expensive requests are shed and cheap ones are served.
+    for served_us in (100_000, 20_000):
         harness = ready_harness(4)
         for _ in range(60):
             harness.advance(20 * MILLISECOND_US)
--- a/tests/balancer/test_stall_detector.py
+++ b/tests/balancer/test_stall_detector.py
@@ -1,4 +1,4 @@
-"""Stall detector: a late check indicates a stall, whichever event is handled first after it."""
+"""Stall detector: a late check indicates a stall, whether a timer or any other event reveals it."""
 
 from __future__ import annotations
 
