--- a/sidecar/balancer/policy/hedging.py
+++ b/sidecar/balancer/policy/hedging.py
@@ -46,7 +46,7 @@
         """Schedule the first examination of an attempt that was just sent."""
         self._examine_after(self._overdue_after_us(request, attempt.server), request, attempt)
 
-    def is_hedge_due(self, request: Request, attempt: Attempt) -> bool:
+    def examine_overdue_attempt(self, request: Request, attempt: Attempt) -> bool:
         """Examine an overdue attempt: eject its server if it hangs, and schedule any further examination.
 
         A server that has responded to any request since the attempt was sent is slow, not unresponsive.  If
@@ -78,7 +78,9 @@
 
     def _overdue_after_us(self, request: Request, server: Server) -> int:
         overdue_us = (
-            OVERDUE_LATENCY_FACTOR * self.latency.usual_latency_us(request) * max(server.latency_weight, 1.0)
+            OVERDUE_LATENCY_FACTOR
+            * self.latency.usual_latency_us(request)
+            * max(server.relative_latency, 1.0)
         )
         min_us = MIN_OVERDUE_TARGETS * request.service_class.latency_target_us
         return int(max(overdue_us, min_us, self.context.settings.tick_us))
--- a/tests/balancer/test_stalls.py
+++ b/tests/balancer/test_stalls.py
@@ -1,4 +1,4 @@
-"""Stalls: a balancer that was stalled itself blames no server for the delay."""
+"""Stalls: a balancer does not attribute the delay of its own stalls to servers."""
 
 from __future__ import annotations
 
@@ -10,52 +10,53 @@
 
 
 def stall(harness: BalancerHarness, duration_us: int) -> None:
-    """Stall the balancer; then the timers that became due fire at once."""
+    """Stall the balancer; the timers that became due meanwhile then fire at once."""
     harness.now += duration_us
     harness.advance(0)
 
 
-def latency_weights(harness: BalancerHarness) -> dict[str, float]:
-    return {each.name: each.latency_weight for each in harness.balancer._context.registry.ready}
+def relative_latencies(harness: BalancerHarness) -> dict[str, float]:
+    return {each.name: each.relative_latency for each in harness.balancer._context.registry.ready}
 
 
 def test_a_stall_of_the_balancer_is_not_attributed_to_servers() -> None:
     harness = ready_harness(4)
     harness.serve_requests(200)
-    weights = latency_weights(harness)
+    before = relative_latencies(harness)
     requests = [harness.send_request() for _ in range(8)]
     stall(harness, 900 * MILLISECOND_US)
     for each in requests:
         harness.end_attempt(each)
     harness.advance(100 * MILLISECOND_US)
-    assert latency_weights(harness) == weights
+    assert relative_latencies(harness) == before
     assert [each for each in harness.actions_of(Log) if "ejected" in each.text] == []
 
 
 def test_a_stall_is_detected_while_a_queue_of_events_is_processed() -> None:
     harness = ready_harness(4)
     harness.serve_requests(200)
-    weights = latency_weights(harness)
+    before = relative_latencies(harness)
     in_flight = [harness.send_request() for _ in range(16)]
-    for _ in in_flight:  # a long queue of events, each soon after the one before, and no timer between
+    # A long queue of events is handled in short intervals, without a timer in between.
+    for _ in in_flight:
         harness.now += 40 * MILLISECOND_US
         harness.send_request()
     for each in in_flight:
         harness.now += 5 * MILLISECOND_US
         harness.end_attempt(each, Outcome.CONNECT_FAILED)
-    assert latency_weights(harness) == weights
+    assert relative_latencies(harness) == before
     assert [each for each in harness.actions_of(Log) if "ejected" in each.text] == []
 
 
 def test_slow_servers_are_detected_while_the_balancer_is_not_stalled() -> None:
     harness = ready_harness(4)
     harness.serve_requests(200)
-    weights = latency_weights(harness)
+    before = relative_latencies(harness)
     requests = [harness.send_request() for _ in range(8)]
     harness.advance(900 * MILLISECOND_US)
     for each in requests:
         harness.end_attempt(each)
-    assert all(each.latency_weight > weights[each.name] for each in harness.balancer._context.registry.ready)
+    assert all(each.relative_latency > before[each.name] for each in harness.balancer._context.registry.ready)
 
 
 def test_selection_after_a_stall_uses_all_zones_without_health_checks() -> None:
@@ -64,7 +65,7 @@
     first = harness.send_request()
     answer_health_checks(harness, {})
     harness.now += 1 * SECOND_US
-    burst = [harness.send_request() for _ in range(6)]  # all queued when the stall ends
+    burst = [harness.send_request() for _ in range(6)]  # all were queued during the stall
     assert all(len(harness.attempts(each)) == 1 for each in (first, *burst))
     assert {harness.server_of(each) for each in burst} & set(server_names(6)[3:])
 
--- a/tests/proxy/test_hedging_races.py
+++ b/tests/proxy/test_hedging_races.py
@@ -29,13 +29,13 @@
             requests_before = len(proxy.server_requests())
             examined_attempts: list[int] = []
 
-            def is_hedge_due(policy: HedgingPolicy, request: Request, attempt: Attempt) -> bool:
+            def examine_overdue_attempt(policy: HedgingPolicy, request: Request, attempt: Attempt) -> bool:
                 if client_disconnects and not examined_attempts:
                     client.disconnect()  # its FIN is in the kernel, unread, as the hedge is sent
                 examined_attempts.append(attempt.index)
                 return len(examined_attempts) == 1
 
-            monkeypatch.setattr(HedgingPolicy, "is_hedge_due", is_hedge_due)
+            monkeypatch.setattr(HedgingPolicy, "examine_overdue_attempt", examine_overdue_attempt)
             client = Client(proxy.sidecar.frontend.address, request_bytes())
             await wait_until(lambda: examined_attempts)
             if client_disconnects:
--- a/tests/proxy/test_remaining_time.py
+++ b/tests/proxy/test_remaining_time.py
@@ -92,7 +92,7 @@
 
     def running_proxy(self, monkeypatch: pytest.MonkeyPatch) -> Any:
         """Run a proxy that hedges every overdue attempt, without waiting for the ejection of its server."""
-        monkeypatch.setattr(HedgingPolicy, "is_hedge_due", lambda *_: True)
+        monkeypatch.setattr(HedgingPolicy, "examine_overdue_attempt", lambda *_: True)
         classes = [each | {"latency_target_us": SECOND_US // 2} for each in CLASSES]
         limits = LIMITS | {"allow_hedging": True}
         return running_proxy(self.respond, self.respond, self.respond, classes=classes, limits=limits)
