--- a/tests/proxy/test_accept_faults.py
+++ b/tests/proxy/test_accept_faults.py
@@ -55,8 +55,8 @@
     """Make the next accepts of a sidecar fail."""
     frontend = proxy.sidecar.frontend
     # The double implements the part of a socket that the frontend uses.
-    frontend._sock = made = FailingListener(frontend._sock, code, failures)  # type: ignore[assignment]
-    return made
+    frontend._sock = failing = FailingListener(frontend._sock, code, failures)  # type: ignore[assignment]
+    return failing
 
 
 def record_loop_faults() -> list[dict[str, Any]]:
--- a/tests/proxy/test_attempt_outcomes.py
+++ b/tests/proxy/test_attempt_outcomes.py
@@ -83,7 +83,7 @@
     run_scenario(scenario())
 
 
-def test_refused_connection_lets_even_a_non_idempotent_request_be_retried() -> None:
+def test_non_idempotent_request_is_retried_after_a_refused_connection() -> None:
     async def scenario() -> None:
         async with running_proxy(respond_ok, respond_ok) as proxy:
             proxy.servers[0].stop()
--- a/tests/proxy/test_dedup_window.py
+++ b/tests/proxy/test_dedup_window.py
@@ -25,13 +25,14 @@
 from sidecar.proxy.server_connection import ServerConnection
 
 
-def other_than(proxy: ProxyHarness, first: FakeServer) -> str:
-    (name,) = [each.name for each in proxy.servers if each is not first]
+def name_of_other_server(proxy: ProxyHarness, server: FakeServer) -> str:
+    """Return the name of the one of two servers that is not the given one."""
+    (name,) = [each.name for each in proxy.servers if each is not server]
     return name
 
 
 @pytest.mark.parametrize("is_late", [True, False])
-def test_connection_comes_up_at_the_end_of_the_dedup_window(
+def test_connection_opens_at_the_end_of_the_dedup_window(
     is_late: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     connected, proceed = asyncio.Event(), asyncio.Event()
@@ -68,7 +69,7 @@
             if is_late:
                 assert (status, body) == (500, b"")
                 assert len(proxy.server_requests()) == 1
-                (kept,) = proxy.sidecar._pool.servers[other_than(proxy, first)].idle_connections
+                (kept,) = proxy.sidecar._pool.servers[name_of_other_server(proxy, first)].idle_connections
                 assert kept.connection.is_idle()  # the connection is kept for other requests
             else:
                 assert (status, body) == (200, b"served")
@@ -89,7 +90,10 @@
                 def reset_and_redirect_retry(*_: object) -> bytes:
                     (first,) = [each for each in proxy.servers if each.requests]
                     proxy.sidecar._pool.update(
-                        other_than(proxy, first), listener.getsockname()[:2], None, ServerState.READY
+                        name_of_other_server(proxy, first),
+                        listener.getsockname()[:2],
+                        None,
+                        ServerState.READY,
                     )
                     return b""
 
--- a/tests/proxy/test_descriptor_shortage.py
+++ b/tests/proxy/test_descriptor_shortage.py
@@ -25,7 +25,7 @@
         request.responder.respond(200, [], b"taken")
 
     def handle_disconnect(self, request: ClientRequest) -> None:
-        """Nothing is in flight."""
+        """Do nothing: no request is in flight."""
 
     def is_request_id_in_use(self, request_id: str) -> bool:
         return False
--- a/tests/proxy/test_dialing.py
+++ b/tests/proxy/test_dialing.py
@@ -46,7 +46,7 @@
     return len(os.listdir("/proc/self/fd"))
 
 
-def dial(expected: Outcome, dial_timeout_s: float = TIMEOUT_S, address: Address | None = None) -> None:
+def check_dial(expected: Outcome, dial_timeout_s: float = TIMEOUT_S, address: Address | None = None) -> None:
     """Send one request; check its outcome, and that no descriptor and no counted connection is left."""
 
     async def scenario() -> None:
@@ -68,7 +68,7 @@
 @pytest.mark.parametrize("code", _LOCAL_ERRNOS, ids=errno_name)
 def test_dial_that_fails_for_a_local_cause_is_retried(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
     use_faulty_sockets(monkeypatch, connect_failures=fail_times(code, 3))
-    dial(Outcome.SUCCEEDED)
+    check_dial(Outcome.SUCCEEDED)
 
 
 @pytest.mark.parametrize("code", _LOCAL_ERRNOS, ids=errno_name)
@@ -76,7 +76,7 @@
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     use_faulty_sockets(monkeypatch, connect_failures=fail_times(code, 10**9))
-    dial(Outcome.NOT_SENT, dial_timeout_s=0.1)
+    check_dial(Outcome.NOT_SENT, dial_timeout_s=0.1)
 
 
 @pytest.mark.parametrize("code", _SOCKET_CREATION_ERRNOS, ids=errno_name)
@@ -85,7 +85,7 @@
     code: int, times: int, expected: Outcome, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     use_faulty_sockets(monkeypatch, socket_failures=fail_times(code, times))
-    dial(expected, dial_timeout_s=TIMEOUT_S if expected is Outcome.SUCCEEDED else 0.1)
+    check_dial(expected, dial_timeout_s=TIMEOUT_S if expected is Outcome.SUCCEEDED else 0.1)
 
 
 @pytest.mark.parametrize("code", _SERVER_ERRNOS, ids=errno_name)
@@ -93,7 +93,7 @@
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     use_faulty_sockets(monkeypatch, connect_failures=fail_times(code, 1))
-    dial(Outcome.CONNECT_FAILED)
+    check_dial(Outcome.CONNECT_FAILED)
 
 
 @pytest.mark.parametrize("code", [errno.ENOBUFS, errno.ENOMEM, errno.EINVAL], ids=errno_name)
@@ -101,7 +101,7 @@
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     use_faulty_sockets(monkeypatch, setsockopt_failures=fail_times(code, 2))
-    dial(Outcome.SUCCEEDED)
+    check_dial(Outcome.SUCCEEDED)
 
 
 @pytest.mark.parametrize("code", [errno.EIO, errno.EINTR], ids=errno_name)
@@ -111,22 +111,22 @@
         connect_failures=fail_times(errno.EADDRNOTAVAIL, 2),
         close_failures=fail_times(code, 10**9),
     )
-    dial(Outcome.SUCCEEDED)
+    check_dial(Outcome.SUCCEEDED)
     use_faulty_sockets(
         monkeypatch,
         connect_failures=fail_times(errno.ECONNREFUSED, 1),
         close_failures=fail_times(code, 10**9),
     )
-    dial(Outcome.CONNECT_FAILED)
+    check_dial(Outcome.CONNECT_FAILED)
 
 
 def test_address_that_cannot_be_resolved_is_a_failed_dial() -> None:
-    dial(Outcome.CONNECT_FAILED, address=("a..b", 80))
+    check_dial(Outcome.CONNECT_FAILED, address=("a..b", 80))
 
 
 def test_dial_timeout_without_a_local_failure_is_a_failure_of_the_server() -> None:
     with full_backlog_listener() as address:
-        dial(Outcome.CONNECT_FAILED, dial_timeout_s=0.1, address=address)
+        check_dial(Outcome.CONNECT_FAILED, dial_timeout_s=0.1, address=address)
 
 
 def test_request_of_a_dial_that_fails_locally_is_never_written_and_ends_with_its_attempt(
@@ -159,7 +159,7 @@
             yield errno.EADDRNOTAVAIL
 
     use_faulty_sockets(monkeypatch, connect_failures=count_and_fail())
-    dial(Outcome.NOT_SENT, dial_timeout_s=0.3)
+    check_dial(Outcome.NOT_SENT, dial_timeout_s=0.3)
     assert 2 <= len(connect_calls) <= 6  # at 0, 10, 30, 70, 150 and 310 ms at the earliest
 
 
--- a/tests/proxy/test_disconnected_clients.py
+++ b/tests/proxy/test_disconnected_clients.py
@@ -28,9 +28,8 @@
             await wait_until(proxy.server_requests)
             writer.close()
             await wait_until(lambda: proxy.servers[0].closed_by_peer == 1)
-            assert (
-                not proxy.sidecar._active
-            )  # the late outcome has been processed, and no state of the request is kept
+            # The late outcome has been processed, and no state of the request is kept.
+            assert not proxy.sidecar._active
 
     run_scenario(scenario())
 
@@ -39,16 +38,15 @@
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
             assert (await proxy.send_request(path="/api/1"))[0] == 200
-            await asyncio.sleep(
-                0.05
-            )  # longer than the reuse delay, so that a request would be written at once
-            accepted, fresh = [socket.create_connection(proxy.sidecar.frontend.address) for _ in range(2)]
+            # This is longer than the reuse delay, so that the next request would be written at once.
+            await asyncio.sleep(0.05)
+            first, second = [socket.create_connection(proxy.sidecar.frontend.address) for _ in range(2)]
             await wait_until(lambda: len(proxy.sidecar.frontend.connections) >= 2)
-            for each in (accepted, fresh, socket.create_connection(proxy.sidecar.frontend.address)):
+            for each in (first, second, socket.create_connection(proxy.sidecar.frontend.address)):
                 each.sendall(request(path="/api/2", X_Call_Id="gone"))
                 each.close()  # before the event loop runs again
             assert (await proxy.send_request(path="/api/3", X_Call_Id="next"))[0] == 200
-            assert [first.split(" ")[1] for first, _, _ in proxy.server_requests()] == ["/api/1", "/api/3"]
+            assert [line.split(" ")[1] for line, _, _ in proxy.server_requests()] == ["/api/1", "/api/3"]
 
     run_scenario(scenario())
 
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "bad_response",
     [
         encode_response(503, b""),
         encode_response(200, b"not json"),
@@ -76,10 +76,10 @@
         b"HTTP/1.1 200 X\r\nContent-Length: 99\r\n\r\n{",
     ],
 )
-def test_failed_registry_call_is_reported_and_retried(bad: bytes) -> None:
+def test_failed_registry_call_is_reported_and_retried(bad_response: bytes) -> None:
     async def scenario() -> None:
         async with running_proxy(respond_ok, rules={"max_poll_interval_us": 1 * SECOND_US}) as proxy:
-            proxy.discovery.responses.put_nowait(bad)
+            proxy.discovery.responses.put_nowait(bad_response)
             await wait_until(lambda: len(proxy.discovery.targets) == 2)
             assert proxy.sidecar._balancer._registry_poller.consecutive_failures == 1
             assert (await proxy.send_request())[0] == 200
@@ -87,7 +87,7 @@
     run_scenario(scenario())
 
 
-def test_registry_that_is_down_is_a_failed_call() -> None:
+def test_call_to_an_unavailable_registry_is_reported_as_failed() -> None:
     async def scenario() -> None:
         responses: list[RegistryResponse | None] = []
         stopped = FakeDiscovery()
