--- a/sidecar/balancer/actions.py
+++ b/sidecar/balancer/actions.py
@@ -102,7 +102,7 @@
 
 @dataclass(slots=True)
 class SendMessage:
-    """Send a message to other balancers of the tier; the simulator's protocol has this action.
+    """Send a message to other balancers; the balancer does not use it, but the simulator's protocol has it.
 
     Attributes:
         receiver: The number of the balancer to send it to; None to send it to all of them.
@@ -126,7 +126,7 @@
 
 @dataclass(slots=True)
 class FetchRegistry:
-    """Fetch the complete endpoint list once; the simulator's protocol has this action."""
+    """Fetch the complete endpoint list once; not used by the balancer, but in the simulator's protocol."""
 
 
 @dataclass(slots=True)
--- a/sidecar/balancer/events.py
+++ b/sidecar/balancer/events.py
@@ -48,7 +48,7 @@
     ERROR = "error"
     """The server responded with an error or with an invalid response."""
     REJECTED = "rejected"
-    """The server shed the request."""
+    """The server rejected the request, as it is at capacity."""
     TIMED_OUT = "timed_out"
     """The server did not respond before the attempt's deadline."""
     CONNECT_FAILED = "connect_failed"
@@ -223,7 +223,7 @@
 
 @dataclass(slots=True)
 class MessageReceived:
-    """Another balancer of the tier sent a message; the simulator's protocol has this event.
+    """Another balancer sent a message; ignored by the balancer, but the simulator's protocol has this event.
 
     Attributes:
         sender: The number of the balancer that sent it.
--- a/sidecar/balancer/lifecycle/attempt_feedback.py
+++ b/sidecar/balancer/lifecycle/attempt_feedback.py
@@ -1,4 +1,8 @@
-"""What the balancer learns from the end of an attempt."""
+"""What the balancer learns from the end of an attempt.
+
+While this process catches up after a stall, nothing is learned from how long attempts took, as that
+includes its own delay.
+"""
 
 from dataclasses import dataclass
 
@@ -15,7 +19,8 @@
 from sidecar.balancer.policy.outliers import OutlierDetector
 from sidecar.balancer.state import Attempt, Context, Request
 
-CONNECTION_KEPT_OUTCOMES = (Outcome.SUCCEEDED, Outcome.ERROR, Outcome.REJECTED)  # it is idle afterwards
+# Outcomes after which the connection of the attempt stays open and is idle.
+CONNECTION_KEPT_OUTCOMES = (Outcome.SUCCEEDED, Outcome.ERROR, Outcome.REJECTED)
 
 
 @dataclass(slots=True, eq=False)
@@ -66,7 +71,8 @@
         """Learn from an attempt without a response, which the server may still be processing."""
         if not (attempt.counted_as_late or request.answered or event.answered):
             self.admission.count_late_attempt()
-        counted_until = self.context.now + event.elapsed_us  # counts as load for as long again as it took
+        # It is assumed to need the same time again, and counts as load for that long.
+        counted_until = self.context.now + event.elapsed_us
         self.context.load.add_abandoned(attempt.server, counted_until, attempt.within_target)
         usual_latency_us = self.latency.usual_latency_us(request) * attempt.server.relative_latency
         if event.elapsed_us > usual_latency_us and not self.context.stalls.is_catching_up():
@@ -76,7 +82,7 @@
         target_us = request.service_class.latency_target_us
         self.limit.count_success(target_us)
         if self.context.stalls.is_catching_up():
-            return  # part of the latency may be the stall of this process
+            return  # the latency may include the stall of this process
         self.latency_by_load.observe_success(request, attempt, elapsed_us)
         self.latency.observe_success(request, attempt.server, elapsed_us)
         if not attempt.counted_as_late:
--- a/sidecar/balancer/lifecycle/attempt_rules.py
+++ b/sidecar/balancer/lifecycle/attempt_rules.py
@@ -1,4 +1,8 @@
-"""The rules that every attempt must obey, whatever the policies decide."""
+"""The rules that every attempt must obey, whatever the policies decide.
+
+The response can still be in time, the limits permit the attempt, it can't make the request take effect twice,
+and its server accepts requests and has the capacity.
+"""
 
 from dataclasses import dataclass
 
@@ -45,6 +49,6 @@
         return request.limits.allow_hedging or not request.has_pending_attempt()
 
     def _is_safe_to_run(self, request: Request, server: Server) -> bool:
-        """Whether the request cannot take effect twice, or is allowed to."""
+        """Whether the attempt can't make the request take effect twice, or its class allows that."""
         may_retry = retries.may_retry(request, self.context.now, self.context.settings.tick_us)
         return may_retry and retries.is_deduplicated_at(request, server)
--- a/sidecar/balancer/lifecycle/placement.py
+++ b/sidecar/balancer/lifecycle/placement.py
@@ -1,4 +1,8 @@
-"""Placement: which server gets the next attempt of a request."""
+"""Placement: which server gets the next attempt of a request.
+
+An ejected server that is due for a half-open attempt comes first.  Otherwise a few candidates are compared by
+this balancer's own attempts and, where health checks are cheap, by the load that they report.
+"""
 
 from dataclasses import dataclass
 
@@ -16,7 +20,7 @@
 
     Attributes:
         context: The shared state.
-        outliers: Provides ejected servers that are due for a half-open attempt.
+        outliers: Provides an ejected server that is due for a half-open attempt.
         selector: Draws the candidates.
         health_checks: Checks the load of the candidates, where health checks are cheap.
         load_comparison: Picks the best candidate by reported load.
@@ -50,7 +54,7 @@
             self._send_or_finish(request, self.selector.least_loaded(candidates))
 
     def _should_check(self) -> bool:
-        # After a stall that others shared, all of them would pick the same servers by the same reports.
+        # Other balancers may have stalled as well: all would pick the same servers by the same reports.
         return self.checks_per_request > 1 and not self.context.stalls.has_just_resumed()
 
     def place_checked(self, request: Request) -> None:
--- a/sidecar/balancer/lifecycle/request_factory.py
+++ b/sidecar/balancer/lifecycle/request_factory.py
@@ -1,4 +1,4 @@
-"""Creation of records of new requests."""
+"""Creation of request records: class, cost, deadline and limits, by the settings in force on arrival."""
 
 import math
 from dataclasses import dataclass
--- a/sidecar/balancer/lifecycle/request_table.py
+++ b/sidecar/balancer/lifecycle/request_table.py
@@ -1,4 +1,4 @@
-"""The requests in progress."""
+"""The requests in progress; one is removed once it is answered and all of its attempts have ended."""
 
 from collections.abc import Iterator, Mapping
 
--- a/sidecar/balancer/lifecycle/timer_dispatch.py
+++ b/sidecar/balancer/lifecycle/timer_dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch of timers that are due."""
+"""Dispatch of due timers to the components that set them, which state whether a timer is still needed."""
 
 from dataclasses import dataclass
 
@@ -39,7 +39,7 @@
         registry_poller: Polls the registry.
         placer: Sends requests whose health checks timed out.
         retrier: Handles overdue attempts.
-        finish: Rejects or fails a request.
+        finish: Rejects or fails a request whose deadline has passed.
     """
 
     context: Context
--- a/sidecar/balancer/policy/__init__.py
+++ b/sidecar/balancer/policy/__init__.py
@@ -1,4 +1,7 @@
-"""The decisions of the balancer, one responsibility per module; deterministic, with no sockets and no clock.
+"""The policies: the decisions of the balancer, one responsibility per module.
+
+They are deterministic, open no sockets and read no clock: time, random numbers and state come from the
+`Context` in `sidecar.balancer.state`.
 
 Where a request is sent:
     selection: the best of k candidates, with `subsetting`, `weighted_sampling` and `zone_preference`.
@@ -11,10 +14,10 @@
 
 Faults:
     outliers, backoff: ejection of servers, and backoff from servers at capacity.
-    hedging, retries: further attempts and the retry budget.
+    hedging, retries: further attempts of a request, and the retry budget that limits them.
 
 Servers:
-    slow_start, server_capacity, start_times: the budget of servers that are warming up.
+    slow_start, server_capacity, start_times: the request budget of each server that is warming up.
     latency, low_traffic: the usual latency, and corrections for few samples.
     connections, registry_polling: idle connections and the endpoint list of the registry.
 """
--- a/sidecar/balancer/policy/admission.py
+++ b/sidecar/balancer/policy/admission.py
@@ -44,7 +44,8 @@
         self._priorities = TrafficPriorities(context)
         self._low_traffic_shedder = LowTrafficShedder(context)
         self._stale_requests = StaleRequestDetector(context)
-        self._sample_due_at = 0  # us; from then on a request is admitted as a sample, even at a full limit
+        # In microseconds; from then on, a request is admitted as a sample, even at a full limit.
+        self._sample_due_at = 0
         self._last_response_was_fast = False  # reset when an attempt is sent
 
     def observe_latency(self, latency_ratio: float) -> None:
@@ -74,8 +75,8 @@
         """Whether to reject a new request.
 
         Args:
-            request: The request.  Its priority is set where health checks predict overload, as they need it.
-            remaining_us: The time left until its client gives up, in us.
+            request: The request.  Its priority is set if health checks are used, to predict overload.
+            remaining_us: The time left until its client gives up, in microseconds.
         """
         return self._should_shed(request) or self._stale_requests.is_stale(request, remaining_us)
 
--- a/sidecar/balancer/policy/backoff.py
+++ b/sidecar/balancer/policy/backoff.py
@@ -4,7 +4,7 @@
 from sidecar.balancer.state import Backoff, Context, Request, Server
 
 INITIAL_BACKOFF_TARGETS = 2.0  # first backoff, in longest latency targets; it doubles with each repeat
-MAX_BACKOFF_TARGETS = 16.0  # longest backoff, so that a server that has recovered is used again
+MAX_BACKOFF_TARGETS = 16.0  # longest backoff, so that a server that has recovered is soon used again
 MAX_REPEATS = 8  # further repeats are not counted; bounds the power of two
 # A backoff is multiplied by a random factor from MIN_JITTER to MIN_JITTER + JITTER_RANGE.
 MIN_JITTER = 0.75
@@ -12,11 +12,11 @@
 
 
 def next_backoff(context: Context, repeats: int, min_targets: float = 0.0) -> Backoff:
-    """Compute the next backoff in a row of backoffs.
+    """Compute a backoff, which is longer after consecutive ones.
 
     Args:
         context: The shared state of the balancer.
-        repeats: The number of backoffs in a row so far.
+        repeats: The number of consecutive backoffs before this one.
         min_targets: The minimum backoff before jitter, in longest latency targets.
 
     Returns:
@@ -47,6 +47,6 @@
 
 
 def is_backed_off(server: Server, request: Request, now: int) -> bool:
-    """Whether a server is in backoff for requests of this class and tenant at clock time `now`, in us."""
+    """Whether a server is in backoff for requests of this class and tenant at clock time `now`."""
     backoff = server.rejection_backoffs.get(request.traffic_key)
     return backoff is not None and backoff.until > now
--- a/sidecar/balancer/policy/connections.py
+++ b/sidecar/balancer/policy/connections.py
@@ -5,7 +5,8 @@
 from sidecar.balancer.state import Context, DecayingRate, Server
 from sidecar.balancer.state.timers import IdleCloseDue
 
-CONNECTIONS_PER_PRICE_UNIT = 100.0  # the price of connections is for this many at a server
+# `prices.connection` is the price of this many open connections to a server.
+CONNECTIONS_PER_PRICE_UNIT = 100.0
 MIN_REQUEST_RATE_PER_US = 1e-9  # avoids a division by zero
 
 
@@ -13,7 +14,7 @@
     """Estimates the idle connections of this balancer to each server, and closes those that cost too much."""
 
     def __init__(self, context: Context, arrivals: DecayingRate, latency_by_load: LatencyByLoad) -> None:
-        """Create an estimate of no connections.
+        """Create the policy; no connection is open yet.
 
         Args:
             context: The shared state of the balancer.
@@ -49,7 +50,7 @@
             self._context.timers.add(server.idle_close_due, IdleCloseDue(server))
 
     def close_due(self, server: Server) -> int | None:
-        """When the idle connections to a server should be closed, in us; None if there are none."""
+        """When the idle connections to a server should be closed, in microseconds; None if there are none."""
         if server.idle_connections <= 0 or not self._context.registry.contains(server):
             return None
         return server.idle_close_due
@@ -60,7 +61,7 @@
         self._context.actions.append(CloseIdleConnections(server.name))
 
     def _break_even_us(self) -> float:
-        """The time after which holding a connection has cost as much as the handshake of a new one, in us.
+        """How long it takes, in microseconds, until holding a connection has cost as much as a new one.
 
         The price of a connection is charged for each request that its server receives during that time.
         """
@@ -69,7 +70,7 @@
         return requests / max(self._server_request_rate(), MIN_REQUEST_RATE_PER_US)
 
     def _server_request_rate(self) -> float:
-        """The requests per us that a server receives from all balancers."""
+        """The requests per microsecond that a server receives from all balancers."""
         load_per_latency_ratio = self._latency_by_load.load_per_latency_ratio()
         if load_per_latency_ratio is not None:  # by Little's law, the rate is the load divided by the latency
             return load_per_latency_ratio / self._context.longest_target_us
--- a/sidecar/balancer/policy/cpu_utilization.py
+++ b/sidecar/balancer/policy/cpu_utilization.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 
 UTILIZATION_FIELD = "util"  # name in load reports: the utilization of all cores, from 0 to 1
-UTILIZATION_SMOOTHING_FACTOR = 0.1  # weight of a report; about the last ten count
+UTILIZATION_SMOOTHING_FACTOR = 0.1  # weight of each report; about the last ten count
 # Below this, even a busy balancer relies on reports, although they lag behind a surge.
 SPARE_CPU_UTILIZATION = 0.4
 BUSY_CPU_UTILIZATION = 0.85  # below this, there is capacity left
@@ -51,7 +51,7 @@
         return self.utilization is not None and self.utilization < SPARE_CPU_UTILIZATION
 
     def excess(self) -> float | None:
-        """How far the utilization exceeds the busy one, relative to what is left; None without reports."""
+        """How far the average exceeds the busy one, as a share of what is left; None without reports."""
         if self.utilization is None:
             return None
         return (self.utilization - BUSY_CPU_UTILIZATION) / (1.0 - BUSY_CPU_UTILIZATION)
--- a/sidecar/balancer/policy/health_checks.py
+++ b/sidecar/balancer/policy/health_checks.py
@@ -12,9 +12,9 @@
 LOAD_FIELD = "inflight"  # name in load reports: the requests in flight at the server
 MAX_CHECK_COST_SHARE = 0.01  # share of the value of a request that its health checks may cost
 MIN_PRICE = 1e-9  # avoids a division by zero where health checks are free
-# A request waits for its candidates up to this many usual durations of a health check ...
-MAX_WAIT_CHECK_DURATIONS = 3.0
-MAX_WAIT_TARGETS = 0.05  # ... and at most this share of its latency target
+# A request waits for its health checks up to the shorter of these times.
+MAX_WAIT_CHECK_DURATIONS = 3.0  # in usual durations of a health check
+MAX_WAIT_TARGETS = 0.05  # in latency targets of the request
 CHECK_DURATION_SMOOTHING_FACTOR = 0.1  # weight of each health check; about the last ten count
 
 
@@ -29,7 +29,7 @@
 
 
 class HealthChecks:
-    """Checks candidates and holds requests until they have reported their load."""
+    """Checks candidates, and holds each request until its candidates have reported their load."""
 
     def __init__(self, context: Context) -> None:
         """Create the policy with no request waiting.
@@ -42,7 +42,7 @@
         self._usual_duration_us: float | None = None  # of a health check
 
     def start(self, request: Request, candidates: list[Server]) -> None:
-        """Check candidates and hold the request; candidates that respond too slowly are skipped.
+        """Check candidates and hold the request, which does not wait for those that respond too slowly.
 
         Args:
             request: The request to be sent.
--- a/sidecar/balancer/policy/hedging.py
+++ b/sidecar/balancer/policy/hedging.py
@@ -14,13 +14,15 @@
 from sidecar.balancer.state import Attempt, Context, Request, Server
 from sidecar.balancer.state.timers import AttemptOverdue
 
-# An attempt is overdue after this many usual latencies of its server ...
+# An attempt is overdue after this many usual latencies of its server.
 OVERDUE_LATENCY_FACTOR = 2.5
-MIN_OVERDUE_TARGETS = 0.1  # ... but not before this share of the latency target: shorter delays are jitter
-# A server that does not respond is unresponsive after this many times the time to overdue ...
+# Minimum time until an attempt is overdue, in latency targets; shorter delays are jitter.
+MIN_OVERDUE_TARGETS = 0.1
+# A server without any response counts as unresponsive after this many times the time until overdue.
 UNRESPONSIVE_OVERDUE_FACTOR = 2.0
-MIN_UNRESPONSIVE_TARGETS = 0.5  # ... but not before this share of the latency target
-# This many successes at other servers in the meantime show that only this server hangs.
+# Minimum time until a server counts as unresponsive, in latency targets.
+MIN_UNRESPONSIVE_TARGETS = 0.5
+# This many successes at other servers since the attempt was sent show that only this server hangs.
 MIN_PEER_SUCCESSES = 4
 
 
@@ -57,7 +59,7 @@
             attempt: The attempt, which is pending.
 
         Returns:
-            Whether its server is unresponsive and ejected, so that no response is expected.
+            Whether its server is unresponsive and ejected: no response is expected, so a hedge is due.
         """
         if self.context.stalls.is_catching_up():  # its response may be among the delayed events
             next_at = self.context.stalls.caught_up_at + self.context.settings.tick_us
@@ -90,7 +92,7 @@
         return max(UNRESPONSIVE_OVERDUE_FACTOR * self._overdue_after_us(request, server), min_us)
 
     def _waited_us(self, attempt: Attempt) -> int:
-        """How long the attempt has been pending, excluding stalls of this process, in us."""
+        """How long the attempt has been pending, excluding stalls of this process, in microseconds."""
         stalled_us = self.context.stalls.stalled_us - attempt.stalled_before_us
         return self.context.now - attempt.sent_at - stalled_us
 
--- a/sidecar/balancer/policy/key_order.py
+++ b/sidecar/balancer/policy/key_order.py
@@ -1,4 +1,4 @@
-"""Ordering by key: if the class requires it, requests with the same key run one at a time, in order."""
+"""Ordering: if their class requires it, requests with the same ordering key run one at a time, in order."""
 
 from collections import deque
 
@@ -6,19 +6,19 @@
 from sidecar.balancer.state import Context, KeyQueue, Request
 from sidecar.balancer.state.timers import KeyCooldownOver
 
-# After these, the server may still be running the attempt, so the key has a cooldown.
+# After these outcomes, the server may still be running the attempt, so a cooldown of the key begins.
 POSSIBLY_RUNNING_OUTCOMES = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)
 
 
 class KeyOrder:
-    """Keeps a queue for each key in use, until it is empty and the key's cooldown is over.
+    """Keeps a queue for each ordering key in use, until it is empty and the key's cooldown is over.
 
     Attributes:
-        queues: The queues by key.
+        queues: The queues by ordering key.
     """
 
     def __init__(self, context: Context) -> None:
-        """Create a key order with no queues.
+        """Create the policy with no queues.
 
         Args:
             context: The shared state of the balancer.
@@ -28,29 +28,36 @@
         self._changed_queues: deque[KeyQueue] = deque()  # queues whose head may be ready to be sent
 
     def enqueue(self, request: Request, key: int) -> None:
-        """Add a new request to the queue of its key."""
+        """Add a new request to the queue of its ordering key."""
         request.ordering_key = key
         self.queues.setdefault(key, KeyQueue(key)).requests.append(request)
         self.mark_changed(key)
 
     def attempt_ended(self, request: Request, outcome: Outcome) -> None:
-        """Start the cooldown of the request's key if the attempt may still be running on its server."""
+        """Start the cooldown of the request's ordering key if its server may still be running the attempt."""
         if request.ordering_key is not None and outcome in POSSIBLY_RUNNING_OUTCOMES:
             cooldown_us = self._context.settings.rules.key_cooldown_us
             self.queues[request.ordering_key].cooldown_until = self._context.now + cooldown_us
 
     def mark_changed(self, key: int | None) -> None:
-        """Record that the head of a key's queue may have changed, or that its cooldown may be over."""
+        """Record that the head of a queue may have changed, or that the cooldown of its key may be over.
+
+        Args:
+            key: The ordering key; None for a request that has none, which has no effect.
+        """
         if key is not None:
             self._changed_queues.append(self.queues[key])
 
     def cooldown_until(self, key: int) -> int | None:
-        """When the cooldown of a key ends, in us; None if the key is not in use."""
+        """When the cooldown of a key ends, in microseconds; None if the key is not in use."""
         queue = self.queues.get(key)
         return queue.cooldown_until if queue is not None else None
 
     def next_request(self) -> Request | None:
-        """Return a request at the head of its queue that may be sent now; None if there is none."""
+        """Return a request at the head of its queue that may be sent now; None if there is none.
+
+        Of the changed queues, those in cooldown get a timer for its end, and empty ones are removed.
+        """
         while self._changed_queues:
             queue = self._changed_queues.popleft()
             head = queue.head()
@@ -59,11 +66,11 @@
             elif head is None:
                 self.queues.pop(queue.key, None)
             elif not (head.attempts or head.answered or head.health_check_candidates):
-                return head  # if it completes at once, its queue is marked as changed again
+                return head  # if it is finished at once, its queue is marked as changed again
         return None
 
     def allows(self, request: Request) -> bool:
-        """Whether a request may be sent in the order of its key; retries and hedged requests always may."""
+        """Whether the order of its key lets a request be sent now; retries and hedged requests always may."""
         if request.ordering_key is None or request.attempts:
             return True
         queue = self.queues[request.ordering_key]
--- a/sidecar/balancer/policy/latency.py
+++ b/sidecar/balancer/policy/latency.py
@@ -15,7 +15,10 @@
 
 
 class LatencyTracker:
-    """Exponentially weighted moving averages (EWMA) of all servers, and of each server relative to them."""
+    """Tracks the usual latency of all servers by class and cost, and the relative latency of each server.
+
+    All of them are exponentially weighted moving averages (EWMA).
+    """
 
     def __init__(self, context: Context) -> None:
         """Create a tracker that has observed no response.
@@ -34,7 +37,7 @@
 
         Args:
             service_class: The class of the request.
-            cost_us: The processing time that the client estimates, in us, if it does.
+            cost_us: The client's estimate of the processing time, in microseconds, if it gave one.
 
         Returns:
             The relative cost; 1.0 where it is unknown.
@@ -63,7 +66,7 @@
                 server.relative_latency = 1.0
 
     def usual_latency_us(self, request: Request) -> float:
-        """The usual latency of requests of the same class and cost, in us."""
+        """The usual latency of requests of the same class and cost, in microseconds."""
         initial_us = INITIAL_USUAL_LATENCY_TARGETS * request.service_class.latency_target_us
         return self._usual_latency_us.get(_latency_key(request), initial_us)
 
@@ -73,7 +76,7 @@
         Args:
             request: The request of the attempt.
             server: The server of the attempt.
-            elapsed_us: How long the attempt took, in us.
+            elapsed_us: How long the attempt took, in microseconds.
         """
         usual_latency_us = max(self.usual_latency_us(request), MIN_USUAL_LATENCY_US)
         relative_latency = min(elapsed_us / usual_latency_us, MAX_RELATIVE_LATENCY)
@@ -90,7 +93,7 @@
         Args:
             request: The request of the attempt.
             server: The server of the attempt.
-            elapsed_us: How long the attempt took, in us.
+            elapsed_us: How long the attempt took, in microseconds.
         """
         key = _latency_key(request)
         usual_latency_us = self._usual_latency_us.setdefault(key, float(elapsed_us))
--- a/sidecar/balancer/policy/latency_by_load.py
+++ b/sidecar/balancer/policy/latency_by_load.py
@@ -31,7 +31,7 @@
         Args:
             request: The request of the attempt.
             attempt: The attempt.  It is ignored if it has no reported load.
-            elapsed_us: How long it took, in us.
+            elapsed_us: How long it took, in microseconds.
         """
         if attempt.reported_load is None:
             return
--- a/sidecar/balancer/policy/latency_ratio.py
+++ b/sidecar/balancer/policy/latency_ratio.py
@@ -11,7 +11,7 @@
 MAX_ALLOWED_LATENCY_RATIO = 0.5
 BASELINE_HEADROOM_FACTOR = 1.2  # a median up to this many times the baseline is allowed
 BASELINE_STEP_SHARE = 0.02  # share of MEDIAN_STEP by which the baseline may rise with each response
-BASELINE_STEP_SHARE_UNDER_LOAD = 0.002  # the same while the limit is utilized
+BASELINE_STEP_SHARE_UNDER_LOAD = 0.002  # the same while the concurrency limit restricts requests
 MEDIAN_STEP = 0.04  # change of the running median with each response; it crosses its range in 25 responses
 ALLOWED_LATE_SHARE = 0.05  # with a smaller share of late responses there is no overload
 LATE_SHARE_SMOOTHING_FACTOR = 0.02  # weight of each response in the late share; about the last fifty count
@@ -51,7 +51,7 @@
         Args:
             latency_ratio: Its latency ratio.
             low_traffic_factor: The factor by which steps are enlarged where there are few samples.
-            is_loaded: Whether the concurrency limit is utilized; if so, the baseline rises more slowly.
+            is_loaded: Whether the concurrency limit restricts requests; the baseline then rises more slowly.
         """
         if self._baseline is None:
             self.median = min(latency_ratio, ALLOWED_LATENCY_RATIO)
@@ -75,7 +75,7 @@
         The fewer responses there are, the more of the median is chance, so the more is allowed.
 
         Args:
-            low_traffic_factor: The factor of `low_traffic`.
+            low_traffic_factor: The factor of `low_traffic`, which is larger with fewer responses.
         """
         baseline = self._baseline if self._baseline is not None else 0.0
         allowed_by_baseline = max(ALLOWED_LATENCY_RATIO, BASELINE_HEADROOM_FACTOR * baseline)
--- a/sidecar/balancer/policy/load_comparison.py
+++ b/sidecar/balancer/policy/load_comparison.py
@@ -1,4 +1,8 @@
-"""Comparison of candidates by the load that they report in health checks."""
+"""Comparison of candidates by the load that they report in health checks.
+
+The best candidate is the one with the fewest attempts of this balancer, then the one with the lowest sum of
+expected latency, price of crossing zones and price of a new connection.
+"""
 
 from dataclasses import dataclass
 
@@ -9,12 +13,14 @@
 from sidecar.balancer.state import Context, Request, Server
 from sidecar.settings import Settings
 
-# Latency to be saved, in latency targets, for each point of the price of crossing zones or of a handshake.
+# Latency, in latency targets, that is worth one point of the price of crossing zones or of a handshake.
 LATENCY_TARGETS_PER_PRICE_POINT = 2.0
-# If crossing zones costs less than this, in latency targets, zones are balanced by weights instead.
+# Cost of crossing zones, in latency targets, from which local servers are tried first.  Below it, servers of
+# all zones are candidates, drawn by weight.
 MIN_LOCAL_FIRST_COST = 0.1
-MAX_PREDICTED_RATIO = 0.7  # predicted latency ratio up to which the highest priority is admitted ...
-PREDICTED_RATIO_RANGE = 0.5  # ... and how much lower that bound is for the lowest priority
+# Highest predicted latency ratio at which requests of the highest priority are admitted.
+MAX_PREDICTED_RATIO = 0.7
+PREDICTED_RATIO_RANGE = 0.5  # how much lower that limit is for the lowest priority than for the highest
 # Share of the requests that is admitted despite predicted overload, to verify the prediction.
 OVERLOAD_SAMPLE_SHARE = 0.01
 
@@ -61,8 +67,10 @@
     def should_cross_zones(self, best: Server | None) -> bool:
         """Whether a server in another zone is expected to save more latency than crossing zones costs.
 
+        The server in the other zone is assumed to be idle, as its load is not known yet.
+
         Args:
-            best: The best server of the local zone, if there is one.
+            best: The best server of the local zone; None if no eligible one reported its load.
         """
         if best is None or best.reported_load is None:
             return True
@@ -73,7 +81,9 @@
         return local_ratio - idle_ratio > cross_zone_cost(self.context.settings)
 
     def predicts_overload(self, request: Request, best: Server) -> bool:
-        """Whether to reject a new request because even the best server is expected to respond too late.
+        """Whether to reject a new request because even the best server is expected to respond too slowly.
+
+        The lower the priority of the request, the shorter the latency that counts as too slow.
 
         Args:
             request: The request.  It is not rejected if it has been attempted already.
@@ -88,9 +98,9 @@
         return False
 
     def _sort_key(self, server: Server) -> tuple[int, float, float]:
-        """Sort key: this balancer's own attempts, then expected latency plus access cost, then load."""
+        """This balancer's own attempts at the server, then expected latency plus access cost, then load."""
         load_with_request = ((server.reported_load or 0.0) + 1.0) * server.relative_latency
-        # Servers that are warming up report little load, as they receive few requests.
+        # Servers that are warming up report little load, as they receive few requests; so it is scaled up.
         load = load_with_request / self.slow_start.capacity_share(server)
         expected_ratio = self.latency_by_load.predict(load) or 0.0
         return self.context.load.attempts_at(server), expected_ratio + self._access_cost(server), load
--- a/sidecar/balancer/policy/outliers.py
+++ b/sidecar/balancer/policy/outliers.py
@@ -87,6 +87,7 @@
         self.end_ejection(server)
         server.consecutive_ejections = 0
         server.consecutive_failures = 0
+        # Its slow start did not begin with its process, so failed connects began it: see `_failed`.
         if server.slow_start_since is not None and server.slow_start_since != server.started_at:
             self._slow_start.start(server, self._context.now)
         self._context.actions.append(Log(f"readmitted {server.name}"))
@@ -152,7 +153,7 @@
         self.eject(server, outcome.value)
         required_connect_failures = 1 if is_half_open else FAILURES_TO_EJECT
         if server.consecutive_connect_failures >= required_connect_failures:
-            # It may have restarted, which the registry may report later; resets are no sign of a restart.
+            # The server may have restarted, which the registry may report later.  Resets are no sign of that.
             self._slow_start.start(server, self._context.now)
 
     def _is_inconclusive(self, attempt: Attempt, outcome: Outcome, is_half_open: bool) -> bool:
--- a/sidecar/balancer/policy/priority.py
+++ b/sidecar/balancer/policy/priority.py
@@ -1,4 +1,4 @@
-"""Priority of requests, by the weight of their class and the quota of their tenant."""
+"""Priority of requests, by the weight of their class and the share of the service that their tenant has."""
 
 from sidecar.balancer.state import Context, DecayingRate, Request, Traffic, TrafficKey
 
@@ -7,7 +7,7 @@
 
 
 def traffic_rate_span_us(context: Context) -> float:
-    """The time over which rates of requests are averaged, in us."""
+    """The time over which rates of requests are averaged, in microseconds."""
     return RATE_SPAN_TARGETS * context.longest_target_us
 
 
@@ -46,7 +46,7 @@
     def priority(self, traffic: Traffic) -> float:
         """The share of all traffic that has a lower weight, plus half of the share with the same weight.
 
-        Each balancer sees only a part of the traffic, so quotas are compared with proportions of it.
+        Each balancer sees only a part of the traffic, so a tenant's share is compared with its part of that.
 
         Args:
             traffic: The traffic of one class and tenant.
@@ -73,11 +73,13 @@
         return [self._weight(traffic, tenant_rates[traffic.tenant], total_rate) for traffic in all_traffic]
 
     def _weight(self, traffic: Traffic, tenant_rate: float, total_rate: float) -> float:
-        """The weight of the class, reduced for the share of the tenant's traffic that exceeds its quota."""
+        """The weight of the class, reduced for the fraction of the tenant's traffic beyond its share."""
         class_weight = traffic.service_class.priority_weight
-        quota = self._context.catalog.tenant_shares.get(traffic.tenant or "")
-        if quota is None or tenant_rate <= 0.0:
+        tenant_share = self._context.catalog.tenant_shares.get(traffic.tenant or "")
+        if tenant_share is None or tenant_rate <= 0.0:
             return class_weight
-        share_within_quota = min(1.0, total_rate * quota / self._context.catalog.total_share / tenant_rate)
-        over_quota_weight = self._context.settings.over_share_weight
-        return class_weight * (share_within_quota + (1.0 - share_within_quota) * over_quota_weight)
+        fraction_within_share = min(
+            1.0, total_rate * tenant_share / self._context.catalog.total_share / tenant_rate
+        )
+        over_share_weight = self._context.settings.over_share_weight
+        return class_weight * (fraction_within_share + (1.0 - fraction_within_share) * over_share_weight)
--- a/sidecar/balancer/policy/registry_polling.py
+++ b/sidecar/balancer/policy/registry_polling.py
@@ -1,4 +1,8 @@
-"""Registry polling: the time of the next poll, with exponential backoff and jitter after failures."""
+"""Registry polling: when to poll the registry, with exponential backoff and jitter after failures.
+
+A poll asks the host to watch the endpoint list.  Once the registry has responded, the host reports changes
+and failures of the watch by itself, so the next poll is due only after a failure.
+"""
 
 from sidecar.balancer.actions import WatchRegistry
 from sidecar.balancer.state import Context
@@ -20,7 +24,7 @@
     """Keeps a watch on the registry established if changes are not pushed.
 
     Attributes:
-        next_poll_at: The time of the next poll, in us; None while the watch is established.
+        next_poll_at: The time of the next poll, in microseconds; None while the watch is established.
         consecutive_failures: The number of polls that failed since the last response.
     """
 
@@ -35,7 +39,7 @@
         self._context = context
 
     def poll(self) -> None:
-        """Poll the registry, and again later if there is no response; has no effect if changes are pushed."""
+        """Poll the registry, and again later unless it responds; has no effect if changes are pushed."""
         if self._context.settings.discovery is Discovery.ON_REQUEST:
             self._context.actions.append(WatchRegistry(True))
             self._schedule(MAX_BACKOFF_SHARE)
--- a/sidecar/balancer/policy/retries.py
+++ b/sidecar/balancer/policy/retries.py
@@ -1,4 +1,8 @@
-"""Retries: which requests may be attempted again and at which servers, and the retry budget."""
+"""Retries: which requests may be attempted again and at which servers, and the retry budget.
+
+A request that may have run already is retried only where it can't take effect twice: if its class is safe, or
+if the server deduplicates it by its idempotency key.
+"""
 
 from sidecar.balancer.events import Outcome
 from sidecar.balancer.state import Attempt, Request, Server
@@ -6,16 +10,20 @@
 
 TOKENS_PER_SUCCESS = 0.2  # earned by each successful attempt; limits retries to a share of the load
 TOKENS_LOST_PER_FAILURE = 0.3  # no tokens are left while more than two in five attempts fail
-MAX_RETRY_TOKENS = 2.0  # capacity of the bucket; saved tokens multiply from hop to hop when a fault begins
-INITIAL_RETRY_TOKENS = 4.0  # tokens before the first success, as first connections may fail by chance
+# Bucket size; small, as saved tokens let retries multiply from hop to hop when a fault begins.
+MAX_RETRY_TOKENS = 2.0
+# Tokens until the first success; more than the bucket size, as first connections may fail by chance.
+INITIAL_RETRY_TOKENS = 4.0
+# Outcomes that take tokens from the retry budget, and that may eject the server.
 FAILURE_OUTCOMES = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.ERROR)
-# Proof that an attempt did not run.  A rejection is one only if servers reject requests before they begin.
+# Outcomes that prove that an attempt did not run.
 NON_EXECUTION_OUTCOMES = frozenset((Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
+# The same if servers only reject requests that they have not begun to process.
 NON_EXECUTION_OUTCOMES_WITH_REJECTED = NON_EXECUTION_OUTCOMES | {Outcome.REJECTED}
 
 
 class RetryBudget:
-    """A token bucket for retries after failures, filled by successful attempts only.
+    """A token bucket for retries after failures and for hedged requests, filled by successful attempts only.
 
     If failures earned tokens, retries would multiply with the depth of the call graph (a retry storm).
     """
@@ -32,7 +40,7 @@
             self._tokens = max(self._tokens - TOKENS_LOST_PER_FAILURE, 0.0)
 
     def has_tokens(self) -> bool:
-        """Whether a retry is allowed."""
+        """Whether there is a token for one retry."""
         return self._tokens >= 1.0
 
     def try_acquire(self) -> bool:
@@ -44,7 +52,7 @@
 
 
 def is_retry_safe(request: Request) -> bool:
-    """Whether a retry, at any time and on any server, can't make the request take effect twice."""
+    """Whether a retry is safe at any time and on any server, as it can't take effect a second time."""
     return request.service_class.idempotency is Idempotency.SAFE or not request.may_have_run()
 
 
@@ -53,8 +61,8 @@
 
     Args:
         request: The request.
-        now: The clock time, in us.
-        tick_us: The resolution of the clock, in us.
+        now: The clock time, in microseconds.
+        tick_us: The resolution of the clock, in microseconds.
     """
     if is_retry_safe(request):
         return True
@@ -71,11 +79,11 @@
 
     Args:
         request: A request with an idempotency key.
-        now: The clock time, in us.
-        tick_us: The resolution of the clock, in us.  It is subtracted, as the clock may lag by as much.
+        now: The clock time, in microseconds.
+        tick_us: The resolution of the clock, in microseconds; subtracted, as the clock may lag by as much.
 
     Returns:
-        The clock time, in us.
+        The clock time, in microseconds.
     """
     first_attempt = _first_attempt_that_may_have_run(request)
     since = first_attempt.sent_at if first_attempt is not None else now
--- a/sidecar/balancer/policy/selection.py
+++ b/sidecar/balancer/policy/selection.py
@@ -20,7 +20,7 @@
 MIN_LOCAL_SERVERS = 2  # with fewer eligible local servers there is no choice, so all zones are used
 # Exponent of the relative latency for requests of four times the mean cost or more.
 MAX_LATENCY_EXPONENT = 3.0
-MIN_RELATIVE_LATENCY = 1.0 / MAX_RELATIVE_LATENCY  # servers faster than this are not drawn more often
+MIN_RELATIVE_LATENCY = 1.0 / MAX_RELATIVE_LATENCY  # servers that are faster yet are not drawn more often
 
 
 @dataclass(slots=True, eq=False)
@@ -84,7 +84,10 @@
         return self.slow_start.has_capacity(server, request.relative_cost)
 
     def _candidate_subset(self, request: Request) -> list[Server]:
-        """The subset of the local zone, or that of all zones if the request may leave its zone."""
+        """The subset of the local zone, or that of all zones if the request may cross zones.
+
+        The requests that queued during a stall of this process arrive as a burst, so all zones share it.
+        """
         if self.context.stalls.has_just_resumed():
             request.may_cross_zones = True
         if not request.may_cross_zones:
--- a/sidecar/balancer/policy/server_capacity.py
+++ b/sidecar/balancer/policy/server_capacity.py
@@ -12,7 +12,7 @@
 
 
 def capacity_rate_span_us(context: Context) -> float:
-    """The time over which rates of arrivals and of served cost are averaged, in us."""
+    """The time over which rates of arrivals and of served cost are averaged, in microseconds."""
     return RATE_SPAN_WINDOWS * context.settings.rules.overload_window_us
 
 
@@ -26,7 +26,7 @@
         are_warm: Whether the reference servers are warm.
         count: The number of reference servers.
         mean_declared_capacity: The mean of their declared capacities.
-        valid_until: The time at which the next server ends slow start, in us.
+        valid_until: The time at which the next server ends slow start, in microseconds.
     """
 
     ready: list[Server]
@@ -50,7 +50,7 @@
         self._context = context
         self._arrivals = arrivals
         self._warm_service_rate = context.settings_bound.new_rate(lambda: capacity_rate_span_us(context))
-        self._capacity = 0.0  # requests of mean cost per us; computed at _capacity_computed_at
+        self._capacity = 0.0  # requests of mean cost per microsecond; computed at _capacity_computed_at
         self._capacity_computed_at = -1
         self._last_warm_capacity = math.inf  # the last estimate while any server was warm
         self._last_warm_servers_used = 1  # how many servers shared the traffic at that time
@@ -69,7 +69,7 @@
         self._reference = None
 
     def of_server(self, server: Server) -> float:
-        """The capacity of a server once it is warm, in requests of mean cost per us.
+        """The capacity of a server once it is warm, in requests of mean cost per microsecond.
 
         Args:
             server: The server.  One whose declared capacity is above the mean is treated as a mean one.
@@ -80,7 +80,7 @@
         return capacity
 
     def of_warm_server(self) -> float:
-        """The capacity of a warm server of mean declared capacity, in requests of mean cost per us.
+        """The capacity of a warm server of mean declared capacity, in requests of mean cost per microsecond.
 
         It is computed once for each clock time.
         """
--- a/sidecar/balancer/policy/slow_start.py
+++ b/sidecar/balancer/policy/slow_start.py
@@ -10,7 +10,7 @@
 
 
 class SlowStart:
-    """Limits each server that is warming up by a token bucket, which fills by its share of full capacity.
+    """Limits each server that is warming up by a token bucket, which fills faster as its capacity grows.
 
     Attributes:
         arrivals: The rate of requests that arrive at this balancer.
@@ -32,7 +32,7 @@
 
         Args:
             server: The server.
-            since: When it started, in us on this balancer's clock.
+            since: When it started, in microseconds on this balancer's clock.
         """
         self.capacity_estimate.invalidate_reference()
         server.slow_start_since = since
--- a/sidecar/balancer/policy/stale_requests.py
+++ b/sidecar/balancer/policy/stale_requests.py
@@ -24,7 +24,7 @@
 
         Args:
             request: A request that has just arrived.
-            remaining_us: The time left until its client gives up, in us.
+            remaining_us: The time left until its client gives up, in microseconds.
         """
         service_class = request.service_class
         longest_us = max(self._longest_remaining_us.get(service_class.name, 0), remaining_us)
--- a/sidecar/balancer/policy/start_times.py
+++ b/sidecar/balancer/policy/start_times.py
@@ -1,8 +1,8 @@
 """Start times of servers on this balancer's own clock.
 
-The registry states a start time on some machine's wall clock.  That clock, or the one that this process was
-anchored to at its own start, may have been stepped, so that a server that has just started seems to have
-started in the future or long ago.  This must neither prolong slow start nor skip it.
+The registry states start times by the wall clock of some machine.  That clock may have been stepped, and so
+may the wall clock that this process read at its own start.  A server that has just started then seems to have
+started in the future or long ago, which must neither prolong slow start nor skip it.
 """
 
 from dataclasses import replace
@@ -13,11 +13,12 @@
 from sidecar.settings import Discovery
 
 RETAINED_REMOVED_SERVERS = 500  # removed servers whose start times are kept, as they may be listed again
-EVICTION_THRESHOLD = 2 * RETAINED_REMOVED_SERVERS  # entries beyond the known servers that trigger eviction
+# Eviction begins with this many more entries than there are servers in the registry.
+EVICTION_THRESHOLD = 2 * RETAINED_REMOVED_SERVERS
 
 
 class StartTime(NamedTuple):
-    """The start time of a server's process, in us.
+    """The start time of a server's process, in microseconds.
 
     Attributes:
         listed: The time that the registry states.
@@ -44,7 +45,7 @@
         """
         self._context = context
         self._start_times: dict[str, StartTime] = {}  # by server name
-        self._last_response_at: int | None = None  # when the registry last responded, in us
+        self._last_response_at: int | None = None  # when the registry last responded, in microseconds
 
     def registry_responded(self, update: RegistryUpdated) -> None:
         """Record that the registry responded with its current state.
--- a/sidecar/balancer/policy/zone_preference.py
+++ b/sidecar/balancer/policy/zone_preference.py
@@ -1,4 +1,4 @@
-"""Zone-aware routing: the weight of servers in other zones relative to local ones."""
+"""Zone-aware routing: how often servers in other zones (remote servers) are drawn relative to local ones."""
 
 from sidecar.balancer.policy.concurrency_limit import UNRESTRICTED_UTILIZATION, ConcurrencyLimit
 from sidecar.balancer.policy.latency_ratio import ALLOWED_LATE_SHARE
@@ -7,7 +7,8 @@
 MIN_REMOTE_WEIGHT = 0.25  # weight factor of a remote server while the local zone is as fast as the others
 # Excess of the local over the remote latency, as a share of the latter, from which all zones weigh the same.
 LATENCY_EXCESS_FOR_EQUAL_WEIGHT = 0.3
-# Servers averaged per clock time in the long run; limits the cost of a decision in long endpoint lists.
+# Servers visited at each clock time on average; limits the cost of decisions, as the averages over longer lists
+# are cached for longer.
 SERVERS_AVERAGED_PER_INSTANT = 200
 
 
@@ -32,7 +33,7 @@
         self._context = context
         self._limit = limit
         self._remote_weight = 1.0  # computed at _remote_weight_computed_at
-        self._remote_weight_computed_at = -1  # us
+        self._remote_weight_computed_at = -1  # microseconds
         self._weight_by_latency = 1.0  # cached; computed for the list in _averaged_servers
         self._averaged_servers: list[Server] | None = None
         self._remaining_cache_uses = 0  # at how many further clock times the cached weight may be used
@@ -57,7 +58,7 @@
         return self._limit.utilization() > UNRESTRICTED_UTILIZATION
 
     def _cached_weight_by_latency(self) -> float:
-        """The weight by latency; the longer the list, the longer the cached weight is used."""
+        """The weight by latency; the more servers are ready, the longer the cached weight is used."""
         ready = self._context.registry.ready
         if self._averaged_servers is not ready or self._remaining_cache_uses <= 0:
             self._weight_by_latency = self.weight_by_latency(ready)
--- a/sidecar/balancer/state/load.py
+++ b/sidecar/balancer/state/load.py
@@ -8,7 +8,9 @@
 
 
 class ActiveLoad:
-    """Running counts of pending attempts, and of abandoned ones for a while, as servers may still run them.
+    """Running counts of pending attempts, and for a while of abandoned ones, as servers may still run them.
+
+    Abandoned attempts are those that were cancelled or timed out.
 
     The total excludes attempts whose latency target has passed, as they are known to be late already.  If
     they were included up to their deadline, the concurrency limit would stay full long after other servers
@@ -69,7 +71,7 @@
 
     def total(self) -> int:
         """The number of attempts within their target, and abandoned ones, at servers that are not ejected."""
-        # Computed from running counts, as it is read at every event.
+        # The total is computed from running counts, as it is read at every event.
         while self._abandoned_until and self._abandoned_until[0] <= self._clock.now:
             heapq.heappop(self._abandoned_until)
         return self.within_target - self.within_target_at_ejected + len(self._abandoned_until)
@@ -83,11 +85,12 @@
             server.abandoned_until = [until for until in server.abandoned_until if until > self._clock.now]
         return server.in_flight + len(server.abandoned_until)
 
-    def update_mean(self, max_start: float, span_us: float) -> None:
+    def update_mean(self, limit: float, span_us: float) -> None:
         """Update the moving average of the total for the time since its last update.
 
         Args:
-            max_start: The previous mean is reduced to this value first, but to no less than the total or 1.
+            limit: The concurrency limit.  A higher mean is reduced to it first, though not below the total or
+                1, so that a load from before the limit shrank does not count for long.
             span_us: The time constant of the moving average, in microseconds.
         """
         elapsed_us = self._clock.now - self._mean_updated_at
@@ -95,6 +98,6 @@
             return
         self._mean_updated_at = self._clock.now
         total = self.total()
-        start = min(self.mean, max(total, max_start, 1.0))
+        start = min(self.mean, max(total, limit, 1.0))
         weight = 1.0 - math.exp(-elapsed_us / span_us)
         self.mean = start + (total - start) * weight
--- a/sidecar/balancer/state/records.py
+++ b/sidecar/balancer/state/records.py
@@ -44,12 +44,12 @@
 
     Attributes:
         name: Its name in the registry, which identifies it.
-        rank: A random sort key, drawn once; so each balancer has its own order of the servers.
+        rank: A random sort key, drawn once, so that each balancer has its own order of the servers.
         zone: The name of its zone.
         is_local: Whether it is in this balancer's own zone.
         cell: The group of servers that share their records of idempotency keys.
         declared_capacity: Its capacity relative to that of other servers, as the registry states it.
-        relative_latency: The moving average of its latency relative to the usual latency.
+        relative_latency: The moving average of its latency divided by the usual one; 0 if it is unknown.
         state: Whether it may get requests.
         started_at: When its process started, if known.
         slow_start_since: When its last slow start began, if it had one.
@@ -160,7 +160,7 @@
         answered: Whether it needs no further response: it has its final one, or its client has disconnected.
         health_check_candidates: The candidates whose health checks it waits for.
         health_checks_due: When it stops waiting for them.
-        priority: The share of the traffic that has a lower priority, from 0 to 1.
+        priority: From 0 (shed first) to 1 (shed last); set only if health checks predict overload.
     """
 
     id: int
--- a/sidecar/balancer/state/registry.py
+++ b/sidecar/balancer/state/registry.py
@@ -1,4 +1,4 @@
-"""This balancer's copy of the registry."""
+"""This balancer's copy of the registry, which keeps the servers in a random order of its own."""
 
 import random
 
--- a/sidecar/balancer/state/stall_detector.py
+++ b/sidecar/balancer/state/stall_detector.py
@@ -8,8 +8,8 @@
 
     Events that are handled after a stall happened at unknown times, so the balancer must learn nothing from
     them.  Otherwise it would mistake its own delay for slow servers, eject them and reject requests that
-    they could serve.  Catching up takes about as long as the stall; a process with too little CPU does not
-    catch up.
+    they could serve.  Catching up takes about as long as the stall.  A process with too little CPU does not
+    catch up: its checks stay late, and each late check is another stall.
 
     Attributes:
         stalled_us: The total duration of all stalls so far, in microseconds.
--- a/tests/balancer/test_admission.py
+++ b/tests/balancer/test_admission.py
@@ -116,7 +116,7 @@
 def test_two_concurrent_requests_at_low_traffic_are_not_overload() -> None:
     harness = ready_harness(8)
     harness.balancer._limit.limit = 1.0
-    harness.balancer._limit.resized_at = harness.now
+    harness.balancer._limit.adjusted_at = harness.now
     for _ in range(10):
         pair = (harness.send_request(), harness.send_request())
         harness.advance(50 * MILLISECOND_US)
