--- a/sidecar/balancer/policy/concurrency_limit.py
+++ b/sidecar/balancer/policy/concurrency_limit.py
@@ -1,7 +1,7 @@
 """Adaptive concurrency limit: how many attempts may be in flight while responses arrive in time.
 
 As with AIMD, the limit shrinks while responses are too slow, and grows while they are fast and it rejects
-requests.  It applies to attempts in flight rather than to arrivals, so that a surge reaches the limit at once.
+requests.  It applies to attempts in flight rather than to arrivals, so that a surge reaches it at once.
 """
 
 import math
--- a/sidecar/balancer/policy/zone_preference.py
+++ b/sidecar/balancer/policy/zone_preference.py
@@ -7,7 +7,7 @@
 MIN_REMOTE_WEIGHT = 0.25  # weight factor of a remote server while the local zone is as fast as the others
 # Excess of the local over the remote latency, as a share of the latter, from which all zones weigh the same.
 LATENCY_EXCESS_FOR_EQUAL_WEIGHT = 0.3
-# Servers visited at each clock time on average; limits the cost of decisions, as the averages over longer lists
+# Servers visited at each clock time on average.  It limits the cost of decisions: averages over longer lists
 # are cached for longer.
 SERVERS_AVERAGED_PER_INSTANT = 200
 
