--- a/tests/proxy/test_request_parsing.py
+++ b/tests/proxy/test_request_parsing.py
@@ -1,4 +1,4 @@
-"""Requests are parsed and checked: what is invalid is rejected and never forwarded."""
+"""Requests are parsed and validated: invalid ones are rejected and never forwarded."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
     wait_for_eof,
 )
 
-BIG = bytes(64 * 1024 + 1)
+OVERSIZED_BODY = bytes(64 * 1024 + 1)
 
 
-# Guards servers against requests that the proxy can't account for: none of these may be forwarded.
+# Guards against forwarding requests that the proxy cannot parse or classify.
 @pytest.mark.parametrize(
     ("data", "status"),
     [
@@ -51,11 +51,11 @@
         (request(budget="5.0\r\nX-Budget: 6.0"), 400),
         (request("look\r\nX-Call-Class: pay"), 400),
         (request(X_Caller="stranger"), 400),
-        (request("pay", body=BIG), 413),
+        (request("pay", body=OVERSIZED_BODY), 413),
         (
             request("pay", Content_Length=None, Transfer_Encoding="chunked")
             + b"10001\r\n"
-            + BIG
+            + OVERSIZED_BODY
             + b"\r\n0\r\n\r\n",
             413,
         ),
@@ -70,9 +70,9 @@
             writer.write(data)
             head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), TIMEOUT_S)
             assert head.startswith(b"HTTP/1.1 %d " % status)
-            await asyncio.wait_for(reader.read(), TIMEOUT_S)  # to the end of the connection
+            await asyncio.wait_for(reader.read(), TIMEOUT_S)  # until the connection is closed
             writer.close()
-            assert (await proxy.send_request())[0] == 200  # and the sidecar goes on
+            assert (await proxy.send_request())[0] == 200  # the sidecar still serves requests
             assert len(proxy.server_requests()) == 1
 
     run_scenario(scenario())
@@ -82,24 +82,24 @@
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
             reader, writer = await proxy.connect()
-            data = request("pay", body=BIG[:-1], Expect="100-continue")
+            data = request("pay", body=OVERSIZED_BODY[:-1], Expect="100-continue")
             head = data.index(b"\r\n\r\n") + 4
             writer.write(data[:head])
             assert b" 100 " in await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), TIMEOUT_S)
             writer.write(data[head:])
             assert (await read_response(reader))[0] == 200
-            assert proxy.server_requests()[0][2] == BIG[:-1]
+            assert proxy.server_requests()[0][2] == OVERSIZED_BODY[:-1]
             writer.close()
 
     run_scenario(scenario())
 
 
 def test_rejection_arrives_while_the_body_is_still_being_sent() -> None:
-    # Guards against a close over unread bytes, which resets the connection and loses the response.
+    # Guards against closing a socket with unread bytes, which resets the connection and loses the response.
     async def scenario() -> None:
         async with running_proxy(respond_ok) as proxy:
             reader, writer = await proxy.connect()
-            writer.write(request("pay", body=BIG * 64)[:-1])
+            writer.write(request("pay", body=OVERSIZED_BODY * 64)[:-1])
             with contextlib.suppress(ConnectionError):
                 await writer.drain()
             assert (await read_response(reader))[0] == 413
@@ -123,9 +123,9 @@
         async with running_proxy(respond_ok) as proxy:
             reader, writer = await proxy.connect()
             writer.write(request(path="/elsewhere", method="HEAD"))
-            got = await asyncio.wait_for(reader.read(), TIMEOUT_S)
-            assert got.startswith(b"HTTP/1.1 404 ")
-            assert got.endswith(b"\r\n\r\n")
+            raw_response = await asyncio.wait_for(reader.read(), TIMEOUT_S)
+            assert raw_response.startswith(b"HTTP/1.1 404 ")
+            assert raw_response.endswith(b"\r\n\r\n")
             writer.close()
 
     run_scenario(scenario())
