--- a/scale/callgraph/experiment.py
+++ b/scale/callgraph/experiment.py
@@ -43,7 +43,7 @@
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class Delays(ExperimentTable):
+class NetworkDelays(ExperimentTable):
     """Network delays, one way."""
 
     same_zone_ms: float = Field(default=0.2, ge=0.0)
@@ -112,7 +112,7 @@
     servers: Servers = Servers()
     calls: Calls = Calls()
     slow_start: SlowStart = SlowStart()
-    delays: Delays = Delays()
+    delays: NetworkDelays = NetworkDelays()
     fault: Fault = Fault()
 
     @model_validator(mode="after")
--- a/scale/callgraph/network.py
+++ b/scale/callgraph/network.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from scale.callgraph.experiment import Delays
+from scale.callgraph.experiment import NetworkDelays
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,7 +23,7 @@
         partitioned_regions: Regions without links to other regions.
     """
 
-    def __init__(self, delays: Delays) -> None:
+    def __init__(self, delays: NetworkDelays) -> None:
         self._same_zone_us = int(delays.same_zone_ms * 1_000)
         self._same_region_us = int(delays.same_region_ms * 1_000)
         self._other_region_us = int(delays.other_region_ms * 1_000)
--- a/scale/configuration/point.py
+++ b/scale/configuration/point.py
@@ -16,7 +16,7 @@
 from scale.http_client import CallResult
 from scale.processes import ManagedProcess
 from scale.results import LabelValue, ResultWriter
-from scale.standins.registry_commands import Counts, GetCounts
+from scale.standins.registry_commands import GetRegistryCounts, RegistryCounts
 from scale.standins.server import ServerStandin
 
 PERCENTILES = (50.0, 99.0, 100.0)
@@ -31,7 +31,7 @@
     """The CPU time of the sidecars and the registry's counters at one moment."""
 
     sidecar_cpu_s: float  # sum over all sidecars
-    counts: Counts
+    counts: RegistryCounts
 
     def http_bytes(self) -> int:
         """Return the bytes between the registry and all sidecars in both directions."""
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class Point:
+class PointRun:
     """Measures one combination of sizes.
 
     Attributes:
@@ -66,8 +66,8 @@
         await self._measure_rollback()
         await self._measure_cost()
 
-    def _counts(self) -> Counts:
-        return self.registry.request(GetCounts(), Counts)
+    def _counts(self) -> RegistryCounts:
+        return self.registry.request(GetRegistryCounts(), RegistryCounts)
 
     def _next_configurations(self, added_class: str) -> list[tuple[ConfiguredSidecar, bytes]]:
         """Return the next configuration of each sidecar, with one class more than the initial one."""
--- a/scale/configuration/run.py
+++ b/scale/configuration/run.py
@@ -12,7 +12,7 @@
 
 from scale.commands import CommandClient
 from scale.configuration.experiment import ConfigurationExperiment
-from scale.configuration.point import Point
+from scale.configuration.point import PointRun
 from scale.configuration.sidecar import ConfiguredSidecar
 from scale.ports import ReservedAddress
 from scale.processes import ProcessGroup
@@ -53,11 +53,11 @@
         ]
         for each in sidecars:
             each.wait_until_ready()
-        point = Point(
+        point_run = PointRun(
             experiment, writer, server, client, sidecars, {"servers": server_count, "sidecars": sidecar_count}
         )
         try:
-            await point.run()
+            await point_run.run()
         finally:
             for each in sidecars:
                 each.close()
--- a/scale/control/faults.py
+++ b/scale/control/faults.py
@@ -62,15 +62,15 @@
     time.sleep(fault.lasts_s / 2)
     if fault.kind is FaultKind.DISCOVERY_RESTARTED:
         client.execute(DropChangeLog())
-    recovered = _current_version(fleet)
+    version_at_end = _current_version(fleet)
     client.execute(SetAvailability(availability=Availability.UP))
-    return FaultOutcome([recovered])
+    return FaultOutcome([version_at_end])
 
 
 def _migrate_discovery(_fault: Fault, fleet: Fleet, _rng: random.Random) -> FaultOutcome:
-    migrated = _current_version(fleet)
+    version_at_migration = _current_version(fleet)
     fleet.migrate_discovery()
-    return FaultOutcome([migrated])
+    return FaultOutcome([version_at_migration])
 
 
 def _fail_over_discovery(_fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
@@ -94,10 +94,10 @@
     """Remove all servers of some zones in one change, and re-add them in another."""
     endpoints = fleet.registry.endpoints
     indexes = [index for index, endpoint in enumerate(endpoints) if endpoint.zone in zones]
-    removed = fleet.registry.change(ChangeEndpoints(change="remove", indexes=indexes))
+    removal = fleet.registry.change(ChangeEndpoints(change="remove", indexes=indexes))
     time.sleep(fault.lasts_s)
-    recovered = fleet.registry.change(ChangeEndpoints(change="add", indexes=indexes))
-    return FaultOutcome([removed, recovered])
+    restoration = fleet.registry.change(ChangeEndpoints(change="add", indexes=indexes))
+    return FaultOutcome([removal, restoration])
 
 
 def _perform_rolling_restart(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
@@ -114,9 +114,9 @@
 
 
 def _restart_sidecars(fault: Fault, fleet: Fleet, _rng: random.Random) -> FaultOutcome:
-    restarted = _current_version(fleet)
+    version_at_restart = _current_version(fleet)
     fleet.stubs.start(fault.lasts_s)
-    return FaultOutcome([restarted], affects_real_sidecars=False)
+    return FaultOutcome([version_at_restart], affects_real_sidecars=False)
 
 
 def _partition_sidecars(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
@@ -130,9 +130,9 @@
     time.sleep(fault.lasts_s / 2)
     _restart_random_server(fleet, rng)
     time.sleep(fault.lasts_s / 2)
-    recovered = _current_version(fleet)
+    version_at_end = _current_version(fleet)
     client.execute(SetPartitioned(listener=listener, partitioned=False))
-    return FaultOutcome([recovered], affected_halves=(_PARTITIONED_HALF,), affects_real_sidecars=False)
+    return FaultOutcome([version_at_end], affected_halves=(_PARTITIONED_HALF,), affects_real_sidecars=False)
 
 
 _INJECTORS: Mapping[FaultKind, Callable[[Fault, Fleet, random.Random], FaultOutcome]] = {
--- a/scale/control/figures.py
+++ b/scale/control/figures.py
@@ -123,7 +123,7 @@
     writer.add(STUB_ROLE, "memory", growth_bytes / fleet.stubs.count, "bytes", labels)
 
 
-def _write_percentiles(
+def _write_propagation_times(
     writer: ResultWriter, role: str, histogram: LatencyHistogram, missing: int, labels: Labels
 ) -> None:
     """Write propagation times; `missing` is the number of pairs of a change and a sidecar without one."""
@@ -140,7 +140,7 @@
     histogram = LatencyHistogram()
     for process_delays in delays:
         histogram.merge(LatencyHistogram.decode(process_delays.histogram))
-    _write_percentiles(
+    _write_propagation_times(
         writer, STUB_ROLE, histogram, sum(process_delays.missing for process_delays in delays), labels
     )
 
@@ -155,4 +155,4 @@
                 missing += 1
             else:
                 histogram.add_seconds(delay_s)
-    _write_percentiles(writer, "real sidecar", histogram, missing, labels)
+    _write_propagation_times(writer, "real sidecar", histogram, missing, labels)
--- a/scale/control/fleet.py
+++ b/scale/control/fleet.py
@@ -8,7 +8,7 @@
 from scale.control.experiment import ControlExperiment
 from scale.control.processes import RealSidecar, Registry, StubGroup
 from scale.processes import ManagedProcess, ResourceUsage
-from scale.standins.registry_commands import CommittedChange, Counts, ObservedDelays, TrafficTotals
+from scale.standins.registry_commands import CommittedChange, ObservedDelays, RegistryCounts, TrafficTotals
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,7 +18,7 @@
     registry: ResourceUsage
     stub_processes: list[ResourceUsage]
     real_sidecars: list[ResourceUsage]
-    registry_counts: Counts
+    registry_counts: RegistryCounts
     real_sidecar_traffic: TrafficTotals
 
 
--- a/scale/control/processes.py
+++ b/scale/control/processes.py
@@ -28,11 +28,11 @@
 from scale.standins.registry_commands import (
     ChangeEndpoints,
     CommittedChange,
-    Counts,
-    GetCounts,
     GetObservedDelays,
+    GetRegistryCounts,
     GetTraffic,
     ObservedDelays,
+    RegistryCounts,
     RegistryOptions,
     TrafficTotals,
     registry_command,
@@ -74,9 +74,9 @@
         """Commit a change."""
         return self.client.request(command, CommittedChange)
 
-    def counts(self) -> Counts:
+    def counts(self) -> RegistryCounts:
         """Return the registry's counters."""
-        return self.client.request(GetCounts(), Counts)
+        return self.client.request(GetRegistryCounts(), RegistryCounts)
 
     def real_sidecar_traffic(self, real_sidecar_count: int) -> TrafficTotals:
         """Return the traffic between the registry and all real sidecars so far."""
--- a/scale/control/run.py
+++ b/scale/control/run.py
@@ -45,7 +45,7 @@
     for server_count in experiment.servers:
         for stub_count in experiment.stub_sidecars:
             with _started_fleet(experiment, server_count, stub_count) as fleet:
-                Point(experiment, writer, fleet, server_count).run()
+                PointRun(experiment, writer, fleet, server_count).run()
 
 
 @contextmanager
@@ -67,7 +67,7 @@
 
 
 @dataclass(slots=True)
-class Point:
+class PointRun:
     """Measures one combination of sizes.
 
     Attributes:
--- a/scale/latency/figures.py
+++ b/scale/latency/figures.py
@@ -24,7 +24,7 @@
 _MEBIBYTE = 1024 * 1024
 
 
-def write_point_figures(
+def write_point_measurements(
     outcome: PointOutcome, experiment: LatencyExperiment, point: LatencyPoint, writer: ResultWriter
 ) -> None:
     """Write the figures of one point."""
--- a/scale/latency/run.py
+++ b/scale/latency/run.py
@@ -5,7 +5,7 @@
 import structlog
 
 from scale.latency.experiment import LatencyExperiment
-from scale.latency.figures import write_point_figures
+from scale.latency.figures import write_point_measurements
 from scale.latency.point import measure_point
 from scale.results import ResultWriter
 
@@ -18,4 +18,4 @@
         log.info(
             "point started", number=number + 1, of=len(experiment.points), **point.model_dump(mode="json")
         )
-        write_point_figures(measure_point(experiment, point), experiment, point, writer)
+        write_point_measurements(measure_point(experiment, point), experiment, point, writer)
--- a/scale/standins/registry.py
+++ b/scale/standins/registry.py
@@ -16,7 +16,7 @@
     ObservedCall,
     RegistryConnection,
 )
-from scale.standins.registry_state import Availability, RegistryCounts, RegistryState
+from scale.standins.registry_state import Availability, RegistryCounters, RegistryState
 
 _BACKLOG = 4_096
 
@@ -34,9 +34,9 @@
         return self._state.change_log
 
     @property
-    def counts(self) -> RegistryCounts:
+    def counters(self) -> RegistryCounters:
         """The counters since the registry's start."""
-        return self._state.counts
+        return self._state.counters
 
     def set_availability(self, availability: Availability) -> None:
         """Set whether and how calls are served; pending watches end unless the registry is up."""
--- a/scale/standins/registry_commands.py
+++ b/scale/standins/registry_commands.py
@@ -68,14 +68,14 @@
     command: Literal["drop_change_log"] = "drop_change_log"
 
 
-class GetCounts(Message):
+class GetRegistryCounts(Message):
     """Get the registry's counters."""
 
     command: Literal["counts"] = "counts"
 
 
-class Counts(Message):
-    """The registry's version and counters, as in `RegistryCounts`."""
+class RegistryCounts(Message):
+    """The registry's version and counters, as in `RegistryCounters`."""
 
     version: int
     connections: int
@@ -129,7 +129,7 @@
     | SetPartitioned
     | BlackholeConnections
     | DropChangeLog
-    | GetCounts
+    | GetRegistryCounts
     | GetTraffic
     | GetObservedDelays,
     Field(discriminator="command"),
--- a/scale/standins/registry_connection.py
+++ b/scale/standins/registry_connection.py
@@ -67,13 +67,13 @@
         self._transport = transport
         transport.set_write_buffer_limits(high=_WRITE_CHUNK_BYTES)
         self._listener.connections.add(self)
-        counts = self._state.counts
-        counts.connections += 1
-        self._is_sampled = counts.connections % _SAMPLING_INTERVAL == 0
+        counters = self._state.counters
+        counters.connections += 1
+        self._is_sampled = counters.connections % _SAMPLING_INTERVAL == 0
 
     def data_received(self, data: bytes) -> None:
         """Read calls; data is discarded while the connection is blackholed or the listener partitioned."""
-        self._state.counts.bytes_in += len(data)
+        self._state.counters.bytes_in += len(data)
         self._listener.traffic.http_bytes += len(data)
         if self.is_blackholed or self._listener.is_partitioned:
             return
@@ -89,7 +89,7 @@
                 self._reject(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
             return
         self._unparsed = rest
-        self._state.counts.calls += 1
+        self._state.counters.calls += 1
         self._listener.traffic.calls += 1
         try:
             self._current_call = parse_call(head)
@@ -99,7 +99,7 @@
             self._dispatch(self._current_call)
 
     def _reject(self, status: HTTPStatus) -> None:
-        self._state.counts.malformed += 1
+        self._state.counters.malformed += 1
         self._current_call = Call(None, 0, False)
         self._write(status, b"")
 
@@ -128,19 +128,19 @@
             self._respond()
 
     def _respond(self) -> None:
-        call, counts, change_log = self._current_call, self._state.counts, self._state.change_log
+        call, counters, change_log = self._current_call, self._state.counters, self._state.change_log
         assert call is not None
         if self._state.availability is not Availability.UP:
-            counts.unavailable += 1
+            counters.unavailable += 1
             self._write(HTTPStatus.SERVICE_UNAVAILABLE, b"")
             return
         response = change_log.snapshot() if call.after is None else change_log.delta_since(call.after)
         if response.is_snapshot:
-            counts.snapshots += 1
+            counters.snapshots += 1
         elif call.after == change_log.version:
-            counts.empty += 1
+            counters.empty += 1
         else:
-            counts.deltas += 1
+            counters.deltas += 1
         self._write(HTTPStatus.OK, response.body)
 
     def _write(self, status: HTTPStatus, body: bytes) -> None:
@@ -149,7 +149,7 @@
         close_header = b"" if self._current_call.keep_alive else b"Connection: close\r\n"
         head_format = b"HTTP/1.1 %d %b\r\nContent-Type: application/json\r\n%bContent-Length: %d\r\n\r\n"
         encoded_head = head_format % (status, status.phrase.encode(), close_header, len(body))
-        self._state.counts.bytes_out += len(encoded_head) + len(body)
+        self._state.counters.bytes_out += len(encoded_head) + len(body)
         self._listener.traffic.http_bytes += len(encoded_head) + len(body)
         first_part_bytes = _WRITE_CHUNK_BYTES - len(encoded_head)
         self._unwritten = memoryview(body)[first_part_bytes:]
@@ -204,8 +204,8 @@
         assert self._transport is not None
         segments = count_segments(self._transport.get_extra_info("socket"))
         if segments is not None:
-            self._state.counts.sampled_segments += segments
-            self._state.counts.sampled_connections += 1
+            self._state.counters.sampled_segments += segments
+            self._state.counters.sampled_connections += 1
 
     def abort(self) -> None:
         """Reset the connection."""
--- a/scale/standins/registry_process.py
+++ b/scale/standins/registry_process.py
@@ -20,12 +20,12 @@
     BlackholeConnections,
     ChangeEndpoints,
     CommittedChange,
-    Counts,
     DropChangeLog,
-    GetCounts,
     GetObservedDelays,
+    GetRegistryCounts,
     GetTraffic,
     ObservedDelays,
+    RegistryCounts,
     RegistryOptions,
     SetAvailability,
     SetPartitioned,
@@ -58,7 +58,7 @@
                 self._server.blackhole_connections()
             case DropChangeLog():
                 self._server.change_log.drop_changes()
-            case GetCounts():
+            case GetRegistryCounts():
                 return self._counts()
             case GetTraffic():
                 traffic = [self._server.traffic(listener) for listener in command.listeners]
@@ -84,10 +84,10 @@
                 version = log.commit([self._initial_endpoints[index] for index in command.indexes])
         return CommittedChange(version=version, at_s=at_s)
 
-    def _counts(self) -> Counts:
-        counts = self._server.counts
-        counters = {name: getattr(counts, name) for name in Counts.model_fields if name != "version"}
-        return Counts(version=self._server.change_log.version, **counters)
+    def _counts(self) -> RegistryCounts:
+        counters = self._server.counters
+        values = {name: getattr(counters, name) for name in RegistryCounts.model_fields if name != "version"}
+        return RegistryCounts(version=self._server.change_log.version, **values)
 
     def _observed_delays(self, command: GetObservedDelays) -> ObservedDelays:
         return ObservedDelays(
--- a/scale/standins/registry_state.py
+++ b/scale/standins/registry_state.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class RegistryCounts:
+class RegistryCounters:
     """Counters since the registry's start."""
 
     connections: int = 0
@@ -47,7 +47,7 @@
 
     def __init__(self, change_log: ChangeLog) -> None:
         self.change_log = change_log
-        self.counts = RegistryCounts()
+        self.counters = RegistryCounters()
         self._availability = Availability.UP
         self._watches: dict[Watch, None] = {}  # in order of arrival
         change_log.on_commit = self._complete_watches
@@ -71,9 +71,9 @@
     def add_watch(self, watch: Watch) -> None:
         """Add a watch, to be completed at the next change."""
         self._watches[watch] = None
-        self.counts.watching = len(self._watches)
+        self.counters.watching = len(self._watches)
 
     def remove_watch(self, watch: Watch) -> None:
         """Remove a watch; does nothing if it is not pending."""
         self._watches.pop(watch, None)
-        self.counts.watching = len(self._watches)
+        self.counters.watching = len(self._watches)
--- a/sidecar/settings/mapping_reader.py
+++ b/sidecar/settings/mapping_reader.py
@@ -12,7 +12,7 @@
 
 _EnumMember = TypeVar("_EnumMember", bound=Enum)
 _ROOT_SECTION = "settings"
-_UNBOUNDED = Bounds()
+_DEFAULT_BOUNDS = Bounds()
 
 
 @dataclass(frozen=True, slots=True)
@@ -126,7 +126,7 @@
             raise self.invalid_setting(name, "true or false")
         return value
 
-    def number(self, name: str, default: float | None = None, bounds: Bounds = _UNBOUNDED) -> float:
+    def number(self, name: str, default: float | None = None, bounds: Bounds = _DEFAULT_BOUNDS) -> float:
         """Return the number in a field."""
         value = self.value(name)
         if value is None and default is not None:
@@ -135,7 +135,7 @@
             raise self.invalid_setting(name, f"a number from {bounds.low:g} to {bounds.high:g}")
         return float(value)
 
-    def integer(self, name: str, default: int | None = None, bounds: Bounds = _UNBOUNDED) -> int:
+    def integer(self, name: str, default: int | None = None, bounds: Bounds = _DEFAULT_BOUNDS) -> int:
         """Return the whole number in a field; 2.0 counts as one."""
         value = self.value(name)
         if value is None and default is not None:
--- a/tests/scale/test_control.py
+++ b/tests/scale/test_control.py
@@ -61,7 +61,7 @@
             log.remove([remaining])
             await wait_until(lambda: sidecar.applied_log.latest_version() >= 3)
             assert servers_of_request(sidecar, 8) == []
-            assert server.counts.snapshots == 2  # at the start and after the migration
+            assert server.counters.snapshots == 2  # at the start and after the migration
     finally:
         sidecar.stop()
         await server.stop()
--- a/tests/scale/test_registry_standin.py
+++ b/tests/scale/test_registry_standin.py
@@ -63,7 +63,7 @@
 
 
 async def wait_until_watching(server: RegistryServer, count: int) -> None:
-    await wait_until(lambda: server.counts.watching == count)
+    await wait_until(lambda: server.counters.watching == count)
 
 
 def names(payload: Any) -> list[str]:
@@ -95,7 +95,7 @@
         assert by_name["s-1"]["status"] == "left"
         assert by_name["s-2"]["since_ms"] == 7
         assert (await send_call(address))[1]["endpoints"] == [by_name["s-2"]]
-        counts = server.counts
+        counts = server.counters
         assert (counts.calls, counts.connections, counts.snapshots, counts.deltas) == (3, 3, 2, 1)
         assert counts.bytes_out > counts.bytes_in > 0
 
@@ -114,7 +114,7 @@
         assert (status, payload["index"], names(payload)) == (200, 2, ["s-3"])
         status, payload = await send_call(address, "?after=2&wait_ms=1")  # no change: the watch times out
         assert (status, payload) == (200, {"index": 2, "snapshot": False, "endpoints": []})
-        assert (server.counts.empty, server.counts.watching) == (1, 0)
+        assert (server.counters.empty, server.counters.watching) == (1, 0)
 
 
 def test_watch_waits_for_a_change_or_its_timeout() -> None:
@@ -159,7 +159,7 @@
         assert (await send_call(address))[0] == 503
         server.set_availability(Availability.UP)
         assert (await send_call(address))[0] == 200
-        assert server.counts.unavailable == 2
+        assert server.counters.unavailable == 2
 
 
 def test_outage_completes_watches_and_fails_calls() -> None:
@@ -195,7 +195,7 @@
         server.blackhole_connections()
         log.restart(["s-1"], 5)
         assert (await send_call(address, "?after=1"))[1]["index"] == 2
-        assert server.counts.deltas == 1  # the blackholed watch got no delta
+        assert server.counters.deltas == 1  # the blackholed watch got no delta
         writer.close()
 
 
@@ -210,7 +210,7 @@
         _, payload = await read_response(reader)
         assert len(set(names(payload))) == len({each["address"] for each in payload["endpoints"]}) == 4_900
         assert (await read_response(reader))[1]["endpoints"] == []
-        assert (server.counts.connections, server.counts.calls) == (1, 2)
+        assert (server.counters.connections, server.counters.calls) == (1, 2)
         writer.close()
 
 
@@ -237,7 +237,7 @@
         async with running_registry(ChangeLog()) as (server, [address]):
             reader, writer = await send(address, text)
             assert (await read_response(reader))[0] == status
-            assert server.counts.malformed == 1
+            assert server.counters.malformed == 1
             writer.close()
 
     asyncio.run(check())
