--- a/sidecar/balancer/lifecycle/retrying.py
+++ b/sidecar/balancer/lifecycle/retrying.py
@@ -60,7 +60,10 @@
         return outcome is Outcome.REJECTED
 
     def hedge(self, request: Request, attempt: Attempt) -> None:
-        """Send a hedged request for an overdue attempt, or cancel that attempt so that it is retried."""
+        """Examine an overdue attempt; if its server is unresponsive, hedge the request where this is allowed.
+
+        Where only cancelling is allowed, the attempt is cancelled instead, so that the request is retried.
+        """
         limits = request.limits
         if not self.hedging.examine_overdue_attempt(request, attempt):
             return
--- a/sidecar/balancer/state/records.py
+++ b/sidecar/balancer/state/records.py
@@ -118,7 +118,7 @@
         stalled_before_us: The total duration of stalls of this process before it was sent, in microseconds.
         successes_before: The number of attempts at all servers that had succeeded before it was sent.
         pending: Whether it has no outcome yet.
-        within_target: Whether its latency target had not passed while it was pending.
+        within_target: False once its latency target has passed while it was pending.
         may_have_run: Whether the server may have executed it; False once its outcome proves that it did not.
         has_response_started: Whether its response is being forwarded to the client.
         reported_load: The load that its server reported immediately before it was sent, if it did.
