--- a/sidecar/proxy/attempts.py
+++ b/sidecar/proxy/attempts.py
@@ -57,13 +57,13 @@
         requests: RequestLifecycle,
         pool: ConnectionPool,
         clock: Clock,
-        handle: Callable[[Event], None],
+        handle_event: Callable[[Event], None],
     ) -> None:
         self.settings = settings
         self._requests = requests
         self._pool = pool
         self._clock = clock
-        self._handle = handle
+        self._handle_event = handle_event
 
     def send(self, action: SendAttempt) -> None:
         """Start an attempt of a request that is still unanswered; report any other as not sent."""
@@ -73,7 +73,7 @@
             number = request.attempts_sent
             request.attempts_sent += 1
         if request is None or request.answered:
-            self._handle(AttemptEnded(action.request, number, action.server, Outcome.NOT_SENT, 0, True))
+            self._handle_event(AttemptEnded(action.request, number, action.server, Outcome.NOT_SENT, 0, True))
             return
         request.in_flight[number] = None
         attempt = Attempt(request, number, action.server, self._clock.now(), action.write_by)
@@ -147,7 +147,7 @@
         report = self._load_report(response)
         self._requests.active.remove_if_finished(request)
         answered = request.answered
-        self._handle(
+        self._handle_event(
             AttemptEnded(request.number, number, attempt.server, outcome, elapsed_us, answered, report)
         )
 
--- a/sidecar/proxy/client_connection.py
+++ b/sidecar/proxy/client_connection.py
@@ -233,7 +233,7 @@
         try:
             request = self._reader.read()
             if request is not None:
-                self._handle(request)
+                self._handle_request(request)
         except RequestError as error:
             self._reject(error)
         except h11.RemoteProtocolError as error:
@@ -296,7 +296,7 @@
 
     # -- Handling -------------------------------------------------------------------------------------
 
-    def _handle(self, received: ReceivedRequest) -> None:
+    def _handle_request(self, received: ReceivedRequest) -> None:
         """Answer a request directly or dispatch it to the handler."""
         self._owner.change_state(self, ConnectionState.IN_FLIGHT)
         path = received.path
--- a/sidecar/proxy/driver.py
+++ b/sidecar/proxy/driver.py
@@ -79,11 +79,15 @@
         limits = settings.limits
         self._pool = ConnectionPool(limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, max_connections)
         self._endpoint_list = EndpointList(
-            config.discovery, config.cached_endpoints.version, settings.discovery, self._pool, self.handle
+            config.discovery,
+            config.cached_endpoints.version,
+            settings.discovery,
+            self._pool,
+            self.handle_event,
         )
-        self._requests = RequestLifecycle(self._active, self._pool, self._clock, self.handle)
-        self._attempts = AttemptSender(settings, self._requests, self._pool, self._clock, self.handle)
-        self._health_checks = HealthChecker(settings, self._pool, self._clock, self.handle)
+        self._requests = RequestLifecycle(self._active, self._pool, self._clock, self.handle_event)
+        self._attempts = AttemptSender(settings, self._requests, self._pool, self._clock, self.handle_event)
+        self._health_checks = HealthChecker(settings, self._pool, self._clock, self.handle_event)
         self.frontend = Frontend(config.listen, max_connections, self, settings)
 
     async def run(self, stop: asyncio.Event) -> None:
@@ -151,7 +155,7 @@
         log.info("migrating to the registry at %s:%d", *address)
         self._endpoint_list.client.migrate(address)
 
-    def handle(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """Process an event and the events that its actions cause, in order.
 
         An event that arrives while another one is being processed is queued behind it.
@@ -216,4 +220,4 @@
 
     def _set_timer(self, action: SetTimer) -> None:
         fired = TimerFired(action.token)
-        asyncio.get_running_loop().call_later(action.delay_us / 1e6, self.handle, fired)
+        asyncio.get_running_loop().call_later(action.delay_us / 1e6, self.handle_event, fired)
--- a/sidecar/proxy/endpoint_list.py
+++ b/sidecar/proxy/endpoint_list.py
@@ -31,12 +31,12 @@
         version: int,
         mode: DiscoveryMode,
         pool: ConnectionPool,
-        handle: Callable[[Event], None],
+        handle_event: Callable[[Event], None],
     ) -> None:
         self.client = DiscoveryClient(address, version, self.on_response)
         self._mode = mode
         self._pool = pool
-        self._handle = handle
+        self._handle_event = handle_event
 
     def start(self, cached: RegistryResponse) -> None:
         """Start with the list that was cached before a restart."""
@@ -64,7 +64,7 @@
             kind = RegistryUpdateKind.SNAPSHOT if response.is_complete else RegistryUpdateKind.DELTA
             self.apply(kind, response)
             return
-        self._handle(RegistryUpdated(RegistryUpdateKind.FAILED))
+        self._handle_event(RegistryUpdated(RegistryUpdateKind.FAILED))
         if self._mode is DiscoveryMode.PUSHED:
             asyncio.get_running_loop().call_later(_PUSHED_RETRY_DELAY_S, self.client.start_watch)
 
@@ -78,7 +78,7 @@
         endpoints = [resolved.endpoint for resolved in response.endpoints]
         if endpoints:
             endpoints += self._remove_superseded()
-        self._handle(RegistryUpdated(kind, endpoints, response.version))
+        self._handle_event(RegistryUpdated(kind, endpoints, response.version))
 
     def _remove_superseded(self) -> list[Endpoint]:
         """Remove the servers whose address another one has taken over; return their entries as removed."""
--- a/sidecar/proxy/health_checks.py
+++ b/sidecar/proxy/health_checks.py
@@ -25,12 +25,12 @@
     """
 
     def __init__(
-        self, settings: Settings, pool: ConnectionPool, clock: Clock, handle: Callable[[Event], None]
+        self, settings: Settings, pool: ConnectionPool, clock: Clock, handle_event: Callable[[Event], None]
     ) -> None:
         self.settings = settings
         self._pool = pool
         self._clock = clock
-        self._handle = handle
+        self._handle_event = handle_event
 
     def check(self, action: CheckHealth) -> None:
         """Start a health check."""
@@ -44,4 +44,4 @@
         if response is not None and outcome is Outcome.SUCCEEDED:
             report = parse_health_check_response(response.body, self.settings.report_columns)
         elapsed_us = self._clock.now() - sent_at_us
-        self._handle(HealthCheckEnded(server, outcome, elapsed_us, report))
+        self._handle_event(HealthCheckEnded(server, outcome, elapsed_us, report))
--- a/sidecar/proxy/request_lifecycle.py
+++ b/sidecar/proxy/request_lifecycle.py
@@ -22,12 +22,16 @@
     """
 
     def __init__(
-        self, active: ActiveRequests, pool: ConnectionPool, clock: Clock, handle: Callable[[Event], None]
+        self,
+        active: ActiveRequests,
+        pool: ConnectionPool,
+        clock: Clock,
+        handle_event: Callable[[Event], None],
     ) -> None:
         self.active = active
         self._pool = pool
         self._clock = clock
-        self._handle = handle
+        self._handle_event = handle_event
 
     def handle_request(self, client_request: ClientRequest) -> None:
         """Process a new request; when this returns, the balancer has decided on it."""
@@ -44,14 +48,14 @@
             client_request.cost_us,
             client_request.is_retry,
         )
-        self._handle(event)
+        self._handle_event(event)
 
     def handle_disconnect(self, client_request: ClientRequest) -> None:
         """Drop a request whose client has closed its connection."""
         request = self.active.pop_unanswered(client_request)
         if request is not None and not request.answered:
             self._mark_answered(request)
-            self._handle(ClientDisconnected(request.number))
+            self._handle_event(ClientDisconnected(request.number))
 
     def reject_or_fail(self, action: RejectRequest | FailRequest) -> None:
         """Answer a request as rejected (503) or failed (500)."""
