--- a/sidecar/__main__.py
+++ b/sidecar/__main__.py
@@ -48,7 +48,7 @@
 
 
 def _reread_config() -> Config:
-    return read_config(os.environ, with_known_endpoints=False)
+    return read_config(os.environ, with_cached_endpoints=False)
 
 
 def main() -> int:
--- a/sidecar/configuration.py
+++ b/sidecar/configuration.py
@@ -48,12 +48,12 @@
         super().__init__(f"{key}: {reason}")
 
 
-def read_config(environ: Mapping[str, str], *, with_known_endpoints: bool = True) -> Config:
+def read_config(environ: Mapping[str, str], *, with_cached_endpoints: bool = True) -> Config:
     """Read the configuration that the environment names.
 
     Args:
         environ: Environment variables.
-        with_known_endpoints: Whether to read the entries of the last known endpoint list.  Only the start
+        with_cached_endpoints: Whether to read the entries of the last known endpoint list.  Only the start
             needs them; on a reload, parsing thousands of entries would delay the requests being served.
 
     Returns:
@@ -70,7 +70,7 @@
         seed=_seed(document.get("seed", _DEFAULT_SEED)),
         sockets=_sockets(document.get("limits")),
         settings=settings_from_wire(document.get("settings")),
-        cached_endpoints=_known_endpoints(document.get("known"), with_known_endpoints),
+        cached_endpoints=_cached_endpoints(document.get("known"), with_cached_endpoints),
         version=_version(document.get("version")),
     )
 
@@ -122,7 +122,7 @@
         raise InvalidSettingError("seed", expected, value) from None
 
 
-def _known_endpoints(value: object, with_entries: bool) -> RegistryResponse:
+def _cached_endpoints(value: object, with_entries: bool) -> RegistryResponse:
     if value is None:
         return RegistryResponse(0, True, [])
     if not with_entries and isinstance(value, dict) and isinstance(value.get("endpoints"), list):
--- a/sidecar/proxy/client_connection.py
+++ b/sidecar/proxy/client_connection.py
@@ -201,7 +201,7 @@
 
         Called when the time limit of the current state has passed, and during a graceful shutdown.
         """
-        if self.state is ConnectionState.CLOSING:
+        if self.state is ConnectionState.DELIVERING:
             self.abort()
         elif self._request is not None:
             self._fail_in_flight()
@@ -391,7 +391,7 @@
         """Keep the connection open after a response, and read the next request."""
         self._reader.start_next()
         if self._write_blocked:
-            self._owner.change_state(self, ConnectionState.CLOSING)
+            self._owner.change_state(self, ConnectionState.DELIVERING)
             return
         self._become_idle()
         if self._reader.unread:
@@ -405,7 +405,7 @@
         if self._transport is None or self._transport.is_closing():
             return
         self._discarded_bytes = 0
-        self._owner.change_state(self, ConnectionState.CLOSING)
+        self._owner.change_state(self, ConnectionState.DELIVERING)
         try:
             self._transport.write_eof()
         except OSError:
--- a/sidecar/proxy/connection_pool.py
+++ b/sidecar/proxy/connection_pool.py
@@ -28,7 +28,7 @@
 
 log = logging.getLogger(__name__)
 
-_HEALTH_CHECK_DIAL_TIMEOUTS = 4.0  # a health check may take this many dial timeouts
+_HEALTH_CHECK_TIMEOUT_MULTIPLE = 4.0  # a health check may take this many dial timeouts
 
 
 class ConnectionPool:
@@ -125,7 +125,7 @@
             KeyError: There is no such server.
         """
         request = encode_message(b"GET %b HTTP/1.1" % target.encode(), [(b"Host", name.encode())])
-        timeout_s = _HEALTH_CHECK_DIAL_TIMEOUTS * self._dialer.dial_timeout_s
+        timeout_s = _HEALTH_CHECK_TIMEOUT_MULTIPLE * self._dialer.dial_timeout_s
         deadline = asyncio.get_running_loop().time() + timeout_s
         return self.send(name, EncodedRequest(request), deadline, on_outcome)
 
--- a/sidecar/proxy/connection_state.py
+++ b/sidecar/proxy/connection_state.py
@@ -15,19 +15,19 @@
         READING_PIPELINED: Part of a request, or malformed data, has arrived behind a request in flight,
             which may have been answered since.
         IDLE: The connection has carried requests, and no further one has begun to arrive.
-        CLOSING: The last response is still being delivered.
+        DELIVERING: The last response is still being delivered.
     """
 
     READING = auto()
     IN_FLIGHT = auto()
     READING_PIPELINED = auto()
     IDLE = auto()
-    CLOSING = auto()
+    DELIVERING = auto()
 
 
 STATE_TIME_LIMITS_S = {
     ConnectionState.READING: 2.0,
     ConnectionState.READING_PIPELINED: 2.0,
     ConnectionState.IDLE: 2.0,
-    ConnectionState.CLOSING: 1.0,
+    ConnectionState.DELIVERING: 1.0,
 }
--- a/sidecar/proxy/connection_table.py
+++ b/sidecar/proxy/connection_table.py
@@ -119,8 +119,8 @@
         be late.  Closing the new connections without a response would lose more than a few requests.
         Drawback: a short pause of the machine while many connections are open also causes some rejections.
         """
-        idle = len(self._by_state[ConnectionState.IDLE]) + len(self._by_state[ConnectionState.CLOSING])
-        return self._overload.is_overloaded(self.count() - idle - len(self._silent))
+        inactive = len(self._by_state[ConnectionState.IDLE]) + len(self._by_state[ConnectionState.DELIVERING])
+        return self._overload.is_overloaded(self.count() - inactive - len(self._silent))
 
     def evict_one(self) -> bool:
         """Abort a connection without a request in flight to free capacity; return whether there was one.
@@ -138,9 +138,9 @@
 
     def _choose_eviction(self) -> ClientConnection | None:
         new_since = asyncio.get_running_loop().time() - _NEW_CONNECTION_AGE_S
-        closing = self._by_state[ConnectionState.CLOSING]
+        delivering = self._by_state[ConnectionState.DELIVERING]
         return (
-            next((connection for connection in closing if connection.can_close_safely()), None)
+            next((connection for connection in delivering if connection.can_close_safely()), None)
             or self._find_without_unread_data(ConnectionState.READING, new_since)
             or self._find_without_unread_data(ConnectionState.IDLE)
             or self._find_without_unread_data(ConnectionState.READING)
--- a/sidecar/proxy/discovery_client.py
+++ b/sidecar/proxy/discovery_client.py
@@ -26,7 +26,9 @@
 # whose watches got no response at the same moment do not all call again at the same moment.
 _WATCH_WAIT_MS = (3_200, 4_000)
 _WATCH_MARGIN_S = 0.5  # how much longer the call of a watch may take
-_POLL_TIMEOUT_S = 2.5  # for a call that the registry must not hold; a busy registry lets calls wait for 2 s
+_SHORT_POLL_TIMEOUT_S = (
+    2.5  # for a call that the registry must not hold; a busy registry lets calls wait for 2 s
+)
 _CONNECT_TIMEOUT_S = 1.5  # leaves time for the first retransmission of a lost SYN
 # Pause after a watch that ends at once without a change.  It is shorter than the 200 ms after which the next
 # call would be a new watch.
@@ -86,7 +88,7 @@
 
     def fetch(self) -> None:
         """Fetch the complete list once."""
-        task = asyncio.get_running_loop().create_task(self._poll(_PATH, _POLL_TIMEOUT_S))
+        task = asyncio.get_running_loop().create_task(self._call_and_report(_PATH, _SHORT_POLL_TIMEOUT_S))
         self._fetches.add(task)
         task.add_done_callback(self._fetches.discard)
 
@@ -121,7 +123,7 @@
         loop = asyncio.get_running_loop()
         while True:
             started_at, version = loop.time(), self._version
-            if not await self._poll(*self._next_call()):
+            if not await self._call_and_report(*self._next_call()):
                 return
             if self._version == version and loop.time() < started_at + _EMPTY_RESPONSE_PAUSE_S:
                 # Prevents a busy loop if the registry does not hold watches.
@@ -134,13 +136,13 @@
         soon.
         """
         if self._version is None:
-            return _PATH, _POLL_TIMEOUT_S
+            return _PATH, _SHORT_POLL_TIMEOUT_S
         if self._has_last_call_failed:
-            return f"{_PATH}?after={self._version}&wait_ms=0", _POLL_TIMEOUT_S
+            return f"{_PATH}?after={self._version}&wait_ms=0", _SHORT_POLL_TIMEOUT_S
         wait_ms = random.randint(*_WATCH_WAIT_MS)
         return f"{_PATH}?after={self._version}&wait_ms={wait_ms}", wait_ms / 1000 + _WATCH_MARGIN_S
 
-    async def _poll(self, target: str, timeout_s: float) -> bool:
+    async def _call_and_report(self, target: str, timeout_s: float) -> bool:
         """Make a call and report its result; return whether the next call may be made at once."""
         response: RegistryResponse | None = None
         version = self._version
--- a/sidecar/proxy/idle_connections.py
+++ b/sidecar/proxy/idle_connections.py
@@ -11,7 +11,7 @@
 from sidecar.proxy.server_connection import ServerConnection
 
 _REUSE_DELAY_FRACTION = 0.12  # of the dial timeout
-_CLOSE_MARGIN = 0.1  # of the servers' idle timeout: connections are closed that much earlier here
+_CLOSE_MARGIN_FRACTION = 0.1  # of the servers' idle timeout: connections are closed that much earlier here
 
 
 @dataclass(slots=True)
@@ -45,7 +45,7 @@
             idle_timeout_s: Seconds after which servers close an idle connection.
         """
         self._lifetimes = IdleLifetimeEstimator(idle_timeout_s)
-        self._max_idle_s = (1.0 - _CLOSE_MARGIN) * idle_timeout_s
+        self._max_idle_s = (1.0 - _CLOSE_MARGIN_FRACTION) * idle_timeout_s
         self.reuse_delay_s = _REUSE_DELAY_FRACTION * dial_timeout_s
 
     def set_timeouts(
@@ -56,7 +56,7 @@
         Their idle time still counts from when they became idle, as it does at their servers.
         """
         former_max_idle_s = self._max_idle_s
-        self._max_idle_s = (1.0 - _CLOSE_MARGIN) * idle_timeout_s
+        self._max_idle_s = (1.0 - _CLOSE_MARGIN_FRACTION) * idle_timeout_s
         self.reuse_delay_s = _REUSE_DELAY_FRACTION * dial_timeout_s
         self._lifetimes.set_time_constant(idle_timeout_s)
         if self._max_idle_s == former_max_idle_s:
--- a/sidecar/proxy/idle_lifetimes.py
+++ b/sidecar/proxy/idle_lifetimes.py
@@ -51,7 +51,7 @@
         self._new_connections = FailureCounter()
         # Each bucket extends to twice the idle time of the one before.
         self._counters_by_bucket: dict[int, FailureCounter] = {}
-        self._first_stale_bucket: float = math.inf
+        self._first_untrusted_bucket: float = math.inf
 
     def set_time_constant(self, time_constant_s: float) -> None:
         """Let counts decay with another time constant, in seconds, from now on."""
@@ -81,7 +81,7 @@
         """
         if now >= self._decayed_at + self._time_constant_s:
             self._decay(now)
-        return self._bucket(idle_s) < self._first_stale_bucket
+        return self._bucket(idle_s) < self._first_untrusted_bucket
 
     def _counter_for(self, idle_s: float | None) -> FailureCounter:
         if idle_s is None:
@@ -97,12 +97,12 @@
 
     def _update_threshold(self) -> None:
         max_failure_rate = self._new_connections.failure_rate() + _MAX_EXCESS_FAILURE_RATE
-        stale = (
+        untrusted = (
             bucket
             for bucket, counter in self._counters_by_bucket.items()
             if counter.failure_rate() > max_failure_rate
         )
-        self._first_stale_bucket = min(stale, default=math.inf)
+        self._first_untrusted_bucket = min(untrusted, default=math.inf)
 
     @staticmethod
     def _bucket(idle_s: float) -> int:
--- a/sidecar/reload.py
+++ b/sidecar/reload.py
@@ -96,9 +96,9 @@
         Returns:
             Whether and how the configuration was replaced.
         """
-        started_s = time.monotonic()
+        started_at = time.monotonic()
         try:
-            result = self._replace(read_config(), started_s)
+            result = self._replace(read_config(), started_at)
         except OSError as error:
             result = Rejected(str(error), is_transient=True)
         except ConfigurationError as error:
@@ -106,7 +106,7 @@
         _log_result(result)
         return result
 
-    def _replace(self, new: Config, started_s: float) -> ReloadResult:
+    def _replace(self, new: Config, started_at: float) -> ReloadResult:
         old = self.active
         if new == old:
             return Unchanged(new.version)
@@ -124,7 +124,7 @@
             version=new.version,
             changed=_changed_parts(old, new),
             needs_restart=self._fields_needing_restart(new),
-            duration_s=time.monotonic() - started_s,
+            duration_s=time.monotonic() - started_at,
         )
 
     def _fields_needing_restart(self, new: Config) -> tuple[str, ...]:
--- a/sidecar/simulator/codec.py
+++ b/sidecar/simulator/codec.py
@@ -340,8 +340,8 @@
         return None
     if not isinstance(value, dict):
         raise InvalidValueError(ExpectedType.LOAD_REPORT, value)
-    for load_figure in value.values():
-        _number(load_figure)
+    for metric_value in value.values():
+        _number(metric_value)
     return value
 
 
--- a/tests/configuration/test_reload.py
+++ b/tests/configuration/test_reload.py
@@ -162,7 +162,7 @@
 
     def count_entries(known: object, with_entries: bool) -> int:
         path.write_text(json.dumps(valid_config | {"known": known}), encoding="utf-8")
-        config = read_config({"RELAY_CONFIG": str(path)}, with_known_endpoints=with_entries)
+        config = read_config({"RELAY_CONFIG": str(path)}, with_cached_endpoints=with_entries)
         return len(config.cached_endpoints.endpoints)
 
     known = {"index": 1, "snapshot": True, "endpoints": [entry]}
--- a/tests/proxy/test_new_connection_responses.py
+++ b/tests/proxy/test_new_connection_responses.py
@@ -116,7 +116,7 @@
             too_large = request("pay", body=bytes(64 * 1024 + 1))
             client = socket.create_connection(frontend.address)
             client.sendall(too_large[:-1])
-            await wait_until(lambda: frontend.table._by_state[ConnectionState.CLOSING])
+            await wait_until(lambda: frontend.table._by_state[ConnectionState.DELIVERING])
             client.sendall(too_large[-1:])  # no event loop iteration runs before the eviction
             assert not frontend.table.evict_one()
             client.setblocking(False)
--- a/tests/proxy/test_response_races.py
+++ b/tests/proxy/test_response_races.py
@@ -51,7 +51,7 @@
 def test_new_connection_arrives_while_a_response_is_being_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setitem(STATE_TIME_LIMITS_S, ConnectionState.CLOSING, 600.0)
+    monkeypatch.setitem(STATE_TIME_LIMITS_S, ConnectionState.DELIVERING, 600.0)
 
     async def scenario() -> None:
         async with running_proxy(never_respond, sockets=66) as proxy:  # room for one client
