--- a/sidecar/balancer/policy/concurrency_limit.py
+++ b/sidecar/balancer/policy/concurrency_limit.py
@@ -117,8 +117,8 @@
     def _needed_limit(self, allowed_median: float, span_us: float) -> float:
         """The limit that the current throughput needs, as delayed feedback would otherwise shrink it too far.
 
-        By Little's law, the number of attempts in flight is the rate of successes times their latency, which may
-        be as long as the allowed share of their latency target.
+        By Little's law, the number of attempts in flight is the rate of successes times their latency.
+        Their latency is taken as the allowed share of their latency target.
         """
         self._served_target_us.set_span(span_us)
         in_flight = allowed_median * self._served_target_us.per_us(self._context.now)
--- a/sidecar/balancer/policy/registry_polling.py
+++ b/sidecar/balancer/policy/registry_polling.py
@@ -9,8 +9,8 @@
 from sidecar.balancer.state.timers import RegistryPoll
 from sidecar.settings import Discovery
 
-# Upper bound of the permitted staleness of the endpoint list, whatever `max_poll_interval_us` allows, so that a
-# change is noticed soon after a failed poll.
+# Upper bound of the permitted staleness of the endpoint list, even if `max_poll_interval_us` is longer.  It
+# lets a change be noticed soon after a failed poll.
 MAX_STALENESS_US = 6_000_000
 INITIAL_BACKOFF_SHARE = 0.05  # share of the permitted staleness; the backoff doubles with each failure
 MAX_BACKOFF_SHARE = 0.25  # three failed polls in a row still fit into the permitted staleness
