--- a/sidecar/configuration.py
+++ b/sidecar/configuration.py
@@ -41,7 +41,7 @@
 
 
 class InvalidEndpointListError(ConfigurationError):
-    """The last known endpoint list isn't in the format of the registry's responses."""
+    """The cached endpoint list isn't in the format of the registry's responses."""
 
     def __init__(self, key: str, reason: Exception) -> None:
         """Create the error from the exception that parsing the list at `key` raised."""
@@ -53,8 +53,8 @@
 
     Args:
         environ: Environment variables.
-        with_cached_endpoints: Whether to read the entries of the last known endpoint list.  Only the start
-            needs them; on a reload, parsing thousands of entries would delay the requests being served.
+        with_cached_endpoints: Whether to read the entries of the cached endpoint list (`known`).  Only the
+            start needs them; on a reload, parsing thousands of entries would delay the requests being served.
 
     Returns:
         The configuration.
--- a/sidecar/proxy/attempts.py
+++ b/sidecar/proxy/attempts.py
@@ -34,7 +34,7 @@
         server: Name of the server that it is sent to.
         sent_at_us: Clock time at which it was started.
         write_by_us: Clock time by which the request has to be written completely if another attempt has been
-            started; None: it may be written at any time.
+            started, as servers may forget that attempt afterwards; None: it may be written at any time.
     """
 
     request: ActiveRequest
@@ -93,14 +93,14 @@
         try:
             exchange = self._pool.send(attempt.server, encoder, deadline, on_outcome)
         except Exception:
-            on_outcome(Outcome.RESET, None)  # a defect: how much was sent is unknown
+            on_outcome(Outcome.RESET, None)  # a defect, so it is unknown how much was sent
             raise
         if attempt.number in attempt.request.in_flight:
             attempt.request.in_flight[attempt.number] = exchange
             self._schedule_write_deadline(attempt, exchange)
 
     def _schedule_write_deadline(self, attempt: Attempt, exchange: Exchange) -> None:
-        """Set the timer that ends an attempt which is not written completely in time."""
+        """Set the timer that ends an attempt if its request has not been written completely in time."""
         if attempt.write_by_us is None or exchange.is_request_written():
             return
         due = self._clock.to_loop_time(attempt.write_by_us)
@@ -108,7 +108,11 @@
         exchange.timers.append(timer)
 
     def _end_unwritten(self, attempt: Attempt) -> None:
-        """End a retry that is not written completely, as servers begin to forget its idempotency key now."""
+        """End an attempt whose request has not been written completely, if another attempt has been started.
+
+        From now on servers may forget the idempotency key of the other attempt, and the request might run
+        twice.
+        """
         exchange = attempt.request.in_flight.get(attempt.number)
         if exchange is not None and attempt.request.has_other_attempt_started(attempt.number):
             self._pool.abandon_if_unwritten(exchange)
@@ -117,8 +121,9 @@
         """Return the encoded request of an attempt, or None if it must not be sent any more.
 
         A client that has closed its connection counts as disconnected even before the event loop has read the
-        close, as servers would otherwise do work for nobody.  A request that must run only once is not sent
-        late either: while the connection was being opened, servers may have forgotten another attempt.
+        close, as servers would otherwise process a request that nobody waits for.  A request that must not
+        run twice is not sent late either: while the connection was being opened, servers may have forgotten
+        another attempt.
         """
         request = attempt.request
         if request.client_request.responder.is_disconnected():
--- a/sidecar/proxy/client_connection.py
+++ b/sidecar/proxy/client_connection.py
@@ -36,7 +36,7 @@
 
 _READINESS_PATH = b"/health/ready"
 # Limit of the data that is read and discarded after a rejected request, or when a client pipelines too much.
-# Unread data would reset the connection at its close, and the client might lose the response.
+# If it stayed unread, closing the connection would reset it, and the client might lose the response.
 _MAX_DISCARDED_BYTES = 128 * MAX_BODY_BYTES
 _REASON_PHRASES: dict[int, bytes] = {
     status: status.phrase.encode()
@@ -113,7 +113,7 @@
         self._owner.connection_opened(self, self._sock)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Drop the request in flight."""
+        """Unregister the connection, and drop the request in flight."""
         self._owner.connection_closed(self)
         self._abandon_request()
 
@@ -213,7 +213,10 @@
     # -- Reading --------------------------------------------------------------------------------------
 
     def _record_arrival(self) -> None:
-        """Record the earliest time at which the data can have arrived; for pipelined data, its first byte."""
+        """Record the earliest time at which the data can have arrived.
+
+        For pipelined data that arrives in parts, this is the time of its first byte.
+        """
         if (self._request is not None or self._write_blocked) and self._reader.unread:
             return
         if not self._was_queued_with_data:
@@ -245,6 +248,7 @@
             self._owner.change_state(self, ConnectionState.READING)
 
     def _fail_unhandled(self) -> None:
+        """Reject the request whose handling raised an unexpected error; half-close if it was answered."""
         if self._reader.has_head:
             self._reject(InternalError())
         else:
@@ -264,19 +268,20 @@
         self._limit_pipelined()
 
     def _limit_pipelined(self) -> None:
-        """Start to discard pipelined data beyond the limit; the connection closes after the current response.
+        """Start to discard pipelined data if it exceeds the limit; the connection closes after the response.
 
-        The data is still read, because a close by the client would go unnoticed behind unread data.
+        The data is still read, because unread data would hide a later close by the client.
         """
         if len(self._reader.unread) > MAX_BODY_BYTES:
             self._discarded_bytes = 0
 
     def _discard(self, byte_count: int) -> None:
+        """Count discarded data; beyond the limit, fail the request in flight or stop reading."""
         self._discarded_bytes = (self._discarded_bytes or 0) + byte_count
         if self._discarded_bytes <= _MAX_DISCARDED_BYTES:
             return
         if self._request is not None:
-            self._fail_in_flight()  # the client keeps sending, so a close could never be noticed
+            self._fail_in_flight()  # reading has to stop, and a close would then go unnoticed
         elif self._transport is not None:
             self._transport.pause_reading()
 
@@ -344,6 +349,7 @@
             raise RequestIdInUseError
 
     def _abandon_request(self) -> None:
+        """Pass the request in flight, if any, to the handler as one whose client has disconnected."""
         request, self._request = self._request, None
         if request is not None:
             self._owner.handler.handle_disconnect(request)
@@ -358,8 +364,8 @@
         self._respond(error.status, headers, f"{error}\n".encode(), close=True)
 
     def _fail_in_flight(self) -> None:
-        """Fail the request in flight and close the connection because of invalid data behind the request."""
-        log.info("closing client connection: incomplete request pipelined behind the one in flight")
+        """Fail the request in flight and close the connection because of invalid data pipelined behind it."""
+        log.info("closing client connection: invalid or incomplete data pipelined behind a request in flight")
         self._abandon_request()
         self._respond(HTTPStatus.INTERNAL_SERVER_ERROR, [], b"", close=True)
 
@@ -400,7 +406,7 @@
     def _half_close(self) -> None:
         """Half-close the connection and discard the data that still arrives.
 
-        Closing it with unread data would reset the connection, and the client might lose the response.
+        If data stayed unread, closing the connection would reset it, and the client might lose the response.
         """
         if self._transport is None or self._transport.is_closing():
             return
--- a/sidecar/proxy/connection_dialer.py
+++ b/sidecar/proxy/connection_dialer.py
@@ -16,7 +16,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_RESPONSE_BODY_BYTES = 64 * 1024  # as the protocol between clients and servers limits it
+MAX_RESPONSE_BODY_BYTES = 64 * 1024  # the limit of the protocol between clients and servers
 
 
 class ConnectionDialer:
@@ -115,6 +115,7 @@
                 await asyncio.sleep(next(backoff))
 
     def _on_dial_done(self, dial: asyncio.Task[bool]) -> None:
+        """Stop counting a dial that opened no connection; an opened connection counts until it is lost."""
         if dial.cancelled() or not dial.result():
             self._on_connection_lost()
 
--- a/sidecar/proxy/connection_pool.py
+++ b/sidecar/proxy/connection_pool.py
@@ -1,7 +1,8 @@
 """Connections to servers: sends attempts and health checks over pooled connections.
 
-The package controls every connection and every byte itself: nothing is resent silently, and it is known
-whether the last byte of a request has been written.  Only then can the server have started the request.
+The sidecar uses no HTTP client library.  It controls every connection and every byte itself, so that nothing
+is resent silently, and that it is known whether the last byte of a request has been written.  Only then can
+the server have started the request.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 log = logging.getLogger(__name__)
 
-_HEALTH_CHECK_TIMEOUT_MULTIPLE = 4.0  # a health check may take this many dial timeouts
+_HEALTH_CHECK_TIMEOUT_MULTIPLE = 4.0  # of the dial timeout
 
 
 class ConnectionPool:
@@ -85,16 +86,16 @@
     def send(
         self, name: str, encoder: RequestEncoder, deadline: float, on_outcome: OutcomeCallback
     ) -> Exchange:
-        """Start an attempt.
+        """Start the exchange of an attempt or a health check.
 
         Args:
             name: Name of the server, which the endpoint list must hold.
             encoder: Encodes the request.
-            deadline: Event loop time at which the attempt ends in any case.
+            deadline: Event loop time at which the exchange ends in any case.
             on_outcome: Called exactly once with the outcome, possibly before this method returns.
 
         Returns:
-            The attempt.
+            The exchange, which may have ended already.
 
         Raises:
             KeyError: There is no such server.
@@ -103,7 +104,7 @@
         loop = asyncio.get_running_loop()
         exchange = Exchange(server, encoder, deadline, on_outcome)
         if deadline <= loop.time() or server.state is not ServerState.READY:
-            # Not ready: the balancer is about to be notified of that.
+            # If the server is not ready, the balancer is about to be notified of that.
             exchange.end(Outcome.NOT_SENT)
             return exchange
         exchange.timers.append(loop.call_at(deadline, exchange.on_deadline))
@@ -119,7 +120,7 @@
             on_outcome: Called exactly once with the outcome, possibly before this method returns.
 
         Returns:
-            The health check.
+            The exchange of the health check, which may have ended already.
 
         Raises:
             KeyError: There is no such server.
@@ -184,10 +185,10 @@
         exchange.end(outcome, response)
 
     def _record_request(self, exchange: Exchange, outcome: Outcome) -> None:
-        """Record whether the connection failed because it had been idle.
+        """Record whether the connection may have failed because it had been idle.
 
         A connection that the peer or the network dropped while it was idle fails at once.  If it fails later,
-        the server has failed.
+        the cause is a failure of the server.
         """
         elapsed_s = asyncio.get_running_loop().time() - exchange.write_started_at
         has_failed = outcome is Outcome.RESET and elapsed_s < self._dialer.dial_timeout_s
--- a/sidecar/proxy/connection_state.py
+++ b/sidecar/proxy/connection_state.py
@@ -15,7 +15,8 @@
         READING_PIPELINED: Part of a request, or malformed data, has arrived behind a request in flight,
             which may have been answered since.
         IDLE: The connection has carried requests, and no further one has begun to arrive.
-        DELIVERING: The last response is still being delivered.
+        DELIVERING: The last response is still being delivered: it has not been fully written, or the
+            connection has been half-closed after it.
     """
 
     READING = auto()
--- a/sidecar/proxy/connection_table.py
+++ b/sidecar/proxy/connection_table.py
@@ -91,7 +91,7 @@
     # -- Time limits ----------------------------------------------------------------------------------
 
     def schedule_sweep(self) -> None:
-        """Start enforcing the time limits at regular intervals."""
+        """Schedule the next sweep, which enforces the time limits and schedules the one after it."""
         self._sweep_due = asyncio.get_running_loop().time() + _SWEEP_INTERVAL_S
         asyncio.get_running_loop().call_at(self._sweep_due, self._sweep)
 
@@ -116,8 +116,9 @@
 
         Under overload, requests on new connections are rejected without a decision by the balancer, at a
         fraction of its cost, so that requests in flight are answered in time; otherwise all responses would
-        be late.  Closing the new connections without a response would lose more than a few requests.
-        Drawback: a short pause of the machine while many connections are open also causes some rejections.
+        be late.  Closing the new connections without a response is no alternative, as it would lose more than
+        a few requests.  A drawback is that a short pause of the machine while many connections are open also
+        causes some rejections.
         """
         inactive = len(self._by_state[ConnectionState.IDLE]) + len(self._by_state[ConnectionState.DELIVERING])
         return self._overload.is_overloaded(self.count() - inactive - len(self._silent))
@@ -149,7 +150,11 @@
     def _find_without_unread_data(
         self, state: ConnectionState, entered_before: float = math.inf
     ) -> ClientConnection | None:
-        """Return the connection longest in a state that has no unread data and entered it before a time."""
+        """Return the connection that has been in a state for longest, or None if none qualifies.
+
+        Only the few longest are examined, and only those without unread data that entered the state before
+        the given event loop time qualify.
+        """
         for connection, since in islice(self._by_state[state].items(), _MAX_EVICTION_CANDIDATES):
             if since < entered_before and not connection.has_unread_data():
                 return connection
--- a/sidecar/proxy/discovery_client.py
+++ b/sidecar/proxy/discovery_client.py
@@ -1,9 +1,9 @@
-"""The client of the registry: watches and fetches the endpoint list.  Its callers decide when.
+"""The client of the registry: watches and fetches the endpoint list when its callers decide so.
 
 The timeouts follow from the time that a change may take to arrive.  Whatever the result of its calls, a
-sidecar counts as notified of a change 6 s after the registry has the change and is reachable.  A watch that
-gets no response and the next call have to fit into that time, and so do a connect, a wait of the balancer and
-a call.
+sidecar counts as notified of a change 6 s after the registry has the change and is reachable.  Each of two
+sequences has to fit into that time: a watch that gets no response, followed by the next call; and a connect,
+followed by a wait of the balancer and a call.
 """
 
 from __future__ import annotations
@@ -25,13 +25,12 @@
 # How long the registry may hold a watch.  Each watch draws a random time from this range, so that sidecars
 # whose watches got no response at the same moment do not all call again at the same moment.
 _WATCH_WAIT_MS = (3_200, 4_000)
-_WATCH_MARGIN_S = 0.5  # how much longer the call of a watch may take
-_SHORT_POLL_TIMEOUT_S = (
-    2.5  # for a call that the registry must not hold; a busy registry lets calls wait for 2 s
-)
+_WATCH_MARGIN_S = 0.5  # how much longer the call may take than the registry may hold it
+# Timeout of a call that the registry must not hold.  A busy registry lets calls wait for 2 s.
+_SHORT_POLL_TIMEOUT_S = 2.5
 _CONNECT_TIMEOUT_S = 1.5  # leaves time for the first retransmission of a lost SYN
-# Pause after a watch that ends at once without a change.  It is shorter than the 200 ms after which the next
-# call would be a new watch.
+# Pause after a call of the watch that ends at once without a change.  It is shorter than the 200 ms after
+# which the next call would count as a new watch.
 _EMPTY_RESPONSE_PAUSE_S = 0.1
 _MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 _OK = 200
@@ -117,8 +116,9 @@
     async def _watch_until_failure(self) -> None:
         """Make the calls of the watch one after the other, until one fails.
 
-        Each call follows the previous response at once: after more than 200 ms it would be a new watch.  A
-        call that timed out is followed at once, too: a registry with many such clients serves them in turn.
+        Each call follows the previous response at once: after more than 200 ms it would count as a new watch.
+        A call that timed out is followed by the next one at once, too, because a registry that is busy with
+        many such clients serves them in turn.
         """
         loop = asyncio.get_running_loop()
         while True:
@@ -130,7 +130,7 @@
                 await asyncio.sleep(_EMPTY_RESPONSE_PAUSE_S)
 
     def _next_call(self) -> tuple[str, float]:
-        """Return the target of the watch's next call, and its time limit in seconds.
+        """Return the target of the watch's next call, and the timeout of that call in seconds.
 
         After a failure the registry is asked not to hold the next call, so that another failure is noticed
         soon.
@@ -183,7 +183,7 @@
             self._on_response(response)
         except Exception:
             log.exception("registry: version %d could not be applied", response.version)
-            self._version = None  # it may be applied in part: the complete list is needed
+            self._version = None  # it may have been applied in part, so the complete list is needed
             return False
         return True
 
@@ -196,7 +196,7 @@
         return parse_registry_response(json.loads(response.body))
 
     async def _call(self, target: str, call_timeout: asyncio.Timeout) -> Response | None:
-        """Make a call within a time limit; return its response, or None if the connection broke."""
+        """Make a call within the running timeout; return its response, or None if the connection broke."""
         async with asyncio.timeout(_CONNECT_TIMEOUT_S):
             connection = await connect(self._address, _MAX_RESPONSE_BYTES)
         try:
@@ -211,7 +211,7 @@
                 connection.abort()
 
     async def _send_request(self, connection: ServerConnection, target: str) -> Response | None:
-        if not connection.is_idle():  # it broke while it was opened, and would never report that
+        if not connection.is_idle():  # it broke while it was being opened, and would never report that
             raise RegistryConnectionError
         received: asyncio.Future[Response | None] = asyncio.get_running_loop().create_future()
 
--- a/sidecar/proxy/driver.py
+++ b/sidecar/proxy/driver.py
@@ -1,4 +1,4 @@
-"""The driver: passes events to the balancer and carries out its actions.
+"""The driver of a sidecar: connects its parts, passes events to the balancer and carries out its actions.
 
 It makes no decisions of its own, and awaits nothing between a decision and its effect.
 """
@@ -42,9 +42,8 @@
 
 log = logging.getLogger(__name__)
 
-RESERVED_DESCRIPTORS = (
-    64  # for the registry, logs and the runtime; client and server connections share the rest
-)
+# File descriptors for the registry, logs and the runtime; client and server connections share the rest.
+RESERVED_DESCRIPTORS = 64
 
 
 class UnsupportedActionError(TypeError):
--- a/sidecar/proxy/endpoint_list.py
+++ b/sidecar/proxy/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: follows the registry, and passes the list to the connection pools and the balancer."""
+"""The endpoint list: follows the registry, and passes the list to the connection pool and the balancer."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from sidecar.proxy.registry_messages import RegistryResponse
 from sidecar.settings import Discovery as DiscoveryMode
 
-_PUSHED_RETRY_DELAY_S = 0.5  # before a failed call to the agent that serves pushed lists is repeated
+_PUSHED_RETRY_DELAY_S = 0.5  # after a failed call to the agent that serves the list in pushed mode
 
 
 class EndpointList:
-    """Keeps the connection pools and the balancer up to date with the registry's endpoint list.
+    """Keeps the connection pool and the balancer up to date with the registry's endpoint list.
 
     In pushed mode it starts the watch itself; otherwise the balancer decides when to watch and to fetch.
 
@@ -44,7 +44,7 @@
         self._watch_if_pushed()
 
     def set_mode(self, mode: DiscoveryMode) -> None:
-        """Change whether lists are pushed."""
+        """Change how lists arrive; in pushed mode the watch is started."""
         self._mode = mode
         self._watch_if_pushed()
 
@@ -69,7 +69,11 @@
             asyncio.get_running_loop().call_later(_PUSHED_RETRY_DELAY_S, self.client.start_watch)
 
     def apply(self, kind: RegistryUpdateKind, response: RegistryResponse) -> None:
-        """Apply a list, addresses first: the balancer may send to a server as soon as it knows the server."""
+        """Apply a list to the connection pool and then to the balancer.
+
+        The balancer may send a request to a server as soon as it knows the server, so the pool must have the
+        address by then.
+        """
         if kind is not RegistryUpdateKind.DELTA:
             self._pool.retain({resolved.endpoint.name for resolved in response.endpoints})
         for resolved in response.endpoints:
--- a/sidecar/proxy/exchange.py
+++ b/sidecar/proxy/exchange.py
@@ -123,7 +123,7 @@
         return self._encoder.encode(max(self.deadline - now, 0.0))
 
     def check_still_wanted(self) -> bool:
-        """Return whether a long request may be written to its end; end the exchange if not."""
+        """Return whether the last byte of a long request may be written; end the exchange if not."""
         if self.encode_request(asyncio.get_running_loop().time()) is None:
             self.end(Outcome.NOT_SENT)
         return not self.is_over()
@@ -136,7 +136,7 @@
         """End it if its dial has not succeeded.
 
         A dial has succeeded if the kernel says so, even if the event loop has not processed it yet: a busy
-        sidecar must not take its own lag for unreachable servers.  The deadline still bounds the exchange.
+        sidecar must not mistake its own lag for an unreachable server.  The deadline still applies.
         """
         if self.connection is not None:
             return
@@ -169,7 +169,9 @@
 
 
 def classify_outcome(response: Response | None, request_written: bool, has_protocol_error: bool) -> Outcome:
-    """Return the outcome of an exchange; one that says the request never ran only if that is certain.
+    """Return the outcome of an exchange whose connection has reported the end of the request.
+
+    An outcome that says that the request never ran is returned only if that is certain.
 
     Args:
         response: The complete response; None: there is none.
--- a/sidecar/proxy/health_checks.py
+++ b/sidecar/proxy/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: calls a server's health or load endpoint, and reports the outcome to the balancer."""
+"""Health checks: requests a server's health or load path, and reports the outcome to the balancer."""
 
 from __future__ import annotations
 
--- a/sidecar/proxy/idle_connections.py
+++ b/sidecar/proxy/idle_connections.py
@@ -38,10 +38,10 @@
     """
 
     def __init__(self, dial_timeout_s: float, idle_timeout_s: float) -> None:
-        """Create the reuse policy.
+        """Derive the reuse delay and the maximum idle time from the timeouts.
 
         Args:
-            dial_timeout_s: Seconds within which a server accepts a connection.
+            dial_timeout_s: Seconds that a dial may take.
             idle_timeout_s: Seconds after which servers close an idle connection.
         """
         self._lifetimes = IdleLifetimeEstimator(idle_timeout_s)
--- a/sidecar/proxy/listener.py
+++ b/sidecar/proxy/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket: opening it and accepting connections, with the errors documented for Linux."""
+"""The listening socket: opens it, accepts connections, and handles the errors that Linux documents."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 log = logging.getLogger(__name__)
 
-BACKLOG = 512
+BACKLOG = 512  # maximum length of the accept queue
 _OPEN_RETRY_INTERVAL_S = 0.1
 _OPEN_TIMEOUT_S = 10.0  # by then a previous process has ended and its connections are closed
 _MAX_ACCEPT_ATTEMPTS = 8  # then the caller backs off
--- a/sidecar/proxy/load_reports.py
+++ b/sidecar/proxy/load_reports.py
@@ -10,9 +10,8 @@
 log = logging.getLogger(__name__)
 
 _TEXT_FORMAT = "TEXT"
-_METRIC_VALUE = re.compile(
-    r"[0-9]{1,9}(\.[0-9]{1,18})?", re.ASCII
-)  # a count or a fraction; anything else is malformed
+# A metric is a count or a fraction; anything else is malformed.
+_METRIC_VALUE = re.compile(r"[0-9]{1,9}(\.[0-9]{1,18})?", re.ASCII)
 
 
 def parse_load_report(text: str | None, columns: Collection[str]) -> dict[str, float] | None:
--- a/sidecar/proxy/pooled_servers.py
+++ b/sidecar/proxy/pooled_servers.py
@@ -42,7 +42,7 @@
         started_at: When its process started, according to discovery, in microseconds of Unix time; None: long
             ago.
         state: Its state in the endpoint list.
-        generation: Counts changes of its process and address; connections of an older one are not reused.
+        generation: Counts changes of its process or address; older connections are not reused.
         idle_connections: Its idle connections, the longest idle first; the limit on all connections bounds
             them.
         dialing_exchanges: The exchanges that are waiting for a new connection to it.
--- a/sidecar/proxy/response_reader.py
+++ b/sidecar/proxy/response_reader.py
@@ -14,7 +14,8 @@
 _BODILESS_STATUSES = (204, 304)  # their responses have no body, whatever their headers say
 _NO_FURTHER_EVENT = (h11.ConnectionClosed, type(h11.NEED_DATA))
 
-# The parser need not know the actual request, as none here is a HEAD or a CONNECT.
+# h11 expects a request before its response.  The actual request is not needed, as none here is a HEAD or a
+# CONNECT, whose responses are framed differently.
 _PARSER_REQUEST = (h11.Request(method="GET", target="/", headers=[("Host", "-")]), h11.EndOfMessage())
 
 
--- a/sidecar/proxy/server_connection.py
+++ b/sidecar/proxy/server_connection.py
@@ -108,10 +108,10 @@
             self._transport.abort()
 
     def shutdown_and_abort(self) -> None:
-        """Close, and stop sending before this returns: the transport closes in the next loop iteration only.
+        """Close, and stop sending before this returns.
 
-        Guards the rule that one copy of a request is in flight at a time: another copy may be written before
-        that iteration.
+        Guards the rule that one copy of a request is in flight at a time: the transport closes only in the
+        next iteration of the event loop, and another copy may be written before that.
         """
         with contextlib.suppress(OSError):  # the connection has broken already
             self.sock.shutdown(socket.SHUT_WR)
--- a/sidecar/proxy/sockets.py
+++ b/sidecar/proxy/sockets.py
@@ -1,4 +1,4 @@
-"""TCP sockets: creating them, querying their state, and reading them with little memory."""
+"""TCP sockets: creates them, queries their state, and reads them into a shared buffer to save memory."""
 
 from __future__ import annotations
 
--- a/sidecar/reload.py
+++ b/sidecar/reload.py
@@ -107,6 +107,7 @@
         return result
 
     def _replace(self, new: Config, started_at: float) -> ReloadResult:
+        """Make a configuration the active one; if it can't be applied, restore the previous one."""
         old = self.active
         if new == old:
             return Unchanged(new.version)
@@ -117,7 +118,7 @@
             self._apply_change(old, new)
         except Exception as error:
             log.exception("configuration version %s could not be applied", _version_text(new.version))
-            self._apply_change(new, old)
+            self._apply_change(new, old)  # undoes what may have been applied
             return Rejected(f"it could not be applied: {error!r}")
         self.active = new
         return Applied(
--- a/sidecar/simulator/codec.py
+++ b/sidecar/simulator/codec.py
@@ -215,7 +215,7 @@
     return RequestArrived(
         request=_integer(request),
         service_class=_string(service_class),
-        tenant=None if tenant is None or tenant == 0 else _string(tenant),
+        tenant=None if tenant is None or tenant == 0 else _string(tenant),  # like null, 0 means none
         ordering_key=_optional_integer(key),
         remaining_us=_integer(remaining_us),
         cost_us=_optional_integer(cost_us) if flags & _HAS_COST_HINT else None,
