--- a/sidecar/proxy/connection_dialer.py
+++ b/sidecar/proxy/connection_dialer.py
@@ -92,7 +92,7 @@
             exchange.end(Outcome.CONNECT_FAILED)
             return False
         connection.on_lost = self._on_connection_lost
-        if exchange.is_over():
+        if exchange.has_ended():
             connection.abort()
         else:
             self._on_connected(exchange, connection)
--- a/sidecar/proxy/connection_pool.py
+++ b/sidecar/proxy/connection_pool.py
@@ -180,7 +180,7 @@
         outcome = classify_outcome(response, connection.request_written, connection.has_protocol_error)
         if outcome is Outcome.CONNECT_FAILED and connection.has_local_failure:
             outcome = Outcome.NOT_SENT  # the server did not cause the failure
-        if not exchange.is_over():  # otherwise this side closed the connection
+        if not exchange.has_ended():  # otherwise this side closed the connection
             self._record_request(exchange, outcome)
         exchange.end(outcome, response)
 
--- a/sidecar/proxy/exchange.py
+++ b/sidecar/proxy/exchange.py
@@ -110,7 +110,7 @@
         self._encoder = encoder
         self._on_outcome: OutcomeCallback | None = on_outcome
 
-    def is_over(self) -> bool:
+    def has_ended(self) -> bool:
         """Return whether it has ended."""
         return self._on_outcome is None
 
@@ -126,7 +126,7 @@
         """Return whether the last byte of a long request may be written; end the exchange if not."""
         if self.encode_request(asyncio.get_running_loop().time()) is None:
             self.end(Outcome.NOT_SENT)
-        return not self.is_over()
+        return not self.has_ended()
 
     def on_deadline(self) -> None:
         """End it, whatever its progress."""
--- a/sidecar/proxy/shutdown.py
+++ b/sidecar/proxy/shutdown.py
@@ -26,7 +26,7 @@
 # The next two times count from the end of the longest deadline, which begins at SIGTERM.
 # When all remaining requests are failed: 0.7 s, less the two delays of 0.15 s and a poll interval.
 _FAIL_ALL_AFTER_S = 0.38
-_LINGER_S = 0.65  # when the shutdown ends, so that clients have read the last responses
+_END_AFTER_S = 0.65  # when the shutdown ends, so that clients have read the last responses
 
 _MAX_DEADLINE_S = 3.0  # the platform does not wait for a longer deadline
 _POLL_INTERVAL_S = 0.02
@@ -71,7 +71,7 @@
     async def _fail_rest(self) -> int:
         """Fail the remaining requests, and those that are read only now; return how many failed."""
         failed = self._fail_all()
-        while not self._is_drained() and self._elapsed_s() < self._longest_deadline_s + _LINGER_S:
+        while not self._is_drained() and self._elapsed_s() < self._longest_deadline_s + _END_AFTER_S:
             await asyncio.sleep(_POLL_INTERVAL_S)
             failed += self._fail_all()
         return failed
