--- a/scale/callgraph/graph.py
+++ b/scale/callgraph/graph.py
@@ -85,7 +85,7 @@
     def _make_service(self, depth: int) -> Service:
         servers = {}
         for index in range(self._experiment.servers.count):
-            # Each service starts at another location, so that its first server isn't always in the same zone.
+            # Services start at different locations, so that their first servers aren't all in the same zone.
             location = self.locations[(index + depth) % len(self.locations)]
             name = f"service-{depth}-server-{index}"
             servers[name] = Server(self._loop, name, location, self._experiment.servers, next(self._seeds))
--- a/scale/callgraph/measure.py
+++ b/scale/callgraph/measure.py
@@ -8,7 +8,7 @@
 from scale.callgraph.server import CallResult
 
 BIN_US = 250_000  # the resolution of the time to recover
-RECOVERY_SHARE = 0.95  # of the goodput before the fault
+RECOVERY_SHARE = 0.95  # share of the goodput before the fault that counts as recovery
 RECOVERY_BINS = 4  # consecutive bins whose mean goodput must reach RECOVERY_SHARE
 
 
--- a/scale/callgraph/run.py
+++ b/scale/callgraph/run.py
@@ -1,4 +1,4 @@
-"""Runs one call graph, from its start to its end."""
+"""Runs one point of a sweep: one call graph with one load, fault, policy and seed."""
 
 from __future__ import annotations
 
--- a/scale/callgraph/server.py
+++ b/scale/callgraph/server.py
@@ -15,7 +15,7 @@
 from scale.callgraph.network import Location
 from sidecar.balancer.events import Outcome
 
-_ERROR_TIME_US = 1_000  # duration of an injected error; it takes no place in the queue
+_ERROR_TIME_US = 1_000  # response time of a call with an injected error; the call isn't queued
 _SERVICE_TIME_BATCH = 256  # number of service times drawn at once
 
 
@@ -32,7 +32,7 @@
     """The part of a sidecar that its application uses."""
 
     def call(self, remaining_us: int, on_result: Callable[[CallResult], None]) -> None:
-        """Make a call with a deadline in microseconds; `on_result` is called once with its result."""
+        """Make a call with the time until its deadline; `on_result` is called once with its result."""
 
 
 @dataclass(slots=True, eq=False)
@@ -41,7 +41,7 @@
 
     Attributes:
         respond: Sends the response to the caller.
-        deadline: In microseconds since the start of the run.
+        deadline: When the caller gives up, in microseconds since the start of the run.
         cancelled: Whether the caller has cancelled the call.
         pending_results: Number of downstream calls without a result.
         failed: Whether a downstream call was shed or failed.
--- a/scale/callgraph/sidecar.py
+++ b/scale/callgraph/sidecar.py
@@ -28,7 +28,7 @@
     Attributes:
         index: Number of the attempt within its request, from 0.
         server: The server that the attempt is sent to.
-        sent_at: In microseconds since the start of the run.
+        sent_at: When the attempt was sent, in microseconds since the start of the run.
         incarnation: Incarnation of the server's process, as known when the attempt was sent or delivered.
         call: The call that the server has received, or None before the attempt reaches the server.
     """
@@ -55,7 +55,7 @@
     """Idle connections to one server."""
 
     count: int = 0
-    incarnation: int = 0  # of the server's process
+    incarnation: int = 0  # incarnation of the server's process that the connections are open to
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,7 +92,7 @@
         self._handle(RegistryUpdated(kind, endpoints, 1))
 
     def call(self, remaining_us: int, on_result: Callable[[CallResult], None]) -> None:
-        """Make a call with a deadline in microseconds; `on_result` is called once with its result."""
+        """Make a call with the time until its deadline; `on_result` is called once with its result."""
         request_number, self._next_request = self._next_request, self._next_request + 1
         self._requests[request_number] = _Request(on_result)
         self._handle(RequestArrived(request_number, self._upstream.service_class, None, None, remaining_us))
@@ -153,7 +153,10 @@
         return True
 
     def _dial(self, request_number: int, attempt: _Attempt, deadline: int, one_way_us: int) -> None:
-        """Open a connection for an attempt; this takes one round trip, or the dial timeout if partitioned."""
+        """Open a connection for an attempt, then deliver the attempt.
+
+        Connecting takes one round trip, or the dial timeout if the server is in another partition.
+        """
         if not self._network.reaches(self.location, attempt.server.location):
             timeout_us = self._upstream.dial_timeout_us
             self._loop.call_later(
@@ -183,7 +186,7 @@
         server.receive(attempt.call)
 
     def _send_response(self, request_number: int, attempt: _Attempt, outcome: Outcome) -> None:
-        """Send the server's response to the sidecar; a process that was stopped sends none."""
+        """Send the server's response to the sidecar; only resets arrive from a stopped process."""
         process_stopped = attempt.incarnation != attempt.server.incarnation and outcome is not Outcome.RESET
         if process_stopped or not self._network.reaches(attempt.server.location, self.location):
             return
--- a/scale/capacity/evaluation.py
+++ b/scale/capacity/evaluation.py
@@ -24,7 +24,7 @@
         maximum: The largest of the values.
         derivation: How the value was computed, as shown on the capacity page.
         runs: The results files, commits and seeds of the measurements, as shown on the capacity page.
-        is_lower_bound: Whether a run ended before the timed event.
+        is_lower_bound: Whether a run ended before the event whose time is measured, such as the recovery.
     """
 
     value: float
--- a/scale/capacity/figures.py
+++ b/scale/capacity/figures.py
@@ -1,4 +1,4 @@
-"""The figures of the capacity page, as `figures.toml` lists them."""
+"""Reads the definitions of the capacity page's figures from `figures.toml`."""
 
 from __future__ import annotations
 
--- a/scale/capacity/page.py
+++ b/scale/capacity/page.py
@@ -1,4 +1,4 @@
-"""Fills in the tables of the capacity page."""
+"""Fills in the tables of the capacity page, between the markers that name them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def _ranked_figures(figures: Sequence[Figure]) -> list[Figure]:
-    """Return the ranked figures in order, as rows of the table "missing"."""
+    """Return the ranked figures in order of rank, as rows of the table "missing"."""
     ranked = sorted((figure.rank, index) for index, figure in enumerate(figures) if figure.rank is not None)
     return [
         figures[index].model_copy(
--- a/scale/configuration/point.py
+++ b/scale/configuration/point.py
@@ -1,4 +1,4 @@
-"""Measures one point of a configuration experiment: changes, an invalid file, a rollback, and reloads."""
+"""Measures one point of a configuration experiment: changes, an invalid file, a rollback and reload costs."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class PointRun:
-    """Measures one combination of sizes.
+    """The run of one point, which is one combination of sizes.
 
     Attributes:
         version: The version of the configuration that was written last.
@@ -90,7 +90,7 @@
             self._write("configuration", f"in force, {percentile:g} in 100", value, "s", phase)
 
     async def _measure_change(self) -> None:
-        """Replace all files while each sidecar has a request of each idempotency in flight."""
+        """Replace all files while each sidecar has a request of each class in flight."""
         expected_requests = self.server.counters.requests + len(self.sidecars) * len(SAMPLE_CLASSES)
         self.server.service_time_s = lambda: _IN_FLIGHT_SERVICE_TIME_S
         in_flight = [
--- a/scale/configuration/sidecar.py
+++ b/scale/configuration/sidecar.py
@@ -1,4 +1,4 @@
-"""A real sidecar whose configuration file is replaced and whose active settings are probed by requests."""
+"""A real sidecar whose configuration file is replaced, and whose active classes are found by requests."""
 
 from __future__ import annotations
 
@@ -15,11 +15,14 @@
 from scale.processes import ProcessGroup
 from scale.sidecar_process import sample_config, start_sidecar, wait_until_ready
 
-SAMPLE_CLASSES = ("read", "update", "send")  # the sample configuration's classes, one per idempotency
+# The classes of the sample configuration: one is safe to repeat, one needs an idempotency key for that, and
+# one must never be repeated.
+SAMPLE_CLASSES = ("read", "update", "send")
 _REQUEST_BUDGET_S = 1.5
 _CALL_TIMEOUT_S = 3.0
 _INITIAL_POLL_INTERVAL_S = 0.002
-_POLL_INTERVAL_FACTOR = 1.25  # few requests, yet the error of a delay is at most about a quarter of it
+# Growing intervals need few requests, yet limit the error of a measured delay to about a quarter of it.
+_POLL_INTERVAL_FACTOR = 1.25
 _MAXIMUM_POLL_INTERVAL_S = 0.25
 
 
@@ -69,7 +72,10 @@
         return replaced_at
 
     async def call(self, service_class: str) -> CallResult:
-        """Send a request of a service class."""
+        """Send a request of a service class.
+
+        It is a GET for class "read", a POST with an idempotency key for "update", and one without for "send".
+        """
         self._call_count += 1
         call_id = f"{self.process.pid:08x}{self._call_count:08x}"
         request = format_call(
--- a/scale/control/experiment.py
+++ b/scale/control/experiment.py
@@ -40,13 +40,14 @@
 
     kind: FaultKind
     lasts_s: float = Field(default=0.0, ge=0.0, le=600.0)
-    observed_s: float = Field(default=10.0, gt=0.0, le=600.0)  # longest wait for the recovery after its end
+    observed_s: float = Field(default=10.0, gt=0.0, le=600.0)  # maximum wait for recovery after the fault
 
 
 class ControlExperiment(Experiment):
     """Sidecars that watch a registry, measured for each combination of the sizes and rates.
 
-    A stub sidecar is a sidecar without a front end; experiment files and results call it "hollow".
+    A stub sidecar is a sidecar without a frontend; experiment files and results call it "hollow".
+    `duration_s` is how long each change rate is measured.
     """
 
     servers: list[Annotated[int, Field(ge=2, le=MAXIMUM_SERVERS)]] = Field(min_length=1)
--- a/scale/control/faults.py
+++ b/scale/control/faults.py
@@ -101,7 +101,10 @@
 
 
 def _perform_rolling_restart(fault: Fault, fleet: Fleet, rng: random.Random) -> FaultOutcome:
-    """Drain, remove and re-add each server of a service in turn, spread over the fault's duration."""
+    """Drain, remove and re-add each server of a service in turn, spread over the fault's duration.
+
+    The servers of a service are the endpoints of one group.
+    """
     service = rng.choice(fleet.registry.endpoints).group
     indexes = [index for index, endpoint in enumerate(fleet.registry.endpoints) if endpoint.group == service]
     started_at, changes = time.monotonic(), []
--- a/scale/control/figures.py
+++ b/scale/control/figures.py
@@ -136,7 +136,7 @@
 
 
 def write_stub_delays(writer: ResultWriter, delays: Sequence[Delays], labels: Labels) -> None:
-    """Write the times until changes were applied in stub sidecars."""
+    """Write the propagation times of changes to stub sidecars."""
     histogram = LatencyHistogram()
     for process_delays in delays:
         histogram.merge(LatencyHistogram.decode(process_delays.histogram))
@@ -146,7 +146,7 @@
 
 
 def write_real_sidecar_delays(writer: ResultWriter, observed: ObservedDelays, labels: Labels) -> None:
-    """Write the times until real sidecars were observed to have applied changes, by their next calls."""
+    """Write the propagation times of changes to real sidecars, as observed by their next calls."""
     histogram = LatencyHistogram()
     missing = 0
     for change in observed.delays_s:
--- a/scale/control/peak_sampler.py
+++ b/scale/control/peak_sampler.py
@@ -1,4 +1,4 @@
-"""Records the peak memory usage of processes."""
+"""Records the peak memory usage of the registry and of the stub sidecars during a fault."""
 
 from __future__ import annotations
 
--- a/scale/control/run.py
+++ b/scale/control/run.py
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True)
 class PointRun:
-    """Measures one combination of sizes.
+    """The run of one point, which is one combination of sizes.
 
     Attributes:
         server_count: The number of endpoints in the registry.
--- a/scale/control/stub_commands.py
+++ b/scale/control/stub_commands.py
@@ -39,7 +39,7 @@
 
 
 class GetDelays(Message):
-    """Get the times from the commits of changes until the sidecars applied them."""
+    """Get the propagation times of changes: from the commit of each until a sidecar applied it."""
 
     command: Literal["delays"] = "delays"
     changes: list[CommittedChange]
--- a/scale/control/stub_sidecar.py
+++ b/scale/control/stub_sidecar.py
@@ -1,4 +1,4 @@
-"""A stub sidecar: the real discovery client, balancer and connection pool, without a front end."""
+"""A stub sidecar: the real discovery client, balancer and connection pool, without a frontend."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from sidecar.proxy.registry_messages import RegistryResponse
 from sidecar.settings import Settings
 
-_MAX_SERVER_CONNECTIONS = 480  # as of a real sidecar under the usual limit of 1,024 file descriptors
+_MAX_SERVER_CONNECTIONS = 480  # the same as in a real sidecar with a limit of 1,024 file descriptors
 
 
 def sidecar_settings(zone: str) -> dict[str, Any]:
@@ -31,7 +31,7 @@
 
 
 class StubSidecar:
-    """A sidecar without a front end: it watches the registry like a real one, but serves no requests.
+    """A sidecar without a frontend: it watches the registry like a real one, but serves no requests.
 
     Attributes:
         applied_log: The registry versions that it applied, and when.
--- a/scale/demo/outcome.py
+++ b/scale/demo/outcome.py
@@ -41,7 +41,7 @@
     results: Sequence[CallResult]
     phases: Sequence[Phase]
     servers: Sequence[ServerOutcome]
-    drain_notified_at: float  # seconds on the monotonic clock
+    drain_notified_at: float  # when the registry published the drain, in seconds on the monotonic clock
     exit_code: int | None  # of the sidecar after SIGTERM; None if it had to be killed
     log: Sequence[str] = field(default_factory=list)
 
--- a/scale/experiment.py
+++ b/scale/experiment.py
@@ -1,4 +1,4 @@
-"""Experiment files: TOML with the kind of experiment, its sizes, duration and seed."""
+"""Reads and validates experiment files, and defines the keys that all kinds of experiment have."""
 
 from __future__ import annotations
 
--- a/scale/histogram.py
+++ b/scale/histogram.py
@@ -1,4 +1,4 @@
-"""Histograms of latencies."""
+"""A histogram of latencies, which processes can exchange in encoded form."""
 
 from __future__ import annotations
 
--- a/scale/lag_probe.py
+++ b/scale/lag_probe.py
@@ -1,4 +1,4 @@
-"""Measures the lag of the running event loop."""
+"""Measures the lag of an event loop: how late it runs its timers."""
 
 from __future__ import annotations
 
--- a/scale/latency/__init__.py
+++ b/scale/latency/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments of the kind `latency`: the latency that one real sidecar adds to calls, and its sources."""
+"""Latency experiments: the latency that one real sidecar adds to calls, and its sources."""
--- a/scale/latency/figures.py
+++ b/scale/latency/figures.py
@@ -1,4 +1,4 @@
-"""Writes the figures of one point: counts, cost, added latency, connections, conditions and sources."""
+"""Writes the measurements of one point: counts, cost, added latency, connections, conditions and sources."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 def write_point_measurements(
     outcome: PointOutcome, experiment: LatencyExperiment, point: LatencyPoint, writer: ResultWriter
 ) -> None:
-    """Write the figures of one point."""
+    """Write the measurements of one point."""
     _PointWriter(outcome, experiment, point, writer).write()
 
 
 class _PointWriter:
-    """Writes figures with the labels of one point."""
+    """Writes measurements with the labels of one point."""
 
     def __init__(
         self, outcome: PointOutcome, experiment: LatencyExperiment, point: LatencyPoint, writer: ResultWriter
@@ -116,6 +116,7 @@
         self._add("client", "new connections to the sidecar", opened_connections, "connections")
 
     def _write_conditions(self) -> None:
+        """Write the conditions of the measurement: the client's lag, and the machine's load and cores."""
         lag = self._outcome.lag
         for percentile in PERCENTILES:
             self._add("client", f"event loop lag p{percentile:g}", lag.percentile(percentile), "us")
@@ -126,6 +127,7 @@
         self._add("machine", "cores", os.cpu_count() or 0, "cores")
 
     def _write_sources(self, trace: Trace) -> None:
+        """Write the sources of the overhead of calls through the sidecar, in particular of the slowest."""
         overhead = np.array([call.overhead_us for call in self._sidecar_calls])
         slowest = overhead >= np.percentile(overhead, SLOWEST_PERCENTILE)
         sources = attribute_overhead(self._sidecar_calls, trace)
--- a/scale/latency/point.py
+++ b/scale/latency/point.py
@@ -90,7 +90,7 @@
 
 
 class _PointRun:
-    """Runs one point."""
+    """The run of one point."""
 
     def __init__(
         self, experiment: LatencyExperiment, point: LatencyPoint, processes: _PointProcesses
--- a/scale/latency/run.py
+++ b/scale/latency/run.py
@@ -1,4 +1,4 @@
-"""Runs experiments of the kind `latency`, point by point."""
+"""Runs latency experiments, point by point."""
 
 from __future__ import annotations
 
--- a/scale/logs.py
+++ b/scale/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object per line on standard error."""
+"""Configures structured logs: one JSON object per line on standard error."""
 
 from __future__ import annotations
 
--- a/scale/plots.py
+++ b/scale/plots.py
@@ -1,4 +1,4 @@
-"""Plots of each metric against the size that was varied."""
+"""Plots each metric against the size that was varied."""
 
 from __future__ import annotations
 
--- a/scale/results.py
+++ b/scale/results.py
@@ -1,4 +1,4 @@
-"""Results files: one JSON line for each measurement, with its commit and seed."""
+"""Writes and reads results files: one JSON line for each measurement, with its commit and seed."""
 
 from __future__ import annotations
 
--- a/scale/sidecar_process.py
+++ b/scale/sidecar_process.py
@@ -1,4 +1,4 @@
-"""Starts a real sidecar, `python -m sidecar`, from the sample configuration."""
+"""Starts real sidecars, `python -m sidecar`, and reads the sample configuration."""
 
 from __future__ import annotations
 
--- a/scale/slopes.py
+++ b/scale/slopes.py
@@ -1,4 +1,4 @@
-"""Fits lines to all metrics measured at two or more sizes, and evaluates them at another size."""
+"""Fits a line to each metric in results files that was measured at several sizes, and tabulates the lines."""
 
 from __future__ import annotations
 
--- a/scale/standins/change_log.py
+++ b/scale/standins/change_log.py
@@ -1,4 +1,4 @@
-"""The registry's state: endpoints, versions and a bounded change log, with cached responses."""
+"""The endpoints in a registry, a bounded log of their changes, and the responses built from both."""
 
 from __future__ import annotations
 
@@ -52,6 +52,8 @@
 class ChangeLog:
     """The endpoints and a bounded log of their changes; each commit creates one version.
 
+    Responses are cached until the next commit, because all callers with the same version get the same one.
+
     Attributes:
         on_commit: Called after each commit.
     """
@@ -138,7 +140,10 @@
         return self.commit(restarted)
 
     def drop_changes(self) -> None:
-        """Drop the log, as a restarting registry does: the next response to each caller is a snapshot."""
+        """Drop the log, as a restarting registry does: the next response to each caller is a snapshot.
+
+        The version is increased, so that callers that were up to date get a snapshot, too.
+        """
         self._version += 1
         self._changes.clear()
         self._oldest_delta_base = self._version
--- a/scale/standins/fleet.py
+++ b/scale/standins/fleet.py
@@ -8,7 +8,7 @@
 
 _PORT = 8443
 _MACHINE_TYPES = ("m1", "m2")
-_ENDPOINTS_PER_GROUP = 35
+_ENDPOINTS_PER_GROUP = 35  # each group stands for one service
 
 
 def zone_name(index: int) -> str:
--- a/scale/standins/registry.py
+++ b/scale/standins/registry.py
@@ -1,4 +1,4 @@
-"""A stand-in for discovery: serves the registry protocol over HTTP/1.1 on loopback to thousands of watchers.
+"""The registry stand-in: serves the registry protocol over HTTP/1.1 on loopback to thousands of sidecars.
 
 It serves all calls on one event loop.  Several listeners share one registry, so that sidecars can migrate
 from one address to another, and so that some sidecars can be partitioned while the others are served.
@@ -47,8 +47,8 @@
 
         Args:
             listeners: The number of addresses to listen at.
-            observed_listeners: The number of listeners, counted from the last, that record their calls.  If
-                only one sidecar uses such an address, the calls show which version it had applied, and when.
+            observed_listeners: How many of the listeners, the last ones, record their calls.  If only one
+                sidecar uses such an address, the calls show which version it had applied, and when.
 
         Returns:
             The addresses of all listeners.
--- a/scale/standins/registry_commands.py
+++ b/scale/standins/registry_commands.py
@@ -35,10 +35,10 @@
 
 
 class CommittedChange(Message):
-    """A committed change; `at_s` is the time just before the commit, in seconds on the monotonic clock."""
+    """A committed change of the endpoint list."""
 
     version: int
-    at_s: float
+    at_s: float  # just before the commit, in seconds on the monotonic clock
 
 
 class SetAvailability(Message):
--- a/scale/standins/registry_connection.py
+++ b/scale/standins/registry_connection.py
@@ -50,7 +50,7 @@
     """One connection; reads calls and responds to them one at a time."""
 
     def __init__(self, state: RegistryState, listener: Listener) -> None:
-        self.is_blackholed = False  # if set, all input is ignored and nothing is written
+        self.is_blackholed = False  # whether all input is ignored and nothing is written
         self._state = state
         self._listener = listener
         self._transport: asyncio.Transport | None = None
@@ -58,7 +58,7 @@
         self._current_call: Call | None = None
         self._response_timer: asyncio.TimerHandle | None = None
         self._unwritten = memoryview(b"")  # the rest of the current response's body
-        self._is_sampled = False
+        self._is_sampled = False  # whether the TCP segments of this connection are counted
         self._can_write = True
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -181,7 +181,7 @@
         self._can_write = False
 
     def resume_writing(self) -> None:
-        """Write the rest of the response."""
+        """Continue to write the response, as the transport's buffer has drained."""
         self._can_write = True
         if self._unwritten:
             self._continue_writing()
--- a/scale/standins/registry_protocol.py
+++ b/scale/standins/registry_protocol.py
@@ -1,4 +1,4 @@
-"""Parses the requests of the registry protocol."""
+"""Parses the calls of sidecars to the registry: GET requests over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A parsed request."""
+    """A parsed call."""
 
     after: int | None  # the response contains the changes after this version; None: a snapshot
     wait_ms: int  # how long to wait for a change if there is none
--- a/scale/standins/registry_state.py
+++ b/scale/standins/registry_state.py
@@ -1,4 +1,4 @@
-"""The state shared by all connections to a registry."""
+"""The state shared by all connections to a registry: change log, availability, counters and watches."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
     empty: int = 0  # responses without entries: nothing had changed
     unavailable: int = 0  # responses with 503
     malformed: int = 0  # responses with 400, 404, 405 and 431
-    bytes_in: int = 0  # HTTP bytes, without TCP and IP headers
-    bytes_out: int = 0
+    bytes_in: int = 0  # HTTP bytes received, without TCP and IP headers
+    bytes_out: int = 0  # HTTP bytes sent, without TCP and IP headers
     sampled_connections: int = 0
     sampled_segments: int = 0  # TCP segments in both directions on the sampled connections
     watching: int = 0  # pending watches
--- a/scale/standins/server.py
+++ b/scale/standins/server.py
@@ -1,4 +1,4 @@
-"""A server stand-in: HTTP/1.1 on a loopback port, as the protocol describes the servers of a service.
+"""A server stand-in: serves HTTP/1.1 on a loopback port, as the protocol of the sidecar requires of servers.
 
 Each connection carries one request at a time.  The body of a 200 response contains the server's name, the
 number of the request on its connection, and the service time.  With these the caller can separate the
@@ -23,7 +23,7 @@
 
 _LIVENESS_PATH = "/health/live"
 _BACKLOG = 512
-_RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for 0 s
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # value of SO_LINGER, on for 0 s: close() resets the connection
 _REJECTION_HEADERS = {"X-Rejected": "1"}
 
 
--- a/sidecar/__main__.py
+++ b/sidecar/__main__.py
@@ -21,8 +21,8 @@
 from sidecar.reload import Reloader, ReloadSignalHandler
 
 # An asyncio transport is part of a reference cycle, so the memory of a closed connection is freed only by a
-# full collection.  Full collections are cheap here, and with the default thresholds they run only about once
-# per minute and 2 MB of garbage.
+# full collection.  Full collections are cheap here; with the default thresholds they would run only about
+# once per minute, after 2 MB of garbage has accumulated.
 GC_THRESHOLDS = (700, 5, 2)
 _EXIT_CANNOT_SERVE = 1
 _EXIT_BAD_CONFIGURATION = 2
@@ -54,7 +54,7 @@
 def main() -> int:
     """Run the sidecar; return the exit code of the process."""
     configure_logging()
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is a configuration to reload
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # ignored until there is a configuration to reload
     try:
         config = read_config(os.environ)
     except READ_ERRORS as error:
--- a/sidecar/config.py
+++ b/sidecar/config.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The configuration of a sidecar, with the names that the configuration file has.
+    """The configuration of a sidecar, as read from its configuration file.
 
     Attributes:
         listen: Address at which the sidecar accepts connections of the application.
--- a/sidecar/logs.py
+++ b/sidecar/logs.py
@@ -1,4 +1,4 @@
-"""Logging of the process: lines on standard error, at a limited rate."""
+"""Configures the log of the process: lines on standard error, at a limited rate."""
 
 from __future__ import annotations
 
--- a/sidecar/settings/errors.py
+++ b/sidecar/settings/errors.py
@@ -1,4 +1,4 @@
-"""Errors about an invalid configuration."""
+"""The errors that the parsers of settings and of the configuration file raise."""
 
 from __future__ import annotations
 
--- a/sidecar/settings/model.py
+++ b/sidecar/settings/model.py
@@ -49,8 +49,11 @@
     """Which servers drop the duplicates of a request with an idempotency key."""
 
     ALL = "all"
+    """All servers, because they share one record of idempotency keys."""
     ZONE = "zone"
+    """The servers in the zone of the server that received the first attempt."""
     CELL = "cell"
+    """The servers of the same group as the server that received the first attempt."""
 
 
 @unique
@@ -58,7 +61,9 @@
     """How changes of the endpoint list reach an instance."""
 
     PUSHED = "pushed"
+    """They arrive without a request from the instance."""
     ON_REQUEST = "on_request"
+    """The instance polls the registry."""
 
 
 @unique
@@ -203,7 +208,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Costs of extra traffic, in points of the service level, for one unit per request.
+    """Costs of extra traffic, in points of the service level.
+
+    Unless stated otherwise, each is the cost of one unit per request.
 
     Attributes:
         cross_zone: Cost of an attempt in another zone.
