--- a/tests/proxy/test_registry_races.py
+++ b/tests/proxy/test_registry_races.py
@@ -43,13 +43,13 @@
 
 async def assert_first_server_gets_no_requests(proxy: ProxyHarness) -> None:
     """Check that further requests are served, all by other servers."""
-    seen = len(proxy.servers[0].requests)
+    requests_before = len(proxy.servers[0].requests)
     for number in range(20):
         kind = "pay" if number % 2 else "look"
         body = b"x" if number % 2 else b""
         assert (await proxy.send_request(kind=kind, body=body))[2] == b"served"
         await asyncio.sleep(0.01)
-    assert len(proxy.servers[0].requests) == seen
+    assert len(proxy.servers[0].requests) == requests_before
 
 
 def has_received(proxy: ProxyHarness, count: int) -> bool:
@@ -63,12 +63,12 @@
     """Return the client connection of a request in flight to s-0, which does not answer yet."""
     first = proxy.servers[0]
     first.script = never_respond
-    before = len(first.requests)
+    requests_before = len(first.requests)
     for number in range(200):
         reader, writer = await proxy.connect()
         writer.write(request("pay", body=b"held", budget="500", X_Call_Id=f"held-{number}"))
         await wait_until(partial(has_received, proxy, len(proxy.server_requests()) + 1))
-        if len(first.requests) > before:
+        if len(first.requests) > requests_before:
             return reader, writer
         assert (await read_response(reader))[0] == 200
         writer.close()
@@ -212,7 +212,7 @@
     run_in_virtual_time(scenario())
 
 
-def test_request_whose_server_is_missing_from_a_snapshot_and_dies_is_retried_only_if_safe() -> None:
+def test_request_whose_server_is_missing_from_a_snapshot_and_crashes_is_retried_only_if_safe() -> None:
     async def scenario() -> None:
         async with running_proxy(never_respond, never_respond) as proxy:
             safe = asyncio.create_task(proxy.send_request(kind="look", budget="500"))
--- a/tests/proxy/test_remaining_time.py
+++ b/tests/proxy/test_remaining_time.py
@@ -80,7 +80,7 @@
 
 
 class AttemptRecorder:
-    """The attempts of one request: the first gets no response, each later one gets `reply`."""
+    """Records the attempts of one request: the first gets no response, each later one gets `reply`."""
 
     def __init__(self, reply: bytes) -> None:
         self.reply = reply
--- a/tests/proxy/test_response_races.py
+++ b/tests/proxy/test_response_races.py
@@ -68,9 +68,8 @@
             await wait_until(lambda: connection._write_blocked and proxy.sidecar.frontend._accepting)
             reader, writer = await proxy.connect()
             writer.write(request(X_Call_Id="new"))
-            await wait_until(
-                lambda: not proxy.sidecar.frontend._accepting
-            )  # it arrived, and there was no capacity for it
+            # It arrived, and there was no capacity for it.
+            await wait_until(lambda: not proxy.sidecar.frontend._accepting)
             slow_reader, slow_writer = await asyncio.open_connection(sock=slow_socket)
             assert (await read_response(slow_reader))[2] == bytes(60_000)
             assert (await read_response(reader))[2] == b"served"
@@ -115,7 +114,7 @@
     "its time is up": (lambda pool, exchange: exchange.on_deadline(), [Outcome.TIMED_OUT]),
     "it is called off": (lambda pool, exchange: pool.cancel(exchange), [Outcome.CANCELLED]),
     # The exchange has a connection by then, which mypy cannot infer.
-    "its connection breaks": (lambda u, e: e.connection.connection_lost(None), [Outcome.RESET]),  # type: ignore[union-attr]
+    "its connection breaks": (lambda _, exchange: exchange.connection.connection_lost(None), [Outcome.RESET]),  # type: ignore[union-attr]
 }
 
 
--- a/tests/proxy/test_wall_clock_steps.py
+++ b/tests/proxy/test_wall_clock_steps.py
@@ -65,5 +65,5 @@
 def test_rate_limit_of_log_lines_holds_and_ends_in_time_after_a_step(span_s: float) -> None:
     rate_limit = RateLimitFilter(2)
     created_s = [7.0, 7.1, 7.2, 7.3 + span_s, 7.4 + span_s, 7.5 + span_s, 8.4 + span_s]
-    are_passed = [rate_limit.filter(logging.makeLogRecord({"created": at})) for at in created_s]
-    assert are_passed == [True, True, False, True, True, False, True]
+    is_passed = [rate_limit.filter(logging.makeLogRecord({"created": at})) for at in created_s]
+    assert is_passed == [True, True, False, True, True, False, True]
