--- a/sidecar/balancer/policy/registry_polling.py
+++ b/sidecar/balancer/policy/registry_polling.py
@@ -1,12 +1,16 @@
-"""Registry polling: the time of the next poll, with exponential backoff and jitter after failures."""
+"""Registry polling: when to poll the registry, with exponential backoff and jitter after failures.
+
+A poll asks the host to watch the endpoint list.  Once the registry has responded, the host reports changes
+and failures of the watch by itself, so the next poll is due only after a failure.
+"""
 
 from sidecar.balancer.actions import WatchRegistry
 from sidecar.balancer.state import Context
 from sidecar.balancer.state.timers import RegistryPoll
 from sidecar.settings import Discovery
 
-# Upper bound of the permitted staleness, whatever the settings allow, so that a change is noticed soon after
-# a failed poll.
+# Upper bound of the permitted staleness of the endpoint list, even if `max_poll_interval_us` is longer.  It
+# lets a change be noticed soon after a failed poll.
 MAX_STALENESS_US = 6_000_000
 INITIAL_BACKOFF_SHARE = 0.05  # share of the permitted staleness; the backoff doubles with each failure
 MAX_BACKOFF_SHARE = 0.25  # three failed polls in a row still fit into the permitted staleness
@@ -20,7 +24,7 @@
     """Keeps a watch on the registry established if changes are not pushed.
 
     Attributes:
-        next_poll_at: The time of the next poll, in us; None while the watch is established.
+        next_poll_at: The time of the next poll, in microseconds; None while the watch is established.
         consecutive_failures: The number of polls that failed since the last response.
     """
 
@@ -35,7 +39,7 @@
         self._context = context
 
     def poll(self) -> None:
-        """Poll the registry, and again later if there is no response; has no effect if changes are pushed."""
+        """Poll the registry, and again later unless it responds; has no effect if changes are pushed."""
         if self._context.settings.discovery is Discovery.ON_REQUEST:
             self._context.actions.append(WatchRegistry(True))
             self._schedule(MAX_BACKOFF_SHARE)
