--- a/scale/callgraph/faults.py
+++ b/scale/callgraph/faults.py
@@ -4,11 +4,11 @@
 
 from scale.callgraph.experiment import Fault, FaultKind
 from scale.callgraph.graph import CallGraph, Service
-from scale.callgraph.loop import MICROSECONDS_PER_SECOND, EventLoop
+from scale.callgraph.loop import MICROSECONDS_PER_SECOND, VirtualEventLoop
 from sidecar.balancer.events import RegistryUpdateKind
 
 
-def schedule_fault(loop: EventLoop, graph: CallGraph, fault: Fault) -> None:
+def schedule_fault(loop: VirtualEventLoop, graph: CallGraph, fault: Fault) -> None:
     """Schedule the start and the end of a fault in virtual time."""
     if fault.kind is FaultKind.NONE:
         return
--- a/scale/callgraph/graph.py
+++ b/scale/callgraph/graph.py
@@ -8,10 +8,10 @@
 import numpy as np
 
 from scale.callgraph.experiment import CallGraphExperiment, PolicyName, SlowStart
-from scale.callgraph.loop import MICROSECONDS_PER_SECOND, EventLoop
+from scale.callgraph.loop import MICROSECONDS_PER_SECOND, VirtualEventLoop
 from scale.callgraph.network import Location, Network
 from scale.callgraph.policies import make_policy
-from scale.callgraph.server import Server
+from scale.callgraph.server import SimulatedServer
 from scale.callgraph.sidecar import SimulatedSidecar, UpstreamService
 from sidecar.balancer.events import Endpoint, RegistryUpdateKind
 from sidecar.settings import Discovery, Idempotency, Limits, Rules, ServiceClass, Settings
@@ -27,7 +27,7 @@
     """One service: its servers, and the sidecars that call it."""
 
     depth: int  # 1 for the service that the root callers call
-    servers: dict[str, Server]
+    servers: dict[str, SimulatedServer]
     callers: list[SimulatedSidecar]
 
     def calls_received(self) -> int:
@@ -54,7 +54,12 @@
     """A chain of services, from 1 to `depth`; each server calls the next service through its own sidecar."""
 
     def __init__(
-        self, loop: EventLoop, experiment: CallGraphExperiment, depth: int, policy: PolicyName, seed: int
+        self,
+        loop: VirtualEventLoop,
+        experiment: CallGraphExperiment,
+        depth: int,
+        policy: PolicyName,
+        seed: int,
     ) -> None:
         self.network = Network(experiment.delays)
         self.locations = _make_locations(experiment)
@@ -88,7 +93,9 @@
             # Services start at different locations, so that their first servers aren't all in the same zone.
             location = self.locations[(index + depth) % len(self.locations)]
             name = f"service-{depth}-server-{index}"
-            servers[name] = Server(self._loop, name, location, self._experiment.servers, next(self._seeds))
+            servers[name] = SimulatedServer(
+                self._loop, name, location, self._experiment.servers, next(self._seeds)
+            )
         return Service(depth, servers, [])
 
     def _make_sidecar(self, location: Location, service: Service) -> SimulatedSidecar:
--- a/scale/callgraph/loop.py
+++ b/scale/callgraph/loop.py
@@ -13,7 +13,7 @@
 ScheduledCallback = tuple[int, int, Callable[[], None]]  # due time, sequence number, callback
 
 
-class EventLoop:
+class VirtualEventLoop:
     """Runs callbacks in order of their due times, and those due at the same time in order of scheduling."""
 
     def __init__(self) -> None:
--- a/scale/callgraph/root_load.py
+++ b/scale/callgraph/root_load.py
@@ -5,7 +5,7 @@
 import numpy as np
 
 from scale.callgraph.graph import CallGraph
-from scale.callgraph.loop import MICROSECONDS_PER_SECOND, EventLoop
+from scale.callgraph.loop import MICROSECONDS_PER_SECOND, VirtualEventLoop
 from scale.callgraph.measure import RootCall, RootCallRecorder
 from scale.callgraph.server import CallResult
 
@@ -14,7 +14,7 @@
     """Makes root calls at random times from random root callers; those in a partitioned zone make none."""
 
     def __init__(
-        self, loop: EventLoop, graph: CallGraph, calls_per_s: float, deadline_us: int, seed: int
+        self, loop: VirtualEventLoop, graph: CallGraph, calls_per_s: float, deadline_us: int, seed: int
     ) -> None:
         self.recorder = RootCallRecorder(deadline_us)
         self._loop = loop
--- a/scale/callgraph/run.py
+++ b/scale/callgraph/run.py
@@ -11,7 +11,7 @@
 from scale.callgraph.experiment import CallGraphExperiment, Fault, FaultKind, PolicyName
 from scale.callgraph.faults import schedule_fault
 from scale.callgraph.graph import CallGraph
-from scale.callgraph.loop import EventLoop
+from scale.callgraph.loop import VirtualEventLoop
 from scale.callgraph.measure import OutcomeShares, RootCallRecorder, to_us
 from scale.callgraph.root_load import RootLoad
 
@@ -77,7 +77,7 @@
 
 def run_point(experiment: CallGraphExperiment, point: Point) -> CallGraphRun:
     """Run one call graph from its start to its end."""
-    loop = EventLoop()
+    loop = VirtualEventLoop()
     graph = CallGraph(loop, experiment, point.depth, point.policy, point.seed)
     load = RootLoad(
         loop, graph, _root_calls_per_s(experiment, point), experiment.calls.deadline_ms * 1_000, point.seed
--- a/scale/callgraph/server.py
+++ b/scale/callgraph/server.py
@@ -11,7 +11,7 @@
 import numpy as np
 
 from scale.callgraph.experiment import Servers
-from scale.callgraph.loop import EventLoop
+from scale.callgraph.loop import VirtualEventLoop
 from scale.callgraph.network import Location
 from sidecar.balancer.events import Outcome
 
@@ -54,7 +54,7 @@
     failed: bool = False
 
 
-class Server:
+class SimulatedServer:
     """One process of a service.
 
     A queued call whose deadline has passed is dropped without a response. A queued call that its caller
@@ -63,7 +63,12 @@
     """
 
     def __init__(
-        self, loop: EventLoop, name: str, location: Location, capacity: Servers, seed: np.random.SeedSequence
+        self,
+        loop: VirtualEventLoop,
+        name: str,
+        location: Location,
+        capacity: Servers,
+        seed: np.random.SeedSequence,
     ) -> None:
         self.name = name
         self.location = location
--- a/scale/callgraph/sidecar.py
+++ b/scale/callgraph/sidecar.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from scale.callgraph.loop import EventLoop
+from scale.callgraph.loop import VirtualEventLoop
 from scale.callgraph.network import Location, Network
 from scale.callgraph.policies import Policy
-from scale.callgraph.server import CallResult, Server, ServerCall
+from scale.callgraph.server import CallResult, ServerCall, SimulatedServer
 from sidecar.balancer.actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt, SetTimer
 from sidecar.balancer.events import (
     AttemptEnded,
@@ -34,7 +34,7 @@
     """
 
     index: int
-    server: Server
+    server: SimulatedServer
     sent_at: int
     incarnation: int
     call: ServerCall | None = None
@@ -62,7 +62,7 @@
 class UpstreamService:
     """The service that a sidecar calls."""
 
-    servers: Mapping[str, Server]  # by name
+    servers: Mapping[str, SimulatedServer]  # by name
     service_class: str  # service class of all calls
     dial_timeout_us: int
 
@@ -72,7 +72,7 @@
 
     def __init__(
         self,
-        loop: EventLoop,
+        loop: VirtualEventLoop,
         network: Network,
         location: Location,
         policy: Policy,
@@ -142,7 +142,7 @@
         else:
             self._dial(action.request, attempt, deadline, one_way_us)
 
-    def _acquire_connection(self, server: Server) -> bool:
+    def _acquire_connection(self, server: SimulatedServer) -> bool:
         """Take an idle connection, if there is one to the server's current incarnation."""
         idle = self._idle.setdefault(server.name, _IdleConnections())
         if idle.incarnation != server.incarnation:
@@ -193,7 +193,7 @@
         one_way_us = self._network.delay_us(attempt.server.location, self.location)
         self._loop.call_later(one_way_us, self._end_attempt, request_number, attempt, outcome)
 
-    def reset_connections(self, server: Server) -> None:
+    def reset_connections(self, server: SimulatedServer) -> None:
         """Reset the attempts in flight at a server whose process was stopped."""
         for request_number, request in list(self._requests.items()):
             for attempt in list(request.in_flight.values()):
--- a/scale/control/stub_process.py
+++ b/scale/control/stub_process.py
@@ -32,7 +32,7 @@
 _GC_THRESHOLDS = (700, 5, 2)  # the same as in `sidecar.__main__`
 
 
-class StubProcess:
+class StubCommandHandler:
     """Handles the commands to the sidecars of one process."""
 
     def __init__(self, count: int, zone: str, seed: int, discovery: Address) -> None:
@@ -100,10 +100,10 @@
 ) -> None:
     """Run stub sidecars until the command connection is closed."""
     logging.basicConfig(level=logging.ERROR)
-    process = StubProcess(count, zone, seed, parse_address(discovery))
+    handler = StubCommandHandler(count, zone, seed, parse_address(discovery))
     gc.freeze()
     gc.set_threshold(*_GC_THRESHOLDS)
-    asyncio.run(serve_commands(process.handle, []))
+    asyncio.run(serve_commands(handler.handle, []))
 
 
 if __name__ == "__main__":
--- a/scale/standins/registry_process.py
+++ b/scale/standins/registry_process.py
@@ -33,7 +33,7 @@
 )
 
 
-class RegistryProcess:
+class RegistryCommandHandler:
     """Handles the commands to a registry."""
 
     def __init__(self, server: RegistryServer) -> None:
@@ -111,7 +111,7 @@
     listeners = options.listeners + options.observed_listeners
     addresses = await server.start(listeners, options.observed_listeners)
     try:
-        await serve_commands(RegistryProcess(server).handle, addresses)
+        await serve_commands(RegistryCommandHandler(server).handle, addresses)
     finally:
         await server.stop()
 
