--- a/scale/capacity/evaluation.py
+++ b/scale/capacity/evaluation.py
@@ -88,7 +88,7 @@
     if len(set(sizes)) == 1:
         return None
     fit = fit_line(sizes, [each.value for each in selected])
-    value = fit.at(at) * figure.times
+    value = fit.value_at(at) * figure.times
     return Evaluation(value, value, value, _describe_line(figure, fit, against, at, selected[0].unit), runs)
 
 
--- a/scale/slope.py
+++ b/scale/slope.py
@@ -21,7 +21,7 @@
     r_squared: float  # share of the variance that the line explains
     largest_size: float  # largest measured size; beyond it the line is extrapolated
 
-    def at(self, size: float) -> float:
+    def value_at(self, size: float) -> float:
         """Return the value of the line at a size."""
         return self.intercept + self.slope * size
 
--- a/scale/slopes.py
+++ b/scale/slopes.py
@@ -59,7 +59,14 @@
     rows = [[*names, *figure_names, "other labels"]]
     for each in fitted:
         series, line = each.series, each.line
-        figures = (line.slope, line.intercept, line.r_squared, line.largest_size, each.points, line.at(at))
+        figures = (
+            line.slope,
+            line.intercept,
+            line.r_squared,
+            line.largest_size,
+            each.points,
+            line.value_at(at),
+        )
         labels = (series.experiment, series.commit, series.role, series.metric, series.unit)
         rows.append([*labels, *(f"{figure:.4g}" for figure in figures), series.other_labels])
     return "\n".join(align_columns(rows))
