--- a/sidecar/proxy/connection_pool.py
+++ b/sidecar/proxy/connection_pool.py
@@ -177,7 +177,7 @@
         self, exchange: Exchange, connection: ServerConnection, response: Response | None
     ) -> None:
         self._release(exchange, connection)
-        outcome = classify_outcome(response, connection.request_written, connection.has_protocol_error)
+        outcome = classify_outcome(response, connection.is_request_written, connection.has_protocol_error)
         if outcome is Outcome.CONNECT_FAILED and connection.has_local_failure:
             outcome = Outcome.NOT_SENT  # the server did not cause the failure
         if not exchange.has_ended():  # otherwise this side closed the connection
--- a/sidecar/proxy/exchange.py
+++ b/sidecar/proxy/exchange.py
@@ -116,7 +116,7 @@
 
     def is_request_written(self) -> bool:
         """Return whether the last byte of its request has been handed to the kernel."""
-        return self.connection is not None and self.connection.request_written
+        return self.connection is not None and self.connection.is_request_written
 
     def encode_request(self, now: float) -> bytes | None:
         """Encode its request at an event loop time; return None if it is not wanted any more."""
@@ -168,21 +168,24 @@
         return Outcome.CONNECT_FAILED
 
 
-def classify_outcome(response: Response | None, request_written: bool, has_protocol_error: bool) -> Outcome:
+def classify_outcome(
+    response: Response | None, is_request_written: bool, has_protocol_error: bool
+) -> Outcome:
     """Return the outcome of an exchange whose connection has reported the end of the request.
 
     An outcome that says that the request never ran is returned only if that is certain.
 
     Args:
         response: The complete response; None: there is none.
-        request_written: Whether the last byte of the request has been handed to the kernel.  A server starts
-            to process a request when it has the last byte: an earlier response belongs to another request.
+        is_request_written: Whether the last byte of the request has been handed to the kernel.  A server
+            starts to process a request when it has the last byte: an earlier response belongs to another
+            request.
         has_protocol_error: Whether the response is malformed, or more than one was received.  A rejection
             followed by more bytes proves nothing, as one of the two may answer the previous request.
     """
     if response is not None and response.is_rejection() and not has_protocol_error:
         return Outcome.REJECTED
-    if not request_written:
+    if not is_request_written:
         return Outcome.CONNECT_FAILED
     if response is None:
         # The server is reachable, even though its response is malformed.
--- a/sidecar/proxy/server_connection.py
+++ b/sidecar/proxy/server_connection.py
@@ -68,7 +68,7 @@
         self._on_response: ResponseCallback | None = None  # None: no request is in flight
 
     @property
-    def request_written(self) -> bool:
+    def is_request_written(self) -> bool:
         """Whether the last byte of the latest request has been handed to the kernel."""
         return self._transmission is not None and self._transmission.is_complete
 
@@ -180,7 +180,7 @@
     def _finish(self, response: Response | None, *, is_reusable: bool = False) -> None:
         self._response_reader = None
         self._cancel_response_timer()
-        if not is_reusable or not self.request_written:
+        if not is_reusable or not self.is_request_written:
             self.abort()
         self._notify(response)
 
--- a/tests/proxy/test_attempt_outcomes.py
+++ b/tests/proxy/test_attempt_outcomes.py
@@ -186,11 +186,11 @@
         server_sock, _ = listener.accept()
         response: asyncio.Future[Response | None] = asyncio.get_running_loop().create_future()
         connection.request(encode_post(body), response.set_result)
-        assert not connection.request_written
+        assert not connection.is_request_written
         server_sock.close()  # with unread bytes, which resets the connection
         assert await asyncio.wait_for(response, TIMEOUT_S) is None
         assert (
-            classify_outcome(None, connection.request_written, connection.has_protocol_error)
+            classify_outcome(None, connection.is_request_written, connection.has_protocol_error)
             is Outcome.CONNECT_FAILED
         )
         listener.close()
@@ -210,11 +210,12 @@
         connection.request(encode_post(body), response.set_result)
         await reader.readuntil(b"\r\n\r\n")
         await reader.readexactly(len(body))
-        await wait_until(lambda: connection.request_written)
+        await wait_until(lambda: connection.is_request_written)
         reset(writer)
         assert await asyncio.wait_for(response, TIMEOUT_S) is None
         assert (
-            classify_outcome(None, connection.request_written, connection.has_protocol_error) is Outcome.RESET
+            classify_outcome(None, connection.is_request_written, connection.has_protocol_error)
+            is Outcome.RESET
         )
         listener.close()
 
--- a/tests/proxy/test_client_disconnect_races.py
+++ b/tests/proxy/test_client_disconnect_races.py
@@ -205,7 +205,7 @@
             if disconnects:
                 client.disconnect()
             for probed in connections:
-                if not probed.is_idle() and probed.request_written:  # read before the client's close
+                if not probed.is_idle() and probed.is_request_written:  # read before the client's close
                     probed.data_received(encode_response(200, b'{"inflight": 1}'))
             await wait_until(lambda: not proxy.sidecar._active)
             forwarded = [line for line, _, _ in proxy.server_requests() if "/stats" not in line]
--- a/tests/proxy/test_dedup_window.py
+++ b/tests/proxy/test_dedup_window.py
@@ -117,7 +117,7 @@
                 timer._run()
                 assert (await sending)[0] == 500
                 assert exchange.connection is not None
-                assert not exchange.connection.request_written
+                assert not exchange.connection.is_request_written
                 accepted, _ = listener.accept()
                 with accepted:
                     received = sum(map(len, iter(lambda: accepted.recv(65536), b"")))
--- a/tests/proxy/test_response_races.py
+++ b/tests/proxy/test_response_races.py
@@ -83,15 +83,16 @@
 def test_response_before_its_request_is_written_is_not_accepted() -> None:
     early_response = Response(200, [], b"again to the one before")
     assert (
-        classify_outcome(early_response, request_written=False, has_protocol_error=False)
+        classify_outcome(early_response, is_request_written=False, has_protocol_error=False)
         is Outcome.CONNECT_FAILED
     )
     assert (
-        classify_outcome(early_response, request_written=True, has_protocol_error=False) is Outcome.SUCCEEDED
+        classify_outcome(early_response, is_request_written=True, has_protocol_error=False)
+        is Outcome.SUCCEEDED
     )
     rejection = Response(503, [(b"x-rejected", b"1")], b"")
     # A server may reject a request before it has received all of it.
-    assert classify_outcome(rejection, request_written=False, has_protocol_error=False) is Outcome.REJECTED
+    assert classify_outcome(rejection, is_request_written=False, has_protocol_error=False) is Outcome.REJECTED
 
 
 async def start_attempt(
