--- a/scale/standins/registry_commands.py
+++ b/scale/standins/registry_commands.py
@@ -35,10 +35,10 @@
 
 
 class CommittedChange(Message):
-    """A committed change; `at_s` is the time just before the commit, in seconds on the monotonic clock."""
+    """A committed change of the endpoint list."""
 
     version: int
-    at_s: float
+    at_s: float  # just before the commit, in seconds on the monotonic clock
 
 
 class SetAvailability(Message):
@@ -68,14 +68,14 @@
     command: Literal["drop_change_log"] = "drop_change_log"
 
 
-class GetCounts(Message):
+class GetRegistryCounts(Message):
     """Get the registry's counters."""
 
     command: Literal["counts"] = "counts"
 
 
-class Counts(Message):
-    """The registry's version and counters, as in `RegistryCounts`."""
+class RegistryCounts(Message):
+    """The registry's version and counters, as in `RegistryCounters`."""
 
     version: int
     connections: int
@@ -129,7 +129,7 @@
     | SetPartitioned
     | BlackholeConnections
     | DropChangeLog
-    | GetCounts
+    | GetRegistryCounts
     | GetTraffic
     | GetObservedDelays,
     Field(discriminator="command"),
