--- a/sidecar/proxy/client_connection.py
+++ b/sidecar/proxy/client_connection.py
@@ -349,7 +349,7 @@
             raise RequestIdInUseError
 
     def _abandon_request(self) -> None:
-        """Pass the request in flight, if any, to the handler as one whose client has disconnected."""
+        """Let the handler drop the request in flight, if any, as if its client had disconnected."""
         request, self._request = self._request, None
         if request is not None:
             self._owner.handler.handle_disconnect(request)
--- a/sidecar/proxy/client_request.py
+++ b/sidecar/proxy/client_request.py
@@ -91,7 +91,7 @@
         """Process a request, which is answered later through its responder."""
 
     def handle_disconnect(self, request: ClientRequest) -> None:
-        """Process the disconnect of the client of a request."""
+        """Drop a request whose client has disconnected, or that its connection has failed already."""
 
     def is_request_id_in_use(self, request_id: str) -> bool:
         """Return whether a request with this id is in progress, or may have been executed recently."""
--- a/sidecar/proxy/driver.py
+++ b/sidecar/proxy/driver.py
@@ -109,7 +109,7 @@
         self._requests.handle_request(request)
 
     def handle_disconnect(self, request: ClientRequest) -> None:
-        """Drop a request whose client has closed its connection."""
+        """Drop a request whose client has disconnected, or that its connection has failed already."""
         self._requests.handle_disconnect(request)
 
     def is_request_id_in_use(self, request_id: str) -> bool:
--- a/sidecar/proxy/frontend.py
+++ b/sidecar/proxy/frontend.py
@@ -84,6 +84,7 @@
         return is_queue_empty
 
     def _accept_batch(self, max_accepted: int, connected_after: float) -> bool:
+        """Accept connections until the queue is empty or a limit is reached; return whether it is empty."""
         for _ in range(max_accepted):
             if self.table.is_full():
                 return self._make_capacity()
--- a/sidecar/proxy/overload.py
+++ b/sidecar/proxy/overload.py
@@ -4,8 +4,8 @@
 
 _MAX_LAG_S = 0.04  # a larger lag shows that the CPU cannot keep up
 _MIN_ACTIVE_CONNECTIONS = 32  # the limit never falls below this, whatever the lag
-_LIMIT_DECREASE = 0.8  # factor on the limit after a late sweep
-_LIMIT_INCREASE = 1.1  # factor on the limit after a sweep on time
+_LIMIT_DECREASE = 0.8  # factor on the limit after a late callback
+_LIMIT_INCREASE = 1.1  # factor on the limit after a callback on time
 
 
 class OverloadDetector:
--- a/sidecar/proxy/request_lifecycle.py
+++ b/sidecar/proxy/request_lifecycle.py
@@ -51,7 +51,7 @@
         self._handle_event(event)
 
     def handle_disconnect(self, client_request: ClientRequest) -> None:
-        """Drop a request whose client has closed its connection."""
+        """Drop a request whose client has disconnected, or that its connection has failed already."""
         request = self.active.pop_unanswered(client_request)
         if request is not None and not request.answered:
             self._mark_answered(request)
@@ -96,6 +96,7 @@
         return len(unanswered)
 
     def _mark_answered(self, request: ActiveRequest) -> None:
+        """Record that a request needs no answer any more, and end its unwritten attempts."""
         request.answered = True
         self.active.pop_unanswered(request.client_request)
         if request.deadline_timer is not None:
