--- a/tests/scale/test_control.py
+++ b/tests/scale/test_control.py
@@ -129,7 +129,7 @@
     points = [measured(10.0 + 2.0 * size, servers=size, phase="steady") for size in (10, 20, 30)]
     [fitted] = fit_slopes([*points, measured(7.0, servers=10, phase="start")], "servers")
     assert (fitted.points, fitted.series.other_labels) == (3, "phase=steady")
-    assert fitted.line.at(100.0) == pytest.approx(210.0)
+    assert fitted.line.value_at(100.0) == pytest.approx(210.0)
     assert "at 100" in format_slopes([fitted], 100.0).splitlines()[0]
 
 
--- a/tests/scale/test_rig.py
+++ b/tests/scale/test_rig.py
@@ -65,7 +65,7 @@
 
 def test_slope_is_fitted_and_extrapolated() -> None:
     line = fit_line([1, 2, 4], [3, 5, 9])
-    assert line.at(10) == pytest.approx(21.0)
+    assert line.value_at(10) == pytest.approx(21.0)
     assert line.r_squared == pytest.approx(1.0)
     assert line.largest_size == 4
     with pytest.raises(ValueError, match="two different sizes"):
