--- a/tests/proxy/test_request_crossings.py
+++ b/tests/proxy/test_request_crossings.py
@@ -32,7 +32,7 @@
 from sidecar.proxy.server_connection import ServerConnection
 from sidecar.proxy.sockets import is_connected
 
-ERROR_RESPONSE_LIMIT_S = 3.0  # within this time a client that breaks the protocol gets an error or a close
+BAD_CLIENT_TIMEOUT_S = 3.0  # within this time a client that breaks the protocol gets an error or a close
 _WRITE_INTERVAL_S = 0.005  # between writes, so that the event loop reads each separately
 
 
@@ -233,7 +233,7 @@
 
             trickle_task = asyncio.create_task(trickle())
             assert (await read_response(reader))[0] == 408
-            assert now_s() - started_at < ERROR_RESPONSE_LIMIT_S
+            assert now_s() - started_at < BAD_CLIENT_TIMEOUT_S
             assert await wait_for_eof(reader)
             trickle_task.cancel()
             assert len(proxy.server_requests()) == used
--- a/tests/proxy/test_stalled_clients.py
+++ b/tests/proxy/test_stalled_clients.py
@@ -17,7 +17,7 @@
 )
 from virtual_time import advance, now_s, run_in_virtual_time
 
-ERROR_RESPONSE_LIMIT_S = 3.0  # within this time a client that breaks the protocol gets an error or a close
+BAD_CLIENT_TIMEOUT_S = 3.0  # within this time a client that breaks the protocol gets an error or a close
 
 COMPLETE_REQUEST = request("pay", body=b"whole")
 EXPECT_CONTINUE_REQUEST = request("pay", body=b"whole", Expect="100-continue")
@@ -51,7 +51,7 @@
             started_at = now_s()
             writer.write(partial_request)
             raw_response = await asyncio.wait_for(reader.read(), TIMEOUT_S)
-            assert now_s() < started_at + ERROR_RESPONSE_LIMIT_S
+            assert now_s() < started_at + BAD_CLIENT_TIMEOUT_S
             assert b"HTTP/1.1 408 " in raw_response
             assert (b"HTTP/1.1 100 " in raw_response) is (
                 b"Expect" in partial_request and b"\r\n\r\n" in partial_request
@@ -73,7 +73,7 @@
                 writer.write(piece)
                 await advance(pause_s)
             assert b"HTTP/1.1 408 " in await asyncio.wait_for(reader.read(), TIMEOUT_S)
-            assert now_s() < started_at + ERROR_RESPONSE_LIMIT_S
+            assert now_s() < started_at + BAD_CLIENT_TIMEOUT_S
             writer.close()
 
     run_in_virtual_time(scenario())
@@ -98,7 +98,7 @@
             status, _, body = await read_response(reader)
             assert (status, body) == (200, b"served")
             assert b"HTTP/1.1 408 " in await asyncio.wait_for(reader.read(), TIMEOUT_S)
-            assert now_s() < started_at + ERROR_RESPONSE_LIMIT_S
+            assert now_s() < started_at + BAD_CLIENT_TIMEOUT_S
             assert len(proxy.server_requests()) == 1
             writer.close()
 
