--- a/sidecar/settings/model.py
+++ b/sidecar/settings/model.py
@@ -46,24 +46,30 @@
 
 @unique
 class DedupScope(Enum):
-    """Which servers drop the duplicates of a request with an idempotency key."""
+    """Which servers drop the duplicates of a request with an idempotency key.
+
+    Attributes:
+        ALL: All servers, because they share one record of idempotency keys.
+        ZONE: The servers in the zone of the server that received the first attempt.
+        CELL: The servers of the same group as the server that received the first attempt.
+    """
 
     ALL = "all"
-    """All servers, because they share one record of idempotency keys."""
     ZONE = "zone"
-    """The servers in the zone of the server that received the first attempt."""
     CELL = "cell"
-    """The servers of the same group as the server that received the first attempt."""
 
 
 @unique
 class Discovery(Enum):
-    """How changes of the endpoint list reach an instance."""
+    """How changes of the endpoint list reach an instance.
+
+    Attributes:
+        PUSHED: They arrive without a request from the instance.
+        ON_REQUEST: The instance polls the registry.
+    """
 
     PUSHED = "pushed"
-    """They arrive without a request from the instance."""
     ON_REQUEST = "on_request"
-    """The instance polls the registry."""
 
 
 @unique
