--- a/scale/control/figures.py
+++ b/scale/control/measurements.py
@@ -1,4 +1,4 @@
-"""Writes the results of a control plane experiment: resource usage and propagation times of changes."""
+"""Writes the measurements of a control plane experiment: resource usage and propagation times of changes."""
 
 from __future__ import annotations
 
--- a/scale/control/peak_sampler.py
+++ b/scale/control/peak_sampler.py
@@ -5,8 +5,8 @@
 from threading import Event, Thread
 from typing import Self
 
-from scale.control.figures import STUB_ROLE, Labels
 from scale.control.fleet import Fleet
+from scale.control.measurements import STUB_ROLE, Labels
 from scale.results import ResultWriter
 
 _SAMPLE_INTERVAL_S = 0.25
--- a/scale/control/run.py
+++ b/scale/control/run.py
@@ -14,14 +14,14 @@
 
 from scale.control.experiment import ControlExperiment, Fault
 from scale.control.faults import FaultOutcome, inject_fault
-from scale.control.figures import (
+from scale.control.fleet import Fleet
+from scale.control.measurements import (
     Labels,
     write_real_sidecar_delays,
     write_stub_delays,
     write_stub_memory,
     write_usage,
 )
-from scale.control.fleet import Fleet
 from scale.control.peak_sampler import PeakSampler
 from scale.control.processes import RealSidecar, Registry, StubGroup, real_sidecar_config, wait_until
 from scale.errors import EndpointListTimeoutError
--- a/scale/latency/run.py
+++ b/scale/latency/run.py
@@ -5,7 +5,7 @@
 import structlog
 
 from scale.latency.experiment import LatencyExperiment
-from scale.latency.figures import write_point_measurements
+from scale.latency.measurements import write_point_measurements
 from scale.latency.point import measure_point
 from scale.results import ResultWriter
 
--- a/scale/latency/servers.py
+++ b/scale/latency/servers.py
@@ -1,6 +1,7 @@
 """Runs server stand-ins in their own process, so that they delay neither the client nor the sidecar.
 
-Run as `python -m scale.latency.servers`; it prints the addresses of the servers and then accepts commands.
+Run as `python -m scale.latency.servers`; it prints a `Ready` message with the addresses of the
+servers and then accepts commands.
 """
 
 from __future__ import annotations
--- a/scale/processes.py
+++ b/scale/processes.py
@@ -52,7 +52,10 @@
 
 
 class ProcessGroup:
-    """Starts processes, and terminates those still running when the block is left, also by an exception."""
+    """Starts processes, and terminates those still running when the `with` block ends, also by an exception.
+
+    It isn't a process group of the operating system: each process is terminated on its own.
+    """
 
     def __init__(self) -> None:
         self.processes: list[ManagedProcess] = []
--- a/scale/standins/registry_process.py
+++ b/scale/standins/registry_process.py
@@ -1,6 +1,7 @@
 """Runs the registry stand-in in its own process, so that its CPU time and memory can be measured separately.
 
-Run as `python -m scale.standins.registry_process`; it prints its addresses and then accepts commands.
+Run as `python -m scale.standins.registry_process`; it prints a `Ready` message with its addresses
+and then accepts commands.
 """
 
 from __future__ import annotations
