--- a/tests/proxy/test_process_lifecycle.py
+++ b/tests/proxy/test_process_lifecycle.py
@@ -368,7 +368,7 @@
             process.kill()
             _, err = await process.communicate()
             assert b"Errno 24" not in err
-            assert b"to spare" not in err
+            assert b"connection limit reached" not in err
             for client in idle:
                 client.close()
             new_server.stop()
