--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -6,8 +6,10 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import json
 import selectors
+import socket
 from collections.abc import Coroutine
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
@@ -77,6 +79,7 @@
         self.fault: str | None = None
         self._version_changed = asyncio.Condition()
         self._calls: set[asyncio.StreamWriter] = set()
+        self._reserved_port = contextlib.ExitStack()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._calls.add(writer)
@@ -137,11 +140,24 @@
         self._calls.clear()
         if fault == "refused":
             self.stop()
+            self._reserve_port()
+
+    def _reserve_port(self) -> None:
+        """Keep the port while nobody listens, so that no other process answers in the meantime."""
+        reserved = self._reserved_port.enter_context(socket.socket())
+        reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        reserved.bind(self.address)
+
+    def stop(self) -> None:
+        """Stop listening, and release the port."""
+        super().stop()
+        self._reserved_port.close()
 
     async def recover(self) -> None:
         """End the fault."""
         if self.fault == "refused":
             self._server = await asyncio.start_server(self._serve, *self.address)
+            self._reserved_port.close()
         self.fault = None
 
 
