--- a/scale/callgraph/sidecar.py
+++ b/scale/callgraph/sidecar.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from scale.callgraph.loop import EventLoop
+from scale.callgraph.loop import VirtualEventLoop
 from scale.callgraph.network import Location, Network
 from scale.callgraph.policies import Policy
-from scale.callgraph.server import CallResult, Server, ServerCall
+from scale.callgraph.server import CallResult, ServerCall, SimulatedServer
 from sidecar.balancer.actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt, SetTimer
 from sidecar.balancer.events import (
     AttemptEnded,
@@ -28,13 +28,13 @@
     Attributes:
         index: Number of the attempt within its request, from 0.
         server: The server that the attempt is sent to.
-        sent_at: In microseconds since the start of the run.
+        sent_at: When the attempt was sent, in microseconds since the start of the run.
         incarnation: Incarnation of the server's process, as known when the attempt was sent or delivered.
         call: The call that the server has received, or None before the attempt reaches the server.
     """
 
     index: int
-    server: Server
+    server: SimulatedServer
     sent_at: int
     incarnation: int
     call: ServerCall | None = None
@@ -55,14 +55,14 @@
     """Idle connections to one server."""
 
     count: int = 0
-    incarnation: int = 0  # of the server's process
+    incarnation: int = 0  # incarnation of the server's process that the connections are open to
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamService:
     """The service that a sidecar calls."""
 
-    servers: Mapping[str, Server]  # by name
+    servers: Mapping[str, SimulatedServer]  # by name
     service_class: str  # service class of all calls
     dial_timeout_us: int
 
@@ -72,7 +72,7 @@
 
     def __init__(
         self,
-        loop: EventLoop,
+        loop: VirtualEventLoop,
         network: Network,
         location: Location,
         policy: Policy,
@@ -92,7 +92,7 @@
         self._handle(RegistryUpdated(kind, endpoints, 1))
 
     def call(self, remaining_us: int, on_result: Callable[[CallResult], None]) -> None:
-        """Make a call with a deadline in microseconds; `on_result` is called once with its result."""
+        """Make a call with the time until its deadline; `on_result` is called once with its result."""
         request_number, self._next_request = self._next_request, self._next_request + 1
         self._requests[request_number] = _Request(on_result)
         self._handle(RequestArrived(request_number, self._upstream.service_class, None, None, remaining_us))
@@ -142,7 +142,7 @@
         else:
             self._dial(action.request, attempt, deadline, one_way_us)
 
-    def _acquire_connection(self, server: Server) -> bool:
+    def _acquire_connection(self, server: SimulatedServer) -> bool:
         """Take an idle connection, if there is one to the server's current incarnation."""
         idle = self._idle.setdefault(server.name, _IdleConnections())
         if idle.incarnation != server.incarnation:
@@ -153,7 +153,10 @@
         return True
 
     def _dial(self, request_number: int, attempt: _Attempt, deadline: int, one_way_us: int) -> None:
-        """Open a connection for an attempt; this takes one round trip, or the dial timeout if partitioned."""
+        """Open a connection for an attempt, then deliver the attempt.
+
+        Connecting takes one round trip, or the dial timeout if the server is in another partition.
+        """
         if not self._network.reaches(self.location, attempt.server.location):
             timeout_us = self._upstream.dial_timeout_us
             self._loop.call_later(
@@ -183,14 +186,14 @@
         server.receive(attempt.call)
 
     def _send_response(self, request_number: int, attempt: _Attempt, outcome: Outcome) -> None:
-        """Send the server's response to the sidecar; a process that was stopped sends none."""
+        """Send the server's response to the sidecar; only resets arrive from a stopped process."""
         process_stopped = attempt.incarnation != attempt.server.incarnation and outcome is not Outcome.RESET
         if process_stopped or not self._network.reaches(attempt.server.location, self.location):
             return
         one_way_us = self._network.delay_us(attempt.server.location, self.location)
         self._loop.call_later(one_way_us, self._end_attempt, request_number, attempt, outcome)
 
-    def reset_connections(self, server: Server) -> None:
+    def reset_connections(self, server: SimulatedServer) -> None:
         """Reset the attempts in flight at a server whose process was stopped."""
         for request_number, request in list(self._requests.items()):
             for attempt in list(request.in_flight.values()):
--- a/scale/capacity/evaluation.py
+++ b/scale/capacity/evaluation.py
@@ -24,7 +24,7 @@
         maximum: The largest of the values.
         derivation: How the value was computed, as shown on the capacity page.
         runs: The results files, commits and seeds of the measurements, as shown on the capacity page.
-        is_lower_bound: Whether a run ended before the timed event.
+        is_lower_bound: Whether a run ended before the event whose time is measured, such as the recovery.
     """
 
     value: float
@@ -88,7 +88,7 @@
     if len(set(sizes)) == 1:
         return None
     fit = fit_line(sizes, [each.value for each in selected])
-    value = fit.at(at) * figure.times
+    value = fit.value_at(at) * figure.times
     return Evaluation(value, value, value, _describe_line(figure, fit, against, at, selected[0].unit), runs)
 
 
--- a/scale/control/peak_sampler.py
+++ b/scale/control/peak_sampler.py
@@ -1,12 +1,12 @@
-"""Records the peak memory usage of processes."""
+"""Records the peak memory usage of the registry and of the stub sidecars during a fault."""
 
 from __future__ import annotations
 
 from threading import Event, Thread
 from typing import Self
 
-from scale.control.figures import STUB_ROLE, Labels
 from scale.control.fleet import Fleet
+from scale.control.measurements import STUB_ROLE, Labels
 from scale.results import ResultWriter
 
 _SAMPLE_INTERVAL_S = 0.25
--- a/scale/standins/registry_process.py
+++ b/scale/standins/registry_process.py
@@ -1,6 +1,7 @@
 """Runs the registry stand-in in its own process, so that its CPU time and memory can be measured separately.
 
-Run as `python -m scale.standins.registry_process`; it prints its addresses and then accepts commands.
+Run as `python -m scale.standins.registry_process`; it prints a `Ready` message with its addresses
+and then accepts commands.
 """
 
 from __future__ import annotations
@@ -20,12 +21,12 @@
     BlackholeConnections,
     ChangeEndpoints,
     CommittedChange,
-    Counts,
     DropChangeLog,
-    GetCounts,
     GetObservedDelays,
+    GetRegistryCounts,
     GetTraffic,
     ObservedDelays,
+    RegistryCounts,
     RegistryOptions,
     SetAvailability,
     SetPartitioned,
@@ -33,7 +34,7 @@
 )
 
 
-class RegistryProcess:
+class RegistryCommandHandler:
     """Handles the commands to a registry."""
 
     def __init__(self, server: RegistryServer) -> None:
@@ -58,7 +59,7 @@
                 self._server.blackhole_connections()
             case DropChangeLog():
                 self._server.change_log.drop_changes()
-            case GetCounts():
+            case GetRegistryCounts():
                 return self._counts()
             case GetTraffic():
                 traffic = [self._server.traffic(listener) for listener in command.listeners]
@@ -84,10 +85,10 @@
                 version = log.commit([self._initial_endpoints[index] for index in command.indexes])
         return CommittedChange(version=version, at_s=at_s)
 
-    def _counts(self) -> Counts:
-        counts = self._server.counts
-        counters = {name: getattr(counts, name) for name in Counts.model_fields if name != "version"}
-        return Counts(version=self._server.change_log.version, **counters)
+    def _counts(self) -> RegistryCounts:
+        counters = self._server.counters
+        values = {name: getattr(counters, name) for name in RegistryCounts.model_fields if name != "version"}
+        return RegistryCounts(version=self._server.change_log.version, **values)
 
     def _observed_delays(self, command: GetObservedDelays) -> ObservedDelays:
         return ObservedDelays(
@@ -111,7 +112,7 @@
     listeners = options.listeners + options.observed_listeners
     addresses = await server.start(listeners, options.observed_listeners)
     try:
-        await serve_commands(RegistryProcess(server).handle, addresses)
+        await serve_commands(RegistryCommandHandler(server).handle, addresses)
     finally:
         await server.stop()
 
--- a/scale/standins/registry_state.py
+++ b/scale/standins/registry_state.py
@@ -1,4 +1,4 @@
-"""The state shared by all connections to a registry."""
+"""The state shared by all connections to a registry: change log, availability, counters and watches."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class RegistryCounts:
+class RegistryCounters:
     """Counters since the registry's start."""
 
     connections: int = 0
@@ -28,8 +28,8 @@
     empty: int = 0  # responses without entries: nothing had changed
     unavailable: int = 0  # responses with 503
     malformed: int = 0  # responses with 400, 404, 405 and 431
-    bytes_in: int = 0  # HTTP bytes, without TCP and IP headers
-    bytes_out: int = 0
+    bytes_in: int = 0  # HTTP bytes received, without TCP and IP headers
+    bytes_out: int = 0  # HTTP bytes sent, without TCP and IP headers
     sampled_connections: int = 0
     sampled_segments: int = 0  # TCP segments in both directions on the sampled connections
     watching: int = 0  # pending watches
@@ -47,7 +47,7 @@
 
     def __init__(self, change_log: ChangeLog) -> None:
         self.change_log = change_log
-        self.counts = RegistryCounts()
+        self.counters = RegistryCounters()
         self._availability = Availability.UP
         self._watches: dict[Watch, None] = {}  # in order of arrival
         change_log.on_commit = self._complete_watches
@@ -71,9 +71,9 @@
     def add_watch(self, watch: Watch) -> None:
         """Add a watch, to be completed at the next change."""
         self._watches[watch] = None
-        self.counts.watching = len(self._watches)
+        self.counters.watching = len(self._watches)
 
     def remove_watch(self, watch: Watch) -> None:
         """Remove a watch; does nothing if it is not pending."""
         self._watches.pop(watch, None)
-        self.counts.watching = len(self._watches)
+        self.counters.watching = len(self._watches)
--- a/sidecar/balancer/lifecycle/placement.py
+++ b/sidecar/balancer/lifecycle/placement.py
@@ -1,4 +1,8 @@
-"""Placement: which server gets the next attempt of a request."""
+"""Placement: which server gets the next attempt of a request.
+
+An ejected server that is due for a half-open attempt comes first.  Otherwise a few candidates are compared by
+this balancer's own attempts and, where health checks are cheap, by the load that they report.
+"""
 
 from dataclasses import dataclass
 
@@ -16,7 +20,7 @@
 
     Attributes:
         context: The shared state.
-        outliers: Provides ejected servers that are due for a half-open attempt.
+        outliers: Provides an ejected server that is due for a half-open attempt.
         selector: Draws the candidates.
         health_checks: Checks the load of the candidates, where health checks are cheap.
         load_comparison: Picks the best candidate by reported load.
@@ -42,7 +46,7 @@
             return
         candidates = self.selector.candidates(request)
         if not candidates:
-            self._finish_unless_active(request)
+            self._finish_unless_pending(request)
         elif self._should_check():
             least_loaded_first = sorted(candidates, key=self.context.load.attempts_at)
             self.health_checks.start(request, least_loaded_first[: self.checks_per_request])
@@ -50,7 +54,7 @@
             self._send_or_finish(request, self.selector.least_loaded(candidates))
 
     def _should_check(self) -> bool:
-        # After a stall that others shared, all of them would pick the same servers by the same reports.
+        # Other balancers may have stalled as well: all would pick the same servers by the same reports.
         return self.checks_per_request > 1 and not self.context.stalls.has_just_resumed()
 
     def place_checked(self, request: Request) -> None:
@@ -66,7 +70,7 @@
         if server is None:
             server = self._first_eligible(request, checked)
         if server is None or self.load_comparison.predicts_overload(request, server):
-            self._finish_unless_active(request)
+            self._finish_unless_pending(request)
             return
         sent = self._send_or_finish(request, server)
         if sent and server.health_check_sent_at is None:
@@ -78,9 +82,9 @@
     def _send_or_finish(self, request: Request, server: Server) -> bool:
         sent = self.send(request, server)
         if not sent:
-            self._finish_unless_active(request)
+            self._finish_unless_pending(request)
         return sent
 
-    def _finish_unless_active(self, request: Request) -> None:
-        if not request.is_active():
+    def _finish_unless_pending(self, request: Request) -> None:
+        if not request.has_pending_attempt():
             self.finish(request)
--- a/sidecar/balancer/policy/admission.py
+++ b/sidecar/balancer/policy/admission.py
@@ -26,7 +26,7 @@
     exponentially, and faster for lower priorities.
 
     Attributes:
-        checks_load_before_sending: Whether overload is predicted by health checks in place of the limit.
+        uses_health_checks: Whether overload is predicted by health checks in place of the limit.
     """
 
     def __init__(self, context: Context, limit: ConcurrencyLimit, arrivals: DecayingRate) -> None:
@@ -37,14 +37,15 @@
             limit: The concurrency limit of the balancer.
             arrivals: The rate of requests that arrive at this balancer.
         """
-        self.checks_load_before_sending = False
+        self.uses_health_checks = False
         self._context = context
         self._limit = limit
         self._arrivals = arrivals
         self._priorities = TrafficPriorities(context)
         self._low_traffic_shedder = LowTrafficShedder(context)
         self._stale_requests = StaleRequestDetector(context)
-        self._sample_due_at = 0  # us; from then on a request is admitted as a sample, even at a full limit
+        # In microseconds; from then on, a request is admitted as a sample, even at a full limit.
+        self._sample_due_at = 0
         self._last_response_was_fast = False  # reset when an attempt is sent
 
     def observe_latency(self, latency_ratio: float) -> None:
@@ -74,14 +75,14 @@
         """Whether to reject a new request.
 
         Args:
-            request: The request.  Its priority is set where health checks predict overload, as they need it.
-            remaining_us: The time left until its client gives up, in us.
+            request: The request.  Its priority is set if health checks are used, to predict overload.
+            remaining_us: The time left until its client gives up, in microseconds.
         """
         return self._should_shed(request) or self._stale_requests.is_stale(request, remaining_us)
 
     def _should_shed(self, request: Request) -> bool:
         traffic = self._priorities.count_arrival(request)
-        if self.checks_load_before_sending:
+        if self.uses_health_checks:
             request.priority = self._priorities.priority(traffic)
             return False
         if self._last_response_was_fast and not self._context.load.total():
--- a/sidecar/balancer/policy/hedging.py
+++ b/sidecar/balancer/policy/hedging.py
@@ -14,13 +14,15 @@
 from sidecar.balancer.state import Attempt, Context, Request, Server
 from sidecar.balancer.state.timers import AttemptOverdue
 
-# An attempt is overdue after this many usual latencies of its server ...
+# An attempt is overdue after this many usual latencies of its server.
 OVERDUE_LATENCY_FACTOR = 2.5
-MIN_OVERDUE_TARGETS = 0.1  # ... but not before this share of the latency target: shorter delays are jitter
-# A server that does not respond is unresponsive after this many times the time to overdue ...
+# Minimum time until an attempt is overdue, in latency targets; shorter delays are jitter.
+MIN_OVERDUE_TARGETS = 0.1
+# A server without any response counts as unresponsive after this many times the time until overdue.
 UNRESPONSIVE_OVERDUE_FACTOR = 2.0
-MIN_UNRESPONSIVE_TARGETS = 0.5  # ... but not before this share of the latency target
-# This many successes at other servers in the meantime show that only this server hangs.
+# Minimum time until a server counts as unresponsive, in latency targets.
+MIN_UNRESPONSIVE_TARGETS = 0.5
+# This many successes at other servers since the attempt was sent show that only this server hangs.
 MIN_PEER_SUCCESSES = 4
 
 
@@ -46,7 +48,7 @@
         """Schedule the first examination of an attempt that was just sent."""
         self._examine_after(self._overdue_after_us(request, attempt.server), request, attempt)
 
-    def is_hedge_due(self, request: Request, attempt: Attempt) -> bool:
+    def examine_overdue_attempt(self, request: Request, attempt: Attempt) -> bool:
         """Examine an overdue attempt: eject its server if it hangs, and schedule any further examination.
 
         A server that has responded to any request since the attempt was sent is slow, not unresponsive.  If
@@ -57,7 +59,7 @@
             attempt: The attempt, which is pending.
 
         Returns:
-            Whether its server is unresponsive and ejected, so that no response is expected.
+            Whether its server is unresponsive and ejected: no response is expected, so a hedge is due.
         """
         if self.context.stalls.is_catching_up():  # its response may be among the delayed events
             next_at = self.context.stalls.caught_up_at + self.context.settings.tick_us
@@ -78,7 +80,9 @@
 
     def _overdue_after_us(self, request: Request, server: Server) -> int:
         overdue_us = (
-            OVERDUE_LATENCY_FACTOR * self.latency.usual_latency_us(request) * max(server.latency_weight, 1.0)
+            OVERDUE_LATENCY_FACTOR
+            * self.latency.usual_latency_us(request)
+            * max(server.relative_latency, 1.0)
         )
         min_us = MIN_OVERDUE_TARGETS * request.service_class.latency_target_us
         return int(max(overdue_us, min_us, self.context.settings.tick_us))
@@ -88,7 +92,7 @@
         return max(UNRESPONSIVE_OVERDUE_FACTOR * self._overdue_after_us(request, server), min_us)
 
     def _waited_us(self, attempt: Attempt) -> int:
-        """How long the attempt has been pending, excluding stalls of this process, in us."""
+        """How long the attempt has been pending, excluding stalls of this process, in microseconds."""
         stalled_us = self.context.stalls.stalled_us - attempt.stalled_before_us
         return self.context.now - attempt.sent_at - stalled_us
 
--- a/sidecar/proxy/driver.py
+++ b/sidecar/proxy/driver.py
@@ -1,4 +1,4 @@
-"""The driver: passes events to the balancer and carries out its actions.
+"""The driver of a sidecar: connects its parts, passes events to the balancer and carries out its actions.
 
 It makes no decisions of its own, and awaits nothing between a decision and its effect.
 """
@@ -42,9 +42,8 @@
 
 log = logging.getLogger(__name__)
 
-RESERVED_DESCRIPTORS = (
-    64  # for the registry, logs and the runtime; client and server connections share the rest
-)
+# File descriptors for the registry, logs and the runtime; client and server connections share the rest.
+RESERVED_DESCRIPTORS = 64
 
 
 class UnsupportedActionError(TypeError):
@@ -79,11 +78,15 @@
         limits = settings.limits
         self._pool = ConnectionPool(limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, max_connections)
         self._endpoint_list = EndpointList(
-            config.discovery, config.cached_endpoints.version, settings.discovery, self._pool, self.handle
+            config.discovery,
+            config.cached_endpoints.version,
+            settings.discovery,
+            self._pool,
+            self.handle_event,
         )
-        self._requests = RequestLifecycle(self._active, self._pool, self._clock, self.handle)
-        self._attempts = AttemptSender(settings, self._requests, self._pool, self._clock, self.handle)
-        self._health_checks = HealthChecker(settings, self._pool, self._clock, self.handle)
+        self._requests = RequestLifecycle(self._active, self._pool, self._clock, self.handle_event)
+        self._attempts = AttemptSender(settings, self._requests, self._pool, self._clock, self.handle_event)
+        self._health_checks = HealthChecker(settings, self._pool, self._clock, self.handle_event)
         self.frontend = Frontend(config.listen, max_connections, self, settings)
 
     async def run(self, stop: asyncio.Event) -> None:
@@ -106,7 +109,7 @@
         self._requests.handle_request(request)
 
     def handle_disconnect(self, request: ClientRequest) -> None:
-        """Drop a request whose client has closed its connection."""
+        """Drop a request whose client has disconnected, or that its connection has failed already."""
         self._requests.handle_disconnect(request)
 
     def is_request_id_in_use(self, request_id: str) -> bool:
@@ -151,7 +154,7 @@
         log.info("migrating to the registry at %s:%d", *address)
         self._endpoint_list.client.migrate(address)
 
-    def handle(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """Process an event and the events that its actions cause, in order.
 
         An event that arrives while another one is being processed is queued behind it.
@@ -216,4 +219,4 @@
 
     def _set_timer(self, action: SetTimer) -> None:
         fired = TimerFired(action.token)
-        asyncio.get_running_loop().call_later(action.delay_us / 1e6, self.handle, fired)
+        asyncio.get_running_loop().call_later(action.delay_us / 1e6, self.handle_event, fired)
--- a/sidecar/proxy/exchange.py
+++ b/sidecar/proxy/exchange.py
@@ -110,23 +110,23 @@
         self._encoder = encoder
         self._on_outcome: OutcomeCallback | None = on_outcome
 
-    def is_over(self) -> bool:
+    def has_ended(self) -> bool:
         """Return whether it has ended."""
         return self._on_outcome is None
 
     def is_request_written(self) -> bool:
         """Return whether the last byte of its request has been handed to the kernel."""
-        return self.connection is not None and self.connection.request_written
+        return self.connection is not None and self.connection.is_request_written
 
     def encode_request(self, now: float) -> bytes | None:
         """Encode its request at an event loop time; return None if it is not wanted any more."""
         return self._encoder.encode(max(self.deadline - now, 0.0))
 
     def check_still_wanted(self) -> bool:
-        """Return whether a long request may be written to its end; end the exchange if not."""
+        """Return whether the last byte of a long request may be written; end the exchange if not."""
         if self.encode_request(asyncio.get_running_loop().time()) is None:
             self.end(Outcome.NOT_SENT)
-        return not self.is_over()
+        return not self.has_ended()
 
     def on_deadline(self) -> None:
         """End it, whatever its progress."""
@@ -136,7 +136,7 @@
         """End it if its dial has not succeeded.
 
         A dial has succeeded if the kernel says so, even if the event loop has not processed it yet: a busy
-        sidecar must not take its own lag for unreachable servers.  The deadline still bounds the exchange.
+        sidecar must not mistake its own lag for an unreachable server.  The deadline still applies.
         """
         if self.connection is not None:
             return
@@ -168,19 +168,24 @@
         return Outcome.CONNECT_FAILED
 
 
-def classify_outcome(response: Response | None, request_written: bool, has_protocol_error: bool) -> Outcome:
-    """Return the outcome of an exchange; one that says the request never ran only if that is certain.
+def classify_outcome(
+    response: Response | None, is_request_written: bool, has_protocol_error: bool
+) -> Outcome:
+    """Return the outcome of an exchange whose connection has reported the end of the request.
+
+    An outcome that says that the request never ran is returned only if that is certain.
 
     Args:
         response: The complete response; None: there is none.
-        request_written: Whether the last byte of the request has been handed to the kernel.  A server starts
-            to process a request when it has the last byte: an earlier response belongs to another request.
+        is_request_written: Whether the last byte of the request has been handed to the kernel.  A server
+            starts to process a request when it has the last byte: an earlier response belongs to another
+            request.
         has_protocol_error: Whether the response is malformed, or more than one was received.  A rejection
             followed by more bytes proves nothing, as one of the two may answer the previous request.
     """
     if response is not None and response.is_rejection() and not has_protocol_error:
         return Outcome.REJECTED
-    if not request_written:
+    if not is_request_written:
         return Outcome.CONNECT_FAILED
     if response is None:
         # The server is reachable, even though its response is malformed.
--- a/sidecar/settings/model.py
+++ b/sidecar/settings/model.py
@@ -46,7 +46,13 @@
 
 @unique
 class DedupScope(Enum):
-    """Which servers drop the duplicates of a request with an idempotency key."""
+    """Which servers drop the duplicates of a request with an idempotency key.
+
+    Attributes:
+        ALL: All servers, because they share one record of idempotency keys.
+        ZONE: The servers in the zone of the server that received the first attempt.
+        CELL: The servers of the same group as the server that received the first attempt.
+    """
 
     ALL = "all"
     ZONE = "zone"
@@ -55,7 +61,12 @@
 
 @unique
 class Discovery(Enum):
-    """How changes of the endpoint list reach an instance."""
+    """How changes of the endpoint list reach an instance.
+
+    Attributes:
+        PUSHED: They arrive without a request from the instance.
+        ON_REQUEST: The instance polls the registry.
+    """
 
     PUSHED = "pushed"
     ON_REQUEST = "on_request"
@@ -203,7 +214,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Costs of extra traffic, in points of the service level, for one unit per request.
+    """Costs of extra traffic, in points of the service level.
+
+    Unless stated otherwise, each is the cost of one unit per request.
 
     Attributes:
         cross_zone: Cost of an attempt in another zone.
--- a/tests/proxy/test_registry_update_delay.py
+++ b/tests/proxy/test_registry_update_delay.py
@@ -1,4 +1,4 @@
-"""How long after discovery has a change it is applied, whatever the calls before came to."""
+"""How soon a change is applied once discovery has it, whatever the results of the previous calls."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from proxy_harness import respond_ok, running_proxy
 from virtual_time import STEP_S, RegistryStandIn, advance, assert_notified_within, now_s, run_in_virtual_time
 
-NOTIFIED_WITHIN_S = 6.0  # after discovery has it and can be reached, a change counts as notified
+NOTIFIED_WITHIN_S = 6.0  # after discovery has a change and is reachable
 
 
-# The settings allow far longer; nothing of that counts after a failed call.
+# The settings allow far longer intervals between calls; after a failed call these do not apply.
 RULES = {"max_poll_interval_us": 60 * SECOND_US}
 FAULTS = ("503", "reset", "refused", "partitioned", "silent")
 
@@ -35,10 +35,10 @@
                 if change_first:
                     await registry.change(leaving)
                 await registry.recover()
-                began = now_s()
+                started_at = now_s()
                 if not change_first:
                     await registry.change(leaving)
-                await assert_notified_within(proxy, NOTIFIED_WITHIN_S, began)
+                await assert_notified_within(proxy, NOTIFIED_WITHIN_S, started_at)
 
     run_in_virtual_time(scenario())
 
@@ -47,7 +47,7 @@
 def test_change_is_applied_in_time_while_a_watch_is_silent(
     after_s: float, make_registry: Callable[[], RegistryStandIn]
 ) -> None:
-    # The watch alone fell silent: its service has the change, and answers whoever calls anew.
+    # Only the pending call of the watch is silent: the registry has the change, and answers new calls.
     async def scenario() -> None:
         registry = make_registry()
         async with running_proxy(respond_ok, registry=registry, rules=RULES) as proxy:
@@ -55,9 +55,9 @@
             registry.fail("silent")
             await registry.recover()
             await advance(after_s)
-            began = now_s()
+            started_at = now_s()
             await registry.change(proxy.servers[0].entry(status="leaving"))
-            await assert_notified_within(proxy, NOTIFIED_WITHIN_S, began)
+            await assert_notified_within(proxy, NOTIFIED_WITHIN_S, started_at)
 
     run_in_virtual_time(scenario())
 
@@ -68,18 +68,18 @@
 ) -> None:
     async def scenario() -> None:
         for outage_s in (0.3, 2.2, 9.0):
-            former, latter = make_registry(), make_registry()
-            await latter.start()
-            async with running_proxy(respond_ok, registry=former, rules=RULES) as proxy:
+            old_registry, new_registry = make_registry(), make_registry()
+            await new_registry.start()
+            async with running_proxy(respond_ok, registry=old_registry, rules=RULES) as proxy:
                 await advance(0.5)
-                former.fail(fault)
-                latter.fail(fault)
-                await latter.change(proxy.servers[0].entry(status="leaving"))
-                proxy.sidecar.migrate_discovery(latter.address)
+                old_registry.fail(fault)
+                new_registry.fail(fault)
+                await new_registry.change(proxy.servers[0].entry(status="leaving"))
+                proxy.sidecar.migrate_discovery(new_registry.address)
                 await advance(outage_s)
-                await latter.recover()
+                await new_registry.recover()
                 await assert_notified_within(proxy, NOTIFIED_WITHIN_S, now_s())
-            latter.stop()
+            new_registry.stop()
 
     run_in_virtual_time(scenario())
 
@@ -88,31 +88,31 @@
     make_registry: Callable[[], RegistryStandIn],
 ) -> None:
     async def scenario() -> None:
-        former, latter = make_registry(), make_registry()
-        await latter.start()
-        async with running_proxy(respond_ok, registry=former, rules=RULES) as proxy:
+        old_registry, new_registry = make_registry(), make_registry()
+        await new_registry.start()
+        async with running_proxy(respond_ok, registry=old_registry, rules=RULES) as proxy:
             await advance(0.5)
-            await latter.change(proxy.servers[0].entry(status="leaving"))
-            latter.fail("silent")
-            began = now_s()
-            proxy.sidecar.migrate_discovery(latter.address)
-            while not latter.targets:
+            await new_registry.change(proxy.servers[0].entry(status="leaving"))
+            new_registry.fail("silent")
+            started_at = now_s()
+            proxy.sidecar.migrate_discovery(new_registry.address)
+            while not new_registry.targets:
                 await asyncio.sleep(STEP_S)
-            await latter.recover()
-            await assert_notified_within(proxy, 4.0, began)
-        latter.stop()
+            await new_registry.recover()
+            await assert_notified_within(proxy, 4.0, started_at)
+        new_registry.stop()
 
     run_in_virtual_time(scenario())
 
 
 def test_watch_makes_no_more_calls_than_needed(make_registry: Callable[[], RegistryStandIn]) -> None:
-    # Each call costs a service that answers a whole fleet in turn; shorter waits than this buy nothing.
+    # Each call is a cost for a registry that serves a whole fleet; shorter waits would bring no benefit.
     async def scenario() -> None:
         registry = make_registry()
         async with running_proxy(respond_ok, registry=registry, rules=RULES):
             await advance(60.0)
             assert 15 <= len(registry.targets) <= 20
-            waits = {int(parse_qs(urlsplit(each).query)["wait_ms"][0]) for each in registry.targets}
-            assert len(waits) > 5  # instances that were silenced at once do not come back at once
+            waits_ms = {int(parse_qs(urlsplit(each).query)["wait_ms"][0]) for each in registry.targets}
+            assert len(waits_ms) > 5  # sidecars whose watches fail together do not all call again together
 
     run_in_virtual_time(scenario())
